--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -228,7 +228,7 @@
             Ok(()) => {
                 self.core.relay.note_proof(proof.into_std());
                 if let Some(table) = self.core.table() {
-                    self.core.route_checks.tell_version(table.version());
+                    self.core.route_checks.announce_version(table.version());
                 }
             }
             // Not to be expected: the feed goes on from the copy. Without a proof the copy becomes old, another source brings
--- a/crates/ebonyfork/src/gateway/route_check/message.rs
+++ b/crates/ebonyfork/src/gateway/route_check/message.rs
@@ -1,27 +1,28 @@
-//! What VMs ask one another about a route.
+//! Messages between VMs that compare a route.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// One message about a route.
+/// A message of a route check.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteCheckMessage {
-    /// Asks how a route is in the configuration in force.
-    Ask {
-        /// Number of the question.
+    /// Requests the state of a route in the receiver's configuration in force.
+    Request {
+        /// Number of the request.
         number: u64,
         /// The route's host.
         host: CompactString,
-        /// The beginning of its paths.
+        /// The route's path prefix.
         prefix: CompactString,
     },
-    /// Answers an [`RouteCheckMessage::Ask`].
-    Verdict {
-        /// Number of the question.
+    /// Answers a [`RouteCheckMessage::Request`].
+    Response {
+        /// Number of the request.
         number: u64,
-        /// The version in force; 0 if there is none.
+        /// The configuration version in force; 0 if there is none.
         version: u64,
-        /// Marks the route and all others whose paths begin as its own do; none if there is no such route.
-        mark: Option<u64>,
+        /// Fingerprint of the route and of all routes whose path prefixes extend its own; none if there is no such
+        /// route.
+        scope_mark: Option<u64>,
     },
 }
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -1,14 +1,17 @@
-//! What a VM does with requests while it knows that its configuration may be an old one.
+//! Checks routes with other VMs while this VM's configuration may be outdated.
 //!
-//! That its copy of the store is old alone says nothing: when the store is away, all copies are, and all VMs go on serving.
-//! A newer version that other VMs have in force says that some routes have changed, but not which. So the VM asks one of
-//! those VMs about each route once, and a route that is as it was is served on. Any other request is refused as not run:
-//! the caller comes back on another VM, which has the route as it is now.
+//! A stale copy of the store alone is no reason to refuse requests: when the store is unreachable, all copies are stale
+//! and all VMs go on serving. If other VMs have a newer configuration version in force, some routes have changed, but
+//! it is not known which. So the VM checks each route once with one of those VMs and goes on serving the routes that
+//! are unchanged. Any other request is refused as not run: the caller retries on another VM, which has the current
+//! route.
 //!
-//! The same holds while the copy is up to date and other VMs have had a newer version for longer than a change may take: the
-//! store came back from an older copy without it, and this VM started since or had not heard of it before.
+//! The same applies while the copy is up to date but other VMs have had a newer version for longer than the change
+//! bound: the store was restored from an older copy without that version, and this VM started since or had not received
+//! the version before.
 //!
-//! Asked is one of the VMs that read the store themselves: only these tell their version in gossip.
+//! Only VMs that read the store directly announce their version in gossip, so a route is always checked with one of
+//! these.
 
 mod message;
 mod state;
@@ -18,90 +21,95 @@
 pub use message::RouteCheckMessage;
 pub use state::RouteChecks;
 
-use self::state::{RouteStanding, RouteVerdict};
+use self::state::{RouteFreshness, RouteState};
 use crate::gateway::clock::now;
 use crate::gateway::core::GatewayCore;
 use crate::gateway::refusal::RefusalReason;
 use crate::gateway::route::{RouteEntry, RouteTable};
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Longest wait for another VM's word about a route: twice the way between regions (12 to 20 ms) and a busy VM's turn, and
-/// less than the latency target of every class so far.
-const VERDICT_TIME: Duration = Duration::from_millis(80);
+/// Maximum wait for another VM's response: two network trips between regions (12 to 20 ms) plus queueing on a busy VM,
+/// and less than the latency target of every class so far.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Makes sure that a route is as the newest configuration has it, as far as this VM can know of that.
+/// Checks that a route is unchanged in the newest configuration, as far as this VM can find out.
 pub async fn check_route(
     core: &GatewayCore,
     table: &RouteTable,
     route: &RouteEntry,
 ) -> Result<(), RefusalReason> {
     let checks = &core.route_checks;
-    let old = core.has_old_config();
-    let (newest, vm) = match checks.standing(table.version(), &route.name, old) {
-        RouteStanding::Certain => return Ok(()),
-        RouteStanding::Unknown => return Err(RefusalReason::OldConfig),
-        RouteStanding::Ask { newest, vm } => (newest, vm),
+    let outdated = core.has_old_config();
+    let (newest, vm) = match checks.freshness(table.version(), &route.name, outdated) {
+        RouteFreshness::Current => return Ok(()),
+        RouteFreshness::Unknown => return Err(RefusalReason::OldConfig),
+        RouteFreshness::CheckWith { newest, vm } => (newest, vm),
     };
-    let (number, verdict) = checks.begin();
-    let question = RouteCheckMessage::Ask {
+    let (number, response) = checks.register_request();
+    let request = RouteCheckMessage::Request {
         number,
         host: route.host.clone(),
         prefix: route.prefix.clone(),
     };
-    let asked = now();
-    let told = core.delegates.tell(vm, PeerMessage::RouteCheck(question));
-    let verdict = if told {
-        tokio::time::timeout(VERDICT_TIME, verdict).await
+    let asked_at = now();
+    let sent = core.delegates.tell(vm, PeerMessage::RouteCheck(request));
+    let response = if sent {
+        tokio::time::timeout(RESPONSE_TIMEOUT, response).await
     } else {
-        Ok(Ok(RouteVerdict::default()))
+        Ok(Ok(RouteState::default()))
     };
-    // A VM that does not answer, and one that knows no better, leave the question open.
-    let verdict = verdict.ok().and_then(Result::ok).unwrap_or_default();
-    let same = verdict.mark == table.scope_mark(&route.host, &route.prefix);
-    let settled = verdict.version >= newest && verdict.mark.is_some();
+    // Without a response, or with one from a VM that has no newer version, the check is inconclusive.
+    let response = response.ok().and_then(Result::ok).unwrap_or_default();
+    let same = response.scope_mark == table.scope_mark(&route.host, &route.prefix);
+    let is_conclusive = response.version >= newest && response.scope_mark.is_some();
     log::info!(
         target: "ebonyfork::decision",
         "route check route={} version={} newest={newest} vm={vm} answered={} same={same} took_ms={}",
         route.name,
         table.version(),
-        verdict.version,
-        now().saturating_duration_since(asked).as_millis()
+        response.version,
+        now().saturating_duration_since(asked_at).as_millis()
     );
-    if settled && same {
-        checks.note_same(&route.name, verdict.version);
+    if is_conclusive && same {
+        checks.record_match(&route.name, response.version);
         return Ok(());
     }
     Err(RefusalReason::OldConfig)
 }
 
-/// Takes in what another VM asks or tells about a route.
+/// Handles a request or response from another VM.
 pub fn take_message(core: &GatewayCore, from: &LinkSender, message: RouteCheckMessage) {
     match message {
-        RouteCheckMessage::Ask {
+        RouteCheckMessage::Request {
             number,
             host,
             prefix,
         } => {
             let table = core.table();
-            let verdict = table.map(|table| RouteVerdict {
+            let response = table.map(|table| RouteState {
                 version: table.version(),
-                mark: table.scope_mark(&host, &prefix),
+                scope_mark: table.scope_mark(&host, &prefix),
             });
-            let verdict = verdict.unwrap_or_default();
-            let verdict = RouteCheckMessage::Verdict {
+            let response = response.unwrap_or_default();
+            let response = RouteCheckMessage::Response {
                 number,
-                version: verdict.version.0,
-                mark: verdict.mark,
+                version: response.version.0,
+                scope_mark: response.scope_mark,
             };
-            if let Err(error) = from.send(PeerMessage::RouteCheck(verdict)) {
-                log::debug!("route verdict for {:?}: {error}", from.peer());
+            if let Err(error) = from.send(PeerMessage::RouteCheck(response)) {
+                log::debug!(
+                    "route check response to {:?} not sent: {error}",
+                    from.peer()
+                );
             }
         }
-        RouteCheckMessage::Verdict {
+        RouteCheckMessage::Response {
             number,
             version,
-            mark,
-        } => core.route_checks.settle(number, version, mark),
+            scope_mark,
+        } => core
+            .route_checks
+            .complete_request(number, version, scope_mark),
     }
 }
 
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -50,7 +50,7 @@
     RouteTable::new(ConfigVersion(version), routes, [], limits)
 }
 
-/// What gossip says of the second VM.
+/// Returns what gossip states about the second VM.
 fn members(version: u64, state: MemberState) -> MemberSnapshot {
     MemberSnapshot::new([MemberEntry {
         vm: vm(2),
@@ -64,7 +64,7 @@
     }])
 }
 
-/// Two VMs with links: the first one's copy of the store is old.
+/// Two linked VMs; the first one's copy of the store is stale.
 struct TwoVms {
     first: Rc<GatewayCore>,
     second: Rc<GatewayCore>,
@@ -118,12 +118,12 @@
     }
 }
 
-/// A VM knew for 8 s that its copy of the store was old and that a newer version was in force elsewhere, and ran requests by
-/// its old routes all the same. It could have seen by itself which ones had changed: `store copy old age_ms=3334`, then
-/// `request ... version=10 answered status=200` 4.9 s later.
+/// A VM must not serve a route that has changed once it knows that its configuration is outdated. A VM knew for 8 s
+/// that its copy was stale and that a newer version was in force elsewhere, but still served its old routes, although
+/// it could have found out which ones had changed.
 #[gtest]
 #[tokio::test]
-async fn an_old_route_that_has_changed_is_not_served() {
+async fn a_stale_route_that_has_changed_is_refused() {
     let test = async {
         let vms = TwoVms::start().await;
         vms.put(
@@ -141,7 +141,7 @@
                 ],
             ),
         );
-        expect_that!(vms.check("/a/1").await, ok(eq(())), "as it was");
+        expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
         let refused = err(eq(RefusalReason::OldConfig));
         expect_that!(vms.check("/b/1").await, refused, "moved");
         let refused = err(eq(RefusalReason::OldConfig));
@@ -150,7 +150,7 @@
         expect_that!(
             vms.check("/d/e/1").await,
             refused,
-            "another one is longer now"
+            "a longer prefix matches now"
         );
     };
     LocalSet::new().run_until(test).await;
@@ -158,25 +158,26 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_route_is_asked_about_once_a_version() {
+async fn a_route_is_checked_once_per_version() {
     let test = async {
         let mut vms = TwoVms::start().await;
         vms.put(table(10, &[("/a/", "s")]), table(14, &[("/a/", "s")]));
         expect_that!(vms.check("/a/1").await, ok(eq(())));
         vms.tasks.remove(1).shutdown().await;
-        expect_that!(vms.check("/a/2").await, ok(eq(())), "known by now");
+        expect_that!(vms.check("/a/2").await, ok(eq(())), "known to be unchanged");
         let later = members(15, MemberState::Alive);
         vms.first.route_checks.note_members(&later, vm(1), &zone());
         let refused = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/a/3").await, refused, "nobody answers");
+        expect_that!(vms.check("/a/3").await, refused, "no response");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// When the store is away for all, every copy is old and nobody has a newer version: all go on serving.
+/// While the store is unreachable for all VMs, every copy is stale and no VM has a newer version, so all of them go on
+/// serving.
 #[gtest]
 #[tokio::test]
-async fn without_a_newer_version_elsewhere_everything_is_served() {
+async fn without_a_newer_version_elsewhere_every_route_is_served() {
     let test = async {
         let vms = TwoVms::start().await;
         vms.put(table(14, &[("/a/", "s")]), table(14, &[("/a/", "moved")]));
@@ -184,31 +185,36 @@
         expect_that!(vms.check("/a/1").await, ok(eq(())));
         let checks = &vms.first.route_checks;
         checks.note_members(&members(15, MemberState::Failed), vm(1), &zone());
-        expect_that!(vms.check("/a/1").await, ok(eq(())), "of a VM that is gone");
+        expect_that!(
+            vms.check("/a/1").await,
+            ok(eq(())),
+            "announced by a failed VM"
+        );
         checks.note_members(&members(15, MemberState::Alive), vm(1), &zone());
         vms.first.relay.note_proof(now());
-        expect_that!(vms.check("/a/1").await, ok(eq(())), "just written, not due");
+        expect_that!(vms.check("/a/1").await, ok(eq(())), "not overdue yet");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// The store came back without the newest version, and a VM that started just then served the routes of the one before it.
+/// A store was restored without the newest version, and a VM that started at that time served the routes of the
+/// previous one.
 #[gtest]
 #[tokio::test]
-async fn a_version_that_the_store_has_lost_is_missed_once_it_is_overdue() {
+async fn a_version_lost_by_the_store_is_noticed_once_overdue() {
     let test = async {
         let vms = TwoVms::start().await;
         let lost = [("/a/", "s"), ("/b/", "moved"), ("/c/", "new")];
         vms.put(table(10, &[("/a/", "s"), ("/b/", "s")]), table(14, &lost));
         vms.first.relay.note_proof(now());
         vms.first.note_own_version();
-        expect_that!(vms.check("/b/1").await, ok(eq(())), "it may be on its way");
+        expect_that!(vms.check("/b/1").await, ok(eq(())), "not overdue yet");
         expect_that!(vms.first.no_route(), eq(RefusalReason::NoRoute));
         let since = now().checked_sub(settings().change_bound);
         let Some(since) = since else { return };
         vms.first.route_checks.note_own(ConfigVersion(9), since);
         vms.first.route_checks.note_own(ConfigVersion(10), since);
-        expect_that!(vms.check("/a/1").await, ok(eq(())), "as it was");
+        expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
         let refused = err(eq(RefusalReason::OldConfig));
         expect_that!(vms.check("/b/1").await, refused, "moved");
         expect_that!(vms.first.no_route(), eq(RefusalReason::OldConfig));
@@ -219,20 +225,20 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A question whose caller left, or which was not answered in time, stayed for good if the VM that was asked never answered.
+/// A request whose caller had left, or that timed out, was never dropped if the VM that was asked did not respond.
 #[gtest]
 #[tokio::test]
-async fn questions_that_nobody_waits_for_are_dropped() {
+async fn abandoned_requests_are_dropped() {
     let test = async {
         let mut vms = TwoVms::start().await;
         vms.put(table(10, &[("/a/", "s")]), table(14, &[("/a/", "s")]));
         vms.tasks.remove(1).shutdown().await;
-        for _question in 0..3 {
+        for _request in 0..3 {
             let asking = vms.check("/a/1");
             let left = tokio::time::timeout(Duration::from_millis(5), asking).await;
             expect_that!(left.is_err(), eq(true), "the caller has left");
         }
-        expect_that!(vms.first.route_checks.open_questions(), eq(1));
+        expect_that!(vms.first.route_checks.pending_requests(), eq(1));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -1,4 +1,4 @@
-//! Which versions other VMs have in force, and which routes are known to be the same there.
+//! Tracks the configuration versions of other VMs, and the routes known to be the same there.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -12,60 +12,60 @@
 use crate::ident::{VmAddress, ZoneName};
 use crate::membership::{MemberEntry, MemberSnapshot, MemberState};
 
-/// What another VM says of a route; the default is that it knows nothing.
+/// The version and route that a VM has in force; the default means that it knows nothing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct RouteVerdict {
+pub(super) struct RouteState {
     pub(super) version: ConfigVersion,
-    pub(super) mark: Option<u64>,
+    pub(super) scope_mark: Option<u64>,
 }
 
-/// Whether a route may be served.
+/// Whether a route may be served without a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RouteStanding {
-    /// Nothing newer is known, or the route is the same there.
-    Certain,
-    /// A VM that has a newer version can be asked.
-    Ask {
+pub(super) enum RouteFreshness {
+    /// No newer version is known, or the route is the same there.
+    Current,
+    /// The route has to be checked with a VM that has a newer version.
+    CheckWith {
         newest: ConfigVersion,
         vm: VmAddress,
     },
-    /// There is a newer version and nobody to ask.
+    /// There is a newer version, but no VM to check with.
     Unknown,
 }
 
-/// What is known of other VMs' configurations.
+/// Knowledge of other VMs' configurations, and pending route checks.
 #[derive(Debug, Default)]
 pub struct RouteChecks {
     /// The newest version that another VM has in force.
     newest: Cell<ConfigVersion>,
-    /// The version in force here while there is a newer one elsewhere, and since when.
+    /// This VM's version in force while another VM has a newer one, and since when.
     behind: Cell<Option<(ConfigVersion, Instant)>>,
-    /// The VMs that have the newest, of the own zone if any are.
+    /// The VMs that have the newest version, limited to the own zone if any of them is in it.
     holders: RefCell<SmallVec<[VmAddress; 8]>>,
-    /// Routes that are the same in a version as in this VM's own.
-    same: RefCell<FxHashMap<RouteName, ConfigVersion>>,
-    pending: RefCell<FxHashMap<u64, oneshot::Sender<RouteVerdict>>>,
+    /// Routes that are the same in another VM's version as in this VM's own.
+    matching: RefCell<FxHashMap<RouteName, ConfigVersion>>,
+    pending: RefCell<FxHashMap<u64, oneshot::Sender<RouteState>>>,
     next: Cell<u64>,
-    /// The version that this VM tells the others.
-    told: watch::Sender<ConfigVersion>,
+    /// The version that this VM announces to others.
+    announced: watch::Sender<ConfigVersion>,
 }
 
 impl RouteChecks {
-    /// Tells other VMs which version is in force here.
-    pub fn tell_version(&self, version: ConfigVersion) {
-        self.told.send_if_modified(|told| {
-            let newer = version > *told;
-            *told = version.max(*told);
+    /// Announces the version in force here to other VMs.
+    pub fn announce_version(&self, version: ConfigVersion) {
+        self.announced.send_if_modified(|announced| {
+            let newer = version > *announced;
+            *announced = version.max(*announced);
             newer
         });
     }
 
-    /// The version to tell other VMs, as it changes.
+    /// Subscribes to the version to announce to other VMs.
     pub fn told_version(&self) -> watch::Receiver<ConfigVersion> {
-        self.told.subscribe()
+        self.announced.subscribe()
     }
 
-    /// Notes which versions the other VMs have in force.
+    /// Records the versions that other VMs have in force.
     pub fn note_members(&self, members: &MemberSnapshot, own: VmAddress, zone: &ZoneName) {
         let others = members.members().iter();
         let usable: SmallVec<[_; 128]> = others
@@ -75,19 +75,19 @@
         let newest = newest.unwrap_or_default();
         let holds = |member: &&&MemberEntry| member.digest.revision.0 == newest;
         let holders: SmallVec<[_; 8]> = usable.iter().filter(holds).collect();
-        let is_near = holders.iter().any(|member| member.zone == *zone);
-        let mut nearest = self.holders.borrow_mut();
-        nearest.clear();
+        let has_local_holder = holders.iter().any(|member| member.zone == *zone);
+        let mut holders_to_ask = self.holders.borrow_mut();
+        holders_to_ask.clear();
         for member in holders {
-            if is_near && member.zone != *zone {
+            if has_local_holder && member.zone != *zone {
                 continue;
             }
-            nearest.push(member.vm);
+            holders_to_ask.push(member.vm);
         }
         self.newest.set(ConfigVersion(newest));
     }
 
-    /// Takes in which version is in force here.
+    /// Records the version in force here.
     pub fn note_own(&self, own: ConfigVersion, now: Instant) {
         let since = match self.behind.get() {
             Some((version, since)) if version == own => since,
@@ -97,73 +97,74 @@
         self.behind.set(behind.then_some((own, since)));
     }
 
-    /// Whether other VMs have had a newer version in force for longer than a change may take, so that the store would have
-    /// told of it if it still held it.
+    /// Returns whether other VMs have had a newer version in force for longer than the change bound `bound`. If the
+    /// store still held that version, this VM would have received it by then.
     pub fn is_overdue(&self, own: ConfigVersion, now: Instant, bound: Duration) -> bool {
         let behind = self.behind.get();
         behind.is_some_and(|(version, since)| version == own && now >= since + bound)
     }
 
-    /// Whether a route of the version in force may be served; `old` tells whether that may be an old one.
-    pub(super) fn standing(
+    /// Returns whether a route of the version in force may be served; `outdated` states whether that version may not be
+    /// the newest one.
+    pub(super) fn freshness(
         &self,
         own: ConfigVersion,
         route: &RouteName,
-        old: bool,
-    ) -> RouteStanding {
+        outdated: bool,
+    ) -> RouteFreshness {
         let newest = self.newest.get();
-        if !old || newest <= own {
-            return RouteStanding::Certain;
+        if !outdated || newest <= own {
+            return RouteFreshness::Current;
         }
-        let known = self.same.borrow().get(route).copied();
-        if known.is_some_and(|same| same >= newest) {
-            return RouteStanding::Certain;
+        let known = self.matching.borrow().get(route).copied();
+        if known.is_some_and(|matching| matching >= newest) {
+            return RouteFreshness::Current;
         }
-        // One that does not answer is not asked by every request.
+        // A random choice keeps requests from all waiting for one VM that does not respond.
         match self.holders.borrow().choose(&mut rand::rng()) {
-            Some(vm) => RouteStanding::Ask { newest, vm: *vm },
-            None => RouteStanding::Unknown,
+            Some(vm) => RouteFreshness::CheckWith { newest, vm: *vm },
+            None => RouteFreshness::Unknown,
         }
     }
 
-    /// Notes that a route is the same in a version as in this VM's own.
-    pub(super) fn note_same(&self, route: &RouteName, version: ConfigVersion) {
-        self.same.borrow_mut().insert(route.clone(), version);
+    /// Records that a route is the same in another VM's version as in this VM's own.
+    pub(super) fn record_match(&self, route: &RouteName, version: ConfigVersion) {
+        self.matching.borrow_mut().insert(route.clone(), version);
     }
 
-    /// Another version is in force here: what was known to be the same as the one before may not be the same as this one.
+    /// Drops all matches, because a new version in force here may differ from the one that they were recorded for.
     pub fn forget_same(&self) {
-        self.same.borrow_mut().clear();
+        self.matching.borrow_mut().clear();
     }
 
-    /// Begins a question: its number, and where the verdict comes. Questions that nobody waits for any more are dropped: a
-    /// caller may have left, and the VM that was asked may never answer.
-    pub(super) fn begin(&self) -> (u64, oneshot::Receiver<RouteVerdict>) {
+    /// Registers a request and returns its number and the receiver of the response. Requests that nobody waits for any
+    /// more are dropped, since a caller may have gone and the VM that was asked may never respond.
+    pub(super) fn register_request(&self) -> (u64, oneshot::Receiver<RouteState>) {
         let number = self.next.get();
         self.next.set(number + 1);
-        let (sender, verdict) = oneshot::channel();
+        let (sender, response) = oneshot::channel();
         let mut pending = self.pending.borrow_mut();
-        pending.retain(|_number, asked| !asked.is_closed());
+        pending.retain(|_number, sender| !sender.is_closed());
         pending.insert(number, sender);
-        (number, verdict)
+        (number, response)
     }
 
-    /// Questions without a verdict.
+    /// Returns the number of requests without a response.
     #[cfg(test)]
-    pub(super) fn open_questions(&self) -> usize {
+    pub(super) fn pending_requests(&self) -> usize {
         self.pending.borrow().len()
     }
 
-    /// Hands a verdict to the one who asked, unless that has ended.
-    pub(super) fn settle(&self, number: u64, version: u64, mark: Option<u64>) {
-        let Some(asked) = self.pending.borrow_mut().remove(&number) else {
+    /// Delivers a response to the request with this number, if it is still pending.
+    pub(super) fn complete_request(&self, number: u64, version: u64, scope_mark: Option<u64>) {
+        let Some(sender) = self.pending.borrow_mut().remove(&number) else {
             return;
         };
-        let verdict = RouteVerdict {
+        let response = RouteState {
             version: ConfigVersion(version),
-            mark,
+            scope_mark,
         };
-        // The request may have ended just now.
-        let _ended = asked.send(verdict);
+        // The request may have ended in the meantime.
+        let _ended = sender.send(response);
     }
 }
