--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -1,7 +1,7 @@
-//! A few VMs that follow a store in memory, over real links on loopback and in virtual time.
+//! A small fleet of VMs that follow an in-memory store over real loopback links in virtual time.
 //!
-//! Nothing here decides anything: the store answers, refuses or falls silent for each VM as the test says, and the VMs
-//! run the code that a gateway runs.
+//! The fixture makes no decisions: a test sets whether the store responds to, refuses or ignores each VM, and the VMs
+//! run the gateway's own code.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -31,16 +31,18 @@
 use crate::membership::{MemberDigest, MemberEntry, MemberSnapshot, MemberState};
 use crate::wire::PeerPool;
 
-/// Where VMs behind links listen.
+/// Address of the listeners of VMs whose links have a rate.
 const INNER_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 1, 1);
-/// Longest step of the virtual clock. It would otherwise jump to the next timer while a socket is about to be read.
+/// Longest step of the virtual clock. Without this limit the clock would jump to the next timer while data is ready on
+/// a socket.
 const CLOCK_STEP: Duration = Duration::from_millis(1);
 
 /// Key of the configuration.
 pub const CONFIG_KEY: &str = "config";
 
-/// Configurations are their version as text, in a line of its own if routes follow; an upstream belongs to the service that
-/// is its value; VMs are VM records; a key of an evacuation ends with its availability zone.
+/// Returns a dialect with plain-text records. The first line of a configuration is its version, and routes may follow;
+/// the value of an upstream is its service; VMs are encoded VM records; the key of an evacuation ends with its
+/// availability zone.
 pub fn text_dialect() -> GatewayDialect {
     GatewayDialect {
         classify: |key| match key.split('/').next() {
@@ -76,11 +78,11 @@
     }
 }
 
-/// One VM that follows the store.
+/// A VM that follows the store.
 pub struct FollowVm {
-    /// The last number of its address.
+    /// The last byte of the VM's address.
     pub number: u8,
-    /// Its availability zone.
+    /// The VM's availability zone.
     pub zone: ZoneName,
     core: Rc<GatewayCore>,
     pool: PeerPool,
@@ -90,23 +92,23 @@
 }
 
 impl FollowVm {
-    /// Bytes that its link has carried, if that has a rate.
+    /// Returns the bytes sent over the VM's link; 0 if the link has no rate.
     pub fn sent_bytes(&self) -> usize {
         let link = self.links.link(vm_address(self.number));
-        link.map_or(0, |link| link.sent.carried())
+        link.map_or(0, |link| link.sent.transmitted())
     }
 
-    /// Whether it knows that its copy of the store may lack changes that are due.
-    pub fn is_old(&self) -> bool {
+    /// Returns whether the VM knows that its copy of the store may lack changes that are due.
+    pub fn is_stale(&self) -> bool {
         self.core.relay.is_old()
     }
 
-    /// The version of the configuration in force; 0 if there is none.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub fn version(&self) -> u64 {
         self.core.table().map_or(0, |table| table.version().0)
     }
 
-    /// The keys of the upstreams that it may use.
+    /// Returns the keys of the upstreams that the VM may use.
     pub fn upstreams(&self) -> BTreeSet<CompactString> {
         let keys = RefCell::new(BTreeSet::new());
         self.core.registry.for_each(|upstream| {
@@ -116,20 +118,20 @@
         keys.into_inner()
     }
 
-    /// The keys of the evacuations that it has in force.
+    /// Returns the keys of the evacuations in force on the VM.
     pub fn evacuations(&self) -> BTreeSet<CompactString> {
         let zones = self.core.registry.evacuated_zones();
         let key = |zone: &PlaceName| evacuation_key(zone.as_str());
         zones.iter().map(key).collect()
     }
 
-    /// The keys of the VMs that it knows from the store.
+    /// Returns the keys of the VMs that the VM knows from the store.
     pub fn vms(&self) -> BTreeSet<CompactString> {
         let seeds = self.core.vms.seeds();
         seeds.iter().map(|vm| format_compact!("vm/{vm}")).collect()
     }
 
-    /// Breaks the links that it has opened.
+    /// Closes the links that the VM has opened.
     pub fn break_links(&self) {
         self.pool.retain(|_vm| false);
     }
@@ -142,11 +144,11 @@
     }
 }
 
-/// VMs that follow one store.
+/// A fleet of VMs that follow one store.
 pub struct FollowFleet {
-    /// The store.
+    /// The store that the VMs follow.
     pub store: FakeStore,
-    /// The VMs.
+    /// The VMs of the fleet.
     pub vms: Vec<FollowVm>,
     members: watch::Sender<Arc<MemberSnapshot>>,
     peer_port: u16,
@@ -155,12 +157,12 @@
 }
 
 impl FollowFleet {
-    /// Starts a VM in each of the zones named. Must run inside a `LocalSet` on a paused clock.
+    /// Starts one VM for each zone in `zones`. Must run inside a `LocalSet` on a paused clock.
     pub async fn start(zones: &[&str]) -> Self {
         Self::start_with(zones, None, settings().change_bound).await
     }
 
-    /// Starts VMs whose links carry only so many bytes a second, with changes due within a time.
+    /// Starts VMs with a limited link rate in bytes per second and a given change bound.
     pub async fn start_with(
         zones: &[&str],
         link_rate: Option<f64>,
@@ -188,15 +190,15 @@
             let vm = fleet.start_vm(number, zone, 1).await;
             fleet.vms.push(vm);
         }
-        fleet.tell_members();
+        fleet.publish_members();
         fleet
     }
 
-    fn tell_members(&self) {
+    fn publish_members(&self) {
         self.suspect(None);
     }
 
-    /// Lets gossip suspect a VM, and no other.
+    /// Makes gossip suspect one VM, or none, and report all others as alive.
     pub fn suspect(&self, suspected: Option<u8>) {
         let member = |vm: &FollowVm| MemberEntry {
             vm: vm_address(vm.number),
@@ -213,7 +215,7 @@
         self.members.send_replace(Arc::new(snapshot));
     }
 
-    async fn start_vm(&self, number: u8, zone: ZoneName, life: u64) -> FollowVm {
+    async fn start_vm(&self, number: u8, zone: ZoneName, incarnation: u64) -> FollowVm {
         let vm = vm_address(number);
         let mut tasks = JoinSet::new();
         let listener = self.listen(vm, &mut tasks).await;
@@ -222,7 +224,7 @@
         settings.change_bound = self.change_bound;
         settings.listen.callers = SocketAddr::new(vm.0, self.peer_port);
         let core = Rc::new(GatewayCore::new(settings, text_dialect()));
-        let session = SessionId::new(vm, IncarnationNumber(life));
+        let session = SessionId::new(vm, IncarnationNumber(incarnation));
         let closing = CancellationToken::new();
         let (pool, events) = open_links(session, self.peer_port, closing.clone());
         core.delegates.set_pool(pool.clone());
@@ -248,14 +250,14 @@
         }
     }
 
-    /// The listener of a VM's process, behind its link if that has a rate.
+    /// Returns the listener of a VM's process, behind a rate-limited proxy if its link has a rate.
     async fn listen(&self, vm: VmAddress, tasks: &mut JoinSet<()>) -> TcpListener {
         let outer = TcpListener::bind((vm.0, self.peer_port)).await;
         let outer = outer.expect("the fleet's port");
         if self.links.link(vm).is_none() {
             return outer;
         }
-        // Not at the VM's own address: there the port may be the one of another fleet.
+        // The VM's own address can't be used: a free port there may be the fleet port of another test.
         let inner = TcpListener::bind((INNER_ADDRESS, 0)).await;
         let inner = inner.expect("a free port");
         let address = inner.local_addr().expect("a bound address");
@@ -263,24 +265,24 @@
         inner
     }
 
-    /// Ends a VM's process and starts it again: it knows nothing.
-    pub async fn restart(&mut self, place: usize, life: u64) {
-        let old = self.vms.remove(place);
+    /// Stops a VM's process and starts it again without any state.
+    pub async fn restart(&mut self, index: usize, incarnation: u64) {
+        let old = self.vms.remove(index);
         let (number, zone) = (old.number, old.zone.clone());
         drop(old);
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let vm = self.start_vm(number, zone, life).await;
-        self.vms.insert(place, vm);
+        let vm = self.start_vm(number, zone, incarnation).await;
+        self.vms.insert(index, vm);
     }
 
-    /// Sets what becomes of all VMs' calls to the store.
+    /// Sets the outcome of all VMs' calls to the store.
     pub fn set_reach(&self, reach: StoreReach) {
         for vm in &self.vms {
             self.store.set_reach(vm.number, reach);
         }
     }
 
-    /// Changes what a VM's link carries, in bytes a second each way.
+    /// Changes the rate of a VM's link in each direction, in bytes per second.
     pub fn set_link_rate(&self, number: u8, rate: f64) {
         if let Some(link) = self.links.link(vm_address(number)) {
             link.sent.set_rate(rate);
@@ -288,11 +290,11 @@
         }
     }
 
-    /// The place of the VM of a zone that asks the store for the others.
-    pub fn asking(&self, zone: &str) -> usize {
+    /// Returns the index of the VM that reads the store for a zone.
+    pub fn reader(&self, zone: &str) -> usize {
         let zone: ZoneName = zone.parse().expect("a valid name");
-        let asking = super::source::asking_vms(&self.members.borrow(), &zone);
-        let vm = asking.first().expect("a VM in the zone");
+        let readers = super::source::store_readers(&self.members.borrow(), &zone);
+        let vm = readers.first().expect("a VM in the zone");
         let found = self
             .vms
             .iter()
@@ -300,12 +302,13 @@
         found.expect("a VM of the fleet")
     }
 
-    /// Writes a configuration.
+    /// Writes a configuration without routes.
     pub fn put_config(&self, version: u64) {
         self.store.put(CONFIG_KEY, version.to_string());
     }
 
-    /// Writes a configuration of many routes, each as long as an operator's; those of a smaller one stay as they are.
+    /// Writes a configuration with routes as long as real ones. A larger configuration contains the routes of a smaller
+    /// one unchanged.
     pub fn put_routes(&self, version: u64, routes: u64) {
         let mut text = format!("{version}\n");
         for number in 0..routes {
@@ -314,7 +317,7 @@
         self.store.put(CONFIG_KEY, text);
     }
 
-    /// Writes the record of a VM that is not of this fleet.
+    /// Writes the record of a VM outside this fleet.
     pub fn put_vm(&self, last: u8) {
         let address = IpAddr::V4(Ipv4Addr::new(10, 9, 0, last));
         let record = VmRecord {
@@ -329,7 +332,7 @@
     }
 }
 
-/// A route as an operator writes it, some 170 bytes.
+/// Returns a route as an operator writes it, about 170 bytes.
 fn route_text(number: u64) -> String {
     let name = xxh3_64(&number.to_be_bytes());
     format!(
@@ -345,17 +348,17 @@
     )
 }
 
-/// Lets virtual time pass.
-pub async fn pass(seconds: f64) {
+/// Sleeps for a number of seconds of virtual time.
+pub async fn sleep_seconds(seconds: f64) {
     tokio::time::sleep(Duration::from_secs_f64(seconds)).await;
 }
 
-/// Key of the evacuation of an availability zone.
+/// Returns the key of the evacuation of an availability zone.
 pub fn evacuation_key(zone: &str) -> CompactString {
     format_compact!("evacuate/{zone}")
 }
 
-/// Key of the record of a VM that is not of the fleet.
+/// Returns the key of the record of a VM outside the fleet.
 pub fn vm_key(last: u8) -> CompactString {
     format_compact!("vm/10.9.0.{last}")
 }
--- a/crates/ebonyfork/src/gateway/follow/following.rs
+++ b/crates/ebonyfork/src/gateway/follow/following.rs
@@ -1,27 +1,28 @@
-//! A VM that is followed: what it has answered, what is coming in from it, and whether it is still a good source.
+//! A followed VM: its responses, the transfer from it, and whether it is still a usable source.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use crate::gateway::clock::now;
-use crate::gateway::mirror::{IncomingTransfer, OpenQuestions, STALL_TIME};
+use crate::gateway::mirror::{IncomingTransfer, PendingPolls, STALL_TIMEOUT};
 use crate::ident::VmAddress;
 
-/// Longest wait for the first answer of a VM that is followed: a link to it has to be opened.
-const FIRST_ANSWER_TIME: Duration = Duration::from_secs(1);
+/// Maximum wait for the first response of a followed VM, which includes opening a link to it.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a VM is followed no longer.
+/// Why a VM is no longer followed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SourceFault {
-    /// No link to it could be used.
+    /// There was no usable link to the VM.
     Unreachable,
-    /// It has not answered for too long.
+    /// The VM has not responded for too long.
     Silent,
-    /// The proof behind its copy is too old.
-    Old,
-    /// What it told does not join what is known. Asked anew it tells everything.
+    /// The proof of the VM's copy is too old.
+    Stale,
+    /// The changes that the VM sent leave a gap after this VM's copy. Polled again, it sends everything.
     Gap,
-    /// What it told can't be read. Asked anew at once it would tell the same, as fast as the link carries it.
+    /// The content that the VM sent can't be decoded. Polled again at once, it would send the same as fast as the link
+    /// allows.
     Unreadable,
 }
 
@@ -30,73 +31,77 @@
         f.write_str(match self {
             Self::Unreachable => "unreachable",
             Self::Silent => "silent",
-            Self::Old => "old",
+            Self::Stale => "old",
             Self::Gap => "gap",
             Self::Unreadable => "unreadable",
         })
     }
 }
 
-/// A VM that is being followed.
+/// A VM that is being followed, and the state of following it.
 #[derive(Debug)]
 pub(super) struct VmFollowing {
     pub(super) vm: VmAddress,
     pub(super) since: Instant,
-    /// Bytes that had come in from it before.
-    pub(super) received_before: u64,
-    /// When it answered last.
-    pub(super) answered_at: Option<Instant>,
-    pub(super) questions: OpenQuestions,
-    /// What is coming in.
+    /// Bytes received from the VM before it was followed.
+    pub(super) received_bytes_before: u64,
+    /// When the VM last responded.
+    pub(super) responded_at: Option<Instant>,
+    pub(super) polls: PendingPolls,
+    /// The transfer being received.
     pub(super) incoming: IncomingTransfer,
-    /// When the last piece of it came.
-    pub(super) advanced_at: Option<Instant>,
+    /// When the last chunk was received.
+    pub(super) progress_at: Option<Instant>,
 }
 
 impl VmFollowing {
-    pub(super) fn new(vm: VmAddress, received_before: u64, questions: OpenQuestions) -> Self {
+    pub(super) fn new(vm: VmAddress, received_bytes_before: u64, polls: PendingPolls) -> Self {
         Self {
             vm,
             since: now(),
-            received_before,
-            answered_at: None,
-            questions,
+            received_bytes_before,
+            responded_at: None,
+            polls,
             incoming: IncomingTransfer::default(),
-            advanced_at: None,
+            progress_at: None,
         }
     }
 
-    /// Whether something is coming in from it.
-    pub(super) fn is_advancing(&self, time: Instant) -> bool {
-        let recent = |at: Instant| time.saturating_duration_since(at) < STALL_TIME;
-        self.advanced_at.is_some_and(recent)
+    /// Returns whether a transfer from the VM is making progress.
+    pub(super) fn is_progressing(&self, time: Instant) -> bool {
+        let recent = |at: Instant| time.saturating_duration_since(at) < STALL_TIMEOUT;
+        self.progress_at.is_some_and(recent)
     }
 
-    /// Whether it has answered one of the last two questions.
-    pub(super) fn answers(&self, time: Instant, period: Duration) -> bool {
+    /// Returns whether the VM has responded to one of the last two polls.
+    pub(super) fn is_responsive(&self, time: Instant, period: Duration) -> bool {
         let recent = |at: Instant| time.saturating_duration_since(at) <= period * 2;
-        self.answered_at.is_some_and(recent)
+        self.responded_at.is_some_and(recent)
     }
 
-    /// Whether it is still a good source; `old` tells whether the copy is too old by now. One that is sending something is:
-    /// followers on links of 14 Mbit/s that left while a change of 1,400 routes was coming in had it sent anew by the
-    /// next VM, left that one as well, and never got it while one change a second was made. One that has left two questions
-    /// unanswered is not, before the copy is old: while another source is asked then, some 60 ms, a VM can't tell that there
-    /// is no route.
+    /// Checks whether the VM is still a usable source; `stale` states whether this VM's copy is. A VM with a transfer
+    /// in progress is usable: on links of 14 Mbit/s, followers that left while a change of 1,400 routes was being
+    /// received had it sent again by the next VM, left that one too, and never received it while one change a second
+    /// was made. A VM that did not respond to two polls is abandoned before the copy is stale: switching to another
+    /// source takes about 60 ms, and with a stale copy a VM can't tell during that time that a route does not exist.
     pub(super) fn check(
         &self,
         time: Instant,
         period: Duration,
-        old: bool,
+        stale: bool,
     ) -> Result<(), SourceFault> {
-        if self.is_advancing(time) {
+        if self.is_progressing(time) {
             return Ok(());
         }
-        if self.answers(time, period) {
-            return if old { Err(SourceFault::Old) } else { Ok(()) };
+        if self.is_responsive(time, period) {
+            return if stale {
+                Err(SourceFault::Stale)
+            } else {
+                Ok(())
+            };
         }
         let followed = time.saturating_duration_since(self.since);
-        if self.answered_at.is_none() && followed <= FIRST_ANSWER_TIME {
+        if self.responded_at.is_none() && followed <= FIRST_RESPONSE_TIMEOUT {
             return Ok(());
         }
         Err(SourceFault::Silent)
--- a/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
@@ -4,35 +4,37 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-use super::fixture::{FollowFleet, FollowVm, pass};
-use super::random_history::{HistoryTerms, play_history};
+use super::fixture::{FollowFleet, FollowVm, sleep_seconds};
+use super::random_history::{HistorySettings, run_history};
 use super::store_fixture::StoreReach;
 
-/// Time within which a grown deployment wants a change in force.
+/// Time within which a change must be in force in a large deployment.
 const CHANGE_BOUND: Duration = Duration::from_secs(5);
-/// Time after trouble from which the bound holds for a VM again in such a deployment.
-const CALM_TIME: Duration = Duration::from_secs(6);
-/// Histories that showed a fault of the product or of the test. In the first one a VM that had been without the store for 12 s
-/// asked it for all changes since, 17 versions of the configuration, and used a removed upstream meanwhile. In the second one
-/// it was back within 5.2 s of the end of its own trouble, of which 2.3 s are for entries that lapsed in an outage to come back.
-const FAILED_SEEDS: [u64; 2] = [54, 284];
-/// Time within which the last VM follows the first one on a calm day.
-const SPREAD_AIM: Duration = Duration::from_secs(1);
-/// Bytes a second of the slowest link of a VM, 14 Mbit/s.
+/// Time after a disturbance from which the bound holds for a VM again in such a deployment.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
+/// Histories that failed because of the product or the test. In the first one, a VM that had been without the store for
+/// 12 s requested all changes since, 17 versions of the configuration, and used a removed upstream until it had them.
+/// In the second one, a VM recovered only 5.2 s after the end of its own disturbance, of which 2.3 s allow entries that
+/// lapsed in the outage to come back.
+const REGRESSION_SEEDS: [u64; 2] = [54, 284];
+/// Time within which a change reaches the last VM without disturbances.
+const SPREAD_TARGET: Duration = Duration::from_secs(1);
+/// Rate of the slowest link of a VM in bytes per second: 14 Mbit/s.
 const SLOW_LINK: f64 = 14e6 / 8.0;
-/// How often the VMs' versions are looked at.
-const LOOK_TIME: Duration = Duration::from_millis(10);
+/// Interval between checks of the VMs' versions.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 async fn slow_fleet(vms: usize) -> FollowFleet {
     FollowFleet::start_with(&vec!["a"; vms], Some(SLOW_LINK), CHANGE_BOUND).await
 }
 
-/// Waits until a version is in force on all VMs, at most twice the bound; returns how long it took for each, by number.
+/// Waits until a version is in force on all VMs, for at most twice the bound. Returns the time that each VM took, in
+/// the order of the fleet.
 async fn times_to_version(fleet: &FollowFleet, version: u64) -> Vec<Option<Duration>> {
     let since = Instant::now();
     let mut times = vec![None; fleet.vms.len()];
     while since.elapsed() < CHANGE_BOUND * 2 && times.contains(&None) {
-        pass(LOOK_TIME.as_secs_f64()).await;
+        sleep_seconds(CHECK_INTERVAL.as_secs_f64()).await;
         for (time, vm) in times.iter_mut().zip(&fleet.vms) {
             if vm.version() >= version {
                 time.get_or_insert(since.elapsed());
@@ -42,22 +44,22 @@
     times
 }
 
-/// 14 VMs of a zone on links of 14 Mbit/s, one of which asks the store. A change had made the configuration 0.49 MB long, 2,850
-/// routes, and others followed while it was still on its way. VMs ran requests by the old routes 5.3 s after the change had
-/// been accepted, although each of them knew that its copy was old. The whole configuration went to each follower, 3.6 s of
-/// the link a change, with questions and gossip behind it; followers took that for silence or for a source that had nothing,
-/// left, and had the same bytes begun anew by the next VM. One follower received 4.5 MB in ten seconds and put none of it in
-/// force. What settled it: `link slow ... waited_ms=3416`, and `given up reason=silent ... received_bytes=229483`.
+/// Large changes in quick succession must reach every VM in time. With 14 VMs on links of 14 Mbit/s, a configuration of
+/// 0.49 MB (2,850 routes) changed again while it was still being sent. Each change sent the whole configuration to each
+/// follower, which took 3.6 s of the link, with polls and gossip queued behind it. Followers took the delay for a
+/// silent or useless source and switched, and the next VM sent the same bytes from the start: one follower received
+/// 4.5 MB in ten seconds and could apply none of it. VMs still used the old routes 5.3 s after a change had been
+/// accepted, although each of them knew that its copy was stale.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn large_changes_in_a_row_are_in_force_in_time() {
+async fn consecutive_large_changes_are_applied_within_the_bound() {
     let test = async {
         let fleet = slow_fleet(14).await;
         fleet.put_routes(1, 1_450);
-        pass(8.0).await;
+        sleep_seconds(8.0).await;
         for version in 2..=20 {
             fleet.put_routes(version, 2_848 + version);
-            pass(1.0).await;
+            sleep_seconds(1.0).await;
             let Some(due) = version.checked_sub(CHANGE_BOUND.as_secs() - 1) else {
                 continue;
             };
@@ -74,7 +76,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// On a calm day the last VM of a zone follows the first one within a second, whether a change adds one route or 1,400.
+/// Without disturbances the last VM of a zone applies a change within a second of the first one, whether the change
+/// adds one route or 1,400.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_large_change_reaches_the_last_vm_within_a_second() {
@@ -84,7 +87,7 @@
             fleet.put_routes(version, routes);
             let times = times_to_version(&fleet, version).await;
             for (time, vm) in times.into_iter().zip(&fleet.vms) {
-                let late = time.is_none_or(|time| time > SPREAD_AIM);
+                let late = time.is_none_or(|time| time > SPREAD_TARGET);
                 expect_that!(
                     late,
                     eq(false),
@@ -92,25 +95,25 @@
                     vm.number
                 );
             }
-            pass(3.0).await;
+            sleep_seconds(3.0).await;
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// What travels is what has changed: one route more or less among 2,850 took 0.49 MB to each of 13 followers.
+/// Only changes are sent: one route more or less among 2,850 used to send 0.49 MB to each of 13 followers.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn one_route_more_does_not_send_the_others_again() {
+async fn adding_one_route_does_not_resend_the_others() {
     let test = async {
         let fleet = slow_fleet(14).await;
         fleet.put_routes(1, 2_850);
-        pass(5.0).await;
+        sleep_seconds(5.0).await;
         let before: usize = fleet.vms.iter().map(FollowVm::sent_bytes).sum();
         fleet.put_routes(2, 2_851);
-        pass(2.0).await;
+        sleep_seconds(2.0).await;
         fleet.put_routes(3, 2_850);
-        pass(2.0).await;
+        sleep_seconds(2.0).await;
         let after: usize = fleet.vms.iter().map(FollowVm::sent_bytes).sum();
         for vm in &fleet.vms {
             expect_that!(vm.version(), eq(3), "VM {}", vm.number);
@@ -120,20 +123,20 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// What the busiest VM sends does not grow with the zone. One VM told all others of it: at 490 VMs 0.49 MB for each are over
-/// two minutes of a link of 14 Mbit/s.
+/// The load of the busiest VM does not grow with the zone. When one VM sent to all others, 0.49 MB for each of 490 VMs
+/// took over two minutes of a link of 14 Mbit/s.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn the_busiest_vm_of_a_larger_zone_sends_no_more() {
+async fn the_busiest_vm_of_a_larger_zone_does_not_send_more() {
     let mut busiest = Vec::new();
     for vms in [17, 60] {
         let test = async {
             let fleet = slow_fleet(vms).await;
             fleet.put_routes(1, 50);
-            pass(5.0).await;
+            sleep_seconds(5.0).await;
             let before: Vec<_> = fleet.vms.iter().map(FollowVm::sent_bytes).collect();
             fleet.put_routes(2, 2_850);
-            pass(2.0).await;
+            sleep_seconds(2.0).await;
             for vm in &fleet.vms {
                 expect_that!(vm.version(), eq(2), "VM {} of {vms}", vm.number);
             }
@@ -148,22 +151,23 @@
     expect_that!(busiest[1], le(busiest[0] * 5 / 4), "{busiest:?} bytes");
 }
 
-/// A VM that has nobody to follow asks the store, on a link of 14 Mbit/s, for four versions of 1 MB: 3 s for one answer. It
-/// gave the call up after 1.05 s and asked anew, each time with more to come, and never had any of them. A VM that knew of
-/// another one went there after 0.8 s, although that one had nothing.
+/// A response that is still being received must not be cancelled. A VM with no other VM to follow read four versions of
+/// 1 MB from the store on a link of 14 Mbit/s, which takes 3 s. It cancelled the call after 1.05 s and started again,
+/// each time with more to read, and never received any version. A VM that knew another one switched to it after 0.8 s,
+/// although that one had nothing new.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_long_answer_of_the_store_is_waited_for_while_it_comes_in() {
+async fn a_long_store_response_is_awaited_while_data_arrives() {
     for zones in [&["a"][..], &["a", "b"]] {
-        LocalSet::new().run_until(read_long_answer(zones)).await;
+        LocalSet::new().run_until(read_long_response(zones)).await;
     }
 }
 
-/// The first VM of a fleet reads a long answer; no other one reaches the store.
-async fn read_long_answer(zones: &[&str]) {
+/// Checks that the first VM of a fleet reads a long response while no other VM reaches the store.
+async fn read_long_response(zones: &[&str]) {
     let fleet = FollowFleet::start_with(zones, Some(SLOW_LINK), CHANGE_BOUND).await;
     fleet.put_routes(1, 50);
-    pass(3.0).await;
+    sleep_seconds(3.0).await;
     fleet.store.set_reach(1, StoreReach::Refuses);
     for vm in &fleet.vms[1..] {
         fleet.store.set_reach(vm.number, StoreReach::Silent);
@@ -171,42 +175,43 @@
     for version in 2..6 {
         fleet.put_routes(version, 6_000 + version);
     }
-    pass(4.0).await;
+    sleep_seconds(4.0).await;
     fleet.store.set_reach(1, StoreReach::Answers);
-    pass(CHANGE_BOUND.as_secs_f64()).await;
+    sleep_seconds(CHANGE_BOUND.as_secs_f64()).await;
     expect_that!(fleet.vms[0].version(), eq(5), "zones {zones:?}");
 }
 
-/// Large and small configurations over slow links, one of them slower still, with gossip that suspects VMs and all that
-/// happens to the store and to VMs besides.
-async fn play_slow_links(seeds: impl IntoIterator<Item = u64>, drills: bool) {
+/// Runs histories of large and small configurations over slow links, one of which is even slower, with gossip that
+/// suspects VMs and with all other disturbances of the store and the VMs.
+async fn run_slow_link_histories(seeds: impl IntoIterator<Item = u64>, restores: bool) {
     for seed in seeds {
         println!("seed {seed}");
-        let terms = HistoryTerms {
+        let settings = HistorySettings {
             zones: &[
                 "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "b", "b",
             ],
             link_rate: Some(SLOW_LINK),
             change_bound: CHANGE_BOUND,
-            calm_time: CALM_TIME,
+            recovery_time: RECOVERY_TIME,
             routes: &[50, 1_450, 1_451, 2_850, 2_851],
             config_spacing: Duration::from_secs(1),
-            drills,
+            restores,
         };
-        LocalSet::new().run_until(play_history(seed, terms)).await;
+        LocalSet::new().run_until(run_history(seed, settings)).await;
     }
 }
 
-/// What must hold holds. Before followers were sent what has changed, in pieces, 5 of these 12 histories showed a VM late.
+/// Before followers were sent only changes, in chunks, 5 of the first 12 histories showed a late VM.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn large_configurations_survive_any_history() {
-    play_slow_links((0..12).chain(FAILED_SEEDS), false).await;
+async fn large_configurations_survive_random_histories() {
+    run_slow_link_histories((0..12).chain(REGRESSION_SEEDS), false).await;
 }
 
-/// The same while the store comes back from older copies: patches of one era must not be put on values of another.
+/// The same with a store that is restored from older copies: patches of one era must not be applied to values of
+/// another.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn large_configurations_survive_a_store_that_comes_back_older() {
-    play_slow_links(100..106, true).await;
+async fn large_configurations_survive_store_restores() {
+    run_slow_link_histories(100..106, true).await;
 }
--- a/crates/ebonyfork/src/gateway/follow/link_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/link_fixture.rs
@@ -1,7 +1,7 @@
-//! Links of VMs that carry only so many bytes a second, as loopback proxies before their listeners.
+//! Rate-limited links of VMs, as loopback proxies in front of their listeners.
 //!
-//! What a VM sends back on the links that others have opened to it shares one rate, and so does all that it receives on
-//! the links that it has opened and from the store. Questions pass freely: they are short.
+//! Everything that a VM sends back over links opened by others shares one rate. So does everything that it receives
+//! over links that it has opened and from the store. Requests are not limited, because they are short.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,32 +17,33 @@
 use crate::ident::VmAddress;
 use crate::wire::PeerMessage;
 
-/// Bytes that are taken from a socket at once.
+/// Maximum number of bytes read from a socket at once.
 const CHUNK_BYTES: usize = 8 * 1024;
-/// Receive buffer towards the VM: what it has written and the link has not carried waits in the VM, not here.
+/// Receive buffer towards the VM. It is small so that data which the link has not sent yet waits in the VM and not in
+/// the proxy.
 const BUFFER_BYTES: u32 = 16 * 1024;
 
-/// What one direction of a VM's link has carried, and until when it is busy.
+/// One direction of a VM's link: its rate, the bytes sent over it, and until when it is busy.
 #[derive(Debug)]
-pub struct LinkLoad {
+pub struct LinkDirection {
     bytes_per_second: Mutex<f64>,
     busy_until: Mutex<Instant>,
-    carried: AtomicUsize,
+    transmitted: AtomicUsize,
 }
 
-impl LinkLoad {
-    /// An idle link of a rate.
+impl LinkDirection {
+    /// Creates an idle direction with a rate.
     pub fn new(bytes_per_second: f64) -> Self {
         Self {
             bytes_per_second: Mutex::new(bytes_per_second),
             busy_until: Mutex::new(Instant::now()),
-            carried: AtomicUsize::new(0),
+            transmitted: AtomicUsize::new(0),
         }
     }
 
-    /// Bytes that it has carried.
-    pub fn carried(&self) -> usize {
-        self.carried.load(Ordering::Relaxed)
+    /// Returns the number of bytes sent so far.
+    pub fn transmitted(&self) -> usize {
+        self.transmitted.load(Ordering::Relaxed)
     }
 
     /// Changes the rate.
@@ -51,20 +52,20 @@
         *rate.unwrap_or_else(PoisonError::into_inner) = bytes_per_second;
     }
 
-    /// Waits until the link has carried some bytes more.
-    pub async fn carry(&self, bytes: usize) {
+    /// Waits until a number of further bytes has been sent.
+    pub async fn transmit(&self, bytes: usize) {
         let rate = *self
             .bytes_per_second
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let takes = Duration::from_secs_f64(bytes as f64 / rate);
-        self.carried.fetch_add(bytes, Ordering::Relaxed);
+        let duration = Duration::from_secs_f64(bytes as f64 / rate);
+        self.transmitted.fetch_add(bytes, Ordering::Relaxed);
         let done = {
             let mut busy_until = self
                 .busy_until
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            *busy_until = (*busy_until).max(Instant::now()) + takes;
+            *busy_until = (*busy_until).max(Instant::now()) + duration;
             *busy_until
         };
         tokio::time::sleep_until(done).await;
@@ -74,13 +75,13 @@
 /// The link of a VM.
 #[derive(Debug)]
 pub struct VmLink {
-    /// What it sends.
-    pub sent: LinkLoad,
-    /// What it receives.
-    pub received: LinkLoad,
+    /// The direction in which the VM sends.
+    pub sent: LinkDirection,
+    /// The direction in which the VM receives.
+    pub received: LinkDirection,
 }
 
-/// The links of all VMs; none carries all at once if there is no rate.
+/// The links of all VMs. Without a rate there are none, and data is not delayed.
 #[derive(Debug, Clone)]
 pub struct LinkMap {
     rate: Option<f64>,
@@ -88,27 +89,28 @@
 }
 
 impl LinkMap {
-    /// Links that carry so many bytes a second each way.
+    /// Creates links with a rate in bytes per second for each direction.
     pub fn new(rate: Option<f64>) -> Self {
         let links = Arc::default();
         Self { rate, links }
     }
 
-    /// The link of a VM.
+    /// Returns the link of a VM; none if there is no rate.
     pub fn link(&self, vm: VmAddress) -> Option<Arc<VmLink>> {
         let rate = self.rate?;
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(vm).or_insert_with(|| {
             Arc::new(VmLink {
-                sent: LinkLoad::new(rate),
-                received: LinkLoad::new(rate),
+                sent: LinkDirection::new(rate),
+                received: LinkDirection::new(rate),
             })
         });
         Some(Arc::clone(link))
     }
 }
 
-/// Passes what comes to `outer` on to a VM at `inner`, and its answers back over both links.
+/// Forwards connections to `outer` to a VM's listener at `inner`, and delays the VM's responses at the rates of both
+/// links.
 pub async fn serve_link(outer: TcpListener, inner: SocketAddr, vm: VmAddress, links: LinkMap) {
     while let Ok((stream, _from)) = outer.accept().await {
         let links = links.clone();
@@ -117,35 +119,40 @@
             socket
                 .set_recv_buffer_size(BUFFER_BYTES)
                 .expect("a buffer size");
-            // A VM that has just ended refuses; so does the link.
-            if let Ok(inward) = socket.connect(inner).await {
-                join(stream, inward, vm, &links).await;
+            // A VM that has just stopped refuses connections, and so does its link.
+            if let Ok(inner_stream) = socket.connect(inner).await {
+                proxy_connection(stream, inner_stream, vm, &links).await;
             }
         });
     }
 }
 
-async fn join(mut outward: TcpStream, mut inward: TcpStream, vm: VmAddress, links: &LinkMap) {
-    for stream in [&outward, &inward] {
+async fn proxy_connection(
+    mut outer_stream: TcpStream,
+    mut inner_stream: TcpStream,
+    vm: VmAddress,
+    links: &LinkMap,
+) {
+    for stream in [&outer_stream, &inner_stream] {
         stream.set_nodelay(true).expect("an open socket");
     }
-    let Some(peer) = pass_hello(&mut outward, &mut inward).await else {
+    let Some(peer) = forward_hello(&mut outer_stream, &mut inner_stream).await else {
         return;
     };
-    let (questions, answered) = outward.into_split();
-    let (answers, asked) = inward.into_split();
+    let (outer_read, outer_write) = outer_stream.into_split();
+    let (inner_read, inner_write) = inner_stream.into_split();
     let (sender, receiver) = (links.link(vm), links.link(peer));
-    let sending: Vec<&LinkLoad> = sender.iter().map(|link| &link.sent).collect();
+    let sending: Vec<&LinkDirection> = sender.iter().map(|link| &link.sent).collect();
     let receiving = receiver.iter().map(|link| &link.received);
-    let loads: Vec<&LinkLoad> = sending.into_iter().chain(receiving).collect();
+    let directions: Vec<&LinkDirection> = sending.into_iter().chain(receiving).collect();
     tokio::select! {
-        () = pass(questions, asked, &[]) => {}
-        () = pass(answers, answered, &loads) => {}
+        () = forward(outer_read, inner_write, &[]) => {}
+        () = forward(inner_read, outer_write, &directions) => {}
     }
 }
 
-/// Passes the first message on, which tells who has opened the link.
-async fn pass_hello(from: &mut TcpStream, to: &mut TcpStream) -> Option<VmAddress> {
+/// Forwards the first message and returns the VM that opened the connection.
+async fn forward_hello(from: &mut TcpStream, to: &mut TcpStream) -> Option<VmAddress> {
     let length = from.read_u32().await.ok()?;
     let mut frame = vec![0; length as usize];
     from.read_exact(&mut frame).await.ok()?;
@@ -157,14 +164,14 @@
     }
 }
 
-async fn pass(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, loads: &[&LinkLoad]) {
+async fn forward(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, directions: &[&LinkDirection]) {
     let mut chunk = vec![0; CHUNK_BYTES];
     while let Ok(read) = from.read(&mut chunk).await {
         if read == 0 {
             return;
         }
-        for load in loads {
-            load.carry(read).await;
+        for direction in directions {
+            direction.transmit(read).await;
         }
         if to.write_all(&chunk[..read]).await.is_err() {
             return;
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -1,9 +1,10 @@
-//! Follows the store: configuration, upstreams and our own VMs, all from one mirror, so that one call at a time waits.
+//! Follows the store: configuration, upstreams and this fleet's own VMs all come through one mirror, so only one call
+//! to the store waits at a time.
 //!
-//! One VM of a zone asks the store, the others hear of changes from it ([`source`]); a VM that the store turns away
-//! hears of them from whichever VM it answers. Whatever the way, changes are taken into one copy, and a source is given
-//! up once the proof that the copy is up to date has become too old ([`crate::gateway::mirror`]): what a source believes of
-//! itself does not count.
+//! One VM of each availability zone reads the store, and the others receive changes from it ([`source`]). A VM that the
+//! store refuses follows any VM that responds to it. Changes from every source are applied to the same copy. A source
+//! is abandoned once the proof of the copy's freshness is too old ([`crate::gateway::mirror`]); what the source itself
+//! claims does not count.
 
 #[cfg(test)]
 mod fixture;
@@ -26,8 +27,8 @@
 use crate::gateway::clock::now;
 use crate::gateway::core::GatewayCore;
 use crate::gateway::mirror::{
-    ContentError, CopyChange, CopyGap, FreshnessTerms, MirrorMessage, OpenQuestions, PieceOutcome,
-    SourceStanding, held_values, read_content,
+    ChunkOutcome, ContentError, CopyChange, CopyGap, FreshnessTerms, MirrorMessage, PendingPolls,
+    SourceState, decode_content, held_values,
 };
 use crate::ident::{VmAddress, ZoneName};
 use crate::membership::{MemberSnapshot, MemberState};
@@ -35,17 +36,17 @@
 use crate::wire::PeerMessage;
 
 use self::following::{SourceFault, VmFollowing};
-use self::source::{ChangeSource, SETTLING_TIME, choose_source};
-use self::taker::StoreTaker;
+use self::source::{ChangeSource, GOSSIP_SETTLE_TIME, choose_source};
+use self::taker::StoreApplier;
 
-/// Everything the gateway reads stands below the store's root.
-const PREFIX: &str = "";
-/// How long a VM is avoided that was no good source.
-const AVOIDED_TIME: Duration = Duration::from_secs(4);
-/// How long the store must fail before another VM is followed instead.
-const TRIAL_TIME: Duration = Duration::from_millis(800);
-/// How long a VM that the store turns away follows another one before it asks the store again.
-const DETOUR_TIME: Duration = Duration::from_secs(3);
+/// Everything that the gateway reads is below the store's root.
+const STORE_PREFIX: &str = "";
+/// Time for which a VM is not followed after it failed as a source.
+const SOURCE_AVOID_TIME: Duration = Duration::from_secs(4);
+/// Time for which the store has to fail before another VM is followed instead.
+const STORE_FAILURE_TIME: Duration = Duration::from_millis(800);
+/// Time for which a VM that the store refuses follows another one before it tries the store again.
+const STORE_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// Puts the store's changes in force until the future is dropped.
 pub async fn follow_store(
@@ -55,47 +56,47 @@
     members: watch::Receiver<Arc<MemberSnapshot>>,
     own: (VmAddress, ZoneName),
 ) {
-    let (sender, news) = mpsc::unbounded_channel();
-    core.relay.listen(sender);
-    let taker = StoreTaker::new(Rc::clone(&core), seeds);
-    let feed = MirrorFeed::new(port, MirrorSettings::new(PREFIX));
+    let (sender, messages) = mpsc::unbounded_channel();
+    core.relay.set_message_sink(sender);
+    let applier = StoreApplier::new(Rc::clone(&core), seeds);
+    let feed = MirrorFeed::new(port, MirrorSettings::new(STORE_PREFIX));
     let follower = StoreFollower {
-        taker,
+        applier,
         members,
         own,
         terms: FreshnessTerms::new(core.settings.change_bound),
         avoided: Vec::new(),
-        asking_since: now(),
-        failing_since: None,
-        detour_until: None,
-        questions: OpenQuestions::default(),
-        noted_old: true,
-        news,
+        store_watched_since: now(),
+        store_failing_since: None,
+        store_avoided_until: None,
+        polls: PendingPolls::default(),
+        logged_stale: true,
+        messages,
         core,
     };
     follower.run(feed).await;
 }
 
-/// Follows one source after another.
+/// Follows one source at a time and switches between sources.
 struct StoreFollower {
     core: Rc<GatewayCore>,
-    taker: StoreTaker,
+    applier: StoreApplier,
     members: watch::Receiver<Arc<MemberSnapshot>>,
     own: (VmAddress, ZoneName),
     terms: FreshnessTerms,
-    /// VMs that were no good source, with the time until which they are avoided.
+    /// VMs that failed as sources, each with the time until which it is avoided.
     avoided: Vec<(VmAddress, Instant)>,
-    /// Since when the store is asked, or since the last time that it was found to be of no use.
-    asking_since: Instant,
-    /// Since when the store has not answered this VM, if the copy has not been known to be up to date since.
-    failing_since: Option<Instant>,
-    /// Until when another VM is followed because the store does not answer.
-    detour_until: Option<Instant>,
-    /// The questions of the round before, while no VM is followed.
-    questions: OpenQuestions,
-    /// Whether the log says that the copy is old.
-    noted_old: bool,
-    news: mpsc::UnboundedReceiver<(VmAddress, MirrorMessage)>,
+    /// When watching the store started, or when the store was last found unusable.
+    store_watched_since: Instant,
+    /// Since when the store has not responded to this VM; none once the copy was known to be up to date again.
+    store_failing_since: Option<Instant>,
+    /// Until when another VM is followed because the store does not respond.
+    store_avoided_until: Option<Instant>,
+    /// Polls of the VM followed last, kept while no VM is followed so that their numbering continues.
+    polls: PendingPolls,
+    /// Whether the log states that the copy is stale.
+    logged_stale: bool,
+    messages: mpsc::UnboundedReceiver<(VmAddress, MirrorMessage)>,
 }
 
 impl StoreFollower {
@@ -105,73 +106,75 @@
             log::info!(
                 target: "ebonyfork::decision",
                 "store source={source} age_ms={} revision={}",
-                self.age_text(), self.complete()
+                self.format_age(), self.complete_revision()
             );
             match source {
-                ChangeSource::Store => self.ask_store(&mut feed).await,
+                ChangeSource::Store => self.watch_store(&mut feed).await,
                 ChangeSource::Vm(vm) => self.follow_vm(vm).await,
             }
-            source = self.choose(source);
+            source = self.select_source(source);
         }
     }
 
-    fn complete(&self) -> StoreRevision {
-        self.core.relay.copy().complete()
+    fn complete_revision(&self) -> StoreRevision {
+        self.core.relay.copy().complete_revision()
     }
 
-    fn age_text(&self) -> String {
+    fn format_age(&self) -> String {
         let age = self.core.relay.proof_age();
         age.map_or_else(|| "never".to_owned(), |age| age.as_millis().to_string())
     }
 
-    fn choose(&mut self, current: ChangeSource) -> ChangeSource {
+    fn select_source(&mut self, current: ChangeSource) -> ChangeSource {
         let time = now();
         self.avoided.retain(|(_vm, until)| *until > time);
-        if self.core.uptime() < SETTLING_TIME && self.failing_since.is_none() {
+        if self.core.uptime() < GOSSIP_SETTLE_TIME && self.store_failing_since.is_none() {
             return ChangeSource::Store;
         }
-        let tried = |since: Instant| time.saturating_duration_since(since) >= TRIAL_TIME;
-        let failing = self.failing_since.is_some_and(tried);
-        let useless = failing || self.core.relay.is_old();
-        if current == ChangeSource::Store && tried(self.asking_since) && useless {
-            self.detour_until = Some(time + DETOUR_TIME);
-            self.asking_since = time;
-            self.failing_since.get_or_insert(time);
+        let has_lasted =
+            |since: Instant| time.saturating_duration_since(since) >= STORE_FAILURE_TIME;
+        let failing = self.store_failing_since.is_some_and(has_lasted);
+        let unusable = failing || self.core.relay.is_old();
+        if current == ChangeSource::Store && has_lasted(self.store_watched_since) && unusable {
+            self.store_avoided_until = Some(time + STORE_RETRY_DELAY);
+            self.store_watched_since = time;
+            self.store_failing_since.get_or_insert(time);
         }
-        let refused = self.detour_until.is_some_and(|until| until > time);
+        let refused = self.store_avoided_until.is_some_and(|until| until > time);
         let avoided: Vec<_> = self.avoided.iter().map(|(vm, _until)| *vm).collect();
         let members = self.members.borrow().clone();
         choose_source(&members, self.own.0, &self.own.1, &avoided, refused)
     }
 
-    /// The next look at the source, or the moment at which the copy becomes old if that is sooner: seeing it half a period
-    /// late would take a twelfth of the time for a change.
-    fn wake(&self, next: Instant) -> tokio::time::Instant {
+    /// Returns the time of the next check of the source, or the time at which the copy becomes stale if that is
+    /// earlier. Noticing staleness half a period late would cost a twelfth of the change bound.
+    fn next_wake(&self, next: Instant) -> tokio::time::Instant {
         let time = now();
-        let left = self.core.relay.time_left();
-        let old_at = left.map(|left| time + left).filter(|at| *at > time);
-        let wake = old_at.map_or(next, |at| at.min(next));
-        wake.into()
+        let left = self.core.relay.time_until_stale();
+        let stale_at = left.map(|left| time + left).filter(|at| *at > time);
+        let next_wake = stale_at.map_or(next, |at| at.min(next));
+        next_wake.into()
     }
 
-    /// Whether the store was read, but gossip does not know yet which VMs there are to follow.
-    fn is_settling(&self) -> bool {
-        let read = self.complete() > StoreRevision::ABSENT;
-        read && self.failing_since.is_none() && self.core.uptime() < SETTLING_TIME
+    /// Returns whether the store has been read, but gossip does not yet know the VMs that could be followed.
+    fn is_awaiting_gossip(&self) -> bool {
+        let read = self.complete_revision() > StoreRevision::ABSENT;
+        read && self.store_failing_since.is_none() && self.core.uptime() < GOSSIP_SETTLE_TIME
     }
 
-    /// Asks the store until another source is the right one.
-    async fn ask_store(&mut self, feed: &mut MirrorFeed<impl StorePort>) {
-        self.asking_since = now();
-        feed.resume_at(self.complete());
-        let mut next_look = now();
+    /// Watches the store until another source is preferred.
+    async fn watch_store(&mut self, feed: &mut MirrorFeed<impl StorePort>) {
+        self.store_watched_since = now();
+        feed.resume_at(self.complete_revision());
+        let mut next_check = now();
         let traffic = feed.traffic();
         loop {
-            if self.is_settling() {
-                // Everything was read a moment ago, and whoever follows another VM from now on hears the rest there.
-                let left = SETTLING_TIME.saturating_sub(self.core.uptime());
+            if self.is_awaiting_gossip() {
+                // Everything has just been read, and a VM that follows another one from now on receives later changes
+                // there.
+                let left = GOSSIP_SETTLE_TIME.saturating_sub(self.core.uptime());
                 tokio::time::sleep(left).await;
-                if self.choose(ChangeSource::Store) != ChangeSource::Store {
+                if self.select_source(ChangeSource::Store) != ChangeSource::Store {
                     return;
                 }
             }
@@ -181,68 +184,68 @@
                 feed.read_anew();
             }
             feed.set_wait(self.terms.wait(age + feed.until_next_watch()));
-            // A call stays open over many looks: giving it up would cost another one.
+            // A call stays open over many checks, because cancelling it would cost another call.
             let step = feed.step();
             tokio::pin!(step);
-            let taken = loop {
-                let wake = self.wake(next_look);
+            let completed = loop {
+                let next_wake = self.next_wake(next_check);
                 tokio::select! {
-                    taken = &mut step => break taken,
-                    () = tokio::time::sleep_until(wake) => {
-                        next_look = now() + self.terms.period;
-                        self.note_age(ChangeSource::Store);
+                    completed = &mut step => break completed,
+                    () = tokio::time::sleep_until(next_wake) => {
+                        next_check = now() + self.terms.period;
+                        self.report_age(ChangeSource::Store);
                         let before = std::mem::replace(&mut received, traffic.received());
-                        // Elsewhere what is coming in would begin anew.
-                        let advances = received > before;
-                        if !advances && self.choose(ChangeSource::Store) != ChangeSource::Store {
+                        // Another source would have to send from the start what is being received.
+                        let is_receiving = received > before;
+                        if !is_receiving && self.select_source(ChangeSource::Store) != ChangeSource::Store {
                             return;
                         }
                     }
                 }
             };
-            self.take_step(taken);
+            self.handle_step(completed);
         }
     }
 
-    fn take_step(&mut self, step: FeedStep) {
+    fn handle_step(&mut self, step: FeedStep) {
         if !step.answers {
-            self.failing_since.get_or_insert_with(now);
+            self.store_failing_since.get_or_insert_with(now);
             return;
         }
-        if self.failing_since.take().is_some() {
+        if self.store_failing_since.take().is_some() {
             self.core.registry.note_return(now());
         }
-        // A page that is not the last one shows nothing yet.
+        // Only the last page of a read proves anything.
         let Some(proof) = step.proof else { return };
         let (since, revision) = (step.since, step.revision);
         self.log_behind(&step);
         let change = match step.change {
-            Some(MirrorChange::Replaced(items)) => CopyChange::Whole { items, revision },
+            Some(MirrorChange::Replaced(items)) => CopyChange::Full { items, revision },
             changed => CopyChange::Changes {
                 events: changed.map_or_else(Vec::new, MirrorChange::into_events),
                 since,
                 revision,
             },
         };
-        match self.take_change(ChangeSource::Store, change) {
+        match self.apply_change(ChangeSource::Store, change) {
             Ok(()) => {
                 self.core.relay.note_proof(proof.into_std());
                 if let Some(table) = self.core.table() {
                     self.core.route_checks.announce_version(table.version());
                 }
             }
-            // Not to be expected: the feed goes on from the copy. Without a proof the copy becomes old, another source brings
-            // it up to date, and the feed goes on from there.
+            // Not expected, because the feed resumes from the copy. Without a proof the copy becomes stale, another
+            // source brings it up to date, and the feed resumes from there.
             Err(gap) => log::error!(
-                "store changes after {since} do not join {}: {gap:?}",
-                self.complete()
+                "store changes after {since} leave a gap after {}: {gap:?}",
+                self.complete_revision()
             ),
         }
     }
 
-    /// Says that the store states a revision below what this VM has seen of it, and what came with that.
+    /// Logs that the store states a revision below the one known to this VM, and how many changes came with it.
     fn log_behind(&self, step: &FeedStep) {
-        let known = self.complete();
+        let known = self.complete_revision();
         let Some(stated) = step.stated.filter(|stated| *stated < known) else {
             return;
         };
@@ -254,148 +257,149 @@
         );
     }
 
-    /// Follows another VM until it is no good source any more or another one is the right one.
+    /// Follows another VM until it fails as a source or another source is preferred.
     async fn follow_vm(&mut self, vm: VmAddress) {
-        while self.news.try_recv().is_ok() {}
-        let questions = std::mem::take(&mut self.questions).renewed();
+        while self.messages.try_recv().is_ok() {}
+        let polls = std::mem::take(&mut self.polls).reset();
         let received = self.core.delegates.received_bytes(vm);
-        let mut following = VmFollowing::new(vm, received, questions);
-        let mut next_look = now();
+        let mut following = VmFollowing::new(vm, received, polls);
+        let mut next_check = now();
         let fault = loop {
-            let wake = self.wake(next_look);
+            let next_wake = self.next_wake(next_check);
             tokio::select! {
-                Some((from, message)) = self.news.recv() => {
+                Some((from, message)) = self.messages.recv() => {
                     if from != vm {
                         continue;
                     }
-                    if let Err(fault) = self.take_news(&mut following, message) {
+                    if let Err(fault) = self.handle_message(&mut following, message) {
                         break Some(fault);
                     }
                 }
-                () = tokio::time::sleep_until(wake) => {
-                    next_look = now() + self.terms.period;
-                    self.note_age(ChangeSource::Vm(vm));
-                    let chosen = self.choose(ChangeSource::Vm(vm));
-                    if chosen != ChangeSource::Vm(vm) && !self.keeps_to(&following) {
+                () = tokio::time::sleep_until(next_wake) => {
+                    next_check = now() + self.terms.period;
+                    self.report_age(ChangeSource::Vm(vm));
+                    let chosen = self.select_source(ChangeSource::Vm(vm));
+                    if chosen != ChangeSource::Vm(vm) && !self.should_keep_following(&following) {
                         break None;
                     }
-                    if let Err(fault) = self.ask_vm(&mut following) {
+                    if let Err(fault) = self.poll_vm(&mut following) {
                         break Some(fault);
                     }
                 }
             }
         };
         if let Some(fault) = fault {
-            self.give_up(&following, fault);
+            self.abandon(&following, fault);
         }
-        self.questions = following.questions;
+        self.polls = following.polls;
         let leave = PeerMessage::Mirror(MirrorMessage::Leave);
         self.core.delegates.tell(vm, leave);
     }
 
-    /// Whether a followed VM is kept to although another source is the right one by now: it is sending something, which
-    /// another source would have to send from its beginning, or gossip only suspects it while it answers.
-    fn keeps_to(&self, following: &VmFollowing) -> bool {
+    /// Returns whether to keep following a VM although another source is preferred now: either it is sending data,
+    /// which another source would have to send from the start, or gossip merely suspects it while it still responds.
+    fn should_keep_following(&self, following: &VmFollowing) -> bool {
         let time = now();
-        if following.is_advancing(time) {
+        if following.is_progressing(time) {
             return true;
         }
         let members = self.members.borrow();
         let state = members.get(following.vm).map(|member| member.state);
-        state == Some(MemberState::Suspect) && following.answers(time, self.terms.period)
+        state == Some(MemberState::Suspect) && following.is_responsive(time, self.terms.period)
     }
 
-    /// Asks a followed VM for what is new and for the age of its proof.
-    fn ask_vm(&self, following: &mut VmFollowing) -> Result<(), SourceFault> {
+    /// Polls a followed VM for changes and for the age of its proof.
+    fn poll_vm(&self, following: &mut VmFollowing) -> Result<(), SourceFault> {
         let time = now();
         following.check(time, self.terms.period, self.core.relay.is_old())?;
         let held = held_values(&self.core.relay.copy());
         let follow = MirrorMessage::Follow {
-            known: self.complete(),
+            known: self.complete_revision(),
             held,
-            question: following.questions.ask(time),
+            poll: following.polls.record(time),
         };
-        self.tell_vm(following.vm, follow)
+        self.send_to_vm(following.vm, follow)
     }
 
-    fn tell_vm(&self, vm: VmAddress, message: MirrorMessage) -> Result<(), SourceFault> {
-        let told = self.core.delegates.tell(vm, PeerMessage::Mirror(message));
-        told.then_some(()).ok_or(SourceFault::Unreachable)
+    fn send_to_vm(&self, vm: VmAddress, message: MirrorMessage) -> Result<(), SourceFault> {
+        let sent = self.core.delegates.tell(vm, PeerMessage::Mirror(message));
+        sent.then_some(()).ok_or(SourceFault::Unreachable)
     }
 
-    /// Takes in what a followed VM tells.
-    fn take_news(
+    /// Handles a message from the followed VM.
+    fn handle_message(
         &mut self,
         following: &mut VmFollowing,
         message: MirrorMessage,
     ) -> Result<(), SourceFault> {
         match message {
-            MirrorMessage::Piece {
+            MirrorMessage::Chunk {
                 transfer,
                 offset,
                 total,
                 bytes,
             } => {
-                let place = (offset as usize, total as usize);
-                self.take_piece(following, transfer, place, &bytes)
+                let position = (offset as usize, total as usize);
+                self.handle_chunk(following, transfer, position, &bytes)
             }
-            MirrorMessage::State { question, standing } => {
-                self.take_standing(following, question, standing)
-            }
-            MirrorMessage::Follow { .. } | MirrorMessage::Leave | MirrorMessage::Taken { .. } => {
+            MirrorMessage::State { poll, state } => self.handle_state(following, poll, state),
+            MirrorMessage::Follow { .. } | MirrorMessage::Leave | MirrorMessage::Ack { .. } => {
                 Ok(())
             }
         }
     }
 
-    fn take_piece(
+    fn handle_chunk(
         &mut self,
         following: &mut VmFollowing,
         transfer: u64,
-        place: (usize, usize),
+        position: (usize, usize),
         bytes: &[u8],
     ) -> Result<(), SourceFault> {
-        following.advanced_at = Some(now());
-        let taken = match following.incoming.take(transfer, place, bytes) {
-            PieceOutcome::More(taken) => taken,
-            PieceOutcome::Whole(content) => {
-                self.put_in_force(following.vm, &content)?;
+        following.progress_at = Some(now());
+        let acked = match following.incoming.receive(transfer, position, bytes) {
+            ChunkOutcome::Incomplete(received) => received,
+            ChunkOutcome::Complete(content) => {
+                self.apply_content(following.vm, &content)?;
                 content.len()
             }
-            PieceOutcome::Stray => return Ok(()),
-            PieceOutcome::Broken => return Err(SourceFault::Gap),
+            ChunkOutcome::Unexpected => return Ok(()),
+            ChunkOutcome::Invalid => return Err(SourceFault::Gap),
         };
-        let taken = MirrorMessage::Taken {
+        let ack = MirrorMessage::Ack {
             transfer,
-            bytes: taken as u32,
+            bytes: acked as u32,
         };
-        self.tell_vm(following.vm, taken)
+        self.send_to_vm(following.vm, ack)
     }
 
-    fn put_in_force(&mut self, vm: VmAddress, content: &[u8]) -> Result<(), SourceFault> {
-        let change = read_content(&self.core.relay.copy(), content);
+    fn apply_content(&mut self, vm: VmAddress, content: &[u8]) -> Result<(), SourceFault> {
+        let change = decode_content(&self.core.relay.copy(), content);
         let change = change.map_err(|error| {
-            log::warn!("store changes of {vm} bytes={}: {error}", content.len());
+            log::warn!(
+                "store changes from {vm} can't be decoded bytes={}: {error}",
+                content.len()
+            );
             match error {
-                ContentError::Base { .. } => SourceFault::Gap,
+                ContentError::MissingBase { .. } => SourceFault::Gap,
                 ContentError::Malformed { .. } | ContentError::Pack { .. } => {
                     SourceFault::Unreadable
                 }
             }
         })?;
-        if self.core.relay.is_old() && self.failing_since.take().is_some() {
-            // The store was away, perhaps for all: entries that lapsed meanwhile may come back.
+        if self.core.relay.is_old() && self.store_failing_since.take().is_some() {
+            // The store may have been unreachable for all VMs: entries that lapsed in the meantime may come back.
             self.core.registry.note_return(now());
         }
-        let taken = self.take_change(ChangeSource::Vm(vm), change);
-        taken.map_err(|_gap| SourceFault::Gap)
+        let applied = self.apply_change(ChangeSource::Vm(vm), change);
+        applied.map_err(|_gap| SourceFault::Gap)
     }
 
-    /// Takes a change in, and says so if the store has come back from an older copy since the one before.
-    fn take_change(&self, source: ChangeSource, change: CopyChange) -> Result<(), CopyGap> {
-        let before = self.complete();
-        let taken = self.taker.take(change);
-        let after = self.complete();
+    /// Applies a change, and logs if it starts a new era, because the store was restored from an older copy.
+    fn apply_change(&self, source: ChangeSource, change: CopyChange) -> Result<(), CopyGap> {
+        let before = self.complete_revision();
+        let applied = self.applier.apply(change);
+        let after = self.complete_revision();
         if before > StoreRevision::ABSENT && after.era() > before.era() {
             log::warn!(
                 target: "ebonyfork::decision",
@@ -404,63 +408,63 @@
                 after.era()
             );
         }
-        taken
+        applied
     }
 
-    /// Takes in how far a followed VM has come with telling, and as of when that was everything.
-    fn take_standing(
+    /// Handles the state of the followed VM: how much it has sent, and as of when that was complete.
+    fn handle_state(
         &mut self,
         following: &mut VmFollowing,
-        question: u64,
-        standing: SourceStanding,
+        poll: u64,
+        state: SourceState,
     ) -> Result<(), SourceFault> {
-        following.answered_at = Some(now());
-        let (revision, proof_ms) = match standing {
-            SourceStanding::Told { revision, proof_ms } => (revision, proof_ms),
-            SourceStanding::Telling => return Ok(()),
-            SourceStanding::Old => return Err(SourceFault::Old),
+        following.responded_at = Some(now());
+        let (revision, proof_ms) = match state {
+            SourceState::UpToDate { revision, proof_ms } => (revision, proof_ms),
+            SourceState::Sending => return Ok(()),
+            SourceState::Stale => return Err(SourceFault::Stale),
         };
-        if revision > self.complete() {
+        if revision > self.complete_revision() {
             return Err(SourceFault::Gap);
         }
-        if let Some(proof) = following.questions.proof(question, proof_ms) {
+        if let Some(proof) = following.polls.proof(poll, proof_ms) {
             self.core.relay.note_proof(proof);
-            self.failing_since = None;
+            self.store_failing_since = None;
         }
         Ok(())
     }
 
-    /// Notes the age of the copy, and says once in the log that it has become old or is up to date again.
-    fn note_age(&mut self, source: ChangeSource) {
+    /// Reports the age of the copy in metrics, and logs each change between stale and up to date once.
+    fn report_age(&mut self, source: ChangeSource) {
         let age = self.core.relay.proof_age();
-        self.core.metrics.note_copy(age, self.complete());
-        let old = self.core.relay.is_old();
-        if old == self.noted_old {
+        self.core.metrics.note_copy(age, self.complete_revision());
+        let stale = self.core.relay.is_old();
+        if stale == self.logged_stale {
             return;
         }
-        self.noted_old = old;
+        self.logged_stale = stale;
         log::warn!(
             target: "ebonyfork::decision",
             "store copy {} age_ms={} source={source} revision={}",
-            if old { "old" } else { "up to date" },
-            self.age_text(),
-            self.complete()
+            if stale { "old" } else { "up to date" },
+            self.format_age(),
+            self.complete_revision()
         );
     }
 
-    fn give_up(&mut self, following: &VmFollowing, fault: SourceFault) {
+    fn abandon(&mut self, following: &VmFollowing, fault: SourceFault) {
         let vm = following.vm;
         let received = self.core.delegates.received_bytes(vm);
         log::info!(
             target: "ebonyfork::decision",
             "store source vm={vm} given up reason={fault} age_ms={} revision={} followed_ms={} received_bytes={}",
-            self.age_text(),
-            self.complete(),
+            self.format_age(),
+            self.complete_revision(),
             now().saturating_duration_since(following.since).as_millis(),
-            received.saturating_sub(following.received_before)
+            received.saturating_sub(following.received_bytes_before)
         );
         if fault != SourceFault::Gap {
-            self.avoided.push((vm, now() + AVOIDED_TIME));
+            self.avoided.push((vm, now() + SOURCE_AVOID_TIME));
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/follow/random_history.rs
+++ b/crates/ebonyfork/src/gateway/follow/random_history.rs
@@ -1,4 +1,4 @@
-//! Random histories of a fleet that follows a store, and what must hold at each moment of them.
+//! Runs random histories of a fleet that follows a store, and checks invariants at each step.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,46 +9,46 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
 
-use super::fixture::{FollowFleet, FollowVm, evacuation_key, pass, vm_key};
+use super::fixture::{FollowFleet, FollowVm, evacuation_key, sleep_seconds, vm_key};
 use super::store_fixture::{StoreContent, StoreReach};
 
-/// What a history is played with.
+/// Settings of a history.
 #[derive(Debug, Clone, Copy)]
-pub struct HistoryTerms {
+pub struct HistorySettings {
     /// The zone of each VM.
     pub zones: &'static [&'static str],
-    /// Bytes a second that each VM's link carries; none if it carries all at once.
+    /// Rate of each VM's link in bytes per second; none if the links are not limited.
     pub link_rate: Option<f64>,
     /// Time within which a change must be in force.
     pub change_bound: Duration,
-    /// Time after the end of trouble on its own way to the store from which the bound holds for a VM again.
-    pub calm_time: Duration,
-    /// Numbers of routes that a configuration may have; none if it is only its version.
+    /// Time after a VM's own connection to the store recovers until the bound holds for it again.
+    pub recovery_time: Duration,
+    /// Numbers of routes that a configuration may have; empty if it has only a version.
     pub routes: &'static [u64],
     /// Shortest time between two configurations.
     pub config_spacing: Duration,
-    /// Whether the store may come back from an older copy.
-    pub drills: bool,
+    /// Whether the store may be restored from an older copy.
+    pub restores: bool,
 }
 
-impl Default for HistoryTerms {
+impl Default for HistorySettings {
     fn default() -> Self {
         Self {
             zones: &["a", "a", "a", "b", "b", "c"],
             link_rate: None,
             change_bound: Duration::from_secs(3),
-            calm_time: Duration::from_secs(5),
+            recovery_time: Duration::from_secs(5),
             routes: &[],
             config_spacing: Duration::ZERO,
-            drills: false,
+            restores: false,
         }
     }
 }
 
-/// What happens to a fleet at one step of a random history.
+/// Runs one random step of a history.
 async fn random_step(fleet: &mut FollowFleet, rng: &mut ChaCha8Rng, history: &mut RandomHistory) {
-    let place = rng.random_range(0..fleet.vms.len());
-    let number = fleet.vms[place].number;
+    let index = rng.random_range(0..fleet.vms.len());
+    let number = fleet.vms[index].number;
     match rng.random_range(0..100) {
         0..22 => history.put_config(fleet, rng),
         22..40 => {
@@ -65,30 +65,30 @@
         }
         58..64 => fleet.put_vm(rng.random_range(0..4)),
         64..68 => fleet.store.remove(&vm_key(rng.random_range(0..4))),
-        68..73 => history.disturb(fleet, number, StoreReach::Silent),
-        73..78 => history.disturb(fleet, number, StoreReach::Refuses),
-        78..88 => history.disturb(fleet, number, StoreReach::Answers),
+        68..73 => history.set_store_reach(fleet, number, StoreReach::Silent),
+        73..78 => history.set_store_reach(fleet, number, StoreReach::Refuses),
+        78..88 => history.set_store_reach(fleet, number, StoreReach::Answers),
         88..91 => {
-            history.calm_since.insert(number, Instant::now());
+            history.healthy_since.insert(number, Instant::now());
             fleet.store.silence_open_calls(number);
         }
-        91..94 => fleet.vms[place].break_links(),
+        91..94 => fleet.vms[index].break_links(),
         94..97 => fleet.store.forget_history(),
-        97 if history.terms.link_rate.is_some() => history.suspect(fleet, number),
-        98 if history.terms.link_rate.is_some() => history.slow_link(fleet, number, rng),
+        97 if history.settings.link_rate.is_some() => history.suspect(fleet, number),
+        98 if history.settings.link_rate.is_some() => history.slow_link(fleet, number, rng),
         _ => {
-            history.lives += 1;
-            history.calm_since.insert(number, Instant::now());
-            fleet.restart(place, history.lives).await;
+            history.incarnations += 1;
+            history.healthy_since.insert(number, Instant::now());
+            fleet.restart(index, history.incarnations).await;
         }
     }
 }
 
-/// Zones that are evacuated at random.
+/// Zones that random steps evacuate.
 const EVACUATED: [&str; 3] = ["north-a", "north-b", "south-a"];
 
-/// Evacuates a zone, or takes an evacuation back, in some steps of a history. It draws by itself, so that the rest of a
-/// history is the same with it and without.
+/// Evacuates a zone or revokes an evacuation in some steps of a history. It has its own random numbers, so that the
+/// rest of a history is the same with and without evacuations.
 fn random_evacuation(fleet: &FollowFleet, rng: &mut ChaCha8Rng, history: &mut RandomHistory) {
     if !rng.random_bool(0.2) {
         return;
@@ -106,62 +106,63 @@
         .insert(key, (!evacuated, Instant::now()));
 }
 
-/// What has happened so far, as far as it bounds what a VM may hold.
+/// The events so far that limit what a VM may hold.
 struct RandomHistory {
-    terms: HistoryTerms,
+    settings: HistorySettings,
     version: u64,
-    lives: u64,
+    incarnations: u64,
     /// When each version was written.
     versions: Vec<(Instant, u64)>,
-    /// When each upstream that is gone was removed.
+    /// When each upstream that no longer exists was removed.
     removed: BTreeMap<compact_str::CompactString, Instant>,
     /// Whether each zone is evacuated, and since when.
     evacuations: BTreeMap<compact_str::CompactString, (bool, Instant)>,
-    /// Since when each VM's own way to the store has been good.
-    calm_since: BTreeMap<u8, Instant>,
-    /// VMs whose calls to the store are not answered.
+    /// Since when each VM's own connection to the store has been undisturbed.
+    healthy_since: BTreeMap<u8, Instant>,
+    /// VMs whose calls to the store get no response.
     cut_off: BTreeMap<u8, StoreReach>,
-    /// The VM whose link is slow.
+    /// The VM with a slow link.
     slow: Option<u8>,
     /// The VM that gossip suspects.
     suspected: Option<u8>,
-    /// What the store held at each step, if it may come back from that.
+    /// The store's content at each step, if it may be restored.
     copies: Vec<StoreContent>,
-    /// When the store came back from an older copy last.
-    drilled: Option<Instant>,
+    /// When the store was last restored from an older copy.
+    restored_at: Option<Instant>,
 }
 
 impl RandomHistory {
-    fn new(terms: HistoryTerms) -> Self {
+    fn new(settings: HistorySettings) -> Self {
         Self {
-            terms,
+            settings,
             version: 0,
-            lives: 1,
+            incarnations: 1,
             versions: Vec::new(),
             removed: BTreeMap::new(),
             evacuations: BTreeMap::new(),
-            calm_since: BTreeMap::new(),
+            healthy_since: BTreeMap::new(),
             cut_off: BTreeMap::new(),
             slow: None,
             suspected: None,
             copies: Vec::new(),
-            drilled: None,
+            restored_at: None,
         }
     }
 
-    /// Whether an evacuation that the operators have taken back may still be in force: one that the store lost is kept for
-    /// a while, by VMs that had not heard yet that it was taken back.
-    fn may_be_kept(&self) -> bool {
-        self.drilled.is_some_and(|at| at.elapsed() < KEPT_TIME)
+    /// Returns whether an evacuation that the operators revoked may still be in force. VMs keep an evacuation that the
+    /// store lost for a while if they had not received its removal.
+    fn may_retain_evacuation(&self) -> bool {
+        self.restored_at
+            .is_some_and(|at| at.elapsed() < EVACUATION_RETENTION)
     }
 
     fn put_config(&mut self, fleet: &FollowFleet, rng: &mut ChaCha8Rng) {
         let last = self.versions.last();
-        if last.is_some_and(|(at, _version)| at.elapsed() < self.terms.config_spacing) {
+        if last.is_some_and(|(at, _version)| at.elapsed() < self.settings.config_spacing) {
             return;
         }
         self.version += 1;
-        let routes = self.terms.routes;
+        let routes = self.settings.routes;
         if routes.is_empty() {
             fleet.put_config(self.version);
         } else {
@@ -171,20 +172,20 @@
         self.versions.push((Instant::now(), self.version));
     }
 
-    /// Gossip suspects a VM, and no longer the one before, while all of them answer.
+    /// Makes gossip suspect a VM instead of the previous one, while all VMs respond.
     fn suspect(&mut self, fleet: &FollowFleet, number: u8) {
         self.suspected = (self.suspected != Some(number)).then_some(number);
         fleet.suspect(self.suspected);
     }
 
-    /// A VM's link becomes slower, and that of the one before as fast as it was.
+    /// Makes a VM's link slower and restores the previous slow link.
     fn slow_link(&mut self, fleet: &FollowFleet, number: u8, rng: &mut ChaCha8Rng) {
-        let Some(rate) = self.terms.link_rate else {
+        let Some(rate) = self.settings.link_rate else {
             return;
         };
         if let Some(before) = self.slow.take() {
             fleet.set_link_rate(before, rate);
-            self.calm_since.insert(before, Instant::now());
+            self.healthy_since.insert(before, Instant::now());
         }
         if rng.random_bool(0.8) {
             fleet.set_link_rate(number, rate / 5.0);
@@ -192,46 +193,46 @@
         }
     }
 
-    fn disturb(&mut self, fleet: &FollowFleet, number: u8, reach: StoreReach) {
+    fn set_store_reach(&mut self, fleet: &FollowFleet, number: u8, reach: StoreReach) {
         if reach == StoreReach::Answers && !self.cut_off.contains_key(&number) {
             return;
         }
         fleet.store.set_reach(number, reach);
-        self.calm_since.insert(number, Instant::now());
+        self.healthy_since.insert(number, Instant::now());
         self.cut_off.remove(&number);
         if reach != StoreReach::Answers {
             self.cut_off.insert(number, reach);
         }
     }
 
-    fn is_calm(&self, number: u8) -> bool {
-        let since = self.calm_since.get(&number);
-        let calm = since.is_none_or(|since| since.elapsed() > self.terms.calm_time);
-        calm && !self.cut_off.contains_key(&number) && self.slow != Some(number)
+    fn is_healthy(&self, number: u8) -> bool {
+        let since = self.healthy_since.get(&number);
+        let healthy = since.is_none_or(|since| since.elapsed() > self.settings.recovery_time);
+        healthy && !self.cut_off.contains_key(&number) && self.slow != Some(number)
     }
 
-    /// What must hold at any moment: a VM never goes back, and one whose own way to the store is good is up to date,
-    /// whatever the VM that it follows has been through.
+    /// Checks the invariants: a VM never goes back, and a VM whose own connection to the store is good is up to date,
+    /// whatever happened to the VM that it follows.
     fn check(&self, vm: &FollowVm, seen: &mut BTreeMap<u8, u64>) {
         let version = vm.version();
         let before = seen.insert(vm.number, version).unwrap_or_default();
         expect_that!(version, ge(before), "VM {} went back", vm.number);
-        if !self.is_calm(vm.number) {
+        if !self.is_healthy(vm.number) {
             return;
         }
         let due = self.versions.iter().rev();
         let due = due.map(|(at, version)| (at.elapsed(), *version));
         let mut due = due;
-        let due = due.find(|(age, _version)| *age > self.terms.change_bound);
+        let due = due.find(|(age, _version)| *age > self.settings.change_bound);
         if let Some((age, due)) = due {
             expect_that!(version, ge(due), "VM {} after {age:?}", vm.number);
         }
         let evacuations = vm.evacuations();
         for (key, (evacuated, since)) in &self.evacuations {
-            if !evacuated && self.may_be_kept() {
+            if !evacuated && self.may_retain_evacuation() {
                 continue;
             }
-            if since.elapsed() > self.terms.change_bound {
+            if since.elapsed() > self.settings.change_bound {
                 expect_that!(
                     evacuations.contains(key),
                     eq(*evacuated),
@@ -246,7 +247,7 @@
             };
             expect_that!(
                 removed.elapsed(),
-                le(self.terms.change_bound),
+                le(self.settings.change_bound),
                 "VM {} still uses {key}",
                 vm.number
             );
@@ -254,14 +255,14 @@
     }
 }
 
-/// How long an evacuation may be kept that the store has lost, and the time until a VM hears of that.
-const KEPT_TIME: Duration = Duration::from_secs(15);
-/// Steps of a history within which a copy is taken from which the store may come back: some 5 s.
-const COPY_STEPS: usize = 25;
+/// How long an evacuation that the store lost may be kept, including the time until a VM notices the loss.
+const EVACUATION_RETENTION: Duration = Duration::from_secs(15);
+/// Number of steps, about 5 s, from which the restored copy is selected.
+const RESTORE_WINDOW_STEPS: usize = 25;
 
-/// In some steps the store is away for a moment and comes back from an older copy; VMs may start just then, and it may happen
-/// again before what was lost has been written again, in any order.
-async fn random_drill(
+/// In some steps makes the store unreachable for a moment and restores it from an older copy. VMs may start during that
+/// time, and a second restore may follow before lost items have been written again, in any order.
+async fn random_restore(
     fleet: &mut FollowFleet,
     rng: &mut ChaCha8Rng,
     history: &mut RandomHistory,
@@ -272,74 +273,75 @@
         return;
     }
     let truth = fleet.store.content();
-    let drills = if rng.random_bool(0.3) { 2 } else { 1 };
-    for _drill in 0..drills {
+    let restores = if rng.random_bool(0.3) { 2 } else { 1 };
+    for _restore in 0..restores {
         for vm in &fleet.vms {
             fleet.store.set_reach(vm.number, StoreReach::Refuses);
         }
-        pass(rng.random_range(0.0..2.5)).await;
-        let oldest = history.copies.len().saturating_sub(COPY_STEPS);
-        let place = rng.random_range(oldest..history.copies.len());
-        fleet.store.restore(history.copies[place].clone());
-        // Later drills find what this one has left.
-        history.copies.truncate(place + 1);
+        sleep_seconds(rng.random_range(0.0..2.5)).await;
+        let oldest = history.copies.len().saturating_sub(RESTORE_WINDOW_STEPS);
+        let index = rng.random_range(oldest..history.copies.len());
+        fleet.store.restore(history.copies[index].clone());
+        // Later restores can only select copies up to this one.
+        history.copies.truncate(index + 1);
         for vm in &fleet.vms {
             let reach = history.cut_off.get(&vm.number).copied();
             let reach = reach.unwrap_or(StoreReach::Answers);
             fleet.store.set_reach(vm.number, reach);
         }
         if rng.random_bool(0.3) {
-            let place = rng.random_range(0..fleet.vms.len());
-            history.lives += 1;
-            seen.remove(&fleet.vms[place].number);
-            fleet.restart(place, history.lives).await;
+            let index = rng.random_range(0..fleet.vms.len());
+            history.incarnations += 1;
+            seen.remove(&fleet.vms[index].number);
+            fleet.restart(index, history.incarnations).await;
         }
-        for _look in 0..rng.random_range(1..8) {
-            pass(0.25).await;
-            history.drilled = Some(Instant::now());
+        for _check in 0..rng.random_range(1..8) {
+            sleep_seconds(0.25).await;
+            history.restored_at = Some(Instant::now());
             for vm in &fleet.vms {
-                history.calm_since.insert(vm.number, Instant::now());
+                history.healthy_since.insert(vm.number, Instant::now());
                 history.check(vm, seen);
             }
         }
     }
-    fleet.store.write_again(&truth, rng);
+    fleet.store.rewrite_lost(&truth, rng);
 }
 
-/// Plays one history.
-pub async fn play_history(seed: u64, terms: HistoryTerms) {
+/// Runs one history.
+pub async fn run_history(seed: u64, settings: HistorySettings) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut drill_rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
+    let mut restore_rng = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
     let mut zone_rng = ChaCha8Rng::seed_from_u64(!seed);
-    let mut fleet = FollowFleet::start_with(terms.zones, terms.link_rate, terms.change_bound).await;
-    let mut history = RandomHistory::new(terms);
+    let mut fleet =
+        FollowFleet::start_with(settings.zones, settings.link_rate, settings.change_bound).await;
+    let mut history = RandomHistory::new(settings);
     let mut seen = BTreeMap::new();
-    pass(3.0).await;
+    sleep_seconds(3.0).await;
     for _step in 0..150 {
-        let lives = history.lives;
+        let incarnations = history.incarnations;
         random_step(&mut fleet, &mut rng, &mut history).await;
         random_evacuation(&fleet, &mut zone_rng, &mut history);
-        if history.lives != lives {
+        if history.incarnations != incarnations {
             seen.clear();
         }
-        if terms.drills {
-            random_drill(&mut fleet, &mut drill_rng, &mut history, &mut seen).await;
+        if settings.restores {
+            random_restore(&mut fleet, &mut restore_rng, &mut history, &mut seen).await;
         }
-        pass(rng.random_range(0.0..0.4)).await;
+        sleep_seconds(rng.random_range(0.0..0.4)).await;
         for vm in &fleet.vms {
             history.check(vm, &mut seen);
         }
     }
     for vm in 1..=fleet.vms.len() as u8 {
         fleet.store.set_reach(vm, StoreReach::Answers);
-        if let Some(rate) = terms.link_rate {
+        if let Some(rate) = settings.link_rate {
             fleet.set_link_rate(vm, rate);
         }
     }
-    // Longer than any VM follows another one or avoids one, and than a missing entry is kept.
-    pass(10.0).await;
-    if terms.drills {
-        pass(KEPT_TIME.as_secs_f64()).await;
+    // Longer than any VM follows or avoids another one, and longer than a missing entry is kept.
+    sleep_seconds(10.0).await;
+    if settings.restores {
+        sleep_seconds(EVACUATION_RETENTION.as_secs_f64()).await;
     }
     for vm in &fleet.vms {
         expect_that!(vm.version(), eq(history.version), "VM {}", vm.number);
--- a/crates/ebonyfork/src/gateway/follow/source.rs
+++ b/crates/ebonyfork/src/gateway/follow/source.rs
@@ -1,10 +1,10 @@
-//! Where a VM gets the store's changes from: from the store itself, or from another VM that asks it.
+//! Selects the source of a VM's store changes: the store itself, or another VM.
 //!
-//! Every call to the store has a price and the store's rates grow more slowly than the fleet. In each availability zone
-//! one VM asks it; the others follow that one, in a tree in which no VM has more than [`FOLLOWERS`] below it. Who asks and
-//! who follows whom is reckoned by each VM for itself from gossip, by hashing, so nothing is agreed on; two VMs that
-//! disagree for a moment cost a few calls, or follow each other until the proof behind their copies is old. A VM that finds
-//! no other to follow asks the store itself.
+//! Every call to the store has a cost, and the store's rate limits grow more slowly than the fleet. In each
+//! availability zone one VM reads the store and the others follow it, in a tree in which no VM has more than
+//! [`MAX_FOLLOWERS`] direct followers. Each VM computes the tree from gossip by hashing, without any agreement. Two VMs
+//! that disagree for a moment cost a few calls, or follow each other until the proofs of their copies are too old. A VM
+//! that finds no other VM to follow reads the store itself.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,20 +14,20 @@
 use crate::ident::{VmAddress, ZoneName};
 use crate::membership::{MemberSnapshot, MemberState};
 
-/// VMs of a zone that ask the store. While the one is away the others ask for themselves, for some seconds, which costs
-/// fewer calls than a second one that asks all the time.
-pub const ASKING_VMS: usize = 1;
-/// VMs that follow one VM: what a change puts on a link does not grow with the zone. A change of 1,400 routes is 29 kB for
-/// each of them, 0.3 s of a link of 14 Mbit/s in all; the zones of today's sizes need no second level, and the 490 VMs of
-/// a zone at 4,900 three.
-pub const FOLLOWERS: usize = 16;
-/// Time after a start before another VM is followed: by then gossip knows the others.
-pub const SETTLING_TIME: Duration = Duration::from_millis(800);
+/// VMs of a zone that read the store. While that VM is away the others read the store themselves for some seconds,
+/// which takes fewer calls than a second permanent reader.
+pub const STORE_READERS_PER_ZONE: usize = 1;
+/// Maximum number of VMs that follow one VM directly, so that the load of a change on a link does not grow with the
+/// zone. A change of 1,400 routes is 29 kB for each follower, 0.3 s of a link of 14 Mbit/s in total. Zones of today's
+/// sizes need no second level; the 490 VMs of a zone in a fleet of 4,900 need three levels.
+pub const MAX_FOLLOWERS: usize = 16;
+/// Time after the start before another VM is followed: gossip knows the other VMs by then.
+pub const GOSSIP_SETTLE_TIME: Duration = Duration::from_millis(800);
 
-/// Where the changes come from.
+/// Where a VM gets the store's changes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ChangeSource {
-    /// The store.
+    /// The store itself.
     Store,
     /// Another VM.
     Vm(VmAddress),
@@ -42,19 +42,19 @@
     }
 }
 
-/// The place of a VM in its zone's order.
+/// Returns the sort key of a VM within its zone.
 fn order_key(vm: &VmAddress) -> (u64, VmAddress) {
     (xxh3_64(vm.to_string().as_bytes()), *vm)
 }
 
-/// The VMs of a zone that ask the store, those first that come first by hash.
-pub fn asking_vms(members: &MemberSnapshot, zone: &ZoneName) -> Vec<VmAddress> {
-    let mut asking = zone_order(members, zone);
-    asking.truncate(ASKING_VMS);
-    asking
+/// Returns the VMs of a zone that read the store: the first ones in hash order.
+pub fn store_readers(members: &MemberSnapshot, zone: &ZoneName) -> Vec<VmAddress> {
+    let mut readers = zone_order(members, zone);
+    readers.truncate(STORE_READERS_PER_ZONE);
+    readers
 }
 
-/// The VMs of a zone, each after the one that it follows.
+/// Returns the live VMs of a zone in hash order, in which each VM comes after the one that it follows.
 fn zone_order(members: &MemberSnapshot, zone: &ZoneName) -> Vec<VmAddress> {
     let mut alive: Vec<VmAddress> = members
         .members()
@@ -66,14 +66,15 @@
     alive
 }
 
-/// The VMs above a place in its zone's order: the one to follow, the one that this one follows, and so on.
-fn vms_above(order: &[VmAddress], place: usize) -> impl Iterator<Item = VmAddress> {
-    let parent = |place: &usize| place.checked_sub(1).map(|before| before / FOLLOWERS);
-    std::iter::successors(parent(&place), parent).map(|place| order[place])
+/// Iterates over the ancestors of a VM, given by its index in the zone's order: the VM that it follows, the one that
+/// this VM follows in turn, and so on.
+fn ancestors(order: &[VmAddress], index: usize) -> impl Iterator<Item = VmAddress> {
+    let parent = |index: &usize| index.checked_sub(1).map(|before| before / MAX_FOLLOWERS);
+    std::iter::successors(parent(&index), parent).map(|index| order[index])
 }
 
-/// Chooses the source of a VM. `avoided` are VMs that have lately been no good source; `refused` tells that the store
-/// does not answer this VM.
+/// Selects the source of a VM. `avoided` are VMs that recently failed as sources; `refused` states that the store does
+/// not respond to this VM.
 pub fn choose_source(
     members: &MemberSnapshot,
     own: VmAddress,
@@ -82,18 +83,19 @@
     refused: bool,
 ) -> ChangeSource {
     let order = zone_order(members, zone);
-    let place = order.partition_point(|vm| order_key(vm) < order_key(&own));
-    if place < ASKING_VMS && !refused {
+    let index = order.partition_point(|vm| order_key(vm) < order_key(&own));
+    if index < STORE_READERS_PER_ZONE && !refused {
         return ChangeSource::Store;
     }
     let usable = |vm: &VmAddress| *vm != own && !avoided.contains(vm);
-    if let Some(vm) = vms_above(&order, place).find(usable) {
+    if let Some(vm) = ancestors(&order, index).find(usable) {
         return ChangeSource::Vm(vm);
     }
     if !refused {
         return ChangeSource::Store;
     }
-    // The store turns this VM away and the zone has nobody who asks: a VM of another zone may have more luck.
+    // The store refuses this VM and no VM of the zone can be followed: a store reader of another zone may be able to
+    // reach the store.
     let mut zones: Vec<&ZoneName> = members
         .members()
         .iter()
@@ -102,7 +104,7 @@
     zones.sort_unstable();
     zones.dedup();
     for other in zones {
-        if let Some(vm) = asking_vms(members, other).into_iter().find(usable) {
+        if let Some(vm) = store_readers(members, other).into_iter().find(usable) {
             return ChangeSource::Vm(vm);
         }
     }
--- a/crates/ebonyfork/src/gateway/follow/source_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/source_tests.rs
@@ -31,17 +31,17 @@
 }
 
 #[gtest]
-fn one_vm_of_a_zone_asks_and_the_others_follow_it() {
+fn one_vm_of_a_zone_reads_the_store_and_the_others_follow_it() {
     let members = zone_of(14);
-    let asking = asking_vms(&members, &zone("a"));
-    expect_that!(asking.len(), eq(ASKING_VMS));
-    let mut followers = [0; ASKING_VMS];
+    let readers = store_readers(&members, &zone("a"));
+    expect_that!(readers.len(), eq(STORE_READERS_PER_ZONE));
+    let mut followers = [0; STORE_READERS_PER_ZONE];
     for last in 1..=14 {
         match choose_source(&members, vm(last), &zone("a"), &[], false) {
-            ChangeSource::Store => expect_that!(asking.contains(&vm(last)), eq(true)),
+            ChangeSource::Store => expect_that!(readers.contains(&vm(last)), eq(true)),
             ChangeSource::Vm(source) => {
-                let place = asking.iter().position(|asked| *asked == source);
-                followers[place.expect("only those that ask are followed")] += 1;
+                let index = readers.iter().position(|reader| *reader == source);
+                followers[index.expect("only store readers are followed")] += 1;
             }
         }
     }
@@ -49,13 +49,13 @@
     expect_that!(followers.iter().all(|count| *count > 0), eq(true));
 }
 
-/// One VM told all others of its zone: what it sent grew with the zone.
+/// When one VM sent to all others of its zone, its load grew with the zone.
 #[gtest]
-fn no_vm_has_more_followers_than_stated_and_each_way_ends_at_one_that_asks() {
+fn the_follower_tree_is_bounded_and_rooted_at_a_store_reader() {
     for count in [2, 17, 18, 100, 250] {
         let members = zone_of(count);
         let mut followers = std::collections::BTreeMap::new();
-        let mut asking = 0;
+        let mut readers = 0;
         for last in 1..=count {
             let mut current = vm(last);
             let mut steps = 0;
@@ -68,53 +68,53 @@
                 steps += 1;
                 current = source;
             }
-            asking += i32::from(steps == 0);
+            readers += i32::from(steps == 0);
             expect_that!(steps, le(3), "VM {last} of {count}");
         }
-        expect_that!(asking, eq(ASKING_VMS as i32));
-        expect_that!(followers.values().max(), some(le(&FOLLOWERS)));
+        expect_that!(readers, eq(STORE_READERS_PER_ZONE as i32));
+        expect_that!(followers.values().max(), some(le(&MAX_FOLLOWERS)));
     }
 }
 
 #[gtest]
-fn who_avoids_its_source_follows_the_one_above_it() {
+fn a_vm_that_avoids_its_source_follows_the_next_ancestor() {
     let members = zone_of(100);
     let source = |last: u8, avoided: &[VmAddress]| {
         choose_source(&members, vm(last), &zone("a"), avoided, false)
     };
-    let asking = asking_vms(&members, &zone("a"))[0];
+    let reader = store_readers(&members, &zone("a"))[0];
     for last in 1..=100 {
         let ChangeSource::Vm(first) = source(last, &[]) else {
             continue;
         };
         let next = source(last, &[first]);
-        if first == asking {
+        if first == reader {
             expect_that!(next, eq(ChangeSource::Store), "VM {last}");
         } else {
-            expect_that!(next, eq(ChangeSource::Vm(asking)), "VM {last}");
+            expect_that!(next, eq(ChangeSource::Vm(reader)), "VM {last}");
         }
     }
 }
 
 #[gtest]
-fn without_a_vm_to_follow_the_store_is_asked() {
+fn without_a_vm_to_follow_the_store_is_the_source() {
     let nobody = MemberSnapshot::default();
     expect_that!(
         choose_source(&nobody, vm(1), &zone("a"), &[], false),
         eq(ChangeSource::Store)
     );
     let members = zone_of(3);
-    let asking = asking_vms(&members, &zone("a"));
+    let readers = store_readers(&members, &zone("a"));
     let follower = (1..=3)
         .map(vm)
-        .find(|vm| !asking.contains(vm))
-        .expect("one follows");
-    let source = choose_source(&members, follower, &zone("a"), &asking, false);
+        .find(|vm| !readers.contains(vm))
+        .expect("a follower");
+    let source = choose_source(&members, follower, &zone("a"), &readers, false);
     expect_that!(source, eq(ChangeSource::Store));
 }
 
 #[gtest]
-fn a_vm_that_the_store_turns_away_follows_another() {
+fn a_vm_that_the_store_refuses_follows_another_vm() {
     let members = members(&[
         (1, "a", MemberState::Alive),
         (2, "b", MemberState::Alive),
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -1,4 +1,4 @@
-//! A store in memory with a history, which answers, refuses or falls silent for each VM as a test says.
+//! An in-memory store with a history that responds to, refuses or ignores each VM's calls as a test sets.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,31 +18,31 @@
 };
 use crate::traffic::LinkTraffic;
 
-/// Time that the store takes for an answer.
-const ANSWER_TIME: Duration = Duration::from_millis(4);
-/// Items of one page: few, so that a range is read in several calls and changes fall between them.
+/// Time that the store takes to respond.
+const RESPONSE_TIME: Duration = Duration::from_millis(4);
+/// Items per page: few, so that a full read takes several calls and changes occur between them.
 const PAGE_ITEMS: usize = 5;
-/// Bytes of an answer that come in together.
-const ANSWER_PART: usize = 16 * 1024;
+/// Bytes of a response that are received at once.
+const RESPONSE_CHUNK_BYTES: usize = 16 * 1024;
 
-/// What becomes of a VM's calls to the store.
+/// Outcome of a VM's calls to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreReach {
-    /// They are answered.
+    /// Calls are answered.
     Answers,
-    /// They are refused at once, and those that wait are cut.
+    /// New calls are refused at once, and waiting calls fail.
     Refuses,
-    /// Nothing comes back, of calls that wait already neither.
+    /// Neither new nor waiting calls get a response.
     Silent,
 }
 
-/// What a store holds at one moment.
+/// The store's content at one time.
 #[derive(Debug, Clone, Default)]
 pub struct StoreContent {
     revision: StoreRevision,
     items: BTreeMap<CompactString, StoreItem>,
     log: Vec<StoreEvent>,
-    /// The revision after which the history is held.
+    /// The revision after which the history is kept, exclusive.
     history: StoreRevision,
 }
 
@@ -51,13 +51,13 @@
     content: StoreContent,
     era: StoreEra,
     reach: BTreeMap<u8, StoreReach>,
-    /// How often a VM's connections have fallen silent for good.
+    /// How often each VM's open connections have fallen silent for good.
     silences: BTreeMap<u8, u32>,
-    /// Calls of each VM.
+    /// Number of calls of each VM.
     calls: BTreeMap<u8, usize>,
 }
 
-/// A store in memory with a history.
+/// An in-memory store with a history.
 #[derive(Debug, Clone)]
 pub struct FakeStore {
     state: Arc<Mutex<StoreState>>,
@@ -65,7 +65,7 @@
 }
 
 impl FakeStore {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self {
             state: Arc::default(),
@@ -77,7 +77,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn wake(&self) {
+    fn notify(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
@@ -94,10 +94,10 @@
         content.items.insert(item.key.clone(), item.clone());
         content.log.push(StoreEvent::Written(item));
         drop(state);
-        self.wake();
+        self.notify();
     }
 
-    /// Removes a key, if it is there.
+    /// Removes a key if it exists.
     pub fn remove(&self, key: &str) {
         let mut state = self.state();
         let content = &mut state.content;
@@ -111,34 +111,34 @@
             revision,
         });
         drop(state);
-        self.wake();
+        self.notify();
     }
 
-    /// Drops the history, so that whoever is behind has to read anew.
+    /// Drops the history, so that a VM that is behind has to read everything again.
     pub fn forget_history(&self) {
         let mut state = self.state();
         state.content.history = state.content.revision;
         drop(state);
-        self.wake();
+        self.notify();
     }
 
-    /// What it holds now, history included.
+    /// Returns the current content with its history.
     pub fn content(&self) -> StoreContent {
         self.state().content.clone()
     }
 
-    /// Comes back from a copy: what was written since is gone, and its revisions are given out again.
+    /// Restores the store from a copy. Later writes are lost, and their revisions are assigned again.
     pub fn restore(&self, copy: StoreContent) {
         let mut state = self.state();
         state.content = copy;
         state.era.0 += 1;
         drop(state);
-        self.wake();
+        self.notify();
     }
 
-    /// Operators and upstreams write again, in any order, what the store has lost of what it held, and remove again what
-    /// had been gone.
-    pub fn write_again(&self, truth: &StoreContent, rng: &mut impl Rng) {
+    /// Writes lost items again in random order, as operators and upstreams do, and removes again the items that had
+    /// been removed.
+    pub fn rewrite_lost(&self, truth: &StoreContent, rng: &mut impl Rng) {
         let held = self.content().items;
         let gone = held.keys().filter(|key| !truth.items.contains_key(*key));
         let lost = truth.items.values().filter(|item| {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Sets what becomes of a VM's calls.
+    /// Sets the outcome of a VM's calls.
     pub fn set_reach(&self, vm: u8, reach: StoreReach) {
         let mut state = self.state();
         state.reach.insert(vm, reach);
@@ -163,15 +163,15 @@
             *state.silences.entry(vm).or_default() += 1;
         }
         drop(state);
-        self.wake();
+        self.notify();
     }
 
-    /// Lets a VM's open calls fall silent for good while new ones are answered.
+    /// Makes a VM's open calls fall silent for good while new calls are answered.
     pub fn silence_open_calls(&self, vm: u8) {
         *self.state().silences.entry(vm).or_default() += 1;
     }
 
-    /// The keys that begin with a prefix.
+    /// Returns the keys that start with a prefix.
     pub fn keys(&self, prefix: &str) -> BTreeSet<CompactString> {
         let state = self.state();
         let keys = state.content.items.keys();
@@ -180,12 +180,12 @@
             .collect()
     }
 
-    /// Calls that a VM has made so far.
+    /// Returns the number of calls that a VM has made.
     pub fn calls(&self, vm: u8) -> usize {
         self.state().calls.get(&vm).copied().unwrap_or_default()
     }
 
-    /// A VM's port, whose answers come in over that VM's link.
+    /// Returns a VM's port, whose responses are received over that VM's link.
     pub fn port(&self, vm: u8, links: LinkMap) -> FakePort {
         FakePort {
             store: self.clone(),
@@ -196,7 +196,7 @@
     }
 }
 
-/// One VM's port to the store.
+/// A VM's port to the store.
 #[derive(Debug, Clone)]
 pub struct FakePort {
     store: FakeStore,
@@ -222,11 +222,11 @@
         }
     }
 
-    /// The way to the store; returns how often the VM's connections had fallen silent when the call set out.
-    async fn enter(&self) -> Result<u32, StoreError> {
+    /// Starts a call and returns how often the VM's connections had fallen silent by then.
+    async fn begin_call(&self) -> Result<u32, StoreError> {
         let silences = self.silences();
         *self.store.state().calls.entry(self.vm).or_default() += 1;
-        tokio::time::sleep(ANSWER_TIME).await;
+        tokio::time::sleep(RESPONSE_TIME).await;
         match self.reach() {
             StoreReach::Answers => Ok(silences),
             StoreReach::Refuses => Err(Self::refuse()),
@@ -234,15 +234,15 @@
         }
     }
 
-    /// The way back, with the bytes of all values: nothing comes over a connection that has fallen silent since the call
-    /// set out.
-    async fn leave(&self, silences: u32, bytes: usize) {
+    /// Delays the response by the link's rate. A connection that fell silent after the call started never delivers the
+    /// response.
+    async fn finish_call(&self, silences: u32, bytes: usize) {
         if let Some(link) = self.links.link(vm_address(self.vm)) {
-            // Values travel as base64.
+            // Values are sent as base64.
             let mut left = bytes * 4 / 3;
             while left > 0 {
-                let part = left.min(ANSWER_PART);
-                link.received.carry(part).await;
+                let part = left.min(RESPONSE_CHUNK_BYTES);
+                link.received.transmit(part).await;
                 self.traffic.note(part);
                 left -= part;
             }
@@ -266,11 +266,11 @@
     }
 
     async fn read_item(&self, _key: &str) -> Result<Option<StoreItem>, StoreError> {
-        unreachable!("followers read ranges")
+        unreachable!("followers read pages")
     }
 
     async fn read_page(&self, prefix: &str, after: Option<&str>) -> Result<StorePage, StoreError> {
-        let silences = self.enter().await?;
+        let silences = self.begin_call().await?;
         let page = {
             let state = self.store.state();
             let later = |key: &CompactString| {
@@ -292,7 +292,7 @@
             page.with_era(state.era)
         };
         let bytes = page.items.iter().map(|item| item.value.len()).sum();
-        self.leave(silences, bytes).await;
+        self.finish_call(silences, bytes).await;
         Ok(page)
     }
 
@@ -302,14 +302,14 @@
         after: StoreRevision,
         wait: Duration,
     ) -> Result<StoreWatch, StoreError> {
-        let silences = self.enter().await?;
+        let silences = self.begin_call().await?;
         let until = tokio::time::Instant::now() + wait;
         let mut changed = self.store.changed.subscribe();
         loop {
             let found = {
                 let state = self.store.state();
                 let content = &state.content;
-                // Only its number reaches the store.
+                // The store receives only the number of the revision, not its era.
                 let after = StoreRevision::new(after.number());
                 if after < content.history || after > content.revision {
                     return Err(StoreError::HistoryGone);
@@ -325,10 +325,10 @@
             let due = tokio::time::Instant::now() >= until;
             if due || !found.events.is_empty() {
                 let bytes = found.events.iter().map(value_bytes).sum();
-                self.leave(silences, bytes).await;
+                self.finish_call(silences, bytes).await;
                 return Ok(found);
             }
-            // The end of the wait is seen at the next turn.
+            // The next iteration handles the end of the wait.
             let _due = tokio::time::timeout_at(until, changed.changed()).await;
             if self.reach() == StoreReach::Refuses {
                 return Err(Self::refuse());
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -1,4 +1,4 @@
-//! Puts the store's changes in force: configuration, upstreams, our own VMs.
+//! Puts the store's changes in force: configuration, upstreams and this fleet's own VMs.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -17,36 +17,36 @@
 use crate::ident::VmAddress;
 use crate::store::{StoreEvent, StoreItem, StoreRevision};
 
-/// Takes the store's changes in.
-pub(super) struct StoreTaker {
+/// Applies the store's changes to the gateway.
+pub(super) struct StoreApplier {
     core: Rc<GatewayCore>,
     seeds: watch::Sender<Arc<[VmAddress]>>,
 }
 
-impl StoreTaker {
+impl StoreApplier {
     pub(super) fn new(core: Rc<GatewayCore>, seeds: watch::Sender<Arc<[VmAddress]>>) -> Self {
         Self { core, seeds }
     }
 
-    /// Takes a change into the copy and puts in force what of it was news.
-    pub(super) fn take(&self, change: CopyChange) -> Result<(), CopyGap> {
+    /// Applies a change to the copy and puts its new parts in force.
+    pub(super) fn apply(&self, change: CopyChange) -> Result<(), CopyGap> {
         let read = match &change {
-            CopyChange::Whole { revision, .. } => Some(*revision),
+            CopyChange::Full { revision, .. } => Some(*revision),
             CopyChange::Changes { .. } => None,
         };
-        let before = self.core.relay.copy().complete();
-        let news = self.core.relay.take(change);
-        let after = self.core.relay.copy().complete();
+        let before = self.core.relay.copy().complete_revision();
+        let outcome = self.core.relay.apply(change);
+        let after = self.core.relay.copy().complete_revision();
         self.core.enter_era(after.era());
         let restored = before > StoreRevision::ABSENT && after.era() > before.era();
         if restored {
-            // Entries that the older copy lacks are written again.
+            // Entries missing from the older copy will be written again.
             self.core.registry.note_return(now());
         }
-        for event in &news.events {
+        for event in &outcome.events {
             match event {
                 StoreEvent::Written(item) => self.put(item, restored),
-                StoreEvent::Removed { key, .. } if restored => self.take_lost(key),
+                StoreEvent::Removed { key, .. } if restored => self.remove_lost(key),
                 StoreEvent::Removed { key, .. } => self.remove(key),
             }
         }
@@ -55,27 +55,27 @@
                 self.core.assume_cold_where_claimed();
             }
             self.core.registry.note_read(now());
-            self.log_whole(read, news.events.len());
+            self.log_full_read(read, outcome.events.len());
         }
-        if !news.events.is_empty() {
+        if !outcome.events.is_empty() {
             self.core.share_connections();
-            self.tell_seeds();
+            self.publish_seeds();
         }
-        news.joined
+        outcome.result
     }
 
-    fn log_whole(&self, read: StoreRevision, news: usize) {
+    fn log_full_read(&self, read: StoreRevision, applied: usize) {
         let copy = self.core.relay.copy();
         log::info!(
-            "store read items={} upstreams={} vms={} revision={} read_revision={read} news={news}",
+            "store read items={} upstreams={} vms={} revision={} read_revision={read} news={applied}",
             copy.items().count(),
             self.core.registry.len(),
             self.core.vms.count(),
-            copy.complete()
+            copy.complete_revision()
         );
     }
 
-    fn tell_seeds(&self) {
+    fn publish_seeds(&self) {
         let seeds: Arc<[VmAddress]> = self.core.vms.seeds().into();
         self.seeds.send_if_modified(|current| {
             let differs = *current != seeds;
@@ -93,15 +93,17 @@
         }
     }
 
-    /// A store that came back from an older copy lacks a key. Nobody has removed it.
-    fn take_lost(&self, key: &CompactString) {
+    /// Handles a key that is missing after the store was restored from an older copy, so it was lost rather than
+    /// removed.
+    fn remove_lost(&self, key: &CompactString) {
         match (self.core.dialect.classify)(key) {
             StoredKind::Evacuation(zone) => self.core.registry.keep_evacuated(&zone, now()),
             _ => self.remove(key),
         }
     }
 
-    /// Puts an item in force; `restored` tells whether it was read of a store that has just come back from an older copy.
+    /// Puts an item in force; `restored` states whether it was read from a store that has just been restored from an
+    /// older copy.
     fn put(&self, item: &StoreItem, restored: bool) {
         match (self.core.dialect.classify)(&item.key) {
             StoredKind::Config => self.put_config(item),
@@ -126,17 +128,17 @@
                     item.revision
                 );
             }
-            // The version in force stays: half a configuration would be worse.
+            // The version in force stays, because part of a configuration would be worse.
             Err(error) => log::error!(
-                "config revision={} bytes={} not read: {error}",
+                "config revision={} bytes={} can't be decoded: {error}",
                 item.revision,
                 item.value.len()
             ),
         }
     }
 
-    /// Tells of routes whose home regions no availability zone of the settings is in: an upstream there would be unknown.
-    /// The other routes of the version are as the operators want them, so it goes in force.
+    /// Logs routes with a home region that has no availability zone in the settings: an upstream there would be
+    /// unknown. The version is put in force anyway, because its other routes are valid.
     fn log_unknown_homes(&self, table: &RouteTable) {
         let zones = &self.core.settings.place.zones;
         for route in table.routes() {
@@ -164,7 +166,7 @@
                     registry.put(&item.key, entry, now(), share);
                 }
             }
-            // Whatever stood there before is no longer stated by anybody; all other entries hold.
+            // No one states the key's previous entry any more; all other entries stay in force.
             Err(error) => {
                 self.core.registry.disown(&item.key);
                 log::warn!(
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Puts an evacuation in force; its value states nothing.
+    /// Puts an evacuation in force; the item's value has no meaning.
     fn evacuate(&self, zone: &PlaceName, item: &StoreItem) {
         if self.core.settings.place.region_of(zone).is_none() {
             log::warn!(
@@ -193,14 +195,14 @@
                 let claims = &self.core.cold_claims;
                 claims.with_zone(zone, |claim| claim.observe(item.revision, record, time));
             }
-            Err(error) => log::error!("claim {} not read: {error}", item.key),
+            Err(error) => log::error!("claim {} can't be decoded: {error}", item.key),
         }
     }
 
     fn put_vm(&self, item: &StoreItem) {
         match postcard::from_bytes::<VmRecord>(&item.value) {
             Ok(record) => self.core.vms.put(&item.key, record),
-            Err(error) => log::error!("VM record {} not read: {error}", item.key),
+            Err(error) => log::error!("VM record {} can't be decoded: {error}", item.key),
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/content.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content.rs
@@ -1,7 +1,7 @@
-//! What one VM tells another about the store, as bytes: everything, or what has changed.
+//! Encodes what one VM sends another about the store: the full copy, or the changes since a revision.
 //!
-//! Long values travel as what has changed of them since the value that the receiver holds, so it says what it holds when it
-//! asks. What is left is compressed together once more, since entries of upstreams look alike.
+//! Long values are sent as patches on the value that the receiver holds, so a receiver states what it holds with each
+//! poll. The result is compressed as a whole, because the entries of upstreams resemble one another.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -9,65 +9,65 @@
 use smallvec::SmallVec;
 use snafu::{OptionExt, ResultExt, Snafu};
 
-use super::copy::{CopyChange, LONG_VALUE, StoreCopy};
+use super::copy::{CopyChange, LONG_VALUE_BYTES, StoreCopy};
 use super::history::ValuePatch;
 use super::pack::{PackError, compress, expand};
 use crate::store::{StoreEvent, StoreItem, StoreRevision};
 
-/// Contents below this length are sent as they are: a change of an upstream's entry has some 300 bytes.
-const PLAIN_LIMIT: usize = 1024;
+/// Contents below this length are sent uncompressed: a change of an upstream's entry has about 300 bytes.
+const COMPRESSION_MIN_BYTES: usize = 1024;
 
-/// A long value that a VM holds.
+/// Key and revision of a long value that a VM holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldValue {
-    /// Its key.
+    /// The key of the value.
     pub key: CompactString,
-    /// The revision of its last change.
+    /// The revision at which the value was written.
     pub revision: StoreRevision,
 }
 
-/// The long values that a VM holds: a configuration, as a rule.
+/// The long values that a VM holds: usually just the configuration.
 pub type HeldValues = SmallVec<[HeldValue; 1]>;
 
-/// Why something told by another VM can't be taken in.
+/// Why content received from another VM can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum ContentError {
-    /// It is no message.
+    /// The bytes are not a valid message.
     #[snafu(display("malformed: {source}"))]
     Malformed {
         /// The cause.
         source: postcard::Error,
     },
-    /// It can't be expanded.
+    /// Compression or decompression failed.
     #[snafu(display("{key}: {source}"))]
     Pack {
-        /// The value's key; none for the message itself.
+        /// The value's key; empty for the message itself.
         key: CompactString,
         /// The cause.
         source: PackError,
     },
-    /// A value is based on one that is not held.
-    #[snafu(display("{key}: revision {base} is not held"))]
-    Base {
-        /// The key.
+    /// A patch applies to a value that this VM does not hold.
+    #[snafu(display("{key}: base revision {base} is not held"))]
+    MissingBase {
+        /// The key of the value.
         key: CompactString,
-        /// The revision of the base.
+        /// The revision of the missing base value.
         base: StoreRevision,
     },
 }
 
-/// A value on its way.
+/// A value as it is sent.
 #[derive(Debug, Serialize, Deserialize)]
 enum SentValue {
-    /// As it is.
+    /// The complete value.
     Plain(Bytes),
-    /// The receiver holds it.
+    /// The receiver already holds the value.
     Held,
-    /// Patches, one after another; the receiver holds the base of the first one.
+    /// Consecutive patches; the receiver holds the base of the first one.
     Patched(Vec<ValuePatch>),
 }
 
-/// An event on its way.
+/// A change as it is sent.
 #[derive(Debug, Serialize, Deserialize)]
 enum SentEvent {
     Written {
@@ -81,27 +81,29 @@
     },
 }
 
-/// What is told.
+/// The content of a message: a full copy or changes.
 #[derive(Debug, Serialize, Deserialize)]
 struct MirrorContent {
     events: Vec<SentEvent>,
-    /// The revision after which the changes were; none if this is everything.
+    /// The revision that the changes follow, exclusive; none for a full copy.
     since: Option<StoreRevision>,
-    /// The revision up to which all is told.
+    /// The last revision that the content covers, inclusive.
     revision: StoreRevision,
 }
 
-/// A message as bytes: compressed or not.
+/// An encoded message, which may be compressed.
 #[derive(Debug, Serialize, Deserialize)]
 struct ContentFrame {
-    /// Length of the message if `bytes` are compressed.
+    /// Length of the message after decompression; none if `bytes` are not compressed.
     expanded: Option<u32>,
     bytes: Bytes,
 }
 
-/// The long values of a copy.
+/// Returns the long values of a copy.
 pub fn held_values(copy: &StoreCopy) -> HeldValues {
-    let long = copy.items().filter(|item| item.value.len() >= LONG_VALUE);
+    let long = copy
+        .items()
+        .filter(|item| item.value.len() >= LONG_VALUE_BYTES);
     let held = long.map(|item| HeldValue {
         key: item.key.clone(),
         revision: item.revision,
@@ -109,8 +111,8 @@
     held.collect()
 }
 
-/// Writes down what a VM lacks that knows everything up to a revision and holds these long values.
-pub fn write_content(
+/// Encodes what a VM lacks that has applied every change up to the revision `known` and holds the long values `held`.
+pub fn encode_content(
     copy: &StoreCopy,
     known: StoreRevision,
     held: &[HeldValue],
@@ -123,19 +125,19 @@
     });
     let mut sent = Vec::with_capacity(events.len());
     for event in events {
-        sent.push(sent_event(copy, held, event));
+        sent.push(encode_event(copy, held, event));
     }
     let content = MirrorContent {
         events: sent,
         since,
-        revision: copy.complete(),
+        revision: copy.complete_revision(),
     };
-    write_frame(&content)
+    encode_frame(&content)
 }
 
-fn write_frame(content: &MirrorContent) -> Result<Bytes, ContentError> {
+fn encode_frame(content: &MirrorContent) -> Result<Bytes, ContentError> {
     let plain = postcard::to_stdvec(content).context(MalformedSnafu)?;
-    let frame = if plain.len() < PLAIN_LIMIT {
+    let frame = if plain.len() < COMPRESSION_MIN_BYTES {
         ContentFrame {
             expanded: None,
             bytes: plain.into(),
@@ -151,10 +153,10 @@
     Ok(bytes.into())
 }
 
-fn sent_event(copy: &StoreCopy, held: &[HeldValue], event: StoreEvent) -> SentEvent {
+fn encode_event(copy: &StoreCopy, held: &[HeldValue], event: StoreEvent) -> SentEvent {
     match event {
         StoreEvent::Written(item) => SentEvent::Written {
-            value: sent_value(copy, held, &item),
+            value: encode_value(copy, held, &item),
             key: item.key,
             revision: item.revision,
         },
@@ -162,7 +164,7 @@
     }
 }
 
-fn sent_value(copy: &StoreCopy, held: &[HeldValue], item: &StoreItem) -> SentValue {
+fn encode_value(copy: &StoreCopy, held: &[HeldValue], item: &StoreItem) -> SentValue {
     let held = held.iter().find(|held| held.key == item.key);
     let Some(base) = held.map(|held| held.revision) else {
         return SentValue::Plain(item.value.clone());
@@ -177,12 +179,12 @@
     SentValue::Patched(chain.into_iter().cloned().collect())
 }
 
-/// Reads what another VM has told to one that has this copy.
-pub fn read_content(copy: &StoreCopy, bytes: &[u8]) -> Result<CopyChange, ContentError> {
-    let content = read_frame(bytes)?;
+/// Decodes content from another VM; patches are applied to the values in `copy`.
+pub fn decode_content(copy: &StoreCopy, bytes: &[u8]) -> Result<CopyChange, ContentError> {
+    let content = decode_frame(bytes)?;
     let mut events = Vec::with_capacity(content.events.len());
     for event in content.events {
-        events.push(read_event(copy, event)?);
+        events.push(decode_event(copy, event)?);
     }
     let revision = content.revision;
     let Some(since) = content.since else {
@@ -191,7 +193,7 @@
             StoreEvent::Removed { .. } => None,
         });
         let items = items.collect();
-        return Ok(CopyChange::Whole { items, revision });
+        return Ok(CopyChange::Full { items, revision });
     };
     Ok(CopyChange::Changes {
         events,
@@ -200,7 +202,7 @@
     })
 }
 
-fn read_frame(bytes: &[u8]) -> Result<MirrorContent, ContentError> {
+fn decode_frame(bytes: &[u8]) -> Result<MirrorContent, ContentError> {
     let frame: ContentFrame = postcard::from_bytes(bytes).context(MalformedSnafu)?;
     let plain = match frame.expanded {
         None => frame.bytes,
@@ -209,7 +211,7 @@
     postcard::from_bytes(&plain).context(MalformedSnafu)
 }
 
-fn read_event(copy: &StoreCopy, event: SentEvent) -> Result<StoreEvent, ContentError> {
+fn decode_event(copy: &StoreCopy, event: SentEvent) -> Result<StoreEvent, ContentError> {
     let (key, revision, value) = match event {
         SentEvent::Removed { key, revision } => {
             return Ok(StoreEvent::Removed { key, revision });
@@ -220,15 +222,15 @@
             value,
         } => (key, revision, value),
     };
-    let own = copy.get(&key);
-    if let Some(own) = own.filter(|own| own.revision >= revision) {
-        // Read ahead meanwhile, from the store itself.
-        return Ok(StoreEvent::Written(own.clone()));
+    let local = copy.get(&key);
+    if let Some(local) = local.filter(|local| local.revision >= revision) {
+        // This VM has already read a newer value directly from the store.
+        return Ok(StoreEvent::Written(local.clone()));
     }
     let value = match value {
         SentValue::Plain(value) => value,
         SentValue::Held => {
-            return BaseSnafu {
+            return MissingBaseSnafu {
                 key,
                 base: revision,
             }
@@ -236,12 +238,12 @@
         }
         SentValue::Patched(patches) => {
             let base = patches.first().map_or(revision, |patch| patch.base);
-            let own = own.filter(|own| own.revision == base);
-            let own = own.with_context(|| BaseSnafu {
+            let local = local.filter(|local| local.revision == base);
+            let local = local.with_context(|| MissingBaseSnafu {
                 key: key.clone(),
                 base,
             })?;
-            read_patches(own, &patches)?
+            apply_patches(local, &patches)?
         }
     };
     Ok(StoreEvent::Written(StoreItem {
@@ -251,7 +253,7 @@
     }))
 }
 
-fn read_patches(base: &StoreItem, patches: &[ValuePatch]) -> Result<Bytes, ContentError> {
+fn apply_patches(base: &StoreItem, patches: &[ValuePatch]) -> Result<Bytes, ContentError> {
     let mut value = base.value.clone();
     for patch in patches {
         let expanded = expand(&value, &patch.bytes, patch.size);
--- a/crates/ebonyfork/src/gateway/mirror/content_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content_tests.rs
@@ -20,32 +20,32 @@
     item("config", &routes(count), revision)
 }
 
-fn take(copy: &mut StoreCopy, items: &[StoreItem], since: u64, revision: u64) {
+fn apply(copy: &mut StoreCopy, items: &[StoreItem], since: u64, revision: u64) {
     let events = items.iter().cloned().map(StoreEvent::Written).collect();
     let change = CopyChange::Changes {
         events,
         since: StoreRevision::new(since),
         revision: StoreRevision::new(revision),
     };
-    copy.take(change);
+    copy.apply(change);
 }
 
 fn copy_of(items: &[StoreItem], revision: u64) -> StoreCopy {
     let mut copy = StoreCopy::default();
     copy.keep_patches(true);
-    copy.take(CopyChange::Whole {
+    copy.apply(CopyChange::Full {
         items: items.to_vec(),
         revision: StoreRevision::new(revision),
     });
     copy
 }
 
-/// Tells a copy what it lacks; returns the bytes that it took.
-fn tell(from: &StoreCopy, to: &mut StoreCopy) -> usize {
-    let content = write_content(from, to.complete(), &held_values(to)).unwrap();
-    let change = read_content(to, &content).unwrap();
-    let news = to.take(change);
-    expect_that!(news.joined, ok(eq(())));
+/// Sends a copy the changes that it lacks; returns the length of the content.
+fn send(from: &StoreCopy, to: &mut StoreCopy) -> usize {
+    let content = encode_content(from, to.complete_revision(), &held_values(to)).unwrap();
+    let change = decode_content(to, &content).unwrap();
+    let outcome = to.apply(change);
+    expect_that!(outcome.result, ok(eq(())));
     content.len()
 }
 
@@ -53,85 +53,91 @@
     copy.items().collect()
 }
 
-/// A change of one route among 2,850 took 0.49 MB to each follower.
+/// A change of one route among 2,850 used to send 0.49 MB to each follower.
 #[gtest]
-fn one_route_more_takes_a_few_bytes() {
+fn adding_one_route_sends_a_small_patch() {
     let mut source = copy_of(&[config(2_850, 3), item("upstream/a", "s", 4)], 10);
     let mut follower = copy_of(&[], 0);
-    let everything = tell(&source, &mut follower);
-    take(&mut source, &[config(2_851, 11)], 10, 11);
-    take(
+    let everything = send(&source, &mut follower);
+    apply(&mut source, &[config(2_851, 11)], 10, 11);
+    apply(
         &mut source,
         &[config(2_852, 12), item("upstream/b", "s", 13)],
         11,
         13,
     );
-    let changes = tell(&source, &mut follower);
+    let changes = send(&source, &mut follower);
     expect_that!(items(&follower), eq(&items(&source)));
     expect_that!(everything, lt(routes(2_850).len() / 4));
     expect_that!(changes, lt(1_000));
 }
 
-/// The store has lost its history and everything was read anew: what a follower holds is not sent again.
-/// Two VMs hold a value at the same number of two eras, so neither a patch nor "held" fits.
+/// Two VMs hold different values at the same revision number of different eras, so neither a patch nor
+/// `SentValue::Held` may be sent.
 #[gtest]
-fn a_value_of_another_era_is_not_taken_for_the_one_held() {
+fn a_value_of_another_era_is_not_treated_as_held() {
     let era = StoreEra(1);
     let mut source = copy_of(&[config(2_850, 3)], 10);
     let mut follower = copy_of(&[config(2_850, 3)], 10);
-    source.take(CopyChange::Whole {
+    source.apply(CopyChange::Full {
         items: vec![config(2_800, 3).with_era(era)],
         revision: StoreRevision::new(3).with_era(era),
     });
-    tell(&source, &mut follower);
+    send(&source, &mut follower);
     expect_that!(items(&follower), eq(&items(&source)));
-    expect_that!(follower.complete(), eq(source.complete()));
+    expect_that!(follower.complete_revision(), eq(source.complete_revision()));
 }
 
+/// After the store lost its history everything is read again, but values that a follower holds are not sent again.
 #[gtest]
-fn a_value_that_is_held_is_not_sent_again() {
+fn a_held_value_is_not_sent_again() {
     let mut source = copy_of(&[config(2_850, 3)], 10);
     let mut follower = copy_of(&[], 0);
-    tell(&source, &mut follower);
-    source.take(CopyChange::Whole {
+    send(&source, &mut follower);
+    source.apply(CopyChange::Full {
         items: vec![config(2_850, 3), item("upstream/b", "s", 12)],
         revision: StoreRevision::new(20),
     });
-    expect_that!(source.changes_since(follower.complete()), none());
-    expect_that!(tell(&source, &mut follower), lt(200));
+    expect_that!(source.changes_since(follower.complete_revision()), none());
+    expect_that!(send(&source, &mut follower), lt(200));
     expect_that!(items(&follower), eq(&items(&source)));
 }
 
 #[gtest]
-fn what_was_read_ahead_meanwhile_stays() {
+fn items_read_ahead_in_the_meantime_are_kept() {
     let mut source = copy_of(&[config(200, 3)], 10);
     let mut follower = copy_of(&[], 0);
-    tell(&source, &mut follower);
-    take(&mut source, &[config(201, 12)], 10, 12);
-    let content = write_content(&source, follower.complete(), &held_values(&follower)).unwrap();
-    take(&mut follower, &[config(202, 15)], 14, 15);
-    let change = read_content(&follower, &content).unwrap();
-    follower.take(change);
+    send(&source, &mut follower);
+    apply(&mut source, &[config(201, 12)], 10, 12);
+    let content = encode_content(
+        &source,
+        follower.complete_revision(),
+        &held_values(&follower),
+    )
+    .unwrap();
+    apply(&mut follower, &[config(202, 15)], 14, 15);
+    let change = decode_content(&follower, &content).unwrap();
+    follower.apply(change);
     expect_that!(items(&follower), elements_are![eq(&&config(202, 15))]);
-    expect_that!(follower.complete(), eq(StoreRevision::new(12)));
+    expect_that!(follower.complete_revision(), eq(StoreRevision::new(12)));
 }
 
 #[gtest]
-fn a_value_on_a_base_that_is_not_held_is_an_error() {
+fn a_patch_on_a_missing_base_is_an_error() {
     let mut source = copy_of(&[config(200, 3)], 10);
-    take(&mut source, &[config(201, 12)], 10, 12);
+    apply(&mut source, &[config(201, 12)], 10, 12);
     let held = [HeldValue {
         key: "config".into(),
         revision: StoreRevision::new(3),
     }];
-    let content = write_content(&source, StoreRevision::new(10), &held).unwrap();
+    let content = encode_content(&source, StoreRevision::new(10), &held).unwrap();
     let stranger = copy_of(&[config(200, 2)], 10);
     expect_that!(
-        read_content(&stranger, &content),
-        err(pat!(ContentError::Base { .. }))
+        decode_content(&stranger, &content),
+        err(pat!(ContentError::MissingBase { .. }))
     );
     expect_that!(
-        read_content(&stranger, b"none"),
+        decode_content(&stranger, b"none"),
         err(pat!(ContentError::Malformed { .. }))
     );
 }
--- a/crates/ebonyfork/src/gateway/mirror/copy.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy.rs
@@ -1,12 +1,14 @@
-//! This VM's copy of the store, and up to which revision it is whole.
+//! This VM's copy of the store, and the revision up to which it is complete.
 //!
-//! Changes reach a VM in many ways: pages that are no snapshot, watches, other VMs that are ahead or behind. One record
-//! is kept of them all, so that no two of them can disagree about what is known. It rests on a single statement: *every
-//! change up to [`StoreCopy::complete`] has been taken in*. A change up to it is no news, wherever it comes from; a range
-//! that is read as of a later revision tells what is gone; changes after a later revision leave a gap and move nothing on.
+//! Changes arrive by several paths: page reads that are not a consistent snapshot, watches, and other VMs that may be
+//! ahead of or behind this one. All of them update a single copy, so that no two records can disagree. The copy has one
+//! invariant: *every change up to [`StoreCopy::complete_revision`] has been applied*. A change at or below that
+//! revision is ignored, whatever its source. A full read at a later revision reveals which keys were removed. Changes
+//! that start after a later revision leave a gap and don't advance the complete revision.
 //!
-//! Revisions are ordered by the store's era first. A store that comes back from an older copy begins a new one, so whatever
-//! is read of it then is later than all that was known before, also where numbers are given out again.
+//! Revisions are ordered by the store's era first. A store that is restored from an older copy starts a new era, so
+//! everything read from it then is later than all that was known before, even if it assigns the same revision numbers
+//! again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,47 +18,48 @@
 use super::history::PatchHistory;
 use crate::store::{StoreEvent, StoreItem, StoreRevision};
 
-/// Keys whose changes are kept for VMs that are a little behind, some 64 bytes each. A change names its key only; what the
-/// key holds is in the copy. At 11,000 changes a day it is half a day, and a shard's upstreams all at once.
-const LOG_CHANGES: usize = 4_096;
-/// From this length on a value travels as what has changed of it: upstreams' entries have some 300 bytes.
-pub const LONG_VALUE: usize = 4 * 1024;
+/// Maximum number of keys in the log of changes for VMs that are slightly behind, at about 64 bytes each. The log holds
+/// only the key of a change; the value is in the copy. The capacity covers half a day at 11,000 changes a day, or all
+/// upstreams of a shard at once.
+const MAX_LOGGED_CHANGES: usize = 4_096;
+/// Length from which a value is sent as patches. Entries of upstreams have about 300 bytes and are sent in full.
+pub const LONG_VALUE_BYTES: usize = 4 * 1024;
 
-/// What is taken into a copy.
+/// A change to apply to a copy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CopyChange {
-    /// The whole range as it was at a revision; single items may be newer.
-    Whole {
-        /// All items.
+    /// All items as of a revision; single items may be newer.
+    Full {
+        /// All items of the store.
         items: Vec<StoreItem>,
-        /// The revision.
+        /// The revision as of which the items are complete.
         revision: StoreRevision,
     },
-    /// All that has changed from one revision to another.
+    /// All changes between two revisions.
     Changes {
-        /// The newest change of each key that has changed.
+        /// The newest change of each key that changed.
         events: Vec<StoreEvent>,
-        /// The revision after which the changes were.
+        /// The revision that the changes follow, exclusive.
         since: StoreRevision,
-        /// The revision up to which they are all.
+        /// The last revision that the changes cover, inclusive.
         revision: StoreRevision,
     },
 }
 
-/// Changes do not join what is known: those between are missing.
+/// The changes start after the copy's complete revision, so the changes in between are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CopyGap;
 
-/// What became of a change.
+/// The result of applying a change to a copy.
 #[derive(Debug, PartialEq, Eq)]
-pub struct CopyNews {
-    /// What was not known before, to be put in force.
+pub struct ChangeOutcome {
+    /// Changes that were not known before and have to be put in force.
     pub events: Vec<StoreEvent>,
-    /// Whether the copy is now known to be whole up to the change's revision.
-    pub joined: Result<(), CopyGap>,
+    /// Whether the copy is complete up to the revision of the change.
+    pub result: Result<(), CopyGap>,
 }
 
-/// Changes that came together: which keys, and when.
+/// Changes that arrived together: their keys and revisions.
 #[derive(Debug)]
 struct ChangeBatch {
     keys: Vec<(CompactString, StoreRevision)>,
@@ -67,61 +70,61 @@
 #[derive(Debug, Default)]
 pub struct StoreCopy {
     items: BTreeMap<CompactString, StoreItem>,
-    /// Keys that are known to have been removed after `complete`.
+    /// Keys known to have been removed after `complete_revision`, with the revision of the removal.
     removed: FxHashMap<CompactString, StoreRevision>,
-    complete: StoreRevision,
-    /// What changed last up to `complete`, without a gap.
+    complete_revision: StoreRevision,
+    /// The most recent changes up to `complete_revision`, without a gap.
     log: VecDeque<ChangeBatch>,
-    logged: usize,
-    /// What has changed of long values.
+    logged_keys: usize,
+    /// Patches between successive versions of long values.
     history: PatchHistory,
-    /// Whether that is worth keeping: somebody follows.
+    /// Whether patches are recorded: only while another VM follows.
     keeps_patches: bool,
 }
 
 impl StoreCopy {
-    /// The revision up to which every change has been taken in; 0 before the first whole range.
-    pub fn complete(&self) -> StoreRevision {
-        self.complete
+    /// Returns the revision up to which every change has been applied; 0 before the first full read.
+    pub fn complete_revision(&self) -> StoreRevision {
+        self.complete_revision
     }
 
-    /// The items, by key.
+    /// Iterates over the items, ordered by key.
     pub fn items(&self) -> impl Iterator<Item = &StoreItem> {
         self.items.values()
     }
 
-    /// An item.
+    /// Returns the item with a key.
     pub fn get(&self, key: &str) -> Option<&StoreItem> {
         self.items.get(key)
     }
 
-    /// What has changed of long values.
+    /// Returns the patches between versions of long values.
     pub fn history(&self) -> &PatchHistory {
         &self.history
     }
 
-    /// Sets whether it is kept what changes of long values.
+    /// Sets whether patches of long values are recorded.
     pub fn keep_patches(&mut self, keeps: bool) {
         self.keeps_patches = keeps;
     }
 
-    /// Takes a change in.
-    pub fn take(&mut self, change: CopyChange) -> CopyNews {
+    /// Applies a change to the copy.
+    pub fn apply(&mut self, change: CopyChange) -> ChangeOutcome {
         match change {
-            CopyChange::Whole { items, revision } => self.replace(items, revision),
+            CopyChange::Full { items, revision } => self.apply_full(items, revision),
             CopyChange::Changes {
                 events,
                 since,
                 revision,
-            } => self.change(events, since, revision),
+            } => self.apply_changes(events, since, revision),
         }
     }
 
-    fn replace(&mut self, items: Vec<StoreItem>, revision: StoreRevision) -> CopyNews {
+    fn apply_full(&mut self, items: Vec<StoreItem>, revision: StoreRevision) -> ChangeOutcome {
         let present: FxHashSet<CompactString> = items.iter().map(|item| item.key.clone()).collect();
         let mut events: Vec<_> = items.into_iter().map(StoreEvent::Written).collect();
-        if revision > self.complete {
-            // What was written after the range was read may be missing from it and is not gone.
+        if revision > self.complete_revision {
+            // Items written after the read started may be missing from it although they still exist.
             let gone =
                 |item: &&StoreItem| item.revision <= revision && !present.contains(&item.key);
             let removal = |item: &StoreItem| StoreEvent::Removed {
@@ -130,88 +133,88 @@
             };
             events.extend(self.items.values().filter(gone).map(removal));
         }
-        let floor = if revision > self.complete {
-            // The range is later than all that is known, so what it holds is there whatever was thought of it.
+        let floor = if revision > self.complete_revision {
+            // The read is later than everything in the copy, so its items exist whatever the copy says about them.
             StoreRevision::ABSENT
         } else {
-            self.complete
+            self.complete_revision
         };
-        events.retain(|event| self.apply(event, floor));
-        if revision > self.complete {
+        events.retain(|event| self.apply_event(event, floor));
+        if revision > self.complete_revision {
             self.log.clear();
-            self.logged = 0;
+            self.logged_keys = 0;
             self.advance(revision);
         }
-        CopyNews {
+        ChangeOutcome {
             events,
-            joined: Ok(()),
+            result: Ok(()),
         }
     }
 
-    fn change(
+    fn apply_changes(
         &mut self,
         events: Vec<StoreEvent>,
         since: StoreRevision,
         revision: StoreRevision,
-    ) -> CopyNews {
-        let floor = self.complete;
-        let news = events.iter().filter(|event| self.apply(event, floor));
-        let news = news.cloned().collect();
-        if since > self.complete {
-            return CopyNews {
-                events: news,
-                joined: Err(CopyGap),
+    ) -> ChangeOutcome {
+        let floor = self.complete_revision;
+        let applied = events.iter().filter(|event| self.apply_event(event, floor));
+        let applied = applied.cloned().collect();
+        if since > self.complete_revision {
+            return ChangeOutcome {
+                events: applied,
+                result: Err(CopyGap),
             };
         }
-        if revision > self.complete {
-            self.keep(&events);
+        if revision > self.complete_revision {
+            self.log_changes(&events);
             self.advance(revision);
         }
-        CopyNews {
-            events: news,
-            joined: Ok(()),
+        ChangeOutcome {
+            events: applied,
+            result: Ok(()),
         }
     }
 
-    /// Keeps changes for VMs that are behind: also those that were known already or of keys that this copy never held,
-    /// since another copy may hold them.
-    fn keep(&mut self, events: &[StoreEvent]) {
+    /// Logs changes for VMs that are behind. This includes changes that were already known and changes of keys that
+    /// this copy never held, because another copy may hold them.
+    fn log_changes(&mut self, events: &[StoreEvent]) {
         let new = events
             .iter()
-            .filter(|event| event.revision() > self.complete);
+            .filter(|event| event.revision() > self.complete_revision);
         let keys: Vec<_> = new
             .map(|event| (event.key().clone(), event.revision()))
             .collect();
         if keys.is_empty() && !self.log.is_empty() {
             return;
         }
-        self.logged += keys.len();
+        self.logged_keys += keys.len();
         self.log.push_back(ChangeBatch {
             keys,
-            since: self.complete,
+            since: self.complete_revision,
         });
-        while self.logged > LOG_CHANGES && self.log.len() > 1 {
+        while self.logged_keys > MAX_LOGGED_CHANGES && self.log.len() > 1 {
             let oldest = self.log.pop_front();
-            self.logged -= oldest.map_or(0, |batch| batch.keys.len());
+            self.logged_keys -= oldest.map_or(0, |batch| batch.keys.len());
         }
     }
 
     fn advance(&mut self, revision: StoreRevision) {
-        self.complete = revision;
+        self.complete_revision = revision;
         self.removed.retain(|_key, removed| *removed > revision);
     }
 
-    /// Takes in one change; tells whether it was news. Everything up to the revision `floor` is known.
-    fn apply(&mut self, event: &StoreEvent, floor: StoreRevision) -> bool {
+    /// Applies one change and returns whether it was new. Every change up to the revision `floor` is already known.
+    fn apply_event(&mut self, event: &StoreEvent, floor: StoreRevision) -> bool {
         let key = event.key();
-        if event.revision() <= self.known(key).max(floor) {
+        if event.revision() <= self.known_revision(key).max(floor) {
             return false;
         }
         match event {
             StoreEvent::Written(item) => {
                 self.removed.remove(key);
                 let old = self.items.insert(key.clone(), item.clone());
-                self.note_value(old, item);
+                self.record_patch(old, item);
             }
             StoreEvent::Removed { revision, .. } => {
                 self.items.remove(key);
@@ -222,24 +225,28 @@
         true
     }
 
-    fn note_value(&mut self, old: Option<StoreItem>, new: &StoreItem) {
-        let is_long = |item: &StoreItem| item.value.len() >= LONG_VALUE;
+    fn record_patch(&mut self, old: Option<StoreItem>, new: &StoreItem) {
+        let is_long = |item: &StoreItem| item.value.len() >= LONG_VALUE_BYTES;
         match old.filter(is_long) {
-            Some(old) if is_long(new) && self.keeps_patches => self.history.note(&old, new),
+            Some(old) if is_long(new) && self.keeps_patches => self.history.record(&old, new),
             _ => self.history.forget(&new.key),
         }
     }
 
-    /// The last change of a key that is known.
-    fn known(&self, key: &CompactString) -> StoreRevision {
+    /// Returns the revision of the last known change of a key.
+    fn known_revision(&self, key: &CompactString) -> StoreRevision {
         let written = self.items.get(key).map(|item| item.revision);
         let removed = self.removed.get(key).copied();
         written.max(removed).unwrap_or_default()
     }
 
-    /// What has become of all keys that changed after a revision; none if that is no longer kept.
+    /// Returns the current state of every key that changed after a revision, or none if the log no longer reaches back
+    /// that far.
     pub fn changes_since(&self, known: StoreRevision) -> Option<Vec<StoreEvent>> {
-        let first = self.log.front().map_or(self.complete, |batch| batch.since);
+        let first = self
+            .log
+            .front()
+            .map_or(self.complete_revision, |batch| batch.since);
         if known < first {
             return None;
         }
@@ -259,7 +266,8 @@
         Some(events)
     }
 
-    /// What a key that changed at a revision holds now: perhaps something newer, that was read ahead.
+    /// Returns the current state of a key that changed at a revision. It may be newer than that change if it was read
+    /// ahead.
     fn event(&self, key: &CompactString, change: StoreRevision) -> StoreEvent {
         if let Some(item) = self.items.get(key) {
             return StoreEvent::Written(item.clone());
--- a/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
@@ -10,8 +10,8 @@
 
 const KEYS: [&str; 4] = ["a", "b", "c", "d"];
 
-fn whole(items: &[StoreItem], revision: u64) -> CopyChange {
-    CopyChange::Whole {
+fn full(items: &[StoreItem], revision: u64) -> CopyChange {
+    CopyChange::Full {
         items: items.to_vec(),
         revision: StoreRevision::new(revision),
     }
@@ -40,114 +40,114 @@
     copy.items().map(|item| item.key.as_str()).collect()
 }
 
-/// What a source that is behind tells is no news, so nothing of it is put in force or passed on.
+/// Changes from a source that is behind are not new, so they are neither put in force nor forwarded.
 #[gtest]
-fn only_what_is_newer_is_news() {
+fn only_newer_changes_are_applied() {
     let mut copy = StoreCopy::default();
     let known = [item("config", "8", 365), item("upstream/a", "s", 300)];
-    expect_that!(copy.take(whole(&known, 366)).events.len(), eq(2));
+    expect_that!(copy.apply(full(&known, 366)).events.len(), eq(2));
     let behind = [item("config", "4", 363), item("upstream/b", "s", 364)];
-    let news = copy.take(whole(&behind, 364));
+    let outcome = copy.apply(full(&behind, 364));
     expect_that!(
-        news.events,
+        outcome.events,
         is_empty(),
-        "b was removed by 366, or it would be known"
+        "b was removed by revision 366, or it would be known"
     );
     let events = [written("config", 363), written("config", 436)];
-    let news = copy.take(changes(&events, 362, 436));
-    expect_that!(news.events, elements_are![eq(&written("config", 436))]);
-    expect_that!(copy.complete(), eq(StoreRevision::new(436)));
+    let outcome = copy.apply(changes(&events, 362, 436));
+    expect_that!(outcome.events, elements_are![eq(&written("config", 436))]);
+    expect_that!(copy.complete_revision(), eq(StoreRevision::new(436)));
 }
 
-/// In a later era a number that was seen before belongs to another change, and what is not there any more is gone.
+/// In a later era a known revision number belongs to a different change, and items that are missing have been removed.
 #[gtest]
-fn a_later_era_is_news_whatever_its_numbers() {
+fn a_later_era_overrides_any_revision_number() {
     let mut copy = StoreCopy::default();
     let known = [item("config", "8", 63), item("upstream/a", "s", 40)];
-    copy.take(whole(&known, 63));
+    copy.apply(full(&known, 63));
     let era = StoreEra(1);
     let older = [item("config", "7", 60)].map(|item| item.with_era(era));
-    let complete = StoreRevision::new(60).with_era(era);
-    let news = copy.take(CopyChange::Whole {
+    let complete_revision = StoreRevision::new(60).with_era(era);
+    let outcome = copy.apply(CopyChange::Full {
         items: older.to_vec(),
-        revision: complete,
+        revision: complete_revision,
     });
     let gone = removed("upstream/a", 60).with_era(era);
     let back = StoreEvent::Written(older[0].clone());
-    expect_that!(news.events, elements_are![eq(&back), eq(&gone)]);
-    expect_that!(copy.complete(), eq(complete));
+    expect_that!(outcome.events, elements_are![eq(&back), eq(&gone)]);
+    expect_that!(copy.complete_revision(), eq(complete_revision));
     let again = written("config", 63).with_era(era);
-    let news = copy.take(CopyChange::Changes {
+    let outcome = copy.apply(CopyChange::Changes {
         events: vec![again.clone()],
-        since: complete,
+        since: complete_revision,
         revision: again.revision(),
     });
-    expect_that!(news.events, elements_are![eq(&again)]);
-    // What a VM tells that is still in the era before moves nothing.
-    let behind = copy.take(changes(&[written("config", 70)], 63, 70));
+    expect_that!(outcome.events, elements_are![eq(&again)]);
+    // A VM that is still in the previous era changes nothing.
+    let behind = copy.apply(changes(&[written("config", 70)], 63, 70));
     expect_that!(behind.events, is_empty());
-    expect_that!(copy.complete(), eq(again.revision()));
+    expect_that!(copy.complete_revision(), eq(again.revision()));
 }
 
 #[gtest]
-fn changes_that_do_not_join_leave_a_gap_and_move_nothing_on() {
+fn changes_after_a_gap_do_not_advance_the_complete_revision() {
     let mut copy = StoreCopy::default();
-    copy.take(whole(&[item("a", "v", 5)], 10));
-    let news = copy.take(changes(&[written("b", 14)], 12, 14));
-    expect_that!(news.joined, err(eq(CopyGap)));
+    copy.apply(full(&[item("a", "v", 5)], 10));
+    let outcome = copy.apply(changes(&[written("b", 14)], 12, 14));
+    expect_that!(outcome.result, err(eq(CopyGap)));
     expect_that!(
-        news.events,
+        outcome.events,
         elements_are![eq(&written("b", 14))],
-        "it is true all the same"
+        "the change itself is valid"
     );
-    expect_that!(copy.complete(), eq(StoreRevision::new(10)));
-    let news = copy.take(changes(&[removed("a", 11), written("b", 14)], 10, 14));
-    expect_that!(news.joined, ok(eq(())));
-    expect_that!(news.events, elements_are![eq(&removed("a", 11))]);
-    expect_that!(copy.complete(), eq(StoreRevision::new(14)));
+    expect_that!(copy.complete_revision(), eq(StoreRevision::new(10)));
+    let outcome = copy.apply(changes(&[removed("a", 11), written("b", 14)], 10, 14));
+    expect_that!(outcome.result, ok(eq(())));
+    expect_that!(outcome.events, elements_are![eq(&removed("a", 11))]);
+    expect_that!(copy.complete_revision(), eq(StoreRevision::new(14)));
 }
 
-/// Pages are no snapshot: what was written after the first page may be missing from a range, or be in it.
+/// Page reads are not a consistent snapshot: an item written after the first page may or may not be in the result.
 #[gtest]
-fn what_is_newer_than_a_range_is_not_taken_for_gone() {
+fn items_newer_than_a_full_read_are_not_removed() {
     let mut copy = StoreCopy::default();
-    copy.take(whole(&[item("a", "v", 3)], 10));
-    copy.take(changes(&[written("b", 13)], 12, 13));
-    let news = copy.take(whole(&[item("c", "v", 12)], 11));
+    copy.apply(full(&[item("a", "v", 3)], 10));
+    copy.apply(changes(&[written("b", 13)], 12, 13));
+    let outcome = copy.apply(full(&[item("c", "v", 12)], 11));
     expect_that!(
-        news.events,
+        outcome.events,
         elements_are![eq(&written("c", 12)), eq(&removed("a", 11))]
     );
     expect_that!(keys(&copy), elements_are![eq(&"b"), eq(&"c")]);
 }
 
-/// A follower may know a key that the followed VM never held: its removal is told all the same.
+/// A follower may hold a key that the followed VM never held, so its removal is sent too.
 #[gtest]
-fn removals_of_keys_that_were_never_held_are_passed_on() {
+fn removals_of_keys_never_held_are_forwarded() {
     let mut copy = StoreCopy::default();
-    copy.take(whole(&[], 10));
-    copy.take(changes(&[removed("x", 12)], 10, 12));
-    let told = copy.changes_since(StoreRevision::new(10));
-    expect_that!(told, some(elements_are![eq(&removed("x", 12))]));
+    copy.apply(full(&[], 10));
+    copy.apply(changes(&[removed("x", 12)], 10, 12));
+    let sent = copy.changes_since(StoreRevision::new(10));
+    expect_that!(sent, some(elements_are![eq(&removed("x", 12))]));
 }
 
 #[gtest]
-fn who_is_a_little_behind_is_told_what_it_lacks() {
+fn a_follower_slightly_behind_receives_only_missing_changes() {
     let mut copy = StoreCopy::default();
-    copy.take(whole(&[item("a", "v", 3)], 10));
-    copy.take(changes(&[written("b", 11)], 10, 11));
-    copy.take(changes(&[], 11, 12));
-    copy.take(changes(&[written("b", 13), removed("a", 14)], 12, 14));
-    let told = copy.changes_since(StoreRevision::new(11));
+    copy.apply(full(&[item("a", "v", 3)], 10));
+    copy.apply(changes(&[written("b", 11)], 10, 11));
+    copy.apply(changes(&[], 11, 12));
+    copy.apply(changes(&[written("b", 13), removed("a", 14)], 12, 14));
+    let sent = copy.changes_since(StoreRevision::new(11));
     expect_that!(
-        told,
+        sent,
         some(elements_are![eq(&written("b", 13)), eq(&removed("a", 14))])
     );
     expect_that!(copy.changes_since(StoreRevision::new(9)), none());
-    let many: Vec<_> = (0..LOG_CHANGES)
+    let many: Vec<_> = (0..MAX_LOGGED_CHANGES)
         .map(|number| written(&format!("many/{number}"), 15))
         .collect();
-    copy.take(changes(&many, 14, 15));
+    copy.apply(changes(&many, 14, 15));
     expect_that!(
         copy.changes_since(StoreRevision::new(13)),
         none(),
@@ -156,28 +156,28 @@
     expect_that!(
         copy.changes_since(StoreRevision::new(14))
             .map(|events| events.len()),
-        some(eq(LOG_CHANGES))
+        some(eq(MAX_LOGGED_CHANGES))
     );
 }
 
-/// The log names keys only, so a configuration of any length leaves what is kept for VMs that are behind as long as it was:
-/// a log of 256 kB of values held a single change of 1,450 routes, after which followers were sent everything.
+/// The log holds only keys, so long configurations don't reduce the number of changes kept. A log limited to 256 kB of
+/// values held a single change of 1,450 routes, and followers were sent everything after it.
 #[gtest]
 fn long_values_do_not_shorten_the_log() {
     let mut copy = StoreCopy::default();
-    copy.take(whole(&[item("a", "v", 3)], 10));
+    copy.apply(full(&[item("a", "v", 3)], 10));
     for revision in 11..30 {
         let long = format!("{revision} {}", "x".repeat(1 << 20));
         let event = StoreEvent::Written(item("config", &long, revision));
-        copy.take(changes(&[event], revision - 1, revision));
+        copy.apply(changes(&[event], revision - 1, revision));
     }
-    let told = copy.changes_since(StoreRevision::new(10));
-    let told = told.map(|events| events.iter().map(StoreEvent::revision).collect::<Vec<_>>());
-    expect_that!(told, some(elements_are![eq(&StoreRevision::new(29))]));
+    let sent = copy.changes_since(StoreRevision::new(10));
+    let sent = sent.map(|events| events.iter().map(StoreEvent::revision).collect::<Vec<_>>());
+    expect_that!(sent, some(elements_are![eq(&StoreRevision::new(29))]));
 }
 
-/// Whatever is told in whatever order, truly but late, in part or twice: a copy equals the store at the revision up to which
-/// it calls itself whole, but for single keys that are newer, and these are true as well.
+/// Changes are applied in random order, late, in part or repeatedly. A copy always equals the store at the copy's
+/// complete revision, except for single keys that are newer and correct as well.
 #[gtest]
 fn a_copy_equals_the_store_at_its_revision() {
     for seed in 0..300 {
@@ -197,12 +197,12 @@
             } else {
                 log.push(written(key, revision));
             }
-            let place = rng.random_range(0..3);
+            let index = rng.random_range(0..3);
             let from = rng.random_range(0..=log.len() as u64);
             let until = rng.random_range(from..=log.len() as u64);
             let other = rng.random_range(0..3);
             let change = match rng.random_range(0..3) {
-                0 => CopyChange::Whole {
+                0 => CopyChange::Full {
                     items: read_in_pages(&log, until, &mut rng),
                     revision: StoreRevision::new(until),
                 },
@@ -211,9 +211,9 @@
                     since: StoreRevision::new(from),
                     revision: StoreRevision::new(until),
                 },
-                _ => told(&copies[other], copies[place].complete()),
+                _ => changes_to_send(&copies[other], copies[index].complete_revision()),
             };
-            copies[place].take(change);
+            copies[index].apply(change);
             for copy in &copies {
                 check(copy, &log, seed);
             }
@@ -221,7 +221,7 @@
     }
 }
 
-/// Each key as it was at some time after the first page was read.
+/// Returns each key as of a random time after the read of the first page.
 fn read_in_pages(log: &[StoreEvent], first: u64, rng: &mut ChaCha8Rng) -> Vec<StoreItem> {
     let mut items = Vec::new();
     for key in KEYS {
@@ -231,16 +231,16 @@
     items
 }
 
-/// What a VM that follows another one is told.
-fn told(from: &StoreCopy, known: StoreRevision) -> CopyChange {
-    let revision = from.complete();
+/// Returns the changes that a follower is sent.
+fn changes_to_send(from: &StoreCopy, known: StoreRevision) -> CopyChange {
+    let revision = from.complete_revision();
     match from.changes_since(known) {
         Some(events) => CopyChange::Changes {
             events,
             since: known,
             revision,
         },
-        None => CopyChange::Whole {
+        None => CopyChange::Full {
             items: from.items().cloned().collect(),
             revision,
         },
@@ -261,9 +261,9 @@
     items
 }
 
-/// Each key is as it was in the store at some revision that is not before the one up to which the copy is whole.
+/// Checks that each key is as it was in the store at some revision at or after the complete revision.
 fn check(copy: &StoreCopy, log: &[StoreEvent], seed: u64) {
-    let later = copy.complete().number()..=log.len() as u64;
+    let later = copy.complete_revision().number()..=log.len() as u64;
     let states: Vec<_> = later.map(|until| state(log, until)).collect();
     for key in KEYS {
         let held = copy.items.get(key);
@@ -272,12 +272,12 @@
     }
 }
 
-/// A VM reads the store in pages, between which it changes; another one knows the store up to some revision from
-/// elsewhere and hears the rest from the first. An item of a late page is newer than the range it is part of: the first VM
-/// holds it already when the change itself is told, the other one must hear of it then. Once in 4,000 histories of a fleet
-/// a VM lacked such an entry for good, and so did all that followed it.
+/// A follower must receive changes that its source read ahead. A VM reads the store in pages while it changes, and its
+/// follower knows the store up to some revision from elsewhere. An item of a late page is newer than the revision of
+/// the read: the first VM already holds it when the change itself arrives, but the follower still has to receive it
+/// then. In one of 4,000 fleet histories a VM permanently lacked such an entry, and so did all of its followers.
 #[gtest]
-fn a_follower_lacks_nothing_that_its_source_read_ahead() {
+fn a_follower_receives_changes_that_its_source_read_ahead() {
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut log: Vec<StoreEvent> = Vec::new();
@@ -287,7 +287,7 @@
             let revision = log.len() as u64 + 1;
             log.push(written(KEYS[rng.random_range(0..KEYS.len())], revision));
             if rng.random_bool(0.2) {
-                follower.take(CopyChange::Whole {
+                follower.apply(CopyChange::Full {
                     items: state(&log, revision).into_values().collect(),
                     revision: StoreRevision::new(revision),
                 });
@@ -301,7 +301,7 @@
             let revision = mirror.revision();
             match change {
                 Some(MirrorChange::Replaced(items)) => {
-                    source.take(CopyChange::Whole { items, revision });
+                    source.apply(CopyChange::Full { items, revision });
                 }
                 Some(MirrorChange::Changed(events)) if is_watch => {
                     let change = CopyChange::Changes {
@@ -309,12 +309,12 @@
                         since,
                         revision,
                     };
-                    expect_that!(source.take(change).joined, ok(eq(())), "seed {seed}");
+                    expect_that!(source.apply(change).result, ok(eq(())), "seed {seed}");
                 }
                 Some(MirrorChange::Changed(_)) | None => {}
             }
-            if source.complete() > follower.complete() {
-                follower.take(told(&source, follower.complete()));
+            if source.complete_revision() > follower.complete_revision() {
+                follower.apply(changes_to_send(&source, follower.complete_revision()));
             }
             check(&source, &log, seed);
             check(&follower, &log, seed);
@@ -322,7 +322,7 @@
     }
 }
 
-/// One call to a store with a history, in pages of a single item.
+/// Makes one call to a store with a history, in pages of a single item.
 fn call(mirror: &mut MirrorState, log: &[StoreEvent]) -> Option<MirrorChange> {
     let revision = StoreRevision::new(log.len() as u64);
     match mirror.next_step() {
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -1,4 +1,5 @@
-//! The VMs that follow this one: what each has been told, what is on its way to it, and whose turn it is.
+//! Tracks the VMs that follow this one: the replication position of each, its transfer, and the order in which they are
+//! served.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,35 +7,35 @@
 use bytes::Bytes;
 use prometheus_client::metrics::counter::Counter;
 
-use super::content::{HeldValues, held_values, write_content};
+use super::content::{HeldValues, encode_content, held_values};
 use super::copy::StoreCopy;
-use super::message::{MirrorMessage, SourceStanding};
-use super::transfer::{OutgoingTransfer, PIECE_BYTES};
+use super::message::{MirrorMessage, SourceState};
+use super::transfer::{CHUNK_BYTES, OutgoingTransfer};
 use crate::ident::SessionId;
 use crate::store::StoreRevision;
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Long messages that are sent at the same time: with their windows they put at most 128 kB on a link at once, 75 ms at
-/// 14 Mbit/s. The others wait for their turn, and then need only one transfer for all that has changed meanwhile.
-const TRANSFERS: usize = 4;
+/// Maximum number of long transfers at the same time. With their windows they put at most 128 kB on a link at once,
+/// 75 ms at 14 Mbit/s. Followers that wait need only one transfer for everything that changes in the meantime.
+const MAX_TRANSFERS: usize = 4;
 
-/// A transfer to a follower, and what it will know afterwards.
+/// A transfer to a follower, and the follower's position after it.
 #[derive(Debug)]
 struct FollowerTransfer {
     number: u64,
     transfer: OutgoingTransfer,
-    knows: FollowerKnowledge,
-    /// As of when that was everything.
+    position: FollowerPosition,
+    /// When the content was known to be up to date.
     proof: Instant,
-    began: Instant,
+    started: Instant,
 }
 
-/// What a follower knows.
+/// The replication position of a follower.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct FollowerKnowledge {
-    /// Up to which revision it knows everything.
-    known: StoreRevision,
-    /// Its long values.
+struct FollowerPosition {
+    /// The revision up to which the follower has applied every change.
+    revision: StoreRevision,
+    /// The long values that the follower holds.
     held: HeldValues,
 }
 
@@ -42,90 +43,92 @@
 #[derive(Debug)]
 struct MirrorFollower {
     link: LinkSender,
-    knows: FollowerKnowledge,
-    /// Its last question, and when that came in.
-    question: (u64, Instant),
+    position: FollowerPosition,
+    /// Number of the last poll, and when it was received.
+    poll: (u64, Instant),
     transfer: Option<FollowerTransfer>,
-    /// Since when it lacks something.
+    /// Since when the follower has lacked changes.
     behind_since: Option<Instant>,
 }
 
-/// A message that was written for followers that know the same.
+/// Content encoded for all followers at the same position.
 #[derive(Debug)]
-struct WrittenContent {
-    knows: FollowerKnowledge,
+struct CachedContent {
+    position: FollowerPosition,
     revision: StoreRevision,
     bytes: Bytes,
 }
 
-/// Up to which revision the copy is whole, and as of when that was everything; none if that is too long ago.
+/// The revision up to which the copy is complete, and when it was last known to be up to date; none if that is too long
+/// ago.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct CopyProof {
+pub(super) struct CopyState {
     pub(super) revision: StoreRevision,
     pub(super) proof: Option<Instant>,
 }
 
-/// All followers.
+/// All followers, by session.
 #[derive(Debug)]
 pub(super) struct FollowerTable {
     followers: BTreeMap<SessionId, MirrorFollower>,
-    transfers: u64,
-    /// The last message: most followers lack the same.
-    written: Option<WrittenContent>,
-    told_bytes: Counter,
+    last_transfer: u64,
+    /// The content encoded last, cached because most followers lack the same changes.
+    cached: Option<CachedContent>,
+    sent_bytes: Counter,
 }
 
 impl FollowerTable {
-    /// No followers; counts the bytes that they are told.
-    pub(super) fn new(told_bytes: Counter) -> Self {
+    /// Creates an empty table; `sent_bytes` counts the bytes sent to followers.
+    pub(super) fn new(sent_bytes: Counter) -> Self {
         Self {
             followers: BTreeMap::new(),
-            transfers: 0,
-            written: None,
-            told_bytes,
+            last_transfer: 0,
+            cached: None,
+            sent_bytes,
         }
     }
 
-    /// Whether nobody follows.
+    /// Returns whether there are no followers.
     pub(super) fn is_empty(&self) -> bool {
         self.followers.is_empty()
     }
 
-    /// Takes in a question, which tells what the follower knows unless something is on its way to it.
-    pub(super) fn note_question(
+    /// Records a poll. The position that it states is adopted unless a transfer to the follower is under way.
+    pub(super) fn record_poll(
         &mut self,
         peer: SessionId,
         link: LinkSender,
-        (known, held): (StoreRevision, HeldValues),
-        question: (u64, Instant),
+        (revision, held): (StoreRevision, HeldValues),
+        poll: (u64, Instant),
     ) {
-        let knows = FollowerKnowledge { known, held };
-        let same = self.followers.get_mut(&peer);
-        // What was sent over another link before may be lost.
-        if let Some(follower) = same.filter(|follower| follower.link.is_same(&link)) {
-            follower.question = question;
-            if follower.transfer.is_none() && knows.known >= follower.knows.known {
-                follower.knows = knows;
+        let position = FollowerPosition { revision, held };
+        let existing = self.followers.get_mut(&peer);
+        // Data sent over an earlier link may be lost, so a poll over a new link replaces the follower's entry.
+        if let Some(follower) = existing.filter(|follower| follower.link.is_same(&link)) {
+            follower.poll = poll;
+            if follower.transfer.is_none() && position.revision >= follower.position.revision {
+                follower.position = position;
             }
             return;
         }
         let follower = MirrorFollower {
             link,
-            knows,
-            question,
+            position,
+            poll,
             transfer: None,
             behind_since: None,
         };
         self.followers.insert(peer, follower);
     }
 
-    /// A VM follows no longer; what was on its way to it ends.
+    /// Removes a follower and cancels its transfer.
     pub(super) fn remove(&mut self, peer: SessionId) {
         self.followers.remove(&peer);
     }
 
-    /// A follower has taken pieces; with the last one it is told as of when it knows everything.
-    pub(super) fn note_taken(&mut self, peer: SessionId, number: u64, bytes: usize, now: Instant) {
+    /// Handles an acknowledgement. Once the whole transfer is acknowledged, sends the follower the time at which its
+    /// content was known to be up to date.
+    pub(super) fn note_acked(&mut self, peer: SessionId, number: u64, bytes: usize, now: Instant) {
         let Some(follower) = self.followers.get_mut(&peer) else {
             return;
         };
@@ -133,194 +136,196 @@
         let Some(open) = open.filter(|open| open.number == number) else {
             return;
         };
-        if !open.transfer.note_taken(bytes, now) {
-            follower.send_pieces();
+        if !open.transfer.note_acked(bytes, now) {
+            follower.send_chunks();
             return;
         }
         let Some(done) = follower.transfer.take() else {
             return;
         };
         done.log(peer, now);
-        self.told_bytes.inc_by(done.transfer.total() as u64);
-        follower.knows = done.knows;
+        self.sent_bytes.inc_by(done.transfer.total() as u64);
+        follower.position = done.position;
         follower.behind_since = None;
-        follower.send_state(follower.told(done.proof));
+        follower.send_state(follower.up_to_date(done.proof));
     }
 
-    /// Answers a follower's question.
-    pub(super) fn answer(&self, peer: SessionId, copy: &CopyProof) {
+    /// Sends this VM's state to one follower, in response to a poll.
+    pub(super) fn send_state_to(&self, peer: SessionId, copy: &CopyState) {
         if let Some(follower) = self.followers.get(&peer) {
-            follower.send_state(follower.standing(copy));
+            follower.send_state(follower.source_state(copy));
         }
     }
 
-    /// Tells all followers that the proof has been renewed.
-    pub(super) fn answer_all(&self, copy: &CopyProof) {
+    /// Sends this VM's state to all followers after its proof of freshness was renewed.
+    pub(super) fn send_state_to_all(&self, copy: &CopyState) {
         for follower in self.followers.values() {
-            follower.send_state(follower.standing(copy));
+            follower.send_state(follower.source_state(copy));
         }
     }
 
-    /// Sends followers what they lack: short messages at once, long ones a few at a time. Followers whose links are gone are
-    /// forgotten: they ask again.
-    pub(super) fn tell(&mut self, copy: &StoreCopy, proof: Instant, now: Instant) {
-        let complete = copy.complete();
+    /// Sends followers the changes that they lack: short messages at once, long ones a few at a time. Followers whose
+    /// links are closed are removed; they poll again over a new link.
+    pub(super) fn send_updates(&mut self, copy: &StoreCopy, proof: Instant, now: Instant) {
+        let complete_revision = copy.complete_revision();
         let mut behind = Vec::new();
-        let mut busy = 0;
+        let mut active = 0;
         for (peer, follower) in &mut self.followers {
             if let Some(open) = &follower.transfer {
-                busy += usize::from(open.transfer.is_advancing(now));
+                active += usize::from(open.transfer.is_progressing(now));
                 continue;
             }
-            if follower.knows.known >= complete {
+            if follower.position.revision >= complete_revision {
                 continue;
             }
             let since = *follower.behind_since.get_or_insert(now);
             behind.push((since, *peer));
         }
         if behind.is_empty() {
-            self.written = None;
+            self.cached = None;
         } else {
-            self.serve(behind, busy, copy, (proof, now));
+            self.start_transfers(behind, active, copy, (proof, now));
         }
         self.followers
             .retain(|_peer, follower| !follower.link.is_closed());
     }
 
-    /// Begins transfers to followers that lack something, those first that have lacked it for longest.
-    fn serve(
+    /// Starts transfers to followers that lack changes, beginning with those that have waited longest.
+    fn start_transfers(
         &mut self,
         mut behind: Vec<(Instant, SessionId)>,
-        mut busy: usize,
+        mut active: usize,
         copy: &StoreCopy,
         times: (Instant, Instant),
     ) {
-        let knows = FollowerKnowledge {
-            known: copy.complete(),
+        let position = FollowerPosition {
+            revision: copy.complete_revision(),
             held: held_values(copy),
         };
         behind.sort_unstable();
         for (_since, peer) in behind {
-            let Some(bytes) = self.content(copy, peer) else {
+            let Some(bytes) = self.pending_content(copy, peer) else {
                 continue;
             };
-            let long = bytes.len() > PIECE_BYTES;
-            if long && busy >= TRANSFERS {
+            let long = bytes.len() > CHUNK_BYTES;
+            if long && active >= MAX_TRANSFERS {
                 continue;
             }
-            busy += usize::from(long);
-            self.begin(peer, bytes, knows.clone(), times);
+            active += usize::from(long);
+            self.start_transfer(peer, bytes, position.clone(), times);
         }
     }
 
-    /// What a follower lacks.
-    fn content(&mut self, copy: &StoreCopy, peer: SessionId) -> Option<Bytes> {
-        let knows = &self.followers.get(&peer)?.knows;
-        let revision = copy.complete();
-        if let Some(written) = &self.written
-            && written.knows == *knows
-            && written.revision == revision
+    /// Returns the encoded changes that a follower lacks.
+    fn pending_content(&mut self, copy: &StoreCopy, peer: SessionId) -> Option<Bytes> {
+        let position = &self.followers.get(&peer)?.position;
+        let revision = copy.complete_revision();
+        if let Some(cached) = &self.cached
+            && cached.position == *position
+            && cached.revision == revision
         {
-            return Some(written.bytes.clone());
+            return Some(cached.bytes.clone());
         }
-        match write_content(copy, knows.known, &knows.held) {
+        match encode_content(copy, position.revision, &position.held) {
             Ok(bytes) => {
-                self.written = Some(WrittenContent {
-                    knows: knows.clone(),
+                self.cached = Some(CachedContent {
+                    position: position.clone(),
                     revision,
                     bytes: bytes.clone(),
                 });
                 Some(bytes)
             }
             Err(error) => {
-                log::error!("nothing to tell {peer} revision={revision}: {error}");
+                log::error!(
+                    "store changes for {peer} can't be encoded revision={revision}: {error}"
+                );
                 None
             }
         }
     }
 
-    fn begin(
+    fn start_transfer(
         &mut self,
         peer: SessionId,
         bytes: Bytes,
-        knows: FollowerKnowledge,
+        position: FollowerPosition,
         (proof, now): (Instant, Instant),
     ) {
         let Some(follower) = self.followers.get_mut(&peer) else {
             return;
         };
-        self.transfers += 1;
+        self.last_transfer += 1;
         follower.transfer = Some(FollowerTransfer {
-            number: self.transfers,
+            number: self.last_transfer,
             transfer: OutgoingTransfer::new(bytes, now),
-            knows,
+            position,
             proof,
-            began: now,
+            started: now,
         });
-        follower.send_pieces();
+        follower.send_chunks();
     }
 }
 
 impl FollowerTransfer {
     fn log(&self, peer: SessionId, now: Instant) {
-        if self.transfer.total() <= PIECE_BYTES {
+        if self.transfer.total() <= CHUNK_BYTES {
             return;
         }
         log::info!(
             target: "ebonyfork::decision",
             "store told vm={} revision={} bytes={} took_ms={}",
             peer.vm,
-            self.knows.known,
+            self.position.revision,
             self.transfer.total(),
-            now.saturating_duration_since(self.began).as_millis()
+            now.saturating_duration_since(self.started).as_millis()
         );
     }
 }
 
 impl MirrorFollower {
-    fn send_pieces(&mut self) {
+    fn send_chunks(&mut self) {
         let Some(open) = &mut self.transfer else {
             return;
         };
         let total = open.transfer.total() as u32;
-        while let Some(piece) = open.transfer.next_piece() {
-            let message = MirrorMessage::Piece {
+        while let Some(chunk) = open.transfer.next_chunk() {
+            let message = MirrorMessage::Chunk {
                 transfer: open.number,
-                offset: piece.offset as u32,
+                offset: chunk.offset as u32,
                 total,
-                bytes: piece.bytes,
+                bytes: chunk.bytes,
             };
             send(&self.link, message);
         }
     }
 
-    /// How far this VM has come with telling.
-    fn standing(&self, copy: &CopyProof) -> SourceStanding {
+    /// Returns this VM's state as reported to the follower.
+    fn source_state(&self, copy: &CopyState) -> SourceState {
         match copy.proof {
-            None => SourceStanding::Old,
-            Some(proof) if self.transfer.is_none() && self.knows.known >= copy.revision => {
-                self.told(proof)
+            None => SourceState::Stale,
+            Some(proof) if self.transfer.is_none() && self.position.revision >= copy.revision => {
+                self.up_to_date(proof)
             }
-            Some(_proof) => SourceStanding::Telling,
+            Some(_proof) => SourceState::Sending,
         }
     }
 
-    /// That everything is told which was there at a moment.
-    fn told(&self, proof: Instant) -> SourceStanding {
-        let (_question, asked) = self.question;
-        SourceStanding::Told {
-            revision: self.knows.known,
-            proof_ms: offset_ms(asked, proof),
+    /// Returns the state which tells the follower that it has everything as of the time `proof`.
+    fn up_to_date(&self, proof: Instant) -> SourceState {
+        let (_poll, polled_at) = self.poll;
+        SourceState::UpToDate {
+            revision: self.position.revision,
+            proof_ms: offset_ms(polled_at, proof),
         }
     }
 
-    fn send_state(&self, standing: SourceStanding) {
-        let (question, _asked) = self.question;
-        send(&self.link, MirrorMessage::State { question, standing });
+    fn send_state(&self, state: SourceState) {
+        let (poll, _polled_at) = self.poll;
+        send(&self.link, MirrorMessage::State { poll, state });
     }
 }
 
-/// Milliseconds from one moment to another, rounded to the earlier one.
+/// Returns the milliseconds from one time to another, rounded down.
 fn offset_ms(from: Instant, to: Instant) -> i64 {
     match to.checked_duration_since(from) {
         Some(later) => later.as_millis() as i64,
@@ -330,7 +335,7 @@
 
 fn send(to: &LinkSender, message: MirrorMessage) {
     if let Err(error) = to.send(PeerMessage::Mirror(message)) {
-        // The follower is forgotten with its link and asks again.
-        log::debug!("follower {:?}: {error}", to.peer());
+        // The follower is removed together with its closed link and polls again.
+        log::debug!("message to follower {:?} not sent: {error}", to.peer());
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/freshness.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness.rs
@@ -1,102 +1,104 @@
-//! How old the proof behind a copy of the store may be.
+//! Limits how old the proof of a copy's freshness may be.
 //!
-//! That nothing is heard of a change does not show that there is none. A copy counts as up to date as of the moment at
-//! which the call set out whose answer showed it; a VM that follows another one reckons from the moment of its own
-//! question, which the other one has received later: it states how long before or after that its copy was up to date. So no message under way, no silent connection and no difference of
-//! clocks can make a copy look younger than it is, also over several VMs.
+//! The absence of news does not prove that nothing changed. A copy counts as up to date as of the time at which the
+//! call was sent whose response proved it. A VM that follows another one measures from the time at which it sent its
+//! poll; the followed VM received that poll later and states how long before or after receiving it its copy was up to
+//! date. So neither a message in transit, nor a silent connection, nor a clock difference can make a copy look fresher
+//! than it is, even across several VMs.
 //!
-//! All times follow from the one that the deployment states: how soon a change must be in force.
+//! All times derive from one setting of the deployment: how soon a change must be in force.
 
 use std::time::{Duration, Instant};
 
 use smallvec::SmallVec;
 
-/// Share of the time for a change after which a source is given up. The rest is for asking another one: opening a
-/// connection and reading takes up to 0.3 s when the store is 60 times slower than usual.
-const LIMIT_SHARE: f64 = 2.0 / 3.0;
-/// Questions to a followed VM within the limit: three of them may be lost.
-const QUESTIONS: u32 = 4;
-/// What the answers of the store and of a followed VM may take together.
-const ANSWER_TIME: Duration = Duration::from_millis(300);
-/// Shortest time for which the store is asked to wait for changes.
-const WAIT_LEAST: Duration = Duration::from_millis(50);
+/// Fraction of the change bound after which a source is abandoned. The rest is for switching to another source: opening
+/// a connection and reading takes up to 0.3 s when the store is 60 times slower than usual.
+const LIMIT_FRACTION: f64 = 2.0 / 3.0;
+/// Polls of a followed VM within the limit: three of them may be lost.
+const POLLS_PER_LIMIT: u32 = 4;
+/// Time allowed for the responses of the store and of a followed VM together.
+const RESPONSE_TIME: Duration = Duration::from_millis(300);
+/// Minimum time for which a watch asks the store to wait for changes.
+const MIN_WAIT: Duration = Duration::from_millis(50);
 
-/// The times that follow from how soon a change must be in force.
+/// The times that derive from how soon a change must be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessTerms {
-    /// Age of the proof at which a source is given up.
+    /// Age of the proof at which a source is abandoned.
     pub limit: Duration,
-    /// Time between two questions to a followed VM.
+    /// Time between two polls of a followed VM.
     pub period: Duration,
-    /// Age at which the proof is renewed by the VM that asks the store.
+    /// Age at which the VM that reads the store renews its proof.
     pub renewal: Duration,
-    /// Age of the proof from which everything is read anew instead of all changes since: of a key that changed often all
-    /// values come, and twelve versions of 0.49 MB take 4.5 s at 14 Mbit/s.
+    /// Age of the proof from which the store is read in full instead of watching from the last revision. A watch
+    /// returns every version of a key that changed often, and twelve versions of 0.49 MB take 4.5 s at 14 Mbit/s.
     pub reread: Duration,
 }
 
 impl FreshnessTerms {
-    /// Terms for changes that must be in force within a time.
+    /// Derives the times for changes that must be in force within `bound`.
     pub fn new(bound: Duration) -> Self {
-        let limit = bound.mul_f64(LIMIT_SHARE);
-        let period = limit / QUESTIONS;
-        let renewal = limit.saturating_sub(period + ANSWER_TIME);
+        let limit = bound.mul_f64(LIMIT_FRACTION);
+        let period = limit / POLLS_PER_LIMIT;
+        let renewal = limit.saturating_sub(period + RESPONSE_TIME);
         Self {
             limit,
             period,
-            renewal: renewal.max(WAIT_LEAST),
+            renewal: renewal.max(MIN_WAIT),
             reread: bound,
         }
     }
 
-    /// How long the store is asked to wait for changes when the proof has an age.
+    /// Returns how long a watch asks the store to wait for changes when the proof has the given age.
     pub fn wait(&self, age: Duration) -> Duration {
-        self.renewal.saturating_sub(age).max(WAIT_LEAST)
+        self.renewal.saturating_sub(age).max(MIN_WAIT)
     }
 }
 
-/// The last questions to a followed VM. A number is never given out twice in a process: an answer to a question that the VM
-/// was asked when it was followed before may come late, and must not count as one to a question asked since.
+/// The most recent polls of a followed VM, with the time at which each was sent. Poll numbers are unique within a
+/// process: the response to a poll from an earlier time of following the same VM may arrive late and must not count for
+/// a newer poll.
 #[derive(Debug, Default)]
-pub struct OpenQuestions {
+pub struct PendingPolls {
     next: u64,
-    asked: SmallVec<[(u64, Instant); 8]>,
+    pending: SmallVec<[(u64, Instant); 8]>,
 }
 
-/// Questions that are remembered: more than are asked within the limit.
-const QUESTIONS_KEPT: usize = 8;
+/// Maximum number of polls kept: more than are sent within the limit.
+const MAX_PENDING_POLLS: usize = 8;
 
-impl OpenQuestions {
-    /// No questions yet, to another VM or the same one again.
+impl PendingPolls {
+    /// Drops all pending polls before a VM is followed, but continues their numbering.
     #[must_use]
-    pub fn renewed(self) -> Self {
+    pub fn reset(self) -> Self {
         Self {
-            asked: SmallVec::new(),
+            pending: SmallVec::new(),
             ..self
         }
     }
 
-    /// Notes a question that is asked now; returns its number.
-    pub fn ask(&mut self, now: Instant) -> u64 {
+    /// Records a poll sent now and returns its number.
+    pub fn record(&mut self, now: Instant) -> u64 {
         let number = self.next;
         self.next += 1;
-        if self.asked.len() == QUESTIONS_KEPT {
-            self.asked.remove(0);
+        if self.pending.len() == MAX_PENDING_POLLS {
+            self.pending.remove(0);
         }
-        self.asked.push((number, now));
+        self.pending.push((number, now));
         number
     }
 
-    /// The moment as of which the other VM's copy was up to date, if it says that this was so many milliseconds after a
-    /// question came in to it (before, if negative); none if the question is not remembered. The question set out before
-    /// it came in, so the moment is never too late. Questions before it are forgotten.
+    /// Returns the time as of which the followed VM's copy was up to date, given that it was `proof_ms` milliseconds
+    /// after that VM received the poll, or before if negative; none if the poll is no longer kept. The poll was sent
+    /// before it was received, so the returned time is never too late. Earlier polls are dropped.
     pub fn proof(&mut self, number: u64, proof_ms: i64) -> Option<Instant> {
-        let place = self
-            .asked
+        let index = self
+            .pending
             .iter()
-            .position(|(asked, _at)| *asked == number)?;
-        self.asked.drain(..place);
-        let (_number, at) = self.asked[0];
+            .position(|(pending, _at)| *pending == number)?;
+        self.pending.drain(..index);
+        let (_number, at) = self.pending[0];
         let offset = Duration::from_millis(proof_ms.unsigned_abs());
         if proof_ms < 0 {
             at.checked_sub(offset)
