--- a/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
@@ -6,58 +6,58 @@
     Duration::from_millis(millis)
 }
 
-/// The proof of a calm VM never becomes older than the limit: the age at which the VM that asks renews it, its follower's
-/// pause between two questions and the answers under way fit into it.
+/// Without disturbances the proof never reaches the limit: the age at which the reader renews it, the follower's poll
+/// period and the time of the responses all fit into the limit.
 #[gtest]
-fn a_calm_source_is_never_given_up() {
+fn a_healthy_source_never_reaches_the_age_limit() {
     for bound in [1_000, 3_000, 4_000, 5_000, 16_000] {
         let terms = FreshnessTerms::new(ms(bound));
         expect_that!(terms.renewal + terms.period, lt(terms.limit), "{bound} ms");
         expect_that!(terms.limit, lt(ms(bound)));
         expect_that!(terms.wait(Duration::ZERO), eq(terms.renewal));
-        expect_that!(terms.wait(terms.renewal * 2), eq(WAIT_LEAST));
+        expect_that!(terms.wait(terms.renewal * 2), eq(MIN_WAIT));
     }
 }
 
 #[gtest]
-fn a_proof_is_reckoned_from_the_question() {
+fn a_proof_is_measured_from_the_time_of_the_poll() {
     let start = Instant::now() + Duration::from_mins(1);
-    let mut questions = OpenQuestions::default();
-    let first = questions.ask(start);
-    let second = questions.ask(start + ms(500));
-    let proof = questions.proof(second, -200);
+    let mut polls = PendingPolls::default();
+    let first = polls.record(start);
+    let second = polls.record(start + ms(500));
+    let proof = polls.proof(second, -200);
     expect_that!(proof, some(eq(start + ms(300))));
-    let renewed = questions.proof(second, 1_400);
+    let later_proof = polls.proof(second, 1_400);
     expect_that!(
-        renewed,
+        later_proof,
         some(eq(start + ms(1_900))),
-        "told without being asked"
+        "sent without a new poll"
     );
-    expect_that!(questions.proof(first, 0), none(), "overtaken");
-    expect_that!(questions.proof(99, 0), none(), "never asked");
+    expect_that!(polls.proof(first, 0), none(), "dropped by the later poll");
+    expect_that!(polls.proof(99, 0), none(), "never sent");
 }
 
-/// An answer that a slow link brought after the VM had been left and was followed again counted for the first question of the
-/// new round, and made the copy look younger by the time between.
+/// A late response to a poll from an earlier time of following the same VM must be ignored. It counted as the response
+/// to the first poll after following resumed, which made the copy look fresher than it was by the time in between.
 #[gtest]
-fn an_answer_to_a_question_of_an_earlier_round_proves_nothing() {
+fn a_response_to_a_poll_from_before_a_reset_is_ignored() {
     let start = Instant::now();
-    let mut questions = OpenQuestions::default();
-    let early = questions.ask(start);
-    let mut questions = questions.renewed();
-    let later = questions.ask(start + ms(5_000));
-    expect_that!(questions.proof(early, -100), none());
-    expect_that!(questions.proof(later, 0), some(eq(start + ms(5_000))));
+    let mut polls = PendingPolls::default();
+    let early = polls.record(start);
+    let mut polls = polls.reset();
+    let later = polls.record(start + ms(5_000));
+    expect_that!(polls.proof(early, -100), none());
+    expect_that!(polls.proof(later, 0), some(eq(start + ms(5_000))));
 }
 
 #[gtest]
-fn only_the_last_questions_are_remembered() {
+fn only_the_most_recent_polls_are_kept() {
     let start = Instant::now();
-    let mut questions = OpenQuestions::default();
-    let first = questions.ask(start);
-    for _ in 0..QUESTIONS_KEPT {
-        questions.ask(start);
+    let mut polls = PendingPolls::default();
+    let first = polls.record(start);
+    for _ in 0..MAX_PENDING_POLLS {
+        polls.record(start);
     }
-    expect_that!(questions.proof(first, 0), none());
-    expect_that!(questions.proof(first + 1, 0), some(eq(start)));
+    expect_that!(polls.proof(first, 0), none());
+    expect_that!(polls.proof(first + 1, 0), some(eq(start)));
 }
--- a/crates/ebonyfork/src/gateway/mirror/history.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history.rs
@@ -1,4 +1,4 @@
-//! What has changed of long values, as patches from one revision to the next, for VMs that hold an older one.
+//! Keeps patches between successive versions of long values, for VMs that hold an older version.
 
 use std::collections::VecDeque;
 
@@ -10,36 +10,41 @@
 use super::pack::compress;
 use crate::store::{StoreItem, StoreRevision};
 
-/// The patches of a value together are at most this part of it: compressed as a whole it takes about a ninth.
-const CHAIN_PART: usize = 8;
+/// The patches of a value together take at most its length divided by this; the whole value compresses to about a
+/// ninth.
+const PATCH_BUDGET_DIVISOR: usize = 8;
 
-/// How a value came out of the one before it.
+/// A patch from one version of a value to the next.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValuePatch {
-    /// Revision of the value before.
+    /// Revision of the previous version.
     pub base: StoreRevision,
-    /// Revision of the value.
+    /// Revision of the new version.
     pub revision: StoreRevision,
-    /// Length of the value.
+    /// Length of the new version in bytes.
     pub size: usize,
-    /// The value, compressed on the one before.
+    /// The new version, compressed with the previous one as the dictionary.
     pub bytes: Bytes,
 }
 
-/// The last patches of long values, oldest first; each one begins where the one before it ends.
+/// The most recent patches of long values, oldest first. Each patch starts from the result of the one before it.
 #[derive(Debug, Default)]
 pub struct PatchHistory {
     chains: FxHashMap<CompactString, VecDeque<ValuePatch>>,
 }
 
 impl PatchHistory {
-    /// Notes that a value has taken the place of another.
-    pub fn note(&mut self, old: &StoreItem, new: &StoreItem) {
+    /// Records that a new version of a value replaced the old one.
+    pub fn record(&mut self, old: &StoreItem, new: &StoreItem) {
         let bytes = match compress(&old.value, &new.value) {
             Ok(bytes) => bytes,
             Err(error) => {
-                // Then the value is sent as a whole.
-                log::warn!("no patch of {} revision={}: {error}", new.key, new.revision);
+                // Without a patch the value is sent in full.
+                log::warn!(
+                    "no patch for {} revision={}: {error}",
+                    new.key,
+                    new.revision
+                );
                 self.forget(&new.key);
                 return;
             }
@@ -58,7 +63,7 @@
             bytes,
         });
         let mut total: usize = chain.iter().map(|patch| patch.bytes.len()).sum();
-        while total > new.value.len() / CHAIN_PART {
+        while total > new.value.len() / PATCH_BUDGET_DIVISOR {
             let Some(oldest) = chain.pop_front() else {
                 break;
             };
@@ -66,12 +71,12 @@
         }
     }
 
-    /// Forgets what has changed of a value.
+    /// Drops the patches of a value.
     pub fn forget(&mut self, key: &CompactString) {
         self.chains.remove(key);
     }
 
-    /// The patches that lead from one revision of a value to another, if they are kept.
+    /// Returns the patches from one revision of a value to another, or none if they are not all kept.
     pub fn between(
         &self,
         key: &CompactString,
--- a/crates/ebonyfork/src/gateway/mirror/history_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history_tests.rs
@@ -19,7 +19,7 @@
     for revision in 2..=until {
         let old = item("config", &value(100 + revision), revision - 1);
         let new = item("config", &value(101 + revision), revision);
-        history.note(&old, &new);
+        history.record(&old, &new);
     }
     history
 }
@@ -30,10 +30,10 @@
     let key = CompactString::from("config");
     let patches = history
         .between(&key, StoreRevision::new(2), StoreRevision::new(5))
-        .expect("kept");
+        .expect("all patches are kept");
     let mut bytes = Bytes::from(value(103));
     for patch in &patches {
-        bytes = expand(&bytes, &patch.bytes, patch.size).expect("on this base");
+        bytes = expand(&bytes, &patch.bytes, patch.size).expect("the right base");
     }
     expect_that!(patches.len(), eq(3));
     expect_that!(bytes == value(106), eq(true));
@@ -41,14 +41,18 @@
         history.between(&key, StoreRevision::new(base), StoreRevision::new(revision))
     };
     expect_that!(between(5, 5), none(), "there is nothing to patch");
-    expect_that!(between(2, 4), none(), "only the newest value is there");
+    expect_that!(
+        between(2, 4),
+        none(),
+        "only patches to the newest value are kept"
+    );
     expect_that!(between(9, 5), none());
 }
 
 #[gtest]
-fn a_gap_begins_a_new_chain() {
+fn a_gap_starts_a_new_chain() {
     let mut history = history(5);
-    history.note(
+    history.record(
         &item("config", &value(200), 7),
         &item("config", &value(201), 8),
     );
@@ -68,13 +72,13 @@
     );
 }
 
-/// A chain that is longer than the compressed value would cost followers more, and memory for nothing.
+/// A chain of patches longer than the compressed value would waste bandwidth and memory.
 #[gtest]
-fn patches_are_bounded_by_the_value() {
+fn patch_chains_are_bounded_by_the_value_length() {
     let history = history(400);
     let key = CompactString::from("config");
     let chain = &history.chains[&key];
     let total: usize = chain.iter().map(|patch| patch.bytes.len()).sum();
-    expect_that!(total, le(value(501).len() / CHAIN_PART));
+    expect_that!(total, le(value(501).len() / PATCH_BUDGET_DIVISOR));
     expect_that!(chain.len(), gt(1));
 }
--- a/crates/ebonyfork/src/gateway/mirror/message.rs
+++ b/crates/ebonyfork/src/gateway/mirror/message.rs
@@ -1,4 +1,4 @@
-//! What VMs say to one another about the store's changes.
+//! Messages between VMs that replicate the store's changes.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -6,61 +6,62 @@
 use super::content::HeldValues;
 use crate::store::StoreRevision;
 
-/// How far the VM that is followed has come with telling.
+/// State of a followed VM with respect to one follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum SourceStanding {
-    /// All is told up to a revision.
-    Told {
-        /// The revision.
+pub enum SourceState {
+    /// The follower has received everything up to a revision.
+    UpToDate {
+        /// The revision up to which everything was sent.
         revision: StoreRevision,
-        /// Milliseconds from the moment at which the question came in to the one as of which the store held nothing newer;
-        /// negative if that was before.
+        /// Milliseconds from the time at which the poll was received to the time as of which the store held nothing
+        /// newer; negative if that was earlier.
         proof_ms: i64,
     },
-    /// Something is on its way or waits for its turn.
-    Telling,
-    /// The VM's own copy is old; another one may know more.
-    Old,
+    /// Changes are being sent or waiting to be sent.
+    Sending,
+    /// The followed VM's own copy is stale; another VM may have a newer one.
+    Stale,
 }
 
-/// One message about the store's changes.
+/// A message about the store's changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MirrorMessage {
-    /// Asks to be told of all changes, beginning with what the sender lacks, and how old the proof behind them is. It is
-    /// repeated for as long as the sender follows.
+    /// Polls for changes after the sender's position and for the age of the proof behind them. It is repeated for as
+    /// long as the sender follows.
     Follow {
-        /// The revision up to which the sender knows everything.
+        /// The revision up to which the sender has applied every change.
         known: StoreRevision,
-        /// The long values that it holds.
+        /// The long values that the sender holds.
         held: HeldValues,
-        /// Number of the question, for the replies.
-        question: u64,
+        /// Number of the poll, which responses refer to.
+        poll: u64,
     },
-    /// Asks to be told no more.
+    /// Stops following: the sender needs no further changes.
     Leave,
-    /// A piece of what the receiver lacks.
-    Piece {
+    /// A chunk of a transfer to the receiver.
+    Chunk {
         /// Number of the transfer.
         transfer: u64,
-        /// Where the piece begins.
+        /// Offset of the chunk in the transfer, in bytes.
         offset: u32,
-        /// Length of the whole.
+        /// Length of the whole transfer in bytes.
         total: u32,
-        /// The piece.
+        /// The bytes of the chunk.
         bytes: Bytes,
     },
-    /// Pieces have come in; the next ones may follow.
-    Taken {
+    /// Acknowledges received chunks, so that the next ones may be sent.
+    Ack {
         /// Number of the transfer.
         transfer: u64,
-        /// Bytes of it that have come in so far.
+        /// Bytes of the transfer received so far.
         bytes: u32,
     },
-    /// Tells how far the sender has come: when it is asked, when it has told everything, and when its proof is renewed.
+    /// States how far the sender has come. It is sent in response to a poll, at the end of a transfer, and when the
+    /// sender's proof of freshness is renewed.
     State {
-        /// Number of the last question.
-        question: u64,
-        /// How far it has come.
-        standing: SourceStanding,
+        /// Number of the last poll received.
+        poll: u64,
+        /// The sender's state.
+        state: SourceState,
     },
 }
--- a/crates/ebonyfork/src/gateway/mirror/mod.rs
+++ b/crates/ebonyfork/src/gateway/mirror/mod.rs
@@ -1,8 +1,9 @@
-//! This VM's copy of the store, and what VMs tell one another about it.
+//! Replicates the store to this VM and to the VMs that follow it.
 //!
-//! [`copy::StoreCopy`] is what is known, [`FreshnessTerms`] say how old the proof behind it may be, [`MirrorRelay`] holds
-//! both for the VMs that follow this one, which a [`followers::FollowerTable`] serves in turn: [`content`] is what each
-//! lacks, as bytes, [`transfer`] brings it there in pieces. Where changes come from is decided in `follow`.
+//! [`copy::StoreCopy`] holds this VM's copy of the store, and [`FreshnessTerms`] limits how old the proof of its
+//! freshness may be. [`MirrorRelay`] shares the copy with the VMs that follow this one: a [`followers::FollowerTable`]
+//! tracks and schedules them, [`content`] encodes what each of them lacks, and [`transfer`] sends that in chunks. The
+//! module `follow` selects the source of the changes.
 
 mod content;
 mod copy;
@@ -14,9 +15,9 @@
 mod relay;
 mod transfer;
 
-pub use content::{ContentError, held_values, read_content};
+pub use content::{ContentError, decode_content, held_values};
 pub use copy::{CopyChange, CopyGap};
-pub use freshness::{FreshnessTerms, OpenQuestions};
-pub use message::{MirrorMessage, SourceStanding};
+pub use freshness::{FreshnessTerms, PendingPolls};
+pub use message::{MirrorMessage, SourceState};
 pub use relay::MirrorRelay;
-pub use transfer::{IncomingTransfer, PieceOutcome, STALL_TIME};
+pub use transfer::{ChunkOutcome, IncomingTransfer, STALL_TIMEOUT};
--- a/crates/ebonyfork/src/gateway/mirror/pack.rs
+++ b/crates/ebonyfork/src/gateway/mirror/pack.rs
@@ -1,54 +1,56 @@
-//! Long values made short for the way between VMs: compressed, alone or on a value that both sides hold.
+//! Compresses long values for sending between VMs, alone or against a base that both sides hold.
 //!
-//! Configurations are texts of many routes that look alike, and a change touches few of them. Of 2,850 routes (0.48 MB)
-//! 54 kB are left by themselves, 29 kB on a value that lacks 1,400 of them and 99 bytes on one that lacks a single one. A
-//! value of 1 MB, the most that a store takes, costs some 3 ms of a processor.
+//! Configurations consist of many similar routes, and a change affects few of them. A configuration of 2,850 routes
+//! (0.48 MB) compresses to 54 kB alone, to 29 kB against a base that lacks 1,400 of the routes, and to 99 bytes against
+//! a base that lacks one. A value of 1 MB, the maximum of the store, takes about 3 ms of CPU time.
 
 use bytes::Bytes;
 use snafu::{ResultExt, Snafu};
 use zstd::bulk::{Compressor, Decompressor};
 
-/// Level of compression. Ten lines changed in a value of 1.1 MB take 268 bytes at 4 and 9.5 kB at 3; at 1 one route among
-/// 2,850 takes 36 kB.
-const LEVEL: i32 = 4;
-/// Longest value that is taken from another VM: what a whole copy of the store may hold, a value of 1 MB included.
-pub const EXPANDED_LIMIT: usize = 16 * 1024 * 1024;
+/// zstd level. Ten changed lines in a value of 1.1 MB take 268 bytes at level 4 and 9.5 kB at level 3; at level 1 one
+/// route among 2,850 takes 36 kB.
+const COMPRESSION_LEVEL: i32 = 4;
+/// Maximum length of a message or value received from another VM: enough for a full copy of the store that includes a
+/// value of 1 MB.
+pub const MAX_EXPANDED_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why bytes can't be packed, or packed bytes can't be read.
+/// Why compression or decompression failed.
 #[derive(Debug, Snafu)]
 pub enum PackError {
-    /// The library says so.
-    #[snafu(display("{size} bytes: {source}"))]
+    /// The zstd library reported an error.
+    #[snafu(display("can't compress or decompress {size} bytes: {source}"))]
     Codec {
-        /// Length of the value.
+        /// Length of the uncompressed value in bytes.
         size: usize,
         /// The cause.
         source: std::io::Error,
     },
-    /// The value would be longer than is allowed.
-    #[snafu(display("{size} bytes, more than {EXPANDED_LIMIT}"))]
+    /// The uncompressed value exceeds the maximum length.
+    #[snafu(display("{size} bytes exceed the limit of {MAX_EXPANDED_BYTES} bytes"))]
     TooLong {
-        /// Length of the value.
+        /// Length of the uncompressed value in bytes.
         size: usize,
     },
-    /// The value is not as long as was said.
-    #[snafu(display("{found} bytes instead of {size}"))]
-    Length {
-        /// Length that was said.
+    /// The decompressed value does not have the stated length.
+    #[snafu(display("decompressed to {found} bytes instead of {size}"))]
+    LengthMismatch {
+        /// Stated length in bytes.
         size: usize,
-        /// Length that was found.
+        /// Actual length in bytes.
         found: usize,
     },
 }
 
-/// Compresses bytes on a base that the receiver holds; an empty one is none.
+/// Compresses `bytes` against a base that the receiver holds; an empty base means none.
 pub fn compress(base: &[u8], bytes: &[u8]) -> Result<Bytes, PackError> {
     let size = bytes.len();
-    if size > EXPANDED_LIMIT {
+    if size > MAX_EXPANDED_BYTES {
         return TooLongSnafu { size }.fail();
     }
-    let mut compressor = Compressor::with_dictionary(LEVEL, base).context(CodecSnafu { size })?;
-    // A base that differs from the sender's is noticed.
+    let mut compressor =
+        Compressor::with_dictionary(COMPRESSION_LEVEL, base).context(CodecSnafu { size })?;
+    // The checksum detects a receiver whose base differs.
     compressor
         .include_checksum(true)
         .context(CodecSnafu { size })?;
@@ -56,9 +58,9 @@
     Ok(packed.into())
 }
 
-/// Reads bytes of a known length that were compressed on a base.
+/// Decompresses `packed`, which was compressed against `base`, to a value of `size` bytes.
 pub fn expand(base: &[u8], packed: &[u8], size: usize) -> Result<Bytes, PackError> {
-    if size > EXPANDED_LIMIT {
+    if size > MAX_EXPANDED_BYTES {
         return TooLongSnafu { size }.fail();
     }
     let mut decompressor = Decompressor::with_dictionary(base).context(CodecSnafu { size })?;
@@ -67,7 +69,7 @@
         .context(CodecSnafu { size })?;
     if bytes.len() != size {
         let found = bytes.len();
-        return LengthSnafu { size, found }.fail();
+        return LengthMismatchSnafu { size, found }.fail();
     }
     Ok(bytes.into())
 }
--- a/crates/ebonyfork/src/gateway/mirror/pack_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/pack_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Lines that look alike, as routes do.
+/// Returns lines as similar to one another as routes.
 fn text(lines: u32, rng: &mut ChaCha8Rng) -> Vec<String> {
     let line = |rng: &mut ChaCha8Rng| {
         let path: u64 = rng.random();
@@ -16,16 +16,16 @@
 }
 
 #[gtest]
-fn a_value_of_the_greatest_length_travels_as_what_has_changed() {
+fn a_value_of_maximum_length_compresses_to_its_changes() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    // 1 MB, the most that the store takes.
+    // 1 MB, the maximum of the store.
     let mut lines = text(14_000, &mut rng);
     let old = lines.concat();
     for _change in 0..5 {
-        let place = rng.random_range(0..lines.len());
-        lines.remove(place);
-        let place = rng.random_range(0..lines.len());
-        lines.insert(place, text(1, &mut rng).concat());
+        let index = rng.random_range(0..lines.len());
+        lines.remove(index);
+        let index = rng.random_range(0..lines.len());
+        lines.insert(index, text(1, &mut rng).concat());
     }
     let new = lines.concat();
     let packed = compress(old.as_bytes(), new.as_bytes()).unwrap();
@@ -38,12 +38,12 @@
 }
 
 #[gtest]
-fn what_does_not_fit_is_an_error_and_no_value() {
+fn invalid_compressed_data_is_an_error() {
     let packed = compress(b"base", b"a value of some length").unwrap();
     expect_that!(expand(b"base", &packed, 5), err(anything()));
     expect_that!(
         expand(b"base", &packed, 50),
-        err(pat!(PackError::Length { .. }))
+        err(pat!(PackError::LengthMismatch { .. }))
     );
     expect_that!(expand(b"base", b"no frame", 22), err(anything()));
     let base = "one line of text, and another one".repeat(20);
@@ -52,16 +52,16 @@
     expect_that!(
         expand(other.as_bytes(), &packed, base.len()),
         err(anything()),
-        "another base"
+        "a different base"
     );
     expect_that!(
-        expand(b"base", &packed, EXPANDED_LIMIT + 1),
+        expand(b"base", &packed, MAX_EXPANDED_BYTES + 1),
         err(pat!(PackError::TooLong { .. }))
     );
-    let too_long = vec![0; EXPANDED_LIMIT + 1];
+    let too_long = vec![0; MAX_EXPANDED_BYTES + 1];
     expect_that!(
         compress(&[], &too_long),
         err(pat!(PackError::TooLong { .. })),
-        "what nobody would take is not sent"
+        "values too long to be received are not sent"
     );
 }
--- a/crates/ebonyfork/src/gateway/mirror/transfer.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer.rs
@@ -1,29 +1,30 @@
-//! How one VM's message about the store gets to another in pieces.
+//! Sends one VM's message about the store to another in chunks.
 //!
-//! A piece follows when an earlier one has been taken, so a link never holds more of a transfer than its window, whatever
-//! the message's length: answers of upstreams, questions and gossip pass between the pieces, a receiver sees that a slow
-//! transfer advances, and one that goes elsewhere leaves nothing behind that is still being sent.
+//! A chunk is sent once an earlier one has been acknowledged, so a link never holds more of a transfer than its window,
+//! whatever the message's length. Responses of upstreams, polls and gossip pass between the chunks, a receiver can see
+//! that a slow transfer makes progress, and one that switches to another source leaves no data behind that is still
+//! being sent.
 
 use std::time::{Duration, Instant};
 
 use bytes::{Bytes, BytesMut};
 
-use super::pack::EXPANDED_LIMIT;
+use super::pack::MAX_EXPANDED_BYTES;
 
-/// Bytes of a piece: 9 ms of a link of 14 Mbit/s.
-pub const PIECE_BYTES: usize = 16 * 1024;
-/// Bytes that may be under way to one receiver: over 24 ms between regions that is still 1.3 MB/s.
-const WINDOW_BYTES: usize = 2 * PIECE_BYTES;
-/// Time without a piece taken after which a transfer does not count as advancing: some 20 pieces at 14 Mbit/s while four
-/// transfers share the link, and longer than a lost packet's repetition.
-pub const STALL_TIME: Duration = Duration::from_secs(1);
+/// Length of a chunk: 9 ms on a link of 14 Mbit/s.
+pub const CHUNK_BYTES: usize = 16 * 1024;
+/// Bytes of a transfer that may be unacknowledged: with 24 ms between regions this still allows 1.3 MB/s.
+const WINDOW_BYTES: usize = 2 * CHUNK_BYTES;
+/// Time without an acknowledged chunk after which a transfer counts as stalled: about 20 chunks at 14 Mbit/s while four
+/// transfers share the link, and longer than the retransmission of a lost packet.
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A piece to send.
+/// A chunk to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TransferPiece {
-    /// Where it begins.
+pub struct TransferChunk {
+    /// Offset of the chunk in the message, in bytes.
     pub offset: usize,
-    /// The piece.
+    /// The bytes of the chunk.
     pub bytes: Bytes,
 }
 
@@ -32,68 +33,69 @@
 pub struct OutgoingTransfer {
     content: Bytes,
     sent: usize,
-    taken: usize,
-    /// When the receiver last took something, or when it began.
-    moved_at: Instant,
+    acked: usize,
+    /// When the receiver last acknowledged a chunk, or when the transfer started.
+    progress_at: Instant,
 }
 
 impl OutgoingTransfer {
-    /// Begins to send a message.
+    /// Starts sending a message.
     pub fn new(content: Bytes, now: Instant) -> Self {
         Self {
             content,
             sent: 0,
-            taken: 0,
-            moved_at: now,
+            acked: 0,
+            progress_at: now,
         }
     }
 
-    /// Length of the message.
+    /// Returns the length of the message in bytes.
     pub fn total(&self) -> usize {
         self.content.len()
     }
 
-    /// The next piece; none before more has been taken.
-    pub fn next_piece(&mut self) -> Option<TransferPiece> {
-        let until = (self.sent + PIECE_BYTES).min(self.content.len());
-        let window = until <= self.taken + WINDOW_BYTES;
+    /// Returns the next chunk, or none if the window is full or everything was sent.
+    pub fn next_chunk(&mut self) -> Option<TransferChunk> {
+        let until = (self.sent + CHUNK_BYTES).min(self.content.len());
+        let window = until <= self.acked + WINDOW_BYTES;
         if self.sent == until || !window {
             return None;
         }
         let bytes = self.content.slice(self.sent..until);
         let offset = std::mem::replace(&mut self.sent, until);
-        Some(TransferPiece { offset, bytes })
+        Some(TransferChunk { offset, bytes })
     }
 
-    /// Notes how much has been taken; tells whether that is all.
-    pub fn note_taken(&mut self, bytes: usize, now: Instant) -> bool {
-        if bytes > self.taken && bytes <= self.sent {
-            self.taken = bytes;
-            self.moved_at = now;
+    /// Records how many bytes have been acknowledged; returns whether the message is complete.
+    pub fn note_acked(&mut self, bytes: usize, now: Instant) -> bool {
+        if bytes > self.acked && bytes <= self.sent {
+            self.acked = bytes;
+            self.progress_at = now;
         }
-        self.taken == self.content.len()
+        self.acked == self.content.len()
     }
 
-    /// Whether it takes room on the link: its receiver takes pieces.
-    pub fn is_advancing(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.moved_at) < STALL_TIME
+    /// Returns whether the receiver is acknowledging chunks, so that the transfer takes up bandwidth.
+    pub fn is_progressing(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.progress_at) < STALL_TIMEOUT
     }
 }
 
-/// What became of a piece.
+/// The result of receiving a chunk.
 #[derive(Debug, PartialEq, Eq)]
-pub enum PieceOutcome {
-    /// So many bytes have come in, and more are to come.
-    More(usize),
-    /// The message is whole.
-    Whole(Bytes),
-    /// The piece is of a message whose beginning was not taken: it was on its way when its receiver went elsewhere.
-    Stray,
-    /// The piece does not follow the one before it, or the message is too long.
-    Broken,
+pub enum ChunkOutcome {
+    /// The number of bytes received so far; more chunks are to come.
+    Incomplete(usize),
+    /// The complete message.
+    Complete(Bytes),
+    /// The chunk belongs to a message whose start was not received: it was in transit when the receiver switched
+    /// sources.
+    Unexpected,
+    /// The chunk does not follow the previous one, or the message is too long.
+    Invalid,
 }
 
-/// A message that is coming in.
+/// A message that is being received.
 #[derive(Debug, Default)]
 pub struct IncomingTransfer {
     number: Option<u64>,
@@ -101,30 +103,31 @@
 }
 
 impl IncomingTransfer {
-    /// Takes a piece in. The first piece of a transfer ends the one before it.
-    pub fn take(
+    /// Receives a chunk. The first chunk of a transfer discards an unfinished earlier one.
+    pub fn receive(
         &mut self,
         number: u64,
         (offset, total): (usize, usize),
-        piece: &[u8],
-    ) -> PieceOutcome {
+        chunk: &[u8],
+    ) -> ChunkOutcome {
         if offset == 0 {
             self.number = Some(number);
             self.bytes.clear();
         }
         if self.number != Some(number) {
-            return PieceOutcome::Stray;
+            return ChunkOutcome::Unexpected;
         }
-        if self.bytes.len() != offset || total > EXPANDED_LIMIT || offset + piece.len() > total {
+        if self.bytes.len() != offset || total > MAX_EXPANDED_BYTES || offset + chunk.len() > total
+        {
             self.number = None;
-            return PieceOutcome::Broken;
+            return ChunkOutcome::Invalid;
         }
-        self.bytes.extend_from_slice(piece);
+        self.bytes.extend_from_slice(chunk);
         if self.bytes.len() < total {
-            return PieceOutcome::More(self.bytes.len());
+            return ChunkOutcome::Incomplete(self.bytes.len());
         }
         self.number = None;
-        PieceOutcome::Whole(std::mem::take(&mut self.bytes).freeze())
+        ChunkOutcome::Complete(std::mem::take(&mut self.bytes).freeze())
     }
 }
 
--- a/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
@@ -6,34 +6,34 @@
     (0..length).map(|number| (number % 251) as u8).collect()
 }
 
-/// Sends everything that may be sent; returns the pieces.
-fn pieces(transfer: &mut OutgoingTransfer) -> Vec<TransferPiece> {
-    std::iter::from_fn(|| transfer.next_piece()).collect()
+/// Returns all chunks that may be sent now.
+fn chunks(transfer: &mut OutgoingTransfer) -> Vec<TransferChunk> {
+    std::iter::from_fn(|| transfer.next_chunk()).collect()
 }
 
 #[gtest]
-fn a_link_never_holds_more_than_the_window() {
+fn a_transfer_never_exceeds_its_window() {
     let now = Instant::now();
-    let whole = content(10 * PIECE_BYTES + 7);
+    let whole = content(10 * CHUNK_BYTES + 7);
     let mut transfer = OutgoingTransfer::new(whole.clone(), now);
     let mut incoming = IncomingTransfer::default();
-    let mut under_way: Vec<TransferPiece> = Vec::new();
+    let mut in_flight: Vec<TransferChunk> = Vec::new();
     loop {
-        under_way.extend(pieces(&mut transfer));
-        let held: usize = under_way.iter().map(|piece| piece.bytes.len()).sum();
+        in_flight.extend(chunks(&mut transfer));
+        let held: usize = in_flight.iter().map(|chunk| chunk.bytes.len()).sum();
         expect_that!(held, le(WINDOW_BYTES));
-        let piece = under_way.remove(0);
-        match incoming.take(1, (piece.offset, whole.len()), &piece.bytes) {
-            PieceOutcome::More(bytes) => {
-                expect_that!(transfer.note_taken(bytes, now), eq(false));
+        let chunk = in_flight.remove(0);
+        match incoming.receive(1, (chunk.offset, whole.len()), &chunk.bytes) {
+            ChunkOutcome::Incomplete(bytes) => {
+                expect_that!(transfer.note_acked(bytes, now), eq(false));
             }
-            PieceOutcome::Whole(bytes) => {
+            ChunkOutcome::Complete(bytes) => {
                 expect_that!(bytes, eq(&whole));
-                expect_that!(transfer.note_taken(bytes.len(), now), eq(true));
+                expect_that!(transfer.note_acked(bytes.len(), now), eq(true));
                 break;
             }
-            PieceOutcome::Stray | PieceOutcome::Broken => {
-                fail!("broken at {}", piece.offset).unwrap();
+            ChunkOutcome::Unexpected | ChunkOutcome::Invalid => {
+                fail!("broken at {}", chunk.offset).unwrap();
                 return;
             }
         }
@@ -41,51 +41,60 @@
 }
 
 #[gtest]
-fn a_transfer_advances_while_pieces_are_taken() {
+fn a_transfer_progresses_while_chunks_are_acknowledged() {
     let now = Instant::now();
-    let mut transfer = OutgoingTransfer::new(content(5 * PIECE_BYTES), now);
-    pieces(&mut transfer);
-    expect_that!(transfer.is_advancing(now + STALL_TIME / 2), eq(true));
-    expect_that!(transfer.is_advancing(now + STALL_TIME), eq(false));
-    transfer.note_taken(PIECE_BYTES, now + STALL_TIME);
-    expect_that!(transfer.is_advancing(now + STALL_TIME * 3 / 2), eq(true));
-    transfer.note_taken(PIECE_BYTES, now + STALL_TIME * 2);
+    let mut transfer = OutgoingTransfer::new(content(5 * CHUNK_BYTES), now);
+    chunks(&mut transfer);
+    expect_that!(transfer.is_progressing(now + STALL_TIMEOUT / 2), eq(true));
+    expect_that!(transfer.is_progressing(now + STALL_TIMEOUT), eq(false));
+    transfer.note_acked(CHUNK_BYTES, now + STALL_TIMEOUT);
     expect_that!(
-        transfer.is_advancing(now + STALL_TIME * 2),
+        transfer.is_progressing(now + STALL_TIMEOUT * 3 / 2),
+        eq(true)
+    );
+    transfer.note_acked(CHUNK_BYTES, now + STALL_TIMEOUT * 2);
+    expect_that!(
+        transfer.is_progressing(now + STALL_TIMEOUT * 2),
         eq(false),
-        "nothing new"
+        "nothing new acknowledged"
     );
-    transfer.note_taken(5 * PIECE_BYTES, now + STALL_TIME * 2);
+    transfer.note_acked(5 * CHUNK_BYTES, now + STALL_TIMEOUT * 2);
     expect_that!(
-        transfer.is_advancing(now + STALL_TIME * 2),
+        transfer.is_progressing(now + STALL_TIMEOUT * 2),
         eq(false),
-        "never sent"
+        "more than was sent"
     );
 }
 
 #[gtest]
-fn pieces_that_do_not_follow_are_not_taken() {
+fn out_of_order_chunks_are_rejected() {
     let mut incoming = IncomingTransfer::default();
-    let mut take = |number, place, piece: &[u8]| incoming.take(number, place, piece);
-    expect_that!(take(1, (5, 10), b"later"), eq(&PieceOutcome::Stray));
-    expect_that!(take(2, (0, 10), b"first"), eq(&PieceOutcome::More(5)));
+    let mut receive = |number, range, chunk: &[u8]| incoming.receive(number, range, chunk);
+    expect_that!(receive(1, (5, 10), b"later"), eq(&ChunkOutcome::Unexpected));
+    expect_that!(
+        receive(2, (0, 10), b"first"),
+        eq(&ChunkOutcome::Incomplete(5))
+    );
+    expect_that!(
+        receive(1, (5, 10), b"other"),
+        eq(&ChunkOutcome::Unexpected),
+        "from an earlier transfer"
+    );
+    expect_that!(receive(2, (7, 10), b"gap"), eq(&ChunkOutcome::Invalid));
     expect_that!(
-        take(1, (5, 10), b"other"),
-        eq(&PieceOutcome::Stray),
-        "of a message before"
+        receive(2, (5, 10), b"after"),
+        eq(&ChunkOutcome::Unexpected),
+        "the transfer was discarded"
     );
-    expect_that!(take(2, (7, 10), b"gap"), eq(&PieceOutcome::Broken));
     expect_that!(
-        take(2, (5, 10), b"after"),
-        eq(&PieceOutcome::Stray),
-        "it is over"
+        receive(4, (0, 10), b"first"),
+        eq(&ChunkOutcome::Incomplete(5))
     );
-    expect_that!(take(4, (0, 10), b"first"), eq(&PieceOutcome::More(5)));
     expect_that!(
-        take(5, (0, 3), b"new"),
-        eq(&PieceOutcome::Whole(Bytes::from("new")))
+        receive(5, (0, 3), b"new"),
+        eq(&ChunkOutcome::Complete(Bytes::from("new")))
     );
-    expect_that!(take(6, (0, 3), b"longer"), eq(&PieceOutcome::Broken));
-    let too_long = EXPANDED_LIMIT + 1;
-    expect_that!(take(7, (0, too_long), b"x"), eq(&PieceOutcome::Broken));
+    expect_that!(receive(6, (0, 3), b"longer"), eq(&ChunkOutcome::Invalid));
+    let too_long = MAX_EXPANDED_BYTES + 1;
+    expect_that!(receive(7, (0, too_long), b"x"), eq(&ChunkOutcome::Invalid));
 }
