--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -17,7 +17,7 @@
 use crate::gateway::flight::FlightCount;
 use crate::gateway::ident::{ConfigVersion, RouteName, UpstreamService};
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::mirror::{FreshnessTerms, MirrorRelay};
+use crate::gateway::mirror::{FreshnessTimings, MirrorRelay};
 use crate::gateway::policy::answer_lag::AnswerLag;
 use crate::gateway::policy::budget::RepeatAccount;
 use crate::gateway::policy::route_latency::RouteLatency;
@@ -112,7 +112,7 @@
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
         let repeats = RepeatAccount::new(settings.budget);
         let metrics = GatewayMetrics::default();
-        let limit = FreshnessTerms::new(settings.change_bound).limit;
+        let limit = FreshnessTimings::new(settings.change_bound).limit;
         let session = own_session(&settings);
         Self {
             session,
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -27,7 +27,7 @@
 use crate::gateway::clock::now;
 use crate::gateway::core::GatewayCore;
 use crate::gateway::mirror::{
-    ChunkOutcome, ContentError, CopyChange, CopyGap, FreshnessTerms, MirrorMessage, PendingPolls,
+    ChunkOutcome, ContentError, CopyChange, CopyGap, FreshnessTimings, MirrorMessage, PendingPolls,
     SourceState, decode_content, held_values,
 };
 use crate::ident::{VmAddress, ZoneName};
@@ -64,7 +64,7 @@
         applier,
         members,
         own,
-        terms: FreshnessTerms::new(core.settings.change_bound),
+        timings: FreshnessTimings::new(core.settings.change_bound),
         avoided: Vec::new(),
         store_watched_since: now(),
         store_failing_since: None,
@@ -83,7 +83,7 @@
     applier: StoreApplier,
     members: watch::Receiver<Arc<MemberSnapshot>>,
     own: (VmAddress, ZoneName),
-    terms: FreshnessTerms,
+    timings: FreshnessTimings,
     /// VMs that failed as sources, each with the time until which it is avoided.
     avoided: Vec<(VmAddress, Instant)>,
     /// When watching the store started, or when the store was last found unusable.
@@ -179,11 +179,11 @@
                 }
             }
             let mut received = traffic.received();
-            let age = self.core.relay.proof_age().unwrap_or(self.terms.limit);
-            if age > self.terms.reread {
+            let age = self.core.relay.proof_age().unwrap_or(self.timings.limit);
+            if age > self.timings.reread {
                 feed.read_anew();
             }
-            feed.set_wait(self.terms.wait(age + feed.until_next_watch()));
+            feed.set_wait(self.timings.wait(age + feed.until_next_watch()));
             // A call stays open over many checks, because cancelling it would cost another call.
             let step = feed.step();
             tokio::pin!(step);
@@ -192,7 +192,7 @@
                 tokio::select! {
                     completed = &mut step => break completed,
                     () = tokio::time::sleep_until(next_wake) => {
-                        next_check = now() + self.terms.period;
+                        next_check = now() + self.timings.period;
                         self.report_age(ChangeSource::Store);
                         let before = std::mem::replace(&mut received, traffic.received());
                         // Another source would have to send from the start what is being received.
@@ -276,7 +276,7 @@
                     }
                 }
                 () = tokio::time::sleep_until(next_wake) => {
-                    next_check = now() + self.terms.period;
+                    next_check = now() + self.timings.period;
                     self.report_age(ChangeSource::Vm(vm));
                     let chosen = self.select_source(ChangeSource::Vm(vm));
                     if chosen != ChangeSource::Vm(vm) && !self.should_keep_following(&following) {
@@ -305,13 +305,13 @@
         }
         let members = self.members.borrow();
         let state = members.get(following.vm).map(|member| member.state);
-        state == Some(MemberState::Suspect) && following.is_responsive(time, self.terms.period)
+        state == Some(MemberState::Suspect) && following.is_responsive(time, self.timings.period)
     }
 
     /// Polls a followed VM for changes and for the age of its proof.
     fn poll_vm(&self, following: &mut VmFollowing) -> Result<(), SourceFault> {
         let time = now();
-        following.check(time, self.terms.period, self.core.relay.is_old())?;
+        following.check(time, self.timings.period, self.core.relay.is_old())?;
         let held = held_values(&self.core.relay.copy());
         let follow = MirrorMessage::Follow {
             known: self.complete_revision(),
--- a/crates/ebonyfork/src/gateway/mirror/freshness.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness.rs
@@ -24,7 +24,7 @@
 
 /// The times that derive from how soon a change must be in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FreshnessTerms {
+pub struct FreshnessTimings {
     /// Age of the proof at which a source is abandoned.
     pub limit: Duration,
     /// Time between two polls of a followed VM.
@@ -36,7 +36,7 @@
     pub reread: Duration,
 }
 
-impl FreshnessTerms {
+impl FreshnessTimings {
     /// Derives the times for changes that must be in force within `bound`.
     pub fn new(bound: Duration) -> Self {
         let limit = bound.mul_f64(LIMIT_FRACTION);
--- a/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
@@ -11,11 +11,15 @@
 #[gtest]
 fn a_healthy_source_never_reaches_the_age_limit() {
     for bound in [1_000, 3_000, 4_000, 5_000, 16_000] {
-        let terms = FreshnessTerms::new(ms(bound));
-        expect_that!(terms.renewal + terms.period, lt(terms.limit), "{bound} ms");
-        expect_that!(terms.limit, lt(ms(bound)));
-        expect_that!(terms.wait(Duration::ZERO), eq(terms.renewal));
-        expect_that!(terms.wait(terms.renewal * 2), eq(MIN_WAIT));
+        let timings = FreshnessTimings::new(ms(bound));
+        expect_that!(
+            timings.renewal + timings.period,
+            lt(timings.limit),
+            "{bound} ms"
+        );
+        expect_that!(timings.limit, lt(ms(bound)));
+        expect_that!(timings.wait(Duration::ZERO), eq(timings.renewal));
+        expect_that!(timings.wait(timings.renewal * 2), eq(MIN_WAIT));
     }
 }
 
--- a/crates/ebonyfork/src/gateway/mirror/mod.rs
+++ b/crates/ebonyfork/src/gateway/mirror/mod.rs
@@ -1,6 +1,6 @@
 //! Replicates the store to this VM and to the VMs that follow it.
 //!
-//! [`copy::StoreCopy`] holds this VM's copy of the store, and [`FreshnessTerms`] limits how old the proof of its
+//! [`copy::StoreCopy`] holds this VM's copy of the store, and [`FreshnessTimings`] limits how old the proof of its
 //! freshness may be. [`MirrorRelay`] shares the copy with the VMs that follow this one: a [`followers::FollowerTable`]
 //! tracks and schedules them, [`content`] encodes what each of them lacks, and [`transfer`] sends that in chunks. The
 //! module `follow` selects the source of the changes.
@@ -17,7 +17,7 @@
 
 pub use content::{ContentError, decode_content, held_values};
 pub use copy::{CopyChange, CopyGap};
-pub use freshness::{FreshnessTerms, PendingPolls};
+pub use freshness::{FreshnessTimings, PendingPolls};
 pub use message::{MirrorMessage, SourceState};
 pub use relay::MirrorRelay;
 pub use transfer::{ChunkOutcome, IncomingTransfer, STALL_TIMEOUT};
