--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -179,7 +179,7 @@
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
         let bound = self.settings.change_bound;
-        self.relay.is_old() || self.route_checks.is_overdue(own, now(), bound)
+        self.relay.is_stale() || self.route_checks.is_overdue(own, now(), bound)
     }
 
     /// Why a request is refused that no route matches. A VM whose configuration may be an old one does not know that there
--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -100,7 +100,7 @@
 
     /// Returns whether the VM knows that its copy of the store may lack changes that are due.
     pub fn is_stale(&self) -> bool {
-        self.core.relay.is_old()
+        self.core.relay.is_stale()
     }
 
     /// Returns the version of the configuration in force; 0 if there is none.
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -134,7 +134,7 @@
         let has_lasted =
             |since: Instant| time.saturating_duration_since(since) >= STORE_FAILURE_TIME;
         let failing = self.store_failing_since.is_some_and(has_lasted);
-        let unusable = failing || self.core.relay.is_old();
+        let unusable = failing || self.core.relay.is_stale();
         if current == ChangeSource::Store && has_lasted(self.store_watched_since) && unusable {
             self.store_avoided_until = Some(time + STORE_RETRY_DELAY);
             self.store_watched_since = time;
@@ -311,7 +311,7 @@
     /// Polls a followed VM for changes and for the age of its proof.
     fn poll_vm(&self, following: &mut VmFollowing) -> Result<(), SourceFault> {
         let time = now();
-        following.check(time, self.timings.period, self.core.relay.is_old())?;
+        following.check(time, self.timings.period, self.core.relay.is_stale())?;
         let held = held_values(&self.core.relay.copy());
         let follow = MirrorMessage::Follow {
             known: self.complete_revision(),
@@ -387,7 +387,7 @@
                 }
             }
         })?;
-        if self.core.relay.is_old() && self.store_failing_since.take().is_some() {
+        if self.core.relay.is_stale() && self.store_failing_since.take().is_some() {
             // The store may have been unreachable for all VMs: entries that lapsed in the meantime may come back.
             self.core.registry.note_return(now());
         }
@@ -438,7 +438,7 @@
     fn report_age(&mut self, source: ChangeSource) {
         let age = self.core.relay.proof_age();
         self.core.metrics.note_copy(age, self.complete_revision());
-        let stale = self.core.relay.is_old();
+        let stale = self.core.relay.is_stale();
         if stale == self.logged_stale {
             return;
         }
--- a/crates/ebonyfork/src/gateway/mirror/relay.rs
+++ b/crates/ebonyfork/src/gateway/mirror/relay.rs
@@ -106,14 +106,14 @@
     }
 
     /// Returns whether the copy is stale: it may lack changes that should be in force by now.
-    pub fn is_old(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         self.time_until_stale().is_none_or(|left| left.is_zero())
     }
 
     fn state(&self) -> CopyState {
         CopyState {
             revision: self.copy.borrow().complete_revision(),
-            proof: self.proof.get().filter(|_proof| !self.is_old()),
+            proof: self.proof.get().filter(|_proof| !self.is_stale()),
         }
     }
 
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -181,7 +181,7 @@
     let test = async {
         let vms = TwoVms::start().await;
         vms.put(table(14, &[("/a/", "s")]), table(14, &[("/a/", "moved")]));
-        expect_that!(vms.first.relay.is_old(), eq(true));
+        expect_that!(vms.first.relay.is_stale(), eq(true));
         expect_that!(vms.check("/a/1").await, ok(eq(())));
         let checks = &vms.first.route_checks;
         checks.note_members(&members(15, MemberState::Failed), vm(1), &zone());
