--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -50,7 +50,7 @@
 
 /// Tells the other VMs which configuration is in force here, as this VM has read it from the store, and how busy it is.
 async fn publish_digest(core: Rc<GatewayCore>, members: MemberHandle) {
-    let mut told = core.route_checks.told_version();
+    let mut told = core.route_checks.announced_version();
     let mut published = MemberDigest::default();
     loop {
         let digest = MemberDigest {
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -61,7 +61,7 @@
     }
 
     /// Subscribes to the version to announce to other VMs.
-    pub fn told_version(&self) -> watch::Receiver<ConfigVersion> {
+    pub fn announced_version(&self) -> watch::Receiver<ConfigVersion> {
         self.announced.subscribe()
     }
 
