--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -169,7 +169,7 @@
         let own = self
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
-        self.route_checks.note_own(own, now());
+        self.route_checks.note_own_version(own, now());
     }
 
     /// Whether the configuration in force may be an old one: changes may not have reached this VM, or the store has lost a
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -212,8 +212,12 @@
         expect_that!(vms.first.no_route(), eq(RefusalReason::NoRoute));
         let since = now().checked_sub(settings().change_bound);
         let Some(since) = since else { return };
-        vms.first.route_checks.note_own(ConfigVersion(9), since);
-        vms.first.route_checks.note_own(ConfigVersion(10), since);
+        vms.first
+            .route_checks
+            .note_own_version(ConfigVersion(9), since);
+        vms.first
+            .route_checks
+            .note_own_version(ConfigVersion(10), since);
         expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
         let refused = err(eq(RefusalReason::OldConfig));
         expect_that!(vms.check("/b/1").await, refused, "moved");
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -88,7 +88,7 @@
     }
 
     /// Records the version in force here.
-    pub fn note_own(&self, own: ConfigVersion, now: Instant) {
+    pub fn note_own_version(&self, own: ConfigVersion, now: Instant) {
         let since = match self.behind.get() {
             Some((version, since)) if version == own => since,
             _ => now,
