--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -156,7 +156,7 @@
         self.latencies
             .borrow_mut()
             .retain(|name, _latency| known(name));
-        self.route_checks.forget_same();
+        self.route_checks.clear_matches();
         self.needs.borrow_mut().clear();
         *self.table.borrow_mut() = Some(Rc::new(table));
         self.share_connections();
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -133,7 +133,7 @@
     }
 
     /// Drops all matches, because a new version in force here may differ from the one that they were recorded for.
-    pub fn forget_same(&self) {
+    pub fn clear_matches(&self) {
         self.matching.borrow_mut().clear();
     }
 
