--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -17,7 +17,7 @@
 use crate::gateway::flight::FlightCount;
 use crate::gateway::ident::{ConfigVersion, RouteName, UpstreamService};
 use crate::gateway::metrics::GatewayMetrics;
-use crate::gateway::mirror::{FreshnessTerms, MirrorRelay};
+use crate::gateway::mirror::{FreshnessTimings, MirrorRelay};
 use crate::gateway::policy::answer_lag::AnswerLag;
 use crate::gateway::policy::budget::RepeatAccount;
 use crate::gateway::policy::route_latency::RouteLatency;
@@ -112,7 +112,7 @@
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
         let repeats = RepeatAccount::new(settings.budget);
         let metrics = GatewayMetrics::default();
-        let limit = FreshnessTerms::new(settings.change_bound).limit;
+        let limit = FreshnessTimings::new(settings.change_bound).limit;
         let session = own_session(&settings);
         Self {
             session,
@@ -156,7 +156,7 @@
         self.latencies
             .borrow_mut()
             .retain(|name, _latency| known(name));
-        self.route_checks.forget_same();
+        self.route_checks.clear_matches();
         self.needs.borrow_mut().clear();
         *self.table.borrow_mut() = Some(Rc::new(table));
         self.share_connections();
@@ -169,7 +169,7 @@
         let own = self
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
-        self.route_checks.note_own(own, now());
+        self.route_checks.note_own_version(own, now());
     }
 
     /// Whether the configuration in force may be an old one: changes may not have reached this VM, or the store has lost a
@@ -179,7 +179,7 @@
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
         let bound = self.settings.change_bound;
-        self.relay.is_old() || self.route_checks.is_overdue(own, now(), bound)
+        self.relay.is_stale() || self.route_checks.is_overdue(own, now(), bound)
     }
 
     /// Why a request is refused that no route matches. A VM whose configuration may be an old one does not know that there
