--- a/crates/ebonyfork/src/relay/action.rs
+++ b/crates/ebonyfork/src/relay/action.rs
@@ -1,16 +1,16 @@
-//! What the relay's decisions ask for.
+//! The actions that the relay's decision logic issues, and the tables that all upstreams share.
 
 use std::time::Duration;
 
 use crate::ident::{RequestFingerprint, RunState, UpstreamAddress};
 use crate::quarantine::LostRequest;
-use crate::relay::clamp::ClassGoal;
+use crate::relay::clamp::LatencyTarget;
 use crate::relay::ids::{ClassId, ConnectionId, OrganisationId, UpstreamId, WorkId};
 use crate::relay::loss::UpstreamLoss;
 use crate::relay::message::{FailureReason, RefusalReason, ShardVerdict};
 use cranelift_entity::{PrimaryMap, SecondaryMap};
 
-/// One thing to be done.
+/// An action for the actor to execute.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum RelayAction {
     /// Open a connection.
@@ -20,58 +20,59 @@
     },
     /// Close an idle connection.
     Close { connection: ConnectionId },
-    /// Send an attempt.
+    /// Send an attempt on a connection.
     Send {
         upstream: UpstreamId,
         connection: ConnectionId,
         work: WorkId,
     },
-    /// Ask the upstream to give up an attempt that was sent.
+    /// Ask the upstream to cancel an attempt in flight.
     CancelSent { upstream: UpstreamId, work: WorkId },
-    /// Hand back the final verdict of an attempt.
+    /// Return the final verdict of an attempt to its entry.
     Finish { work: WorkId, verdict: ShardVerdict },
-    /// Tell the quarantine.
+    /// Report to the quarantine that an upstream was lost.
     ReportLoss(UpstreamLoss),
-    /// Tell the quarantine that a suspect was answered.
+    /// Report to the quarantine that a suspect was answered with rows.
     ReportAnswer {
         fingerprint: RequestFingerprint,
         flight: Duration,
     },
-    /// Tell the topology that an upstream said it is leaving.
-    NoteLeaving(UpstreamAddress),
+    /// Report to the topology that an upstream said it is leaving.
+    ReportLeaving(UpstreamAddress),
 }
 
-/// What is needed to decide about one attempt.
+/// The properties of an attempt that decide how it is scheduled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct WorkOrder {
+pub(super) struct WorkItem {
     pub(super) upstream: UpstreamId,
     pub(super) organisation: OrganisationId,
     pub(super) class: ClassId,
     pub(super) arrived: Duration,
     pub(super) deadline: Duration,
     pub(super) fingerprint: RequestFingerprint,
-    /// Whether it may have crashed an upstream.
+    /// Whether its request may have crashed an upstream.
     pub(super) suspicion: WorkSuspicion,
 }
 
-/// Whether a request may have crashed an upstream, as far as was known when the attempt came in.
+/// Whether a request is suspected of crashing upstreams, as known when the attempt was submitted or about to be sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum WorkSuspicion {
-    /// Nothing is known.
+    /// The request is not suspected.
     #[default]
     Clear,
-    /// It was in flight when one was lost.
+    /// The request was in flight when an upstream was lost.
     Suspect,
-    /// The same, and its entry has sent this attempt in the knowledge of it.
+    /// The request was in flight when an upstream was lost, and the entry knew this when it sent the attempt.
     AfterLoss,
 }
 
-impl WorkOrder {
+impl WorkItem {
+    /// Returns whether the attempt has to be sent alone.
     pub(super) fn is_suspect(&self) -> bool {
         self.suspicion != WorkSuspicion::Clear
     }
 
-    /// What the quarantine is told if the upstream is lost; the flight is filled in by the loss.
+    /// Returns the report for the quarantine if the upstream is lost. The loss window sets its `flight`.
     pub(super) fn lost_request(&self) -> LostRequest {
         LostRequest {
             fingerprint: self.fingerprint,
@@ -81,57 +82,57 @@
     }
 }
 
-/// Collects actions, and keeps the tables that all upstreams share.
+/// The issued actions, and the tables of attempts and connections that all upstreams share.
 #[derive(Debug, Default)]
 pub(super) struct RelayTables {
     pub(super) actions: Vec<RelayAction>,
-    works: PrimaryMap<WorkId, Option<WorkOrder>>,
-    free_works: Vec<WorkId>,
+    items: PrimaryMap<WorkId, Option<WorkItem>>,
+    free_work_ids: Vec<WorkId>,
     connections: PrimaryMap<ConnectionId, Option<UpstreamId>>,
-    free_connections: Vec<ConnectionId>,
-    /// What operators state for the classes.
-    pub(super) goals: SecondaryMap<ClassId, Option<ClassGoal>>,
-    /// Attempts released since the list was last emptied.
+    free_connection_ids: Vec<ConnectionId>,
+    /// Latency targets of the classes, if declared.
+    pub(super) latency_targets: SecondaryMap<ClassId, Option<LatencyTarget>>,
+    /// Attempts released since this list was last drained.
     pub(super) released: Vec<WorkId>,
 }
 
 impl RelayTables {
-    pub(super) fn add_work(&mut self, order: WorkOrder) -> WorkId {
-        let work = match self.free_works.pop() {
+    pub(super) fn add_work(&mut self, item: WorkItem) -> WorkId {
+        let work = match self.free_work_ids.pop() {
             Some(work) => work,
-            None => self.works.push(None),
+            None => self.items.push(None),
         };
-        self.works[work] = Some(order);
+        self.items[work] = Some(item);
         work
     }
 
-    /// The order of an attempt that was not released yet.
-    pub(super) fn order(&self, work: WorkId) -> Option<WorkOrder> {
-        self.works.get(work).copied().flatten()
+    /// Returns the properties of an attempt, or `None` if it was released.
+    pub(super) fn item(&self, work: WorkId) -> Option<WorkItem> {
+        self.items.get(work).copied().flatten()
     }
 
-    /// The attempt has become a suspect while it waited.
-    pub(super) fn suspect(&mut self, work: WorkId) {
-        if let Some(order) = &mut self.works[work] {
-            order.suspicion = WorkSuspicion::Suspect;
+    /// Marks a waiting attempt as belonging to a suspected request.
+    pub(super) fn mark_suspect(&mut self, work: WorkId) {
+        if let Some(item) = &mut self.items[work] {
+            item.suspicion = WorkSuspicion::Suspect;
         }
     }
 
-    /// Nothing refers to the attempt any more: its id may be used again.
+    /// Releases an attempt to which nothing refers any more; its id may be reused.
     pub(super) fn release(&mut self, work: WorkId) {
-        if self.works[work].take().is_some() {
-            self.free_works.push(work);
+        if self.items[work].take().is_some() {
+            self.free_work_ids.push(work);
             self.released.push(work);
         }
     }
 
-    /// The upstream that a connection leads to.
+    /// Returns the upstream that a connection leads to.
     pub(super) fn upstream_of(&self, connection: ConnectionId) -> Option<UpstreamId> {
         self.connections.get(connection).copied().flatten()
     }
 
     pub(super) fn open(&mut self, upstream: UpstreamId) {
-        let connection = match self.free_connections.pop() {
+        let connection = match self.free_connection_ids.pop() {
             Some(connection) => connection,
             None => self.connections.push(None),
         };
@@ -142,10 +143,10 @@
         });
     }
 
-    /// The end of a connection is known: its id may be used again.
+    /// Releases a connection whose end was reported; its id may be reused.
     pub(super) fn forget_connection(&mut self, connection: ConnectionId) {
         if self.connections[connection].take().is_some() {
-            self.free_connections.push(connection);
+            self.free_connection_ids.push(connection);
         }
     }
 
@@ -153,19 +154,19 @@
         self.actions.push(RelayAction::Finish { work, verdict });
     }
 
-    /// Refuses an attempt that was never sent.
+    /// Gives an attempt that was never sent the verdict that it has not run, and releases it.
     pub(super) fn refuse(&mut self, work: WorkId, reason: RefusalReason) {
         self.finish(work, ShardVerdict::NotRun(reason));
         self.release(work);
     }
 
-    pub(super) fn refuse_all(&mut self, works: &mut Vec<WorkId>, reason: RefusalReason) {
-        for work in works.drain(..) {
+    pub(super) fn refuse_all(&mut self, items: &mut Vec<WorkId>, reason: RefusalReason) {
+        for work in items.drain(..) {
             self.refuse(work, reason);
         }
     }
 
-    /// Gives an attempt up that was sent and may have run.
+    /// Gives an attempt that was sent the verdict that it failed and may have run.
     pub(super) fn fail(&mut self, work: WorkId, reason: FailureReason) {
         let ran = RunState::Unknown;
         self.finish(work, ShardVerdict::Failed { ran, reason });
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -1,4 +1,5 @@
-//! The actor beside the relay's decisions: it owns connections and timers, runs the actions and logs them.
+//! The actor that drives a relay's decision state: it owns the connections and timers, executes the actions and logs
+//! them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -27,12 +28,12 @@
 use crate::relay::state::{AttemptKey, ConnectionEvent, RelayState, ViewPair, WorkRequest};
 use crate::wire::{LinkSender, PeerMessage};
 
-/// How often expiry and idle connections are looked at while there are any.
-const TICK: Duration = Duration::from_millis(10);
+/// Interval at which expired attempts and idle connections are checked while there are any.
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is kept of an attempt until its verdict is handed back.
+/// The data of an attempt that is kept until its verdict is returned.
 #[derive(Debug, Clone)]
-pub(super) struct WorkTicket {
+pub(super) struct PendingAttempt {
     pub(super) from: LinkSender,
     pub(super) session: SessionId,
     pub(super) batch: Arc<SubmitBatch>,
@@ -41,7 +42,7 @@
     pub(super) sent: Option<Instant>,
 }
 
-impl WorkTicket {
+impl PendingAttempt {
     pub(super) fn attempt(&self) -> AttemptId {
         AttemptId {
             query: QueryId {
@@ -63,59 +64,63 @@
     settings: RelaySettings,
     state: RelayState,
     started: Instant,
-    tickets: SecondaryMap<WorkId, Option<WorkTicket>>,
+    pending: SecondaryMap<WorkId, Option<PendingAttempt>>,
+    /// Senders of the jobs of each connection. Dropping a sender closes its connection.
     connections: SecondaryMap<ConnectionId, Option<mpsc::Sender<ConnectionJob>>>,
+    /// Queues of the tasks that send cancellations, by upstream.
     cancellers: FxHashMap<UpstreamAddress, mpsc::Sender<AttemptId>>,
-    /// Emptied after each event; kept for its allocation.
+    /// Buffer that is empty between events and kept for its allocation.
     actions: Vec<RelayAction>,
+    /// Whether a [`Tick`] is scheduled.
     ticking: bool,
-    held: Arc<AtomicUsize>,
+    /// Number of attempts without an outcome, shared with the handle.
+    outstanding: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
-/// Attempts to run.
+/// Submits a batch of attempts.
 pub(super) struct Submit {
     pub(super) from: LinkSender,
     pub(super) batch: SubmitBatch,
 }
 
-/// Attempts no longer wanted.
+/// Cancels attempts that are no longer wanted.
 pub(super) struct Cancel {
     pub(super) session: SessionId,
     pub(super) batch: CancelBatch,
 }
 
-/// What a connection reports.
+/// Reports an event on a connection.
 pub(super) struct Report {
     pub(super) connection: ConnectionId,
     pub(super) event: ConnectionEvent,
 }
 
-/// Time has passed.
+/// Runs the time-based work.
 pub(super) struct Tick;
 
-/// A view has changed.
+/// Tells the actor that a view has changed.
 pub(super) struct ViewsChanged;
 
-/// Asks for the loads of all upstreams.
+/// Requests the loads of all upstreams.
 pub(super) struct Loads;
 
 impl RelayActor {
     pub(super) fn new(
         settings: RelaySettings,
-        held: Arc<AtomicUsize>,
+        outstanding: Arc<AtomicUsize>,
         metrics: RelayMetrics,
     ) -> Self {
         Self {
             state: RelayState::new(settings.vm, settings.experiment),
             settings,
             started: Instant::now(),
-            tickets: SecondaryMap::new(),
+            pending: SecondaryMap::new(),
             connections: SecondaryMap::new(),
             cancellers: FxHashMap::default(),
             actions: Vec::new(),
             ticking: false,
-            held,
+            outstanding,
             metrics,
         }
     }
@@ -124,7 +129,7 @@
         self.started.elapsed()
     }
 
-    fn submit_batch(&mut self, from: LinkSender, batch: SubmitBatch, own: &WeakAddress<Self>) {
+    fn submit_batch(&mut self, from: LinkSender, batch: SubmitBatch, address: &WeakAddress<Self>) {
         let refusal = self.refusal(&from, &batch);
         let session = match (from.peer(), refusal) {
             (Some(session), None) => session,
@@ -145,7 +150,7 @@
             config: &config,
         };
         for target in &batch.targets {
-            let ticket = WorkTicket {
+            let pending = PendingAttempt {
                 from: from.clone(),
                 session,
                 batch: Arc::clone(&batch),
@@ -162,11 +167,11 @@
                 upstream: target.upstream,
                 organisation,
                 class,
-                deadline: ticket.deadline().duration_since(self.started),
+                deadline: pending.deadline().duration_since(self.started),
                 fingerprint: batch.fingerprint,
                 suspicion: self.suspicion(&batch, target),
             };
-            self.submit_one(views, &request, ticket, own);
+            self.submit_one(views, &request, pending, address);
         }
     }
 
@@ -174,18 +179,19 @@
         &mut self,
         views: ViewPair<'_>,
         request: &WorkRequest,
-        ticket: WorkTicket,
-        own: &WeakAddress<Self>,
+        pending: PendingAttempt,
+        address: &WeakAddress<Self>,
     ) {
         let now = self.now();
         let Some(work) = self.state.submit(now, views, request) else {
             return;
         };
-        self.tickets[work] = Some(ticket);
-        self.held.fetch_add(1, Ordering::Relaxed);
-        self.run_actions(own);
+        self.pending[work] = Some(pending);
+        self.outstanding.fetch_add(1, Ordering::Relaxed);
+        self.run_actions(address);
     }
 
+    /// Returns why a whole batch has to be refused, if there is a reason.
     fn refusal(&self, from: &LinkSender, batch: &SubmitBatch) -> Option<RefusalReason> {
         if from.peer().is_none() || !self.settings.views.readiness.borrow().takes_work() {
             return Some(RefusalReason::NotReady);
@@ -221,32 +227,32 @@
                 served_us: 0,
             });
         }
-        send_back(from, outcomes);
+        send_outcomes(from, outcomes);
     }
 
-    /// Runs actions until none is left: some lead to further ones.
-    fn run_actions(&mut self, own: &WeakAddress<Self>) {
+    /// Executes actions until there are none left: some issue further ones.
+    fn run_actions(&mut self, address: &WeakAddress<Self>) {
         loop {
             let mut actions = std::mem::take(&mut self.actions);
             self.state.take_actions(&mut actions);
             let done = actions.is_empty();
             for action in actions.drain(..) {
-                self.run_action(action, own);
+                self.run_action(action, address);
             }
             self.actions = actions;
             if done {
                 break;
             }
         }
-        self.keep_ticking(own);
+        self.schedule_tick(address);
     }
 
-    fn run_action(&mut self, action: RelayAction, own: &WeakAddress<Self>) {
+    fn run_action(&mut self, action: RelayAction, address: &WeakAddress<Self>) {
         match action {
             RelayAction::Open {
                 upstream,
                 connection,
-            } => self.open(upstream, connection, own),
+            } => self.open(upstream, connection, address),
             RelayAction::Close { connection } => self.connections[connection] = None,
             RelayAction::Send {
                 connection, work, ..
@@ -258,48 +264,54 @@
                 fingerprint,
                 flight,
             } => (self.settings.report_answer)(fingerprint, flight),
-            RelayAction::NoteLeaving(upstream) => (self.settings.note_leaving)(upstream),
+            RelayAction::ReportLeaving(upstream) => (self.settings.report_leaving)(upstream),
         }
     }
 
-    fn open(&mut self, upstream: UpstreamId, connection: ConnectionId, own: &WeakAddress<Self>) {
+    fn open(
+        &mut self,
+        upstream: UpstreamId,
+        connection: ConnectionId,
+        address: &WeakAddress<Self>,
+    ) {
         let (sender, jobs) = mpsc::channel(1);
         self.connections[connection] = Some(sender);
         self.metrics.opened();
         let route = self.route(upstream);
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(run_connection(route, jobs, async move |event| {
             let report = Report { connection, event };
-            // The relay may be gone: then nobody waits for the event.
-            let _delivered = own.send(report).detach().await;
+            // If the relay has ended, no one waits for the event.
+            let _delivered = address.send(report).detach().await;
         }));
     }
 
     fn send(&mut self, connection: ConnectionId, work: WorkId) {
         let now = self.now();
-        let Some(ticket) = self.tickets[work].as_mut() else {
+        let Some(pending) = self.pending[work].as_mut() else {
             return;
         };
-        if ticket.from.is_closed() {
-            self.state.withhold(now, work, RefusalReason::LinkDown);
+        if pending.from.is_closed() {
+            self.state.refuse_unsent(now, work, RefusalReason::LinkDown);
             return;
         }
-        if (self.settings.refuses)(ticket.batch.fingerprint) {
-            self.state.withhold(now, work, RefusalReason::Quarantined);
+        if (self.settings.refuses)(pending.batch.fingerprint) {
+            self.state
+                .refuse_unsent(now, work, RefusalReason::Quarantined);
             return;
         }
-        let standing = (self.settings.standing)(ticket.batch.fingerprint);
+        let standing = (self.settings.standing)(pending.batch.fingerprint);
         if standing == RequestStanding::Suspect && !self.state.is_suspect(work) {
             self.state.isolate(now, work);
             return;
         }
-        let deadline = ticket.deadline();
+        let deadline = pending.deadline();
         let remaining = deadline.saturating_duration_since(Instant::now());
         let remaining_ms = u64::max(1, remaining.as_millis() as u64);
-        let attempt = ticket.attempt();
-        let request = shard_request(&ticket.batch, &ticket.target, attempt, remaining_ms);
+        let attempt = pending.attempt();
+        let request = shard_request(&pending.batch, &pending.target, attempt, remaining_ms);
         let Some(request) = request else {
-            self.state.withhold(now, work, RefusalReason::NotReady);
+            self.state.refuse_unsent(now, work, RefusalReason::NotReady);
             return;
         };
         let job = ConnectionJob {
@@ -312,8 +324,8 @@
             self.state.unsent(now, work);
             return;
         }
-        ticket.sent = Some(Instant::now());
-        decision::log_dispatch(self.settings.vm, ticket);
+        pending.sent = Some(Instant::now());
+        decision::log_dispatch(self.settings.vm, pending);
     }
 
     fn route(&self, upstream: UpstreamId) -> UpstreamRoute {
@@ -324,7 +336,7 @@
     }
 
     fn cancel_sent(&mut self, upstream: UpstreamId, work: WorkId) {
-        let Some(ticket) = &self.tickets[work] else {
+        let Some(pending) = &self.pending[work] else {
             return;
         };
         if !self.state.may_cancel(upstream) {
@@ -333,47 +345,48 @@
         let route = self.route(upstream);
         let canceller = self.cancellers.entry(route.to);
         let canceller = canceller.or_insert_with(|| spawn_canceller(route));
-        // Best effort: the deadline ends what can't be cancelled.
-        let _queued = canceller.try_send(ticket.attempt());
+        // Best effort: an attempt that can't be cancelled ends at its deadline.
+        let _queued = canceller.try_send(pending.attempt());
     }
 
     fn finish(&mut self, work: WorkId, verdict: ShardVerdict) {
-        let Some(ticket) = self.tickets[work].take() else {
+        let Some(pending) = self.pending[work].take() else {
             return;
         };
-        self.held.fetch_sub(1, Ordering::Relaxed);
-        self.metrics.count(&ticket.batch.class, &verdict);
-        decision::log_verdict(self.settings.vm, &ticket, &verdict);
+        self.outstanding.fetch_sub(1, Ordering::Relaxed);
+        self.metrics.count(&pending.batch.class, &verdict);
+        decision::log_verdict(self.settings.vm, &pending, &verdict);
         let finished = Instant::now();
-        let sent = ticket.sent.unwrap_or(finished);
-        let (waited, served) = (sent - ticket.submitted, finished - sent);
+        let sent = pending.sent.unwrap_or(finished);
+        let (waited, served) = (sent - pending.submitted, finished - sent);
         if matches!(verdict, ShardVerdict::Rows { .. }) {
-            self.metrics.observe(&ticket.batch.class, waited, served);
+            self.metrics.observe(&pending.batch.class, waited, served);
         }
         let outcome = ShardOutcome {
-            query: ticket.batch.query,
-            attempt: ticket.target.attempt,
-            upstream: ticket.target.upstream,
+            query: pending.batch.query,
+            attempt: pending.target.attempt,
+            upstream: pending.target.upstream,
             verdict,
             waited_us: micros(waited),
             served_us: micros(served),
         };
         let mut batch = OutcomeBatch::default();
         batch.outcomes.push(outcome);
-        let load = self.state.load(self.now(), ticket.target.upstream);
+        let load = self.state.load(self.now(), pending.target.upstream);
         batch.loads.extend(load);
-        send_back(&ticket.from, batch);
+        send_outcomes(&pending.from, batch);
     }
 
-    fn keep_ticking(&mut self, own: &WeakAddress<Self>) {
+    /// Schedules the next [`Tick`] if none is scheduled and there is time-based work.
+    fn schedule_tick(&mut self, address: &WeakAddress<Self>) {
         if self.ticking || !self.state.needs_tick() {
             return;
         }
         self.ticking = true;
-        let own = own.clone();
+        let address = address.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(TICK).await;
-            let _delivered = own.send(Tick).detach().await;
+            tokio::time::sleep(TICK_INTERVAL).await;
+            let _delivered = address.send(Tick).detach().await;
         });
     }
 }
@@ -384,8 +397,8 @@
     sender
 }
 
-/// Hands outcomes to the entry. If its link is gone it already counts the attempts as lost with the link.
-fn send_back(link: &LinkSender, outcomes: OutcomeBatch) {
+/// Returns outcomes to the entry. If its link is gone, the entry already counts the attempts as lost with the link.
+fn send_outcomes(link: &LinkSender, outcomes: OutcomeBatch) {
     if let Err(error) = link.send(PeerMessage::Outcomes(outcomes)) {
         log::debug!("outcomes dropped: {error}");
     }
@@ -399,8 +412,8 @@
     type Return = ();
 
     async fn handle(&mut self, message: Submit, ctx: &mut Context<Self>) {
-        let own = ctx.mailbox().address();
-        self.submit_batch(message.from, message.batch, &own);
+        let address = ctx.mailbox().address();
+        self.submit_batch(message.from, message.batch, &address);
     }
 }
 
@@ -408,7 +421,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: Cancel, ctx: &mut Context<Self>) {
-        let own = ctx.mailbox().address();
+        let address = ctx.mailbox().address();
         for attempt in message.batch.attempts {
             let key = AttemptKey {
                 session: message.session,
@@ -416,7 +429,7 @@
                 attempt,
             };
             self.state.cancel(self.now(), key);
-            self.run_actions(&own);
+            self.run_actions(&address);
         }
     }
 }
--- a/crates/ebonyfork/src/relay/answer.rs
+++ b/crates/ebonyfork/src/relay/answer.rs
@@ -1,4 +1,4 @@
-//! What an upstream is asked, and what its answers mean.
+//! Encodes shard requests to upstreams and decodes their answers.
 
 use bytes::Bytes;
 use http::{HeaderMap, Request, StatusCode};
@@ -10,7 +10,7 @@
 use crate::relay::connection::{Answer, UpstreamRequest};
 use crate::relay::message::{FailureReason, RefusalReason, ShardTarget, ShardVerdict, SubmitBatch};
 
-/// Largest answer of an upstream, in bytes.
+/// Maximum size of an upstream's answer, in bytes.
 pub(super) const BODY_LIMIT: usize = 1 << 20;
 
 const VERSION_HEADER: &str = "x-index-version";
@@ -18,7 +18,7 @@
 const NOT_RUN_HEADER: &str = "x-not-run";
 const DRAINING_HEADER: &str = "x-draining";
 
-/// Words the request for one attempt; none if a name can't stand in a header.
+/// Builds the request for one attempt, or returns `None` if a name can't be encoded in a header.
 pub(super) fn shard_request(
     batch: &SubmitBatch,
     target: &ShardTarget,
@@ -39,17 +39,17 @@
     builder.body(Full::new(batch.selection.clone())).ok()
 }
 
-/// Tells whether the upstream says that it is leaving.
+/// Returns whether the upstream says that it is leaving.
 pub(super) fn is_draining(headers: &HeaderMap) -> bool {
     is_set(headers, DRAINING_HEADER)
 }
 
-/// Takes the verdict from a whole answer. Only what the upstream states clearly counts as not run.
+/// Derives the verdict from a complete answer. An attempt counts as not run only if the upstream states so explicitly.
 pub(super) fn read_answer(answer: Answer) -> ShardVerdict {
     let (head, body) = answer.into_parts();
-    let version = number(&head.headers, VERSION_HEADER).map(SnapshotVersion);
+    let version = parse_number(&head.headers, VERSION_HEADER).map(SnapshotVersion);
     match head.status {
-        StatusCode::OK => match (version, body.filter(holds_rows)) {
+        StatusCode::OK => match (version, body.filter(has_rows)) {
             (Some(version), Some(body)) => ShardVerdict::Rows { version, body },
             _ => failed(RunState::Ran, FailureReason::Malformed),
         },
@@ -57,7 +57,7 @@
             Some(newest) => ShardVerdict::VersionGone { newest },
             None => failed(RunState::Unknown, FailureReason::Malformed),
         },
-        StatusCode::MISDIRECTED_REQUEST => match moved_to(&head.headers) {
+        StatusCode::MISDIRECTED_REQUEST => match parse_moved_to(&head.headers) {
             Some(service) => ShardVerdict::Moved { service },
             None => failed(RunState::Unknown, FailureReason::Malformed),
         },
@@ -76,22 +76,22 @@
     headers.get(name).is_some_and(|value| value == "1")
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+fn parse_number(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn moved_to(headers: &HeaderMap) -> Option<ServiceName> {
+fn parse_moved_to(headers: &HeaderMap) -> Option<ServiceName> {
     headers.get(MOVED_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-/// The form of a good body. The rows themselves are opaque here.
+/// The expected JSON body. The rows themselves are opaque to the relay.
 #[derive(Deserialize)]
 struct RowsBody {
     #[serde(rename = "rows")]
     _rows: Vec<IgnoredAny>,
 }
 
-fn holds_rows(body: &Bytes) -> bool {
+fn has_rows(body: &Bytes) -> bool {
     serde_json::from_slice::<RowsBody>(body).is_ok()
 }
 
--- a/crates/ebonyfork/src/relay/answer_tests.rs
+++ b/crates/ebonyfork/src/relay/answer_tests.rs
@@ -12,12 +12,12 @@
     builder.body(body).unwrap()
 }
 
-/// Status, headers, body, and what they mean.
+/// Status, headers and body of an answer, and the expected verdict.
 type AnswerCase<'a> = (u16, &'a [(&'a str, &'a str)], &'a str, ShardVerdict);
 
-/// What is asked and answered, and how it has to be taken. Nothing but a clear statement counts as not run.
+/// A verdict claims no more than the upstream stated. In particular, only an explicit statement counts as not run.
 #[gtest]
-fn verdicts_say_no_more_than_the_upstream_said() {
+fn verdict_claims_no_more_than_the_upstream_stated() {
     let rows = ShardVerdict::Rows {
         version: SnapshotVersion(18),
         body: Bytes::from_static(br#"{"rows":["a"]}"#),
--- a/crates/ebonyfork/src/relay/canceller.rs
+++ b/crates/ebonyfork/src/relay/canceller.rs
@@ -1,6 +1,6 @@
-//! Tells an upstream which attempts are no longer wanted, on one connection of its own that counts against the share.
+//! Tells an upstream which attempts are no longer wanted, on a dedicated connection that counts against the share.
 //!
-//! Best effort: an upstream that can't be told soon enough learns it from the deadline.
+//! Best effort: if a cancellation does not reach the upstream in time, the attempt ends at its deadline.
 
 use std::time::Duration;
 
@@ -11,14 +11,14 @@
 use crate::ident::{AttemptId, UpstreamAddress};
 use crate::relay::connection::{OpenConnection, UpstreamRoute, plain_request};
 
-/// Cancellations that may wait for one upstream; more are dropped.
+/// Maximum number of cancellations waiting for one upstream; more are dropped.
 pub(super) const CANCEL_QUEUE: usize = 64;
-/// Longest time for one cancellation, opening the connection included.
+/// Timeout of one cancellation, opening the connection included.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(250);
-/// The connection is closed after being idle for this long.
+/// Idle time after which the connection is closed.
 const IDLE_LIMIT: Duration = Duration::from_secs(4);
 
-/// Sends cancellations until `attempts` closes.
+/// Sends cancellations until the channel `attempts` closes.
 pub(super) async fn run_canceller(route: UpstreamRoute, mut attempts: mpsc::Receiver<AttemptId>) {
     let mut connection = None;
     loop {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Cancels one attempt; gives the connection back if it can be used again.
+/// Cancels one attempt. Returns the connection if it can be reused.
 async fn cancel(
     route: UpstreamRoute,
     connection: Option<OpenConnection>,
--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -1,11 +1,13 @@
-//! Queue depth taken from looser classes when a tighter one misses its target at this upstream: the idea of
-//! io.latency (Linux block layer, 2018), carried over from groups of a disk to classes of an upstream.
+//! Limits the depth of classes with looser latency targets while a class with a tighter one misses its target at this
+//! upstream. The method is that of io.latency (Linux block layer, 2018), applied to the classes of an upstream instead
+//! of the cgroups of a disk.
 //!
-//! Time is cut into windows. A class whose share of late attempts in a window exceeds what its percentile allows is a
-//! victim; every class with a looser target then loses half of its depth, down to one attempt in flight. A window
-//! without a victim, be it that the target is met or that the victim is idle, gives one attempt back.
+//! Time is divided into windows. A class misses its target in a window if its share of late attempts exceeds what its
+//! percentile allows. Every class with a looser target then loses half of its depth, down to one attempt in flight. A
+//! window in which no class misses its target, because all meet it or because the tight class is idle, restores one
+//! attempt.
 //!
-//! Pure. It is switched by [`crate::settings::ExperimentSwitches::clamp`].
+//! Pure. Enabled by [`crate::settings::ExperimentSwitches::clamp`].
 
 use std::time::Duration;
 
@@ -15,91 +17,97 @@
 
 /// Length of a window.
 const WINDOW: Duration = Duration::from_millis(250);
-/// Part of a class's target that an attempt may spend at one upstream, queue included.
-const TARGET_PART: f64 = 0.5;
-/// Attempts below which a window says nothing about a class.
-const LEAST_ATTEMPTS: u32 = 5;
+/// Fraction of a class's target latency that an attempt may spend at one upstream, queueing included.
+const TARGET_FRACTION: f64 = 0.5;
+/// Minimum number of attempts in a window for which a class's target is evaluated.
+const MIN_ATTEMPTS: u32 = 5;
 
-/// What operators state for a class, as far as a relay needs it.
+/// The latency target that operators declare for a class.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ClassGoal {
-    /// Target latency seen by the caller.
+pub struct LatencyTarget {
+    /// Target latency as seen by the caller.
     pub latency: Duration,
-    /// Share of queries that may be later, 0 to 1.
+    /// Share of queries that may exceed the target latency, from 0 to 1.
     pub late_share: f64,
 }
 
+/// Counts of one class in the current window, and its depth limit.
 #[derive(Debug, Clone, Copy, Default)]
 struct ClassWindow {
     attempts: u32,
     late: u32,
-    /// Most attempts in flight; unlimited if none.
+    /// Maximum number of attempts in flight, or `None` for no limit.
     depth: Option<u32>,
 }
 
-/// The depths of all classes at one upstream.
+/// The windows and depth limits of all classes at one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct ClassClamp {
-    ends: Duration,
+    /// End of the current window.
+    window_end: Duration,
     classes: SecondaryMap<ClassId, ClassWindow>,
 }
 
 impl ClassClamp {
-    /// Takes an attempt into account that spent `spent` here, waiting and running, or was given up after that time.
-    pub fn record(&mut self, class: ClassId, goal: ClassGoal, spent: Duration) {
+    /// Records an attempt that was answered or expired after spending `spent` at this upstream, queueing included.
+    pub fn record(&mut self, class: ClassId, target: LatencyTarget, spent: Duration) {
         let window = &mut self.classes[class];
         window.attempts += 1;
-        window.late += u32::from(spent > goal.latency.mul_f64(TARGET_PART));
+        window.late += u32::from(spent > target.latency.mul_f64(TARGET_FRACTION));
     }
 
-    /// Tells whether a class may have one more attempt in flight.
+    /// Returns whether a class with `in_flight` attempts in flight may have one more.
     pub fn allows(&self, class: ClassId, in_flight: u32) -> bool {
         self.classes[class]
             .depth
             .is_none_or(|depth| in_flight < depth)
     }
 
-    /// Ends a window that is over: moves the depths within `limit`, the attempts that the upstream can run at once.
+    /// If the current window is over, adjusts the depths and starts the next window. `limit` is the concurrency limit
+    /// of the upstream.
     pub fn advance(
         &mut self,
         now: Duration,
         limit: u32,
-        goal: impl Fn(ClassId) -> Option<ClassGoal>,
+        target: impl Fn(ClassId) -> Option<LatencyTarget>,
     ) {
-        if now < self.ends {
+        if now < self.window_end {
             return;
         }
-        self.ends = now + WINDOW;
-        let victim = self.victim(&goal);
+        self.window_end = now + WINDOW;
+        let tightest_missed = self.tightest_missed(&target);
         for (class, window) in self.classes.iter_mut() {
-            let looser = match (victim, goal(class)) {
-                (Some(victim), Some(goal)) => goal.latency > victim,
+            let looser = match (tightest_missed, target(class)) {
+                (Some(tightest_missed), Some(target)) => target.latency > tightest_missed,
                 _ => false,
             };
             let depth = window.depth.unwrap_or(limit);
-            let moved = if looser {
+            let new_depth = if looser {
                 u32::max(depth / 2, 1)
             } else {
                 depth + 1
             };
             *window = ClassWindow {
-                depth: (moved < limit).then_some(moved),
+                depth: (new_depth < limit).then_some(new_depth),
                 ..ClassWindow::default()
             };
         }
     }
 
-    /// The tightest target that was missed in this window.
-    fn victim(&self, goal: &impl Fn(ClassId) -> Option<ClassGoal>) -> Option<Duration> {
+    /// Returns the tightest target latency that was missed in the current window.
+    fn tightest_missed(
+        &self,
+        target: &impl Fn(ClassId) -> Option<LatencyTarget>,
+    ) -> Option<Duration> {
         let mut tightest: Option<Duration> = None;
         for (class, window) in self.classes.iter() {
-            let Some(goal) = goal(class) else {
+            let Some(target) = target(class) else {
                 continue;
             };
-            let allowed = f64::from(window.attempts) * goal.late_share;
-            let missed = window.attempts >= LEAST_ATTEMPTS && f64::from(window.late) > allowed;
-            if missed && tightest.is_none_or(|latency| goal.latency < latency) {
-                tightest = Some(goal.latency);
+            let allowed = f64::from(window.attempts) * target.late_share;
+            let missed = window.attempts >= MIN_ATTEMPTS && f64::from(window.late) > allowed;
+            if missed && tightest.is_none_or(|latency| target.latency < latency) {
+                tightest = Some(target.latency);
             }
         }
         tightest
--- a/crates/ebonyfork/src/relay/clamp_tests.rs
+++ b/crates/ebonyfork/src/relay/clamp_tests.rs
@@ -5,16 +5,16 @@
 #[gtest]
 fn looser_class_loses_depth_while_a_tighter_one_is_late() {
     let (tight, loose) = (ClassId::from_u32(0), ClassId::from_u32(1));
-    let goal = |class: ClassId| {
+    let target = |class: ClassId| {
         let latency = [100, 2_000].get(class.as_u32() as usize)?;
-        Some(ClassGoal {
+        Some(LatencyTarget {
             latency: Duration::from_millis(*latency),
             late_share: 0.01,
         })
     };
     let mut clamp = ClassClamp::default();
     let mut now = Duration::ZERO;
-    // Milliseconds that the tight class spends, and the most that the loose one may have in flight afterwards.
+    // Milliseconds spent by each attempt of the tight class, and the depth of the loose class after the window.
     let windows = [
         (Some(20), 6),
         (Some(90), 3),
@@ -27,14 +27,14 @@
         (None, 6),
     ];
     for (spent, depth) in windows {
-        clamp.record(loose, goal(loose).unwrap(), Duration::from_millis(300));
+        clamp.record(loose, target(loose).unwrap(), Duration::from_millis(300));
         for _attempt in 0..10 {
             if let Some(spent) = spent {
-                clamp.record(tight, goal(tight).unwrap(), Duration::from_millis(spent));
+                clamp.record(tight, target(tight).unwrap(), Duration::from_millis(spent));
             }
         }
         now += WINDOW;
-        clamp.advance(now, 6, goal);
+        clamp.advance(now, 6, target);
         let allowed = (0..6).filter(|in_flight| clamp.allows(loose, *in_flight));
         expect_that!(allowed.count(), eq(depth), "{spent:?}");
         expect_that!(clamp.allows(tight, 5), eq(true));
--- a/crates/ebonyfork/src/relay/connection.rs
+++ b/crates/ebonyfork/src/relay/connection.rs
@@ -1,8 +1,8 @@
-//! One HTTP/1.1 connection to an upstream: a task that opens it, sends one request at a time and reports.
+//! One HTTP/1.1 connection to an upstream: a task that opens it, sends one request at a time and reports events.
 //!
-//! A fresh connection first asks for the upstream's status. An upstream beyond its connection limit accepts and closes
-//! at once; the status call meets that before any attempt is handed over, so that a refused connection is never
-//! mistaken for a request that may have run, nor for a crash.
+//! A new connection first requests the upstream's status. An upstream at its connection limit accepts a connection and
+//! closes it at once. The status call detects this before an attempt is sent, so that a refused connection is never
+//! taken for a crash or for a request that may have run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,29 +22,29 @@
 use crate::ident::{UpstreamAddress, VmAddress};
 use crate::relay::answer::{BODY_LIMIT, is_draining, read_answer};
 use crate::relay::ids::WorkId;
-use crate::relay::state::{ConnectionEvent, OpenSign};
+use crate::relay::state::{ConnectionEvent, OpenStatus};
 use crate::relay::upstream::UpstreamAnswer;
 
-/// Longest time to open a connection, the status call included.
+/// Timeout for opening a connection, the status call included.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long an attempt may stay out beyond its deadline before its connection is closed.
-const OVERDUE_LIMIT: Duration = Duration::from_millis(500);
+/// How long an attempt may stay in flight after its deadline before its connection is closed.
+const OVERDUE_GRACE: Duration = Duration::from_millis(500);
 
-/// A request with an empty or whole body.
+/// A request whose body, if any, is complete in memory.
 pub(super) type UpstreamRequest = Request<Full<Bytes>>;
 
-/// Both ends of a connection to an upstream.
+/// The endpoints of a connection to an upstream.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UpstreamRoute {
-    /// This VM.
+    /// The address of this VM.
     pub(super) from: VmAddress,
-    /// The upstream.
+    /// The address of the upstream.
     pub(super) to: UpstreamAddress,
 }
 
 impl UpstreamRoute {
-    /// Connects from this VM's own address, so that the upstream sees which VM it is. Where the address is not one of
-    /// this machine, say behind an address translation, the system picks one.
+    /// Connects from this VM's own address, so that the upstream sees which VM it is. If the address is not assigned to
+    /// this machine, for example behind NAT, the operating system picks one.
     async fn connect(self) -> std::io::Result<TcpStream> {
         let socket = match self.to.0 {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -55,7 +55,7 @@
     }
 }
 
-/// One attempt to be sent.
+/// One attempt to send on a connection.
 #[derive(Debug)]
 pub(super) struct ConnectionJob {
     pub(super) work: WorkId,
@@ -63,7 +63,7 @@
     pub(super) deadline: Instant,
 }
 
-/// An open connection.
+/// An open connection and the task that drives it.
 pub(super) struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
@@ -76,7 +76,7 @@
 }
 
 impl OpenConnection {
-    /// Connects; nothing is sent yet.
+    /// Opens a TCP connection without sending a request. Returns `None` if that fails.
     pub(super) async fn connect(route: UpstreamRoute) -> Option<Self> {
         let upstream = route.to;
         let stream = route.connect().await.ok()?;
@@ -90,7 +90,7 @@
         Some(Self { sender, driver })
     }
 
-    /// Sends a request and waits for the whole answer.
+    /// Sends a request and waits for the complete answer.
     pub(super) async fn call(&mut self, request: UpstreamRequest) -> Result<Answer, CallError> {
         if self.sender.ready().await.is_err() {
             return Err(CallError::Unsent);
@@ -103,21 +103,21 @@
         read_body(response).await
     }
 
-    /// Waits until the other side has closed the connection.
+    /// Waits until the upstream has closed the connection.
     async fn ended(&mut self) {
         let _ended = (&mut self.driver).await;
     }
 }
 
-/// A whole answer; the body is missing if it is longer than [`BODY_LIMIT`].
+/// A complete answer. The body is `None` if it exceeds [`BODY_LIMIT`].
 pub(super) type Answer = Response<Option<Bytes>>;
 
-/// Why a call brought no answer.
+/// Why a call returned no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallError {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     Unsent,
-    /// The connection broke after it was sent.
+    /// The connection broke after the request was sent.
     Broken,
 }
 
@@ -132,18 +132,19 @@
     }
 }
 
-/// Runs one connection until it ends or `jobs` closes. The last event it reports is its end.
+/// Runs one connection until it ends or the channel `jobs` closes. The last event that it reports is the end of the
+/// connection.
 pub(super) async fn run_connection(
     route: UpstreamRoute,
     mut jobs: mpsc::Receiver<ConnectionJob>,
     report: impl AsyncFn(ConnectionEvent),
 ) {
-    let opened = timeout(OPEN_TIMEOUT, open_proven(route)).await;
-    let Some((mut connection, sign)) = opened.ok().flatten() else {
+    let opened = timeout(OPEN_TIMEOUT, open_verified(route)).await;
+    let Some((mut connection, status)) = opened.ok().flatten() else {
         report(ConnectionEvent::OpenFailed).await;
         return;
     };
-    report(ConnectionEvent::Opened { sign }).await;
+    report(ConnectionEvent::Opened { status }).await;
     loop {
         let job = tokio::select! {
             biased;
@@ -155,18 +156,18 @@
         };
         let work = job.work;
         match run_job(&mut connection, job, &report).await {
-            JobEnd::Answered(answer) => {
+            JobOutcome::Answered(answer) => {
                 report(ConnectionEvent::Answered { work, answer }).await;
             }
-            JobEnd::Unsent => {
+            JobOutcome::Unsent => {
                 report(ConnectionEvent::Unsent { work }).await;
                 break;
             }
-            JobEnd::Broken => {
+            JobOutcome::Broken => {
                 report(ConnectionEvent::Broken { work }).await;
                 return;
             }
-            JobEnd::Dropped => {
+            JobOutcome::Dropped => {
                 report(ConnectionEvent::Dropped { work }).await;
                 return;
             }
@@ -179,18 +180,20 @@
     report(ConnectionEvent::Closed).await;
 }
 
-enum JobEnd {
+/// How the sending of one attempt ended.
+enum JobOutcome {
     Answered(UpstreamAnswer),
     Unsent,
     Broken,
     Dropped,
 }
 
+/// Sends one attempt and waits for its answer, at most [`OVERDUE_GRACE`] past its deadline.
 async fn run_job(
     connection: &mut OpenConnection,
     job: ConnectionJob,
     report: &impl AsyncFn(ConnectionEvent),
-) -> JobEnd {
+) -> JobOutcome {
     let sent = Instant::now();
     let work = job.work;
     let call = connection.call(job.request);
@@ -198,47 +201,48 @@
     let mut outcome = timeout_at(job.deadline, &mut call).await;
     if outcome.is_err() {
         report(ConnectionEvent::Overdue { work }).await;
-        outcome = timeout(OVERDUE_LIMIT, &mut call).await;
+        outcome = timeout(OVERDUE_GRACE, &mut call).await;
     }
     match outcome {
-        Ok(Ok(answer)) => JobEnd::Answered(UpstreamAnswer {
+        Ok(Ok(answer)) => JobOutcome::Answered(UpstreamAnswer {
             draining: is_draining(answer.headers()),
             verdict: read_answer(answer),
             served: sent.elapsed(),
         }),
-        Ok(Err(CallError::Unsent)) => JobEnd::Unsent,
-        Ok(Err(CallError::Broken)) => JobEnd::Broken,
-        Err(_elapsed) => JobEnd::Dropped,
+        Ok(Err(CallError::Unsent)) => JobOutcome::Unsent,
+        Ok(Err(CallError::Broken)) => JobOutcome::Broken,
+        Err(_elapsed) => JobOutcome::Dropped,
     }
 }
 
-/// Opens a connection and proves by a status call that the upstream serves it.
-async fn open_proven(route: UpstreamRoute) -> Option<(OpenConnection, OpenSign)> {
+/// Opens a connection and verifies by a status call that the upstream serves it.
+async fn open_verified(route: UpstreamRoute) -> Option<(OpenConnection, OpenStatus)> {
     let mut connection = OpenConnection::connect(route).await?;
     let request = plain_request(route.to, Method::GET, "/v1/status")?;
     let answer = connection.call(request).await.ok()?;
-    Some((connection, read_sign(&answer)))
+    Some((connection, parse_open_status(&answer)))
 }
 
-/// The status body: a hint, because it lags and may be wrong.
+/// The body of the status answer. It is only a hint, because it lags and may be wrong.
 #[derive(Deserialize)]
 struct StatusBody<'a> {
     state: &'a str,
 }
 
-fn read_sign(answer: &Answer) -> OpenSign {
+/// Reads from a status answer whether the upstream is leaving.
+fn parse_open_status(answer: &Answer) -> OpenStatus {
     if is_draining(answer.headers()) {
-        return OpenSign::Draining;
+        return OpenStatus::Draining;
     }
     let body = answer.body().as_deref().unwrap_or_default();
     let status: Option<StatusBody<'_>> = serde_json::from_slice(body).ok();
     if answer.status() == StatusCode::OK && status.is_some_and(|body| body.state == "draining") {
-        return OpenSign::SaysDraining;
+        return OpenStatus::DrainingHint;
     }
-    OpenSign::Ready
+    OpenStatus::Ready
 }
 
-/// A request without a body.
+/// Builds a request without a body. Returns `None` if the path is invalid.
 pub(super) fn plain_request(
     upstream: UpstreamAddress,
     method: Method,
--- a/crates/ebonyfork/src/relay/decision.rs
+++ b/crates/ebonyfork/src/relay/decision.rs
@@ -1,40 +1,40 @@
-//! One log line per dispatch, refusal and verdict, on the target that operators switch.
+//! One log line per dispatch and per verdict without rows, under a log target that operators can enable.
 
 use crate::ident::{SessionId, VmAddress};
-use crate::relay::actor::WorkTicket;
+use crate::relay::actor::PendingAttempt;
 use crate::relay::message::{RefusalReason, ShardTarget, ShardVerdict, SubmitBatch};
 
-const TARGET: &str = "ebonyfork::decision";
+const LOG_TARGET: &str = "ebonyfork::decision";
 
-pub(super) fn log_dispatch(relay: VmAddress, ticket: &WorkTicket) {
-    if !log::log_enabled!(target: TARGET, log::Level::Info) {
+pub(super) fn log_dispatch(relay: VmAddress, pending: &PendingAttempt) {
+    if !log::log_enabled!(target: LOG_TARGET, log::Level::Info) {
         return;
     }
-    let waited = ticket.submitted.elapsed();
+    let waited = pending.submitted.elapsed();
     log::info!(
-        target: TARGET,
+        target: LOG_TARGET,
         "relay={relay} query={} attempt={} shard={} upstream={} decision=send reason={:?} waited={waited:?}",
-        ticket.attempt().query, ticket.target.attempt, ticket.target.shard, ticket.target.upstream,
-        ticket.target.purpose
+        pending.attempt().query, pending.target.attempt, pending.target.shard, pending.target.upstream,
+        pending.target.purpose
     );
 }
 
-pub(super) fn log_verdict(relay: VmAddress, ticket: &WorkTicket, verdict: &ShardVerdict) {
+pub(super) fn log_verdict(relay: VmAddress, pending: &PendingAttempt, verdict: &ShardVerdict) {
     let (decision, reason): (_, &dyn std::fmt::Debug) = match verdict {
         ShardVerdict::NotRun(reason) => ("refuse", reason),
         ShardVerdict::Failed { reason, .. } => ("fail", reason),
-        // The rows' way was logged when they were sent for.
+        // The dispatch of this attempt was already logged.
         ShardVerdict::Rows { .. } => return,
         ShardVerdict::VersionGone { newest } => ("version-gone", newest),
         ShardVerdict::Moved { service } => ("moved", service),
     };
-    if !log::log_enabled!(target: TARGET, log::Level::Info) {
+    if !log::log_enabled!(target: LOG_TARGET, log::Level::Info) {
         return;
     }
     log::info!(
-        target: TARGET,
+        target: LOG_TARGET,
         "relay={relay} query={} attempt={} shard={} upstream={} decision={decision} reason={reason:?}",
-        ticket.attempt().query, ticket.target.attempt, ticket.target.shard, ticket.target.upstream
+        pending.attempt().query, pending.target.attempt, pending.target.shard, pending.target.upstream
     );
 }
 
@@ -45,12 +45,12 @@
     target: &ShardTarget,
     reason: RefusalReason,
 ) {
-    if !log::log_enabled!(target: TARGET, log::Level::Info) {
+    if !log::log_enabled!(target: LOG_TARGET, log::Level::Info) {
         return;
     }
     let session = session.map(|session| session.to_string());
     log::info!(
-        target: TARGET,
+        target: LOG_TARGET,
         "relay={relay} query={}.q{} attempt={} shard={} upstream={} decision=refuse reason={reason:?}",
         session.unwrap_or_default(), batch.query, target.attempt, target.shard, target.upstream
     );
--- a/crates/ebonyfork/src/relay/handle.rs
+++ b/crates/ebonyfork/src/relay/handle.rs
@@ -1,4 +1,4 @@
-//! The relay as the rest of the process sees it.
+//! The handle through which the rest of the process uses the relay.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,16 +13,16 @@
 use crate::views::NodeViews;
 use crate::wire::LinkSender;
 
-/// A running relay. Cheap to clone; the relay ends with its last handle.
+/// A handle to a running relay. Cheap to clone; the relay stops when its last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct RelayHandle {
     actor: Address<RelayActor>,
-    held: Arc<AtomicUsize>,
+    outstanding: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
 impl RelayHandle {
-    /// Starts a relay on the current runtime.
+    /// Starts a relay on the current Tokio runtime.
     ///
     /// # Examples
     ///
@@ -40,41 +40,41 @@
     /// # }
     /// ```
     pub fn start(settings: RelaySettings) -> Self {
-        let held = Arc::new(AtomicUsize::new(0));
+        let outstanding = Arc::new(AtomicUsize::new(0));
         let metrics = RelayMetrics::default();
         let views = settings.views.clone();
-        let actor = RelayActor::new(settings, Arc::clone(&held), metrics.clone());
+        let actor = RelayActor::new(settings, Arc::clone(&outstanding), metrics.clone());
         let actor = xtra::spawn_tokio(actor, Mailbox::unbounded());
         tokio::spawn(follow_views(views, actor.downgrade()));
         Self {
             actor,
-            held,
+            outstanding,
             metrics,
         }
     }
 
-    /// Takes attempts in. Each gets exactly one outcome, sent back through `from`.
+    /// Submits attempts. Each gets exactly one outcome, sent back through `from`.
     pub async fn submit(&self, from: LinkSender, batch: SubmitBatch) {
-        // The actor ends only with its last handle, so that the message can't be lost.
-        let _taken = self.actor.send(Submit { from, batch }).await;
+        // The actor stops only when its last handle is dropped, so the message can't be lost.
+        let _handled = self.actor.send(Submit { from, batch }).await;
     }
 
-    /// Gives attempts up. Each still gets its outcome: not run if it was never sent, else failed.
+    /// Cancels attempts. Each still gets its outcome: not run if it was never sent, failed otherwise.
     pub async fn cancel(&self, from: &LinkSender, batch: CancelBatch) {
         let Some(session) = from.peer() else {
             return;
         };
-        let _taken = self.actor.send(Cancel { session, batch }).await;
+        let _handled = self.actor.send(Cancel { session, batch }).await;
     }
 
-    /// What the relay says about the upstreams it has used.
+    /// Returns the loads of the upstreams that the relay has used.
     pub async fn loads(&self) -> Vec<UpstreamLoad> {
         self.actor.send(Loads).await.unwrap_or_default()
     }
 
-    /// Attempts whose outcome is still due, queued or sent.
+    /// Returns the number of attempts, queued or sent, that have no outcome yet.
     pub fn in_flight(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+        self.outstanding.load(Ordering::Relaxed)
     }
 
     /// Registers the relay's metrics.
@@ -83,7 +83,7 @@
     }
 }
 
-/// Tells the actor of changed views until either side is gone.
+/// Notifies the actor of changed views until the views or the actor are gone.
 async fn follow_views(mut views: NodeViews, actor: WeakAddress<RelayActor>) {
     loop {
         let changed = tokio::select! {
--- a/crates/ebonyfork/src/relay/ids.rs
+++ b/crates/ebonyfork/src/relay/ids.rs
@@ -1,33 +1,33 @@
-//! Dense ids of what a relay keeps: they index tables, and are reused once nothing refers to them any more.
+//! Dense ids of the entities in a relay. They index tables and are reused once nothing refers to them.
 
 use cranelift_entity::entity_impl;
 
-/// One attempt that a relay holds, queued or sent.
+/// An attempt that a relay holds, queued or sent.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WorkId(u32);
 entity_impl!(WorkId, "work");
 
-/// One upstream that a relay has been asked to use.
+/// An upstream for which a relay has received attempts.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct UpstreamId(u32);
 entity_impl!(UpstreamId, "upstream");
 
-/// One connection, from the decision to open it until its end is known.
+/// A connection, from the decision to open it until its end is reported.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct ConnectionId(u32);
 entity_impl!(ConnectionId, "connection");
 
-/// An organisation's name, interned.
+/// An interned organisation name.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct OrganisationId(u32);
 entity_impl!(OrganisationId, "organisation");
 
-/// A class's name, interned.
+/// An interned class name.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// An organisation's backlog within one queue.
+/// The backlog of one organisation in a queue.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct LaneId(u32);
 entity_impl!(LaneId, "lane");
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -1,40 +1,41 @@
-//! The concurrency limit of one upstream: how many attempts may be there at once.
+//! The concurrency limit of one upstream: how many attempts may be in flight there at once.
 //!
-//! An upstream runs as many attempts at once as it has slots, and nobody tells how many that are. A further attempt in
-//! flight is worth it as long as it brings further throughput: with free slots the service time stays as it is, beyond
-//! them it grows by the factor (n + 1) / n, because everything waits a little longer. So the limit is found by *trials*:
-//! for a short while it alternates, block by block, between two neighbouring values under saturation, and a sequential
-//! test on the difference of the logarithms of the service times says which of the two hypotheses holds. Because the
-//! blocks are close in time, a whole upstream that slows down or warms up shows in both and decides nothing; because of
-//! the logarithm and the clamping, neither do single stragglers.
+//! An upstream runs as many attempts in parallel as it has slots, and the number of slots is not known. Another attempt
+//! in flight is useful while it adds throughput: with free slots the service time does not change; without one, it
+//! grows by the factor (n + 1) / n, because every attempt waits a little longer. The limit is therefore found by
+//! *trials*. A trial alternates for a short time, in blocks, between two neighbouring values under saturation, and a
+//! sequential test on the difference between the mean log service times decides which hypothesis holds. Because the
+//! blocks are close in time, a slowdown or warm-up of the whole upstream affects both values and decides nothing;
+//! because of the logarithm and the clamping, neither do single stragglers.
 //!
-//! A trial overshoots by one attempt, for as few answers as the noise allows. Between trials the limit is still; the
-//! pause grows while they confirm it. Without saturation there is no trial, and no need for one.
+//! A trial exceeds the limit by one attempt, for as few answers as the noise allows. Between trials the limit does not
+//! move, and the pause between trials grows while they confirm it. Without saturation there are no trials, because a
+//! higher limit would not be used.
 
 use std::time::Duration;
 
 use crate::relay::trial::{LimitTrial, TrialVerdict};
 use crate::settings::LimitMode;
 
-/// Where the limit starts at an upstream that was never used.
-const START_LIMIT: u32 = 2;
-/// Where it starts at one that has just returned.
-const RETURN_LIMIT: u32 = 1;
-/// Pause between two trials; doubles while they confirm the limit, up to [`PAUSE_LIMIT`] or to [`PAUSE_FACTOR`] times
-/// what the last one took, whichever is longer: where noise makes trials long, they are rare.
-const TRIAL_PAUSE: Duration = Duration::from_secs(1);
-const PAUSE_LIMIT: Duration = Duration::from_secs(30);
-const PAUSE_FACTOR: u32 = 64;
-/// A pause is at least this many times as long as the trial before it, up to [`LEAST_PAUSE_LIMIT`].
-const LEAST_PAUSE_FACTOR: u32 = 8;
-const LEAST_PAUSE_LIMIT: Duration = Duration::from_secs(2);
-/// A trial downwards costs throughput, so a limit that did not grow is compared with one less only after this many
-/// refused trials upwards.
-const VERIFY_EVERY: u32 = 8;
-/// A trial that gets no saturated answers for this long is given up.
-const TRIAL_PATIENCE: Duration = Duration::from_secs(2);
+/// Limit at an upstream that was never used.
+const INITIAL_LIMIT: u32 = 2;
+/// Limit at an upstream that has returned after a loss.
+const RESTART_LIMIT: u32 = 1;
+/// Initial pause between two trials. It doubles while trials confirm the limit, up to the longer of [`MAX_PAUSE`] and
+/// [`MAX_PAUSE_FACTOR`] times the duration of the last trial: where noise makes trials long, they run rarely.
+const INITIAL_PAUSE: Duration = Duration::from_secs(1);
+const MAX_PAUSE: Duration = Duration::from_secs(30);
+const MAX_PAUSE_FACTOR: u32 = 64;
+/// A pause lasts at least this many times as long as the trial before it, up to [`MIN_PAUSE_LIMIT`].
+const MIN_PAUSE_FACTOR: u32 = 8;
+const MIN_PAUSE_LIMIT: Duration = Duration::from_secs(2);
+/// Number of rejected upward trials after which a limit that did not grow is compared with one less. Downward trials
+/// cost throughput, so they are rare.
+const REJECTIONS_PER_DOWN_TRIAL: u32 = 8;
+/// A trial without a saturated answer for this long is aborted.
+const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Marks what was sent under one value of the limit.
+/// Identifies the attempts that were sent under one value of the limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitEpoch(u32);
 
@@ -44,26 +45,28 @@
     }
 }
 
-/// One answer with rows, as the limit sees it.
+/// An answer with rows, as input to the limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitSample {
-    /// The epoch in which it was sent.
+    /// The epoch in which the attempt was sent.
     pub epoch: LimitEpoch,
-    /// Attempts at the upstream when it was sent, itself included.
+    /// Attempts in flight when the attempt was sent, itself included.
     pub in_flight: u32,
-    /// Natural logarithm of the service time, freed from the differences between classes.
+    /// Natural logarithm of the service time in microseconds, adjusted for the difference between its class and the
+    /// mean of all classes.
     pub level: f64,
-    /// Whether more waits to be sent.
+    /// Whether further attempts wait to be sent.
     pub waiting: bool,
 }
 
+/// Direction of a trial: up compares the limit with one more, down with one less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TrialDirection {
     Up,
     Down,
 }
 
-/// Finds out how many attempts an upstream can run at once.
+/// Estimates how many attempts an upstream can run in parallel.
 ///
 /// # Examples
 ///
@@ -79,45 +82,46 @@
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     mode: LimitMode,
+    /// Connections to the upstream that this VM may use for attempts.
     share: u32,
     limit: u32,
     epoch: LimitEpoch,
-    /// The epoch whose answers count.
-    sampled: LimitEpoch,
+    /// The epoch whose answers count. `epoch` moves past it once a block of a trial is full.
+    sampled_epoch: LimitEpoch,
     trial: Option<LimitTrial>,
     direction: TrialDirection,
-    /// The limit has grown since a trial last compared it with one less.
+    /// Whether the limit has grown since a trial last compared it with one less.
     unverified: bool,
-    /// Trials upwards that were refused since then.
-    refused: u32,
+    /// Upward trials rejected since a downward trial last confirmed the limit.
+    rejected: u32,
     next_trial: Duration,
     pause: Duration,
-    /// When the running trial started, and when it last got a sample.
-    started: Duration,
-    heard: Duration,
+    /// When the running trial started, and when it last received a sample.
+    trial_started: Duration,
+    last_sample: Duration,
 }
 
 impl ConcurrencyLimit {
-    /// Starts low; `share` is the most that the connections allow.
+    /// Creates a limit at its initial value; `share` is the number of connections for attempts.
     pub fn new(mode: LimitMode, share: u32) -> Self {
         Self {
             mode,
             share,
-            limit: START_LIMIT,
+            limit: INITIAL_LIMIT,
             epoch: LimitEpoch::default(),
-            sampled: LimitEpoch::default(),
+            sampled_epoch: LimitEpoch::default(),
             trial: None,
             direction: TrialDirection::Up,
             unverified: true,
-            refused: 0,
+            rejected: 0,
             next_trial: Duration::ZERO,
-            pause: TRIAL_PAUSE,
-            started: Duration::ZERO,
-            heard: Duration::ZERO,
+            pause: INITIAL_PAUSE,
+            trial_started: Duration::ZERO,
+            last_sample: Duration::ZERO,
         }
     }
 
-    /// Attempts that may be at the upstream at once.
+    /// Returns how many attempts may be in flight now, the extra attempt of a running trial included.
     pub fn current(&self) -> u32 {
         if self.mode == LimitMode::Static {
             return self.share;
@@ -126,7 +130,7 @@
         u32::min(limit, self.share)
     }
 
-    /// The limit without the overshoot of a trial.
+    /// Returns the limit without the extra attempt of a running trial.
     pub fn settled(&self) -> u32 {
         match self.mode {
             LimitMode::Static => self.share,
@@ -134,79 +138,80 @@
         }
     }
 
-    /// The mark of what is sent now.
+    /// Returns the epoch of attempts that are sent now.
     pub fn epoch(&self) -> LimitEpoch {
         self.epoch
     }
 
-    /// Replaces the most that the connections allow.
+    /// Sets the number of connections for attempts.
     pub fn set_share(&mut self, share: u32) {
         self.share = share;
     }
 
-    /// Takes an answer with rows into account.
+    /// Records an answer with rows.
     pub fn record(&mut self, now: Duration, sample: LimitSample) {
         if self.mode == LimitMode::Static {
             return;
         }
         let saturated = self.is_saturated(sample.epoch, sample.in_flight);
         if self.trial.is_some() {
-            self.feed_trial(now, sample, saturated);
+            self.record_in_trial(now, sample, saturated);
         } else if saturated && now >= self.next_trial {
             self.start_trial(now, sample.waiting);
         }
     }
 
-    /// An attempt was sent, the last of `in_flight` at the upstream.
+    /// Records that an attempt was sent and that `in_flight` attempts are now in flight.
     pub fn note_sent(&mut self, in_flight: u32) {
         let saturated = self.is_saturated(self.epoch, in_flight);
         let Some(trial) = self.trial.as_mut().filter(|_| saturated) else {
             return;
         };
         trial.note_sent();
-        if trial.is_full() {
+        if trial.is_block_full() {
             self.epoch = self.epoch.next();
         }
     }
 
-    /// An attempt, sent in `epoch` as the last of `in_flight`, came back without rows or not at all.
-    pub fn note_lost(&mut self, epoch: LimitEpoch, in_flight: u32) {
+    /// Records that an attempt ended without rows; it was sent in `epoch` with `in_flight` attempts in flight.
+    pub fn record_lost(&mut self, epoch: LimitEpoch, in_flight: u32) {
         let saturated = self.is_saturated(epoch, in_flight);
         if let Some(trial) = self.trial.as_mut().filter(|_| saturated) {
-            trial.note_lost();
-            self.epoch = self.sampled;
+            trial.record_lost();
+            self.epoch = self.sampled_epoch;
         }
     }
 
-    /// Tells whether an attempt was sent under the present value, and filled it.
+    /// Returns whether an attempt was sent under the present value and used the last free place under it.
     fn is_saturated(&self, epoch: LimitEpoch, in_flight: u32) -> bool {
         let value = self.trial.as_ref().map_or(self.limit, LimitTrial::value);
-        epoch == self.sampled && in_flight == u32::min(value, self.share)
+        epoch == self.sampled_epoch && in_flight == u32::min(value, self.share)
     }
 
-    /// The upstream shed an attempt that was sent in `epoch`. Attempts sent before the limit last moved say nothing
-    /// about its present value.
+    /// Handles that the upstream shed an attempt sent in `epoch`. Attempts sent before the limit last moved say nothing
+    /// about its present value and are ignored.
     pub fn shed(&mut self, now: Duration, epoch: LimitEpoch) {
-        if epoch != self.epoch && epoch != self.sampled || self.mode == LimitMode::Static {
+        if epoch != self.epoch && epoch != self.sampled_epoch || self.mode == LimitMode::Static {
             return;
         }
-        let tried = self.trial.as_ref().is_some_and(LimitTrial::overshoots);
-        if !tried {
+        let overshooting = self.trial.as_ref().is_some_and(LimitTrial::overshoots);
+        if !overshooting {
             self.limit = u32::max(self.limit - 1, 1);
         }
         self.direction = TrialDirection::Up;
-        self.rest(now);
+        self.pause_trials(now);
     }
 
-    /// The upstream has returned after a loss: it is cold.
+    /// Resets the limit after the upstream has returned from a loss, because it is cold.
     pub fn restart(&mut self, now: Duration) {
-        self.limit = RETURN_LIMIT;
+        self.limit = RESTART_LIMIT;
         self.direction = TrialDirection::Up;
         self.unverified = true;
-        self.pause = TRIAL_PAUSE;
-        self.move_on(now);
+        self.pause = INITIAL_PAUSE;
+        self.end_trial(now);
     }
 
+    /// Starts a trial, unless it would go upwards without a backlog or beyond the share.
     fn start_trial(&mut self, now: Duration, waiting: bool) {
         if self.limit == 1 {
             self.direction = TrialDirection::Up;
@@ -217,23 +222,24 @@
             TrialDirection::Down => self.limit - 1,
         };
         self.trial = Some(LimitTrial::new(low));
-        self.started = now;
-        self.heard = now;
+        self.trial_started = now;
+        self.last_sample = now;
         self.next_epoch();
     }
 
-    fn feed_trial(&mut self, now: Duration, sample: LimitSample, saturated: bool) {
-        if now > self.heard + TRIAL_PATIENCE {
-            self.rest(now);
+    /// Passes a sample to the running trial, and ends the trial if it is decided or has timed out.
+    fn record_in_trial(&mut self, now: Duration, sample: LimitSample, saturated: bool) {
+        if now > self.last_sample + TRIAL_TIMEOUT {
+            self.pause_trials(now);
             return;
         }
         let Some(trial) = self.trial.as_mut().filter(|_| saturated) else {
             return;
         };
-        self.heard = now;
+        self.last_sample = now;
         let verdict = trial.record(sample.level);
         let low = trial.low();
-        if trial.is_fresh() {
+        if trial.is_block_empty() {
             self.next_epoch();
         }
         match verdict {
@@ -243,16 +249,16 @@
         }
     }
 
-    /// Ends a trial with the better of its two values.
+    /// Ends a trial with the better of its two values, and chooses the next direction.
     fn settle(&mut self, now: Duration, limit: u32) {
         let confirmed = limit == self.limit;
         self.limit = limit;
         match self.direction {
             TrialDirection::Up if confirmed => {
-                self.refused += 1;
-                let verified = !self.unverified && self.refused < VERIFY_EVERY;
+                self.rejected += 1;
+                let verified = !self.unverified && self.rejected < REJECTIONS_PER_DOWN_TRIAL;
                 if self.limit == 1 || verified {
-                    self.rest(now);
+                    self.pause_trials(now);
                     return;
                 }
                 self.direction = TrialDirection::Down;
@@ -261,31 +267,32 @@
             TrialDirection::Down if confirmed => {
                 self.direction = TrialDirection::Up;
                 self.unverified = false;
-                self.refused = 0;
-                self.rest(now);
+                self.rejected = 0;
+                self.pause_trials(now);
                 return;
             }
             TrialDirection::Down => {}
         }
         if !confirmed {
-            self.pause = TRIAL_PAUSE;
+            self.pause = INITIAL_PAUSE;
         }
-        self.move_on(now);
+        self.end_trial(now);
     }
 
-    /// No trial for a while, longer each time.
-    fn rest(&mut self, now: Duration) {
+    /// Ends the running trial, if any, and pauses; each pause is longer than the last, up to the maximum.
+    fn pause_trials(&mut self, now: Duration) {
         let running = self.trial.is_some();
-        let taken = running.then(|| now.saturating_sub(self.started));
-        let taken = taken.unwrap_or_default();
-        let longest = Duration::max(PAUSE_LIMIT, taken * PAUSE_FACTOR);
-        let least = Duration::min(taken * LEAST_PAUSE_FACTOR, LEAST_PAUSE_LIMIT);
-        let pause = Duration::max(self.pause, least);
-        self.pause = Duration::min(pause * 2, longest);
-        self.move_on(now + pause);
+        let duration = running.then(|| now.saturating_sub(self.trial_started));
+        let duration = duration.unwrap_or_default();
+        let max_pause = Duration::max(MAX_PAUSE, duration * MAX_PAUSE_FACTOR);
+        let min_pause = Duration::min(duration * MIN_PAUSE_FACTOR, MIN_PAUSE_LIMIT);
+        let pause = Duration::max(self.pause, min_pause);
+        self.pause = Duration::min(pause * 2, max_pause);
+        self.end_trial(now + pause);
     }
 
-    fn move_on(&mut self, next_trial: Duration) {
+    /// Ends the running trial, if any; the next may start at `next_trial`.
+    fn end_trial(&mut self, next_trial: Duration) {
         self.trial = None;
         self.next_trial = next_trial;
         self.next_epoch();
@@ -293,7 +300,7 @@
 
     fn next_epoch(&mut self) {
         self.epoch = self.epoch.next();
-        self.sampled = self.epoch;
+        self.sampled_epoch = self.epoch;
     }
 }
 
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -9,17 +9,17 @@
 use crate::relay::ids::ClassId;
 use crate::relay::service::ServiceTimes;
 
-/// How an upstream behaves in a case.
+/// A modelled upstream.
 #[derive(Debug, Clone, Copy)]
 struct UpstreamModel {
     slots: usize,
-    /// Standard deviation of the logarithm of the service time.
+    /// Standard deviation of the log service time.
     spread: f64,
-    /// Every so often (per cent) a request takes ten times as long.
+    /// Percentage of requests that take ten times as long.
     stragglers: f64,
     /// Factor on the service time, as a function of the time in seconds.
     slowness: fn(f64) -> f64,
-    /// Sheds what would wait behind this many.
+    /// Number of requests in flight at which it sheds a further one.
     sheds_beyond: Option<usize>,
 }
 
@@ -31,42 +31,43 @@
     sheds_beyond: None,
 };
 
-/// What a run showed in its second half, and over all.
+/// Results of a run. Averages cover its second half.
 #[derive(Debug, Default)]
 struct RunReport {
-    /// Mean of the limit in force at the answers.
+    /// Mean limit in force when attempts were answered.
     limit: f64,
-    /// Share of the answers under a limit beyond the slots.
-    beyond: f64,
+    /// Share of the answers at which the limit exceeded the slots.
+    above_slots: f64,
     /// Seconds until the limit first reached the slots.
     reached: f64,
-    /// Throughput over what the slots allow.
-    used: f64,
+    /// Utilisation of the slots, as a fraction.
+    utilisation: f64,
 }
 
-/// When it ends, when it was sent, attempts in flight then, the limit's epoch, whether it is shed.
-type FlyingWork = (u64, u64, u32, u32, bool);
+/// An attempt in flight: its end and start in microseconds, the attempts in flight when it was sent, the limit's epoch,
+/// and whether it is shed.
+type InFlightAttempt = (u64, u64, u32, u32, bool);
 
-/// A saturated upstream under virtual time: first in, first out over its slots.
+/// Runs a saturated upstream in virtual time: first in, first out over its slots.
 fn run_model(model: UpstreamModel, seconds: f64, seed: u64) -> RunReport {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut limit = ConcurrencyLimit::new(LimitMode::Adaptive, 33);
     let mut service = ServiceTimes::default();
     let class = ClassId::from_u32(0);
     let mut slots: BinaryHeap<Reverse<u64>> = (0..model.slots).map(|_| Reverse(0)).collect();
-    let mut flying: BinaryHeap<Reverse<FlyingWork>> = BinaryHeap::new();
+    let mut pending: BinaryHeap<Reverse<InFlightAttempt>> = BinaryHeap::new();
     let mut report = RunReport {
         reached: f64::INFINITY,
         ..Default::default()
     };
     let (mut now, mut answers, mut busy) = (0_u64, 0.0, 0.0);
     while (now as f64) < seconds * 1e6 {
-        while flying.len() < limit.current() as usize {
-            let in_flight = flying.len() as u32 + 1;
+        while pending.len() < limit.current() as usize {
+            let in_flight = pending.len() as u32 + 1;
             let epoch = limit.epoch().0;
             limit.note_sent(in_flight);
-            if model.sheds_beyond.is_some_and(|most| flying.len() >= most) {
-                flying.push(Reverse((now + 200, now, in_flight, epoch, true)));
+            if model.sheds_beyond.is_some_and(|most| pending.len() >= most) {
+                pending.push(Reverse((now + 200, now, in_flight, epoch, true)));
                 continue;
             }
             let Reverse(free) = slots.pop().unwrap();
@@ -78,9 +79,9 @@
             } else {
                 0.0
             };
-            flying.push(Reverse((start + taken, now, in_flight, epoch, false)));
+            pending.push(Reverse((start + taken, now, in_flight, epoch, false)));
         }
-        let Reverse((done, sent, in_flight, epoch, shed)) = flying.pop().unwrap();
+        let Reverse((done, sent, in_flight, epoch, shed)) = pending.pop().unwrap();
         now = done;
         let epoch = LimitEpoch(epoch);
         if shed {
@@ -101,17 +102,17 @@
         if now as f64 > seconds * 5e5 {
             answers += 1.0;
             report.limit += f64::from(limit.current());
-            report.beyond += f64::from(u32::from(limit.current() as usize > model.slots));
+            report.above_slots += f64::from(u32::from(limit.current() as usize > model.slots));
         }
     }
     report.limit /= answers;
-    report.beyond /= answers;
-    report.used = busy / (seconds * 5e5 * model.slots as f64);
+    report.above_slots /= answers;
+    report.utilisation = busy / (seconds * 5e5 * model.slots as f64);
     report
 }
 
 fn service_time(model: &UpstreamModel, start: u64, rng: &mut ChaCha8Rng) -> u64 {
-    // Twelve uniforms make a normal that is near enough.
+    // The sum of twelve uniform samples approximates a normal distribution.
     let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     let straggles = rng.random::<f64>() * 100.0 < model.stragglers;
     let factor = if straggles { 10.0 } else { 1.0 };
@@ -120,7 +121,7 @@
 }
 
 #[gtest]
-fn slots_are_found_without_overshoot() {
+fn limit_converges_to_slots_without_overshoot() {
     let slow = |seconds: f64| {
         if (40.0..50.0).contains(&seconds) {
             5.0
@@ -209,8 +210,8 @@
             let place = format!("{name}, seed {seed}: {report:?}");
             let slots = model.slots as f64;
             expect_that!(report.limit, near(slots, 0.05), "{place}");
-            expect_that!(report.beyond, le(0.02), "{place}");
-            expect_that!(report.used, ge(0.98), "{place}");
+            expect_that!(report.above_slots, le(0.02), "{place}");
+            expect_that!(report.utilisation, ge(0.98), "{place}");
             expect_that!(report.reached, le(10.0), "{place}");
         }
     }
--- a/crates/ebonyfork/src/relay/loss.rs
+++ b/crates/ebonyfork/src/relay/loss.rs
@@ -1,4 +1,4 @@
-//! Connections of an upstream that break at about the same time are one loss. Pure.
+//! Groups connections of an upstream that break at about the same time into one loss. Pure.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use crate::ident::UpstreamAddress;
 use crate::quarantine::LostRequest;
 
-/// Connections that break within this time of each other are one loss.
+/// Connections of an upstream that break within this time of the first one belong to the same loss.
 const LOSS_WINDOW: Duration = Duration::from_millis(20);
 
-/// An upstream broke connections while attempts were running on them.
+/// The loss of an upstream: connections to it broke while attempts were in flight on them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamLoss {
     /// The upstream.
     pub upstream: UpstreamAddress,
     /// Time since the first connection broke.
     pub age: Duration,
-    /// What was running on those connections.
+    /// The requests that were in flight on those connections.
     pub in_flight: SmallVec<[LostRequest; 4]>,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl LossWindow {
-    /// Starts with the first connection that broke.
+    /// Opens a window when the first connection breaks.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             began: now,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Adds an attempt that was running, sent at `sent`. Its flight counts up to the first break; what was sent later is
-    /// not to blame.
+    /// Adds an attempt that was in flight, sent at `sent`. Its flight is measured up to the first break; an attempt
+    /// sent later can't have caused the loss and is ignored.
     pub(super) fn add(&mut self, request: LostRequest, sent: Duration) {
         let Some(flight) = self.began.checked_sub(sent) else {
             return;
@@ -46,12 +46,12 @@
         self.in_flight.push(LostRequest { flight, ..request });
     }
 
-    /// Tells whether nothing more can belong to it.
+    /// Returns whether the window has ended.
     pub(super) fn is_over(&self, now: Duration) -> bool {
         now >= self.began + LOSS_WINDOW
     }
 
-    /// What is to be reported.
+    /// Builds the report of the loss.
     pub(super) fn finish(self, upstream: UpstreamAddress, now: Duration) -> UpstreamLoss {
         UpstreamLoss {
             upstream,
--- a/crates/ebonyfork/src/relay/message.rs
+++ b/crates/ebonyfork/src/relay/message.rs
@@ -1,7 +1,8 @@
-//! What entries and relays say to each other.
+//! The messages between entries and relays.
 //!
-//! Ids are short on the wire: the link's `Hello` names the entry's session once, so that an attempt is only the
-//! query's number and its own. Times are spans, never clock readings, because the clocks of two VMs differ.
+//! Ids are short on the wire: the link's `Hello` identifies the entry's session once, so that an attempt is identified
+//! by the query number and its own number. Times are durations rather than clock readings, because the clocks of two
+//! VMs differ.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -12,16 +13,17 @@
     ServiceName, ShardNumber, SnapshotVersion, UpstreamAddress,
 };
 
-/// Why an attempt was made.
+/// Why an attempt is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum AttemptPurpose {
     /// The first attempt at a shard.
     First,
-    /// A second one while the first is still out.
+    /// A second attempt at a shard while the first is still unanswered.
     Hedge,
-    /// A further one after an earlier came back without rows.
+    /// A further attempt at a shard after an earlier one ended without rows.
     Retry,
-    /// One that is sent although the query has lost an upstream before: it runs alone, and is to blame for a further loss.
+    /// An attempt of a query that has already lost an upstream. It is sent alone, and a further loss is attributed to
+    /// it.
     AfterLoss,
 }
 
@@ -30,36 +32,36 @@
 pub struct ShardTarget {
     /// Number of the attempt within the query.
     pub attempt: u32,
-    /// The shard.
+    /// The shard to query.
     pub shard: ShardNumber,
-    /// The upstream to run it.
+    /// The upstream to send it to.
     pub upstream: UpstreamAddress,
-    /// Why it is made.
+    /// Why the attempt is made.
     pub purpose: AttemptPurpose,
 }
 
-/// Attempts of one query for one relay; what they share is said once.
+/// Attempts of one query for one relay, with the fields that they share.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SubmitBatch {
     /// Number of the query within the entry's session.
     pub query: u64,
-    /// Its class.
+    /// The query's class.
     pub class: ClassName,
-    /// Its organisation.
+    /// The query's organisation.
     pub organisation: OrganisationName,
-    /// The index.
+    /// The index that is queried.
     pub index: IndexName,
-    /// The pinned version.
+    /// The index version to which the query is pinned.
     pub version: SnapshotVersion,
-    /// Microseconds left until the query's deadline when this was sent.
+    /// Time from sending this batch to the query's deadline, in microseconds.
     pub remaining_us: u64,
-    /// Fingerprint of class and selection.
+    /// Fingerprint of the query's class and selection.
     pub fingerprint: RequestFingerprint,
     /// Whether the attempts may run more than once.
     pub idempotent: bool,
-    /// Key of a non-idempotent request.
+    /// Idempotency key of a non-idempotent query.
     pub key: Option<IdempotencyKey>,
-    /// The caller's selection.
+    /// The selection as the caller sent it.
     pub selection: Bytes,
     /// The attempts.
     pub targets: SmallVec<[ShardTarget; 4]>,
@@ -70,79 +72,79 @@
 pub struct CancelBatch {
     /// Number of the query within the entry's session.
     pub query: u64,
-    /// The attempts.
+    /// Numbers of the attempts within the query.
     pub attempts: SmallVec<[u32; 8]>,
 }
 
-/// Why an attempt was not run.
+/// Why an attempt has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The upstream said so: it sheds load.
+    /// The upstream refused it explicitly because it sheds load.
     Shed,
-    /// The relay's queue is full.
+    /// The relay's queue was full.
     QueueFull,
-    /// The deadline passed, or came too near, before it was sent.
+    /// The deadline passed, or became too close, before the attempt was sent.
     Expired,
     /// The relay does not own the upstream.
     NotOwner,
     /// The upstream is leaving or unknown.
     Leaving,
-    /// No connection could be made, so nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     Unreachable,
-    /// Cancelled before it was sent.
+    /// The attempt was cancelled before it was sent.
     Cancelled,
     /// The request is quarantined.
     Quarantined,
     /// The relay is stopping or not ready.
     NotReady,
-    /// The link to the relay broke before it was sent.
+    /// The link to the relay broke before the attempt was sent.
     LinkDown,
 }
 
-/// Why an attempt that was sent brought no rows.
+/// Why an attempt that was sent returned no rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FailureReason {
-    /// The upstream answered with an error.
+    /// The upstream answered with an error status.
     Status,
-    /// The connection broke under the request: evidence against the upstream and the request.
+    /// The connection broke during the request, which counts as evidence against the upstream and the request.
     Broken,
-    /// The deadline passed while it was out.
+    /// The deadline passed while the attempt was in flight.
     Timeout,
-    /// Cancelled while it was out.
+    /// The attempt was cancelled while it was in flight.
     Cancelled,
-    /// The answer could not be read.
+    /// The answer could not be decoded.
     Malformed,
-    /// The link to the relay broke while it was out.
+    /// The link to the relay broke while the attempt was in flight.
     LinkDown,
 }
 
-/// What became of one attempt.
+/// The result of one attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardVerdict {
-    /// It ran; the upstream's JSON body at that version.
+    /// The attempt ran and returned rows.
     Rows {
-        /// The version that the rows reflect.
+        /// The index version that the rows reflect.
         version: SnapshotVersion,
         /// JSON text `{"rows":[…]}` as the upstream sent it.
         body: Bytes,
     },
     /// Not run: the upstream does not hold the pinned version.
     VersionGone {
-        /// The newest version it holds.
+        /// The newest version that the upstream holds.
         newest: SnapshotVersion,
     },
-    /// Not run: another service holds the shard now.
+    /// Not run: the shard is now served by another service.
     Moved {
-        /// That service.
+        /// The service that serves the shard.
         service: ServiceName,
     },
-    /// Not run.
+    /// Not run for another reason.
     NotRun(RefusalReason),
-    /// Sent, but without rows.
+    /// Sent, but no rows were returned.
     Failed {
-        /// Whether it ran, as far as known.
+        /// Whether the attempt ran, as far as known.
         ran: RunState,
-        /// What happened.
+        /// Why no rows were returned.
         reason: FailureReason,
     },
 }
@@ -154,35 +156,35 @@
     pub query: u64,
     /// Number of the attempt within the query.
     pub attempt: u32,
-    /// The upstream.
+    /// The upstream to which the attempt was assigned.
     pub upstream: UpstreamAddress,
-    /// What became of it.
+    /// The result of the attempt.
     pub verdict: ShardVerdict,
-    /// Microseconds in the relay's queue.
+    /// Time in the relay's queue, in microseconds.
     pub waited_us: u32,
-    /// Microseconds at the upstream.
+    /// Time at the upstream, in microseconds.
     pub served_us: u32,
 }
 
-/// What a relay says about one upstream it owns.
+/// The load of one upstream, as reported by the relay that owns it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamLoad {
     /// The upstream.
     pub upstream: UpstreamAddress,
-    /// Microseconds that a request submitted now would wait before it is sent.
+    /// Expected queueing time of a request that is submitted now, in microseconds.
     pub wait_us: u32,
-    /// Microseconds that requests take at the upstream (median).
+    /// Median service time at the upstream, in microseconds.
     pub service_us: u32,
-    /// Concurrency limit in force.
+    /// The concurrency limit in force, in attempts.
     pub limit: u16,
-    /// Whether it is leaving: no new work.
+    /// Whether the upstream is leaving and gets no new attempts.
     pub leaving: bool,
 }
 
-/// Verdicts for one entry, with the load of the upstreams concerned.
+/// Verdicts for one entry, with the loads of the upstreams involved.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeBatch {
-    /// Verdicts.
+    /// Outcomes of attempts.
     pub outcomes: SmallVec<[ShardOutcome; 2]>,
     /// Loads of the upstreams.
     pub loads: SmallVec<[UpstreamLoad; 2]>,
--- a/crates/ebonyfork/src/relay/metrics.rs
+++ b/crates/ebonyfork/src/relay/metrics.rs
@@ -1,4 +1,4 @@
-//! What a relay counts.
+//! The relay's metrics.
 
 use std::fmt;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::ident::ClassName;
 use crate::relay::message::{FailureReason, RefusalReason, ShardVerdict};
 
-/// A class as a label, without an allocation for names of usual length.
+/// A class name as a metric label. Encoding it does not allocate for names of usual length.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct ClassLabel(ClassName);
 
@@ -35,18 +35,18 @@
     reason: &'static str,
 }
 
-/// The outcome of a verdict and the reason for it, as labels.
-fn outcome_words(verdict: &ShardVerdict) -> (&'static str, &'static str) {
+/// Returns the values of the `outcome` and `reason` labels for a verdict.
+fn outcome_labels(verdict: &ShardVerdict) -> (&'static str, &'static str) {
     match verdict {
         ShardVerdict::Rows { .. } => ("rows", ""),
         ShardVerdict::VersionGone { .. } => ("not-run", "version-gone"),
         ShardVerdict::Moved { .. } => ("not-run", "moved"),
-        ShardVerdict::NotRun(reason) => ("not-run", refusal_word(*reason)),
-        ShardVerdict::Failed { reason, .. } => ("failed", failure_word(*reason)),
+        ShardVerdict::NotRun(reason) => ("not-run", refusal_label(*reason)),
+        ShardVerdict::Failed { reason, .. } => ("failed", failure_label(*reason)),
     }
 }
 
-fn refusal_word(reason: RefusalReason) -> &'static str {
+fn refusal_label(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::Shed => "shed",
         RefusalReason::QueueFull => "queue-full",
@@ -61,7 +61,7 @@
     }
 }
 
-fn failure_word(reason: FailureReason) -> &'static str {
+fn failure_label(reason: FailureReason) -> &'static str {
     match reason {
         FailureReason::Status => "status",
         FailureReason::Broken => "broken",
@@ -72,7 +72,7 @@
     }
 }
 
-/// Buckets from half a millisecond to eight seconds.
+/// Creates a histogram with buckets from 0.5 ms to 8 s.
 fn time_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_5, 2.0, 15))
 }
@@ -81,8 +81,8 @@
 #[derive(Debug, Clone)]
 pub(super) struct RelayMetrics {
     outcomes: Family<OutcomeLabels, Counter>,
-    waits: Family<ClassLabels, Histogram>,
-    services: Family<ClassLabels, Histogram>,
+    wait_times: Family<ClassLabels, Histogram>,
+    service_times: Family<ClassLabels, Histogram>,
     opened: Counter,
     connections: Gauge,
     queued: Gauge,
@@ -93,8 +93,8 @@
     fn default() -> Self {
         Self {
             outcomes: Family::default(),
-            waits: Family::new_with_constructor(time_histogram),
-            services: Family::new_with_constructor(time_histogram),
+            wait_times: Family::new_with_constructor(time_histogram),
+            service_times: Family::new_with_constructor(time_histogram),
             opened: Counter::default(),
             connections: Gauge::default(),
             queued: Gauge::default(),
@@ -113,12 +113,12 @@
         registry.register(
             "relay_wait_seconds",
             "Time of shard requests in the relay's queue",
-            self.waits.clone(),
+            self.wait_times.clone(),
         );
         registry.register(
             "relay_service_seconds",
             "Time of shard requests at upstreams, of those answered with rows",
-            self.services.clone(),
+            self.service_times.clone(),
         );
         registry.register(
             "relay_connections_opened",
@@ -144,7 +144,7 @@
 
     /// Counts a verdict.
     pub(super) fn count(&self, class: &ClassName, verdict: &ShardVerdict) {
-        let (outcome, reason) = outcome_words(verdict);
+        let (outcome, reason) = outcome_labels(verdict);
         let labels = OutcomeLabels {
             class: ClassLabel(class.clone()),
             outcome,
@@ -153,15 +153,15 @@
         self.outcomes.get_or_create(&labels).inc();
     }
 
-    /// Counts the times of an attempt that was answered with rows.
+    /// Records the times of an attempt that was answered with rows.
     pub(super) fn observe(&self, class: &ClassName, waited: Duration, served: Duration) {
         let labels = ClassLabels {
             class: ClassLabel(class.clone()),
         };
-        let waits = self.waits.get_or_create(&labels);
-        waits.observe(waited.as_secs_f64());
-        let services = self.services.get_or_create(&labels);
-        services.observe(served.as_secs_f64());
+        let wait_times = self.wait_times.get_or_create(&labels);
+        wait_times.observe(waited.as_secs_f64());
+        let service_times = self.service_times.get_or_create(&labels);
+        service_times.observe(served.as_secs_f64());
     }
 
     pub(super) fn opened(&self) {
--- a/crates/ebonyfork/src/relay/mod.rs
+++ b/crates/ebonyfork/src/relay/mod.rs
@@ -1,11 +1,12 @@
-//! The relay: owns the connections, the queue and the limits of a few upstreams.
+//! The relay: owns the connections, the queue and the concurrency limits of a set of upstreams.
 //!
-//! Because one relay sees all the work in flight on an upstream, its queue is exact: an upstream with two slots gets
-//! two requests, and the rest wait where they can be ordered, cancelled, moved or refused truthfully as not run.
+//! Because one relay sees every attempt in flight at an upstream, its count is exact: an upstream with two slots gets
+//! two requests, and the rest wait in the queue, where they can be reordered, cancelled, moved, or refused with the
+//! guarantee that they have not run.
 //!
-//! The decisions are plain code: [`RelayQueue`] orders what waits, [`ConcurrencyLimit`] says how much may be at the
-//! upstream, `upstream` joins them with the connections, and `state` finds the upstream that an event concerns. The
-//! actor runs their actions on `hyper` connections.
+//! The decision logic is pure and does no I/O: [`RelayQueue`] orders waiting attempts, [`ConcurrencyLimit`] bounds the
+//! attempts in flight, `upstream` combines both with the connection pool, and `state` routes each event to the upstream
+//! it concerns. The actor executes the resulting actions on `hyper` connections.
 
 mod action;
 mod actor;
@@ -29,7 +30,7 @@
 mod trial;
 mod upstream;
 
-pub use clamp::{ClassClamp, ClassGoal};
+pub use clamp::{ClassClamp, LatencyTarget};
 pub use handle::RelayHandle;
 pub use ids::{ClassId, OrganisationId, WorkId};
 pub use limit::{ConcurrencyLimit, LimitEpoch, LimitSample};
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -1,4 +1,5 @@
-//! The relay's decisions under load: a model upstream under virtual time, open arrivals, fixed seeds.
+//! Simulations of the relay's decisions under load: a modelled upstream in virtual time, open-loop arrivals, fixed
+//! seeds.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,35 +16,35 @@
 use crate::settings::{LimitMode, QueueOrder};
 use crate::topology::{UpstreamEntry, VmEntry};
 
-/// Attempts per second, as a function of the time in seconds.
+/// Arrival rate in attempts per second, as a function of the time in seconds.
 type ArrivalRate = fn(f64) -> f64;
 
-/// One stream of arrivals.
+/// A stream of arrivals.
 #[derive(Debug, Clone, Copy)]
 struct LoadStream {
     organisation: u32,
     class: u32,
-    /// Attempts per second, as a function of the time in seconds.
+    /// Arrival rate in attempts per second.
     rate: ArrivalRate,
     /// Median service time in microseconds.
     service: f64,
-    /// Time until the deadline in microseconds.
+    /// Time from arrival to deadline in microseconds.
     within: u64,
 }
 
-/// What became of the attempts of one stream.
+/// Results of one stream.
 #[derive(Debug, Clone, Default)]
 struct StreamReport {
-    /// Microseconds from arrival to answer, of those answered in time.
+    /// Times from arrival to answer in microseconds, of the attempts answered before their deadline.
     latencies: Vec<u64>,
     arrived: usize,
-    /// Sent while every slot was taken.
-    beyond: usize,
+    /// Attempts sent while every slot was busy.
+    sent_to_busy_slots: usize,
     sent: usize,
 }
 
 impl StreamReport {
-    /// A latency in milliseconds; what got no answer in time counts as endless.
+    /// Returns a latency quantile in milliseconds. Attempts without an answer before their deadline count as infinite.
     fn quantile(&mut self, share: f64) -> f64 {
         self.latencies.sort_unstable();
         let rank = (self.arrived as f64 * share) as usize;
@@ -51,7 +52,7 @@
         latency.map_or(f64::INFINITY, |latency| *latency as f64 / 1e3)
     }
 
-    fn answered(&self) -> f64 {
+    fn share_answered(&self) -> f64 {
         self.latencies.len() as f64 / self.arrived as f64
     }
 }
@@ -72,7 +73,7 @@
     Tick,
 }
 
-struct PolicyBench {
+struct PolicySimulation {
     state: RelayState,
     topology: TopologyView,
     config: DeclaredConfig,
@@ -81,7 +82,7 @@
     streams: Vec<LoadStream>,
     reports: Vec<StreamReport>,
     now: u64,
-    /// What arrives too late to be decided by then is not counted.
+    /// End of the run in microseconds. Attempts whose deadline is later are not counted.
     ends: u64,
     events: BinaryHeap<Reverse<(u64, u64, PolicyEvent)>>,
     order: u64,
@@ -91,7 +92,7 @@
     actions: Vec<RelayAction>,
 }
 
-impl PolicyBench {
+impl PolicySimulation {
     fn new(switches: ExperimentSwitches, slots: usize, streams: Vec<LoadStream>) -> Self {
         let vm = "10.0.0.1".parse().unwrap();
         let zone: crate::ident::ZoneName = "zone-a".parse().unwrap();
@@ -167,8 +168,8 @@
             PolicyEvent::Arrive { stream } => self.arrive(stream),
             PolicyEvent::Opened { connection } => {
                 let connection = ConnectionId::from_u32(connection);
-                let sign = OpenSign::Ready;
-                let event = ConnectionEvent::Opened { sign };
+                let status = OpenStatus::Ready;
+                let event = ConnectionEvent::Opened { status };
                 self.state.connection_event(now, connection, event);
             }
             PolicyEvent::Answered {
@@ -257,7 +258,7 @@
         }
     }
 
-    /// First in, first out over the slots; one in a hundred takes ten times as long.
+    /// Serves attempts first in, first out over the slots; one in a hundred takes ten times as long.
     fn send(&mut self, connection: u32, work: u32) {
         let (stream, _) = self.works[&work];
         let normal: f64 = (0..12).map(|_| self.services.random::<f64>()).sum::<f64>() - 6.0;
@@ -269,7 +270,7 @@
         let taken = self.streams[stream].service * (normal * 0.3).exp() * straggler;
         let Reverse(free) = self.slots.pop().unwrap();
         self.reports[stream].sent += 1;
-        self.reports[stream].beyond += usize::from(free > self.now);
+        self.reports[stream].sent_to_busy_slots += usize::from(free > self.now);
         let done = u64::max(free, self.now) + taken as u64;
         self.slots.push(Reverse(done));
         let event = PolicyEvent::Answered {
@@ -285,11 +286,11 @@
     "10.1.0.1:80".parse().unwrap()
 }
 
-/// What the measurements compare with: order of arrival, and the connection share as the only limit.
+/// The baseline for comparison: order of arrival, limited only by the connection share.
 const BASELINE: (QueueOrder, LimitMode) = (QueueOrder::Arrival, LimitMode::Static);
 const POLICY: (QueueOrder, LimitMode) = (QueueOrder::Slack, LimitMode::Adaptive);
 
-/// Runs the streams on an upstream with two slots. `cargo test policy -- --nocapture` shows the figures.
+/// Runs the streams on an upstream with two slots. `cargo test policy -- --nocapture` prints the results.
 fn run_policy(
     (queue, limit): (QueueOrder, LimitMode),
     streams: &[LoadStream],
@@ -300,22 +301,22 @@
         limit,
         ..Default::default()
     };
-    let mut reports = PolicyBench::new(switches, 2, streams.to_vec()).run(seconds);
+    let mut reports = PolicySimulation::new(switches, 2, streams.to_vec()).run(seconds);
     for (number, report) in reports.iter_mut().enumerate() {
         println!(
             "{queue:?} {limit:?} stream {number}: p50 {:.1} ms, p99 {:.1} ms, in time {:.4}, goodput {:.1}/s, beyond {:.4}",
             report.quantile(0.5),
             report.quantile(0.99),
-            report.answered(),
+            report.share_answered(),
             report.latencies.len() as f64 / seconds as f64,
-            report.beyond as f64 / report.sent as f64,
+            report.sent_to_busy_slots as f64 / report.sent as f64,
         );
     }
     reports
 }
 
 #[gtest]
-fn organisation_that_wakes_spoils_no_other() {
+fn bursty_organisation_does_not_delay_others() {
     let steady = |organisation| LoadStream {
         organisation,
         class: 0,
@@ -331,14 +332,14 @@
     let baseline = run_policy(BASELINE, &streams, 60);
     let mut reports = run_policy(POLICY, &streams, 60);
     for number in 0..3 {
-        expect_that!(baseline[number].answered(), le(0.9));
-        expect_that!(reports[number].answered(), ge(0.999));
+        expect_that!(baseline[number].share_answered(), le(0.9));
+        expect_that!(reports[number].share_answered(), ge(0.999));
         expect_that!(reports[number].quantile(0.99), le(100.0));
     }
 }
 
 #[gtest]
-fn bulk_delays_no_lookup() {
+fn bulk_class_does_not_delay_lookups() {
     let lookup = LoadStream {
         organisation: 0,
         class: 0,
@@ -355,15 +356,16 @@
     };
     let baseline = run_policy(BASELINE, &[lookup, bulk], 60);
     let mut reports = run_policy(POLICY, &[lookup, bulk], 60);
-    expect_that!(baseline[0].answered(), le(0.95));
-    expect_that!(reports[0].answered(), ge(0.995));
+    expect_that!(baseline[0].share_answered(), le(0.95));
+    expect_that!(reports[0].share_answered(), ge(0.995));
     expect_that!(reports[0].quantile(0.99), le(60.0));
-    expect_that!(reports[1].answered(), ge(0.995));
+    expect_that!(reports[1].share_answered(), ge(0.995));
 }
 
-/// The idea of io.latency against the least slack alone. Printed, not asserted: docs/design/relay.md has the verdict.
+/// Compares the clamp with least slack alone. The results are printed and not asserted; docs/design/relay.md discusses
+/// them.
 #[gtest]
-fn clamp_is_compared() {
+fn compare_clamp_with_least_slack() {
     let lookup = |rate| LoadStream {
         organisation: 0,
         class: 0,
@@ -380,9 +382,9 @@
     };
     let loads: [ArrivalRate; 3] = [|_| 24.0, |_| 40.0, |_| 66.0];
     for rate in loads {
-        // Milliseconds of work per second over two slots; the mean is 1.14 times the median.
+        // Milliseconds of work per second, divided over two slots; the mean service time is 1.14 times the median.
         let load = (60.0 * 2.0 + rate(0.0) * 30.0) * 1.14 / 2_000.0;
-        // No clamp; judged by the classes' own 99th percentile; by the 90th, as in the original.
+        // Without the clamp; with targets for the 99th percentile of the classes; for the 90th, as in io.latency.
         for late_share in [None, Some(0.01), Some(0.1)] {
             let switches = ExperimentSwitches {
                 clamp: late_share.is_some(),
@@ -394,18 +396,18 @@
                     ..stream
                 };
                 let streams = vec![scaled(lookup(|_| 60.0)), scaled(bulk(rate))];
-                let mut bench = PolicyBench::new(switches, slots, streams);
+                let mut simulation = PolicySimulation::new(switches, slots, streams);
                 let late_share = late_share.unwrap_or_default();
-                bench
+                simulation
                     .state
-                    .set_goals(&[(100, late_share), (2_000, late_share)]);
-                for (number, report) in bench.run(120).iter_mut().enumerate() {
+                    .set_latency_targets(&[(100, late_share), (2_000, late_share)]);
+                for (number, report) in simulation.run(120).iter_mut().enumerate() {
                     println!(
                         "load {load:.2} slots {slots} clamp {late_share} stream {number}: p50 {:.1} p99 {:.1} p99.9 {:.1} ms, in time {:.4}",
                         report.quantile(0.5),
                         report.quantile(0.99),
                         report.quantile(0.999),
-                        report.answered()
+                        report.share_answered()
                     );
                 }
             }
@@ -414,7 +416,7 @@
 }
 
 #[gtest]
-fn overload_keeps_its_goodput() {
+fn goodput_is_stable_under_overload() {
     let stream = |rate| LoadStream {
         organisation: 0,
         class: 0,
@@ -423,7 +425,7 @@
         within: 150_000,
     };
     let mut peak = 0;
-    // 50, 80, 95, 130 and 200 % of what two slots can do.
+    // 50, 80, 95, 130 and 200 % of the capacity of two slots.
     let rates: [ArrivalRate; 5] = [|_| 119.0, |_| 190.0, |_| 226.0, |_| 309.0, |_| 476.0];
     for rate in rates {
         run_policy(BASELINE, &[stream(rate)], 30);
@@ -437,11 +439,11 @@
 }
 
 impl RelayState {
-    /// Gives the classes targets, in milliseconds and late share.
-    fn set_goals(&mut self, goals: &[(u64, f64)]) {
-        for (number, (latency, late_share)) in goals.iter().enumerate() {
+    /// Sets the latency targets of the classes, as milliseconds and allowed late share.
+    fn set_latency_targets(&mut self, latency_targets: &[(u64, f64)]) {
+        for (number, (latency, late_share)) in latency_targets.iter().enumerate() {
             let class = ClassId::from_u32(number as u32);
-            self.tables.goals[class] = Some(ClassGoal {
+            self.tables.latency_targets[class] = Some(LatencyTarget {
                 latency: Duration::from_millis(*latency),
                 late_share: *late_share,
             });
--- a/crates/ebonyfork/src/relay/pool.rs
+++ b/crates/ebonyfork/src/relay/pool.rs
@@ -1,42 +1,46 @@
-//! The connections to one upstream: how many there are, which are idle, when another may be opened.
+//! The connection pool of one upstream: which connections are open or idle, and when another may be opened.
 //!
-//! Never more than the share, those being opened included. The one used last goes first, so that the others may fall
-//! idle and close. Pure: what is to be opened and closed goes into the [`RelayTables`].
+//! The number of connections, including those being opened, never exceeds the share. The most recently used idle
+//! connection is taken first, so that the others can reach the idle limit and close. Pure: connections to open and
+//! close are issued as actions through the [`RelayTables`].
 
 use std::time::Duration;
 
 use crate::relay::action::{RelayAction, RelayTables};
 use crate::relay::ids::{ConnectionId, UpstreamId};
 
-/// An idle connection is closed after this time, before the usual upstream closes it under a request.
+/// An idle connection is closed after this time, before a typical upstream would close it while a request is being
+/// sent.
 pub(super) const IDLE_LIMIT: Duration = Duration::from_secs(4);
-/// First pause after a connection could not be opened; it doubles up to [`OPEN_PAUSE_LIMIT`].
-const OPEN_PAUSE: Duration = Duration::from_millis(10);
-const OPEN_PAUSE_LIMIT: Duration = Duration::from_secs(1);
+/// Initial backoff after a failed attempt to open a connection. It doubles up to [`MAX_OPEN_BACKOFF`].
+const OPEN_BACKOFF: Duration = Duration::from_millis(10);
+const MAX_OPEN_BACKOFF: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy)]
 struct IdleConnection {
     connection: ConnectionId,
-    since: Duration,
+    idle_since: Duration,
 }
 
 /// The connections to one upstream.
 #[derive(Debug)]
 pub(super) struct ConnectionPool {
     upstream: UpstreamId,
-    /// Most connections there may be.
+    /// Maximum number of connections.
     share: u32,
     idle: Vec<IdleConnection>,
-    /// Connections opened and not known to have ended.
+    /// Connections that were opened and whose end was not reported yet.
     open: u32,
     /// Connections being opened.
     opening: u32,
+    /// Consecutive failures to open a connection.
     failures: u32,
-    open_again: Duration,
+    /// No connection is opened before this time.
+    retry_at: Duration,
 }
 
 impl ConnectionPool {
-    /// Starts without connections, and without a share.
+    /// Creates a pool without connections and with a share of zero.
     pub(super) fn new(upstream: UpstreamId) -> Self {
         Self {
             upstream,
@@ -45,7 +49,7 @@
             open: 0,
             opening: 0,
             failures: 0,
-            open_again: Duration::ZERO,
+            retry_at: Duration::ZERO,
         }
     }
 
@@ -53,19 +57,19 @@
         self.share
     }
 
-    /// Connections open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub(super) fn total(&self) -> u32 {
         self.open + self.opening
     }
 
-    /// Connections that could take an attempt now.
+    /// Returns the number of idle connections.
     pub(super) fn idle(&self) -> usize {
         self.idle.len()
     }
 
-    /// Tells whether the upstream has just refused a connection and none is left.
+    /// Returns whether no connection is open and the last attempt to open one failed less than its backoff ago.
     pub(super) fn is_unreachable(&self, now: Duration) -> bool {
-        self.open == 0 && now < self.open_again
+        self.open == 0 && now < self.retry_at
     }
 
     /// Replaces the share and closes idle connections beyond it.
@@ -74,16 +78,16 @@
         self.close_surplus(tables);
     }
 
-    /// A connection is open.
+    /// Adds a connection that was opened, as idle.
     pub(super) fn opened(&mut self, now: Duration, connection: ConnectionId) {
         self.opening -= 1;
         self.open += 1;
         self.failures = 0;
-        self.open_again = now;
+        self.retry_at = now;
         self.put_back(now, connection);
     }
 
-    /// A connection could not be opened: no other is tried for a while.
+    /// Removes a connection that could not be opened, and starts the backoff.
     pub(super) fn open_failed(
         &mut self,
         now: Duration,
@@ -92,32 +96,36 @@
     ) {
         self.opening -= 1;
         tables.forget_connection(connection);
-        let pause = OPEN_PAUSE * (1 << u32::min(self.failures, 10));
+        let backoff = OPEN_BACKOFF * (1 << u32::min(self.failures, 10));
         self.failures += 1;
-        self.open_again = now + Duration::min(pause, OPEN_PAUSE_LIMIT);
+        self.retry_at = now + Duration::min(backoff, MAX_OPEN_BACKOFF);
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub(super) fn ended(&mut self, connection: ConnectionId, tables: &mut RelayTables) {
         self.idle.retain(|idle| idle.connection != connection);
         self.open -= 1;
         tables.forget_connection(connection);
     }
 
-    /// Takes the idle connection that was used last.
+    /// Takes the most recently used idle connection.
     pub(super) fn take(&mut self) -> Option<ConnectionId> {
         self.idle.pop().map(|idle| idle.connection)
     }
 
-    /// A connection is idle again.
+    /// Makes a connection idle again.
     pub(super) fn put_back(&mut self, now: Duration, connection: ConnectionId) {
-        let since = now;
-        self.idle.push(IdleConnection { connection, since });
+        let idle_since = now;
+        self.idle.push(IdleConnection {
+            connection,
+            idle_since,
+        });
     }
 
-    /// Opens connections until `wanted` are being opened, as far as the share allows.
+    /// Opens connections until `wanted` are being opened, within the share. Does nothing while a connection is idle or
+    /// during the backoff.
     pub(super) fn open_needed(&mut self, now: Duration, wanted: u32, tables: &mut RelayTables) {
-        if now < self.open_again || !self.idle.is_empty() {
+        if now < self.retry_at || !self.idle.is_empty() {
             return;
         }
         while self.opening < wanted && self.total() < self.share {
@@ -137,9 +145,9 @@
         }
     }
 
-    /// Closes what has been idle for long.
-    pub(super) fn close_unused(&mut self, now: Duration, tables: &mut RelayTables) {
-        let keep = |idle: &IdleConnection| idle.since + IDLE_LIMIT > now;
+    /// Closes connections that have reached the idle limit.
+    pub(super) fn close_timed_out(&mut self, now: Duration, tables: &mut RelayTables) {
+        let keep = |idle: &IdleConnection| idle.idle_since + IDLE_LIMIT > now;
         for idle in self.idle.iter().filter(|idle| !keep(idle)) {
             let connection = idle.connection;
             tables.actions.push(RelayAction::Close { connection });
@@ -147,7 +155,7 @@
         self.idle.retain(keep);
     }
 
-    /// Closes every idle connection.
+    /// Closes all idle connections.
     pub(super) fn close_idle(&mut self, tables: &mut RelayTables) {
         for IdleConnection { connection, .. } in self.idle.drain(..) {
             tables.actions.push(RelayAction::Close { connection });
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -1,16 +1,18 @@
 //! The queue of one upstream: least slack first, fair between organisations, bounded.
 //!
-//! Each organisation has a lane: a heap ordered by the latest time at which an attempt should start to be answered in
-//! time, its usual service time taken [`START_MARGIN`] times. A lane's *virtual time* grows by the expected cost of
-//! what it is served, and a lane that was empty starts at the queue's virtual time: an organisation that wakes owes
-//! nothing for the time it slept and is served at once, however long another's backlog is. Among the lanes that are
-//! within [`FAIR_QUANTUM`] of the one furthest behind, the attempt with the least slack goes first, so that urgency
-//! decides as long as nobody is ahead of its share.
+//! Each organisation has a lane: a heap ordered by the latest time at which an attempt should start in order to be
+//! answered before its deadline, assuming [`START_MARGIN`] times its usual service time. A lane's *virtual time*
+//! advances by the expected cost of each attempt taken from it. A lane that was empty resumes at the queue's virtual
+//! time, or at its own if that is later: an organisation is neither credited nor charged for the time that it was idle,
+//! and is then served promptly however long another's backlog is. Among the lanes within [`FAIR_QUANTUM`] of the lane
+//! with the least virtual time, the attempt with the least slack goes first. Urgency therefore decides as long as no
+//! organisation is ahead of its share.
 //!
-//! The least slack first is ruinous under overload if what has next to none is still sent: every slot then works on what
-//! will just miss. So an attempt that is past its latest start is given up at once while others wait that are not.
+//! Under overload, least slack first alone collapses: if attempts with almost no slack were still sent, every slot
+//! would work on attempts that just miss their deadlines. An attempt past its latest start is therefore dropped at once
+//! while enough other attempts wait to fill the free slots.
 //!
-//! Ids are dense, heaps and lanes are reused: in a steady state nothing is allocated.
+//! Ids are dense, and heaps and lanes are reused, so the steady state allocates nothing.
 
 use std::time::Duration;
 
@@ -20,42 +22,43 @@
 use crate::relay::ids::{ClassId, LaneId, OrganisationId, WorkId};
 use crate::settings::QueueOrder;
 
-/// Attempts that may wait for one upstream.
+/// Maximum number of attempts waiting for one upstream.
 pub const QUEUE_LIMIT: usize = 1_024;
-/// Attempts of one organisation that may wait for one upstream.
+/// Maximum number of attempts of one organisation waiting for one upstream.
 pub const ORGANISATION_LIMIT: usize = QUEUE_LIMIT / 2;
-/// How many attempts of mean cost an organisation may be ahead of another before urgency stops to count.
+/// How far an organisation's virtual time may be ahead of another's, in attempts of mean cost, before its attempts have
+/// to wait regardless of their urgency.
 pub const FAIR_QUANTUM: u64 = 4;
-/// Usual service times that an attempt should have left when it is sent.
+/// Number of usual service times that an attempt should have left before its deadline when it is sent.
 pub const START_MARGIN: u64 = 2;
-/// Lanes kept for organisations without a backlog.
-const IDLE_LANES: usize = 64;
+/// Number of lanes without a backlog from which on one is reused for another organisation.
+const IDLE_LANE_LIMIT: usize = 64;
 
-/// One attempt that waits.
+/// A waiting attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueEntry {
     /// The attempt.
     pub work: WorkId,
-    /// Whose it is.
+    /// The organisation that it belongs to.
     pub organisation: OrganisationId,
     /// Its class.
     pub class: ClassId,
-    /// When its caller stops waiting.
+    /// Time at which its caller stops waiting.
     pub deadline: Duration,
-    /// Expected time at the upstream; counts against the organisation's share.
+    /// Expected service time at the upstream; counts against the organisation's share.
     pub cost: Duration,
 }
 
-/// What became of an attempt that was pushed.
+/// Result of pushing an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PushResult {
-    /// It waits.
+    /// The attempt was queued and none was removed.
     Queued,
-    /// The queue is full: this attempt, perhaps the pushed one, was taken out and has to be refused.
+    /// The queue was full: this attempt, possibly the pushed one, was removed and has to be refused.
     Evicted(WorkId),
 }
 
-/// Where an attempt waits.
+/// Position of an attempt in the queue.
 #[derive(Debug, Clone, Copy, Default)]
 struct QueueSlot {
     lane: PackedOption<LaneId>,
@@ -64,7 +67,7 @@
 
 #[derive(Debug, Clone, Copy)]
 struct LaneEntry {
-    /// Latest start in microseconds (or zero), then order of arrival.
+    /// Latest start in microseconds, or zero in order of arrival; then the arrival number.
     key: (u64, u64),
     work: WorkId,
     class: ClassId,
@@ -79,7 +82,7 @@
     virtual_time: u64,
 }
 
-/// The attempts that wait for one upstream.
+/// The attempts waiting for one upstream.
 ///
 /// # Examples
 ///
@@ -120,7 +123,7 @@
 }
 
 impl RelayQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(order: QueueOrder) -> Self {
         Self {
             order,
@@ -136,20 +139,21 @@
         }
     }
 
-    /// Attempts that wait.
+    /// Returns the number of waiting attempts.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Tells whether nothing waits.
+    /// Returns whether no attempt waits.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Takes an attempt in. When that makes the queue too long, the attempt with the most slack of the longest backlog
-    /// is taken out, so that one organisation's backlog can't keep another's out.
+    /// Queues an attempt. If its lane becomes too long, the attempt with the most slack in that lane is removed; if the
+    /// whole queue becomes too long, that of the longest lane is, so that one organisation's backlog can't keep the
+    /// attempts of others out.
     pub fn push(&mut self, entry: QueueEntry) -> PushResult {
-        let lane = self.lane_of(entry.organisation);
+        let lane = self.lane_for(entry.organisation);
         if self.lanes[lane].heap.is_empty() {
             self.activate(lane);
         }
@@ -159,14 +163,14 @@
             mean => (mean * 15 + cost) / 16,
         };
         self.arrivals += 1;
-        let urgency = match self.order {
+        let latest_start = match self.order {
             QueueOrder::Slack => {
                 (entry.deadline.as_micros() as u64).saturating_sub(cost * START_MARGIN)
             }
             QueueOrder::Arrival => 0,
         };
         let stored = LaneEntry {
-            key: (urgency, self.arrivals),
+            key: (latest_start, self.arrivals),
             work: entry.work,
             class: entry.class,
             deadline: entry.deadline,
@@ -183,9 +187,9 @@
         PushResult::Queued
     }
 
-    /// Takes out what is to be sent next when `room` more may be sent; a lane whose head is of a class that `allows`
-    /// holds back waits. Attempts that are too late are taken out on the way: those whose deadline has passed, and those
-    /// past their latest start as long as others fill the room.
+    /// Removes and returns the next attempt to send, where `room` is the number that may be sent now. Skips a lane
+    /// while `allows` returns false for the class of its head. Attempts that are too late are moved to `expired`: those
+    /// past their deadline, and those past their latest start while at least `room` others wait.
     pub fn pop(
         &mut self,
         now: Duration,
@@ -208,7 +212,7 @@
         None
     }
 
-    /// Takes an attempt out; tells whether it was waiting.
+    /// Removes an attempt and returns whether it was waiting.
     pub fn cancel(&mut self, work: WorkId) -> bool {
         let slot = self.slots[work];
         let Some(lane) = slot.lane.expand() else {
@@ -218,19 +222,20 @@
         true
     }
 
-    /// Takes out every attempt whose deadline has passed.
+    /// Moves every attempt whose deadline has passed to `expired`. Those of a lane ordered by slack that are not at its
+    /// head may remain.
     pub fn drop_expired(&mut self, now: Duration, expired: &mut Vec<WorkId>) {
-        let mut number = 0;
-        while number < self.active.len() {
-            let lane = self.active[number];
-            self.drop_expired_of(lane, now, expired);
+        let mut index = 0;
+        while index < self.active.len() {
+            let lane = self.active[index];
+            self.drop_expired_in(lane, now, expired);
             if !self.lanes[lane].heap.is_empty() {
-                number += 1;
+                index += 1;
             }
         }
     }
 
-    /// Takes out everything.
+    /// Moves all attempts to `taken`.
     pub fn drain(&mut self, taken: &mut Vec<WorkId>) {
         while let Some(lane) = self.active.last().copied() {
             let work = self.lanes[lane].heap[0].work;
@@ -239,9 +244,9 @@
         }
     }
 
-    /// With attempts ordered by urgency the expired ones are nearly always at the head; in order of arrival they may
-    /// be anywhere.
-    fn drop_expired_of(&mut self, lane: LaneId, now: Duration, expired: &mut Vec<WorkId>) {
+    /// Drops the expired attempts of one lane. In a heap ordered by slack they are nearly always at the head, so only
+    /// the head is checked; in order of arrival they may be anywhere.
+    fn drop_expired_in(&mut self, lane: LaneId, now: Duration, expired: &mut Vec<WorkId>) {
         match self.order {
             QueueOrder::Slack => {
                 while let Some(head) = self.lanes[lane].heap.first().copied()
@@ -260,7 +265,7 @@
                     }
                     self.remove_at(lane, position);
                     expired.push(entry.work);
-                    // What moved here may have come from anywhere in the heap.
+                    // The entry swapped into this position may come from anywhere in the heap.
                     position = 0;
                 }
             }
@@ -274,8 +279,9 @@
         }
     }
 
-    /// The lane of an organisation; in order of arrival all share one.
-    fn lane_of(&mut self, organisation: OrganisationId) -> LaneId {
+    /// Returns the lane of an organisation, creating it if needed. In order of arrival all organisations share one
+    /// lane.
+    fn lane_for(&mut self, organisation: OrganisationId) -> LaneId {
         let organisation = match self.order {
             QueueOrder::Slack => organisation,
             QueueOrder::Arrival => OrganisationId::from_u32(0),
@@ -283,7 +289,7 @@
         if let Some(lane) = self.by_organisation[organisation].expand() {
             return lane;
         }
-        let lane = match self.spare_lane() {
+        let lane = match self.reclaim_lane() {
             Some(lane) => lane,
             None => self.lanes.push(QueueLane {
                 organisation,
@@ -298,19 +304,21 @@
         lane
     }
 
-    /// An idle lane whose organisation is not ahead of its share, so that forgetting it loses nothing.
-    fn spare_lane(&mut self) -> Option<LaneId> {
-        if self.idle.len() < IDLE_LANES {
+    /// Releases and returns an idle lane for reuse. Its organisation must not be ahead of its share: forgetting the
+    /// lane would otherwise discard what the organisation owes.
+    fn reclaim_lane(&mut self) -> Option<LaneId> {
+        if self.idle.len() < IDLE_LANE_LIMIT {
             return None;
         }
         let limit = self.virtual_time;
-        let spare = |lane: &LaneId| self.lanes[*lane].virtual_time <= limit;
-        let position = self.idle.iter().position(spare)?;
+        let reclaimable = |lane: &LaneId| self.lanes[*lane].virtual_time <= limit;
+        let position = self.idle.iter().position(reclaimable)?;
         let lane = self.idle.swap_remove(position);
         self.by_organisation[self.lanes[lane].organisation] = PackedOption::default();
         Some(lane)
     }
 
+    /// Marks a lane as having a backlog.
     fn activate(&mut self, lane: LaneId) {
         self.idle.retain(|other| *other != lane);
         self.active.push(lane);
@@ -318,6 +326,7 @@
         state.virtual_time = u64::max(state.virtual_time, self.virtual_time);
     }
 
+    /// Returns the lane whose head is sent next: the least slack among the lanes that are not ahead of their share.
     fn next_lane(&self, allows: &impl Fn(ClassId) -> bool) -> Option<LaneId> {
         let mut least = u64::MAX;
         for lane in self.active.iter().copied() {
@@ -345,7 +354,7 @@
         self.active.iter().copied().max_by_key(length)
     }
 
-    /// Takes out the attempt with the most slack. It is a leaf of the heap, so the first half needs no look.
+    /// Removes the attempt with the most slack. It is a leaf of the heap, so only the second half is searched.
     fn evict(&mut self, lane: LaneId) -> WorkId {
         let heap = &self.lanes[lane].heap;
         let mut worst = heap.len() - 1;
--- a/crates/ebonyfork/src/relay/queue_tests.rs
+++ b/crates/ebonyfork/src/relay/queue_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn order_of_arrival_is_the_baseline() {
+fn arrival_order_ignores_deadlines() {
     let mut queue = RelayQueue::new(QueueOrder::Arrival);
     for (work, deadline) in [(0, 90), (1, 10), (2, 50)] {
         queue.push(entry(work, work, deadline));
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn organisation_that_wakes_passes_the_backlog_of_another() {
+fn newly_active_organisation_overtakes_backlog_of_another() {
     let mut queue = RelayQueue::new(QueueOrder::Slack);
     for work in 0..400 {
         queue.push(entry(work, 0, 100));
@@ -44,7 +44,7 @@
     for _served in 0..50 {
         queue.pop(Duration::ZERO, 1, |_| true, &mut expired);
     }
-    // The one that wakes has more slack than the whole backlog, and yet waits for a few of its attempts only.
+    // The newly active organisation has more slack than the whole backlog, but waits for only a few of its attempts.
     for work in 1_000..1_010 {
         queue.push(entry(work, 1, 900));
     }
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn sleeping_earns_no_credit() {
+fn idle_organisation_earns_no_credit() {
     let mut queue = RelayQueue::new(QueueOrder::Slack);
     let mut expired = Vec::new();
     queue.push(entry(0, 1, 100));
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn backlog_of_one_organisation_keeps_no_other_out() {
+fn backlog_of_one_organisation_does_not_block_others() {
     let mut queue = RelayQueue::new(QueueOrder::Slack);
     let mut refused = Vec::new();
     for work in 0..QUEUE_LIMIT as u32 {
@@ -113,8 +113,8 @@
     prop::collection::vec(step, 0..300)
 }
 
-/// Runs the steps against a set of what has to be waiting: nothing is lost, nothing comes out twice, nothing expired is
-/// sent, and each attempt leaves in one way.
+/// Runs the steps against a reference set of the waiting attempts: no attempt is lost, comes out twice, or is sent
+/// after its deadline, and each leaves the queue in exactly one way.
 fn check_steps(order: QueueOrder, steps: &[QueueStep]) {
     let mut queue = RelayQueue::new(order);
     let mut waiting = BTreeSet::new();
--- a/crates/ebonyfork/src/relay/service.rs
+++ b/crates/ebonyfork/src/relay/service.rs
@@ -1,4 +1,4 @@
-//! How long an upstream takes: what its own outcomes have shown.
+//! Service times of an upstream, estimated from the answers to its attempts.
 
 use std::time::Duration;
 
@@ -6,16 +6,17 @@
 
 use crate::relay::ids::ClassId;
 
-/// Assumed before anything was measured.
-const FIRST_GUESS: Duration = Duration::from_millis(5);
-/// Weight of a new sample in a mean.
+/// Service time assumed before the first sample.
+const INITIAL_ESTIMATE: Duration = Duration::from_millis(5);
+/// Weight of a new sample in an exponentially weighted mean.
 const MEAN_WEIGHT: f64 = 1.0 / 32.0;
-/// Step of the median in log space, per sample.
+/// Step of the median estimate per sample, in log space.
 const MEDIAN_STEP: f64 = 0.02;
 
-/// Service times of one upstream, over all and by class.
+/// Service time estimates of one upstream, overall and per class.
 ///
-/// The estimates live in log space, where a straggler of ten times the usual is one moderate outlier.
+/// The estimates are logarithms of microseconds, in which a straggler of ten times the usual service time is only a
+/// moderate outlier.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
     classes: SecondaryMap<ClassId, Option<f64>>,
@@ -24,30 +25,31 @@
 }
 
 impl ServiceTimes {
-    /// Takes a sample in and returns its logarithm, freed from the difference between its class and all others.
+    /// Records a sample and returns its logarithm, adjusted for the difference between its class and the mean of all
+    /// classes.
     pub(super) fn record(&mut self, class: ClassId, served: Duration) -> f64 {
         let sample = log_micros(served);
         let median = self.median.get_or_insert(sample);
         *median += MEDIAN_STEP.copysign(sample - *median);
-        let class = follow(&mut self.classes[class], sample);
-        let all = follow(&mut self.mean, sample);
+        let class = update_mean(&mut self.classes[class], sample);
+        let all = update_mean(&mut self.mean, sample);
         sample - class + all
     }
 
-    /// Expected time of an attempt of a class.
+    /// Returns the expected service time of an attempt of a class.
     pub(super) fn expected(&self, class: ClassId) -> Duration {
         let known = self.classes[class].or(self.median);
-        known.map_or(FIRST_GUESS, from_log_micros)
+        known.map_or(INITIAL_ESTIMATE, from_log_micros)
     }
 
-    /// The median over all classes.
+    /// Returns the estimated median over all classes.
     pub(super) fn median(&self) -> Duration {
-        self.median.map_or(FIRST_GUESS, from_log_micros)
+        self.median.map_or(INITIAL_ESTIMATE, from_log_micros)
     }
 }
 
-/// Moves a mean towards a sample and returns what it was.
-fn follow(mean: &mut Option<f64>, sample: f64) -> f64 {
+/// Moves a mean towards a sample and returns its previous value.
+fn update_mean(mean: &mut Option<f64>, sample: f64) -> f64 {
     let mean = mean.get_or_insert(sample);
     let before = *mean;
     *mean += (sample - before) * MEAN_WEIGHT;
--- a/crates/ebonyfork/src/relay/settings.rs
+++ b/crates/ebonyfork/src/relay/settings.rs
@@ -1,4 +1,4 @@
-//! What a relay needs to know, and whom it tells.
+//! The settings of a relay, and the callbacks that connect it to the quarantine and the topology.
 
 use std::fmt;
 use std::sync::Arc;
@@ -27,7 +27,7 @@
     pub(super) report_loss: Arc<LossReport>,
     pub(super) standing: Arc<StandingCheck>,
     pub(super) report_answer: Arc<AnswerReport>,
-    pub(super) note_leaving: Arc<LeavingReport>,
+    pub(super) report_leaving: Arc<LeavingReport>,
 }
 
 impl fmt::Debug for RelaySettings {
@@ -41,7 +41,7 @@
 }
 
 impl RelaySettings {
-    /// Settings of the relay on one VM, without a quarantine.
+    /// Creates the settings of the relay on one VM, without a quarantine.
     pub fn new(vm: VmAddress, zone: ZoneName, views: NodeViews) -> Self {
         Self {
             vm,
@@ -52,7 +52,7 @@
             report_loss: Arc::new(|_loss| ()),
             standing: Arc::new(|_fingerprint| RequestStanding::Clear),
             report_answer: Arc::new(|_fingerprint, _flight| ()),
-            note_leaving: Arc::new(|_upstream| ()),
+            report_leaving: Arc::new(|_upstream| ()),
         }
     }
 
@@ -63,8 +63,8 @@
         self
     }
 
-    /// Asks `refuses` about each attempt before it is queued and again before it is sent, and tells `report_loss` of
-    /// connections that broke under attempts.
+    /// Calls `refuses` for each batch before it is queued and for each attempt before it is sent, and `report_loss`
+    /// when connections broke with attempts in flight.
     #[must_use]
     pub fn with_quarantine(
         mut self,
@@ -76,8 +76,8 @@
         self
     }
 
-    /// Asks `standing` about each attempt that comes in, sends suspects alone, and tells `report_answer` when one was
-    /// answered, with the time since it was sent.
+    /// Calls `standing` for each attempt when it is submitted and before it is sent, sends attempts of suspects alone,
+    /// and calls `report_answer` when one was answered with rows, with the time since it was sent.
     #[must_use]
     pub fn with_suspicion(
         mut self,
@@ -89,13 +89,13 @@
         self
     }
 
-    /// Tells `note` of each upstream that says it is leaving.
+    /// Calls `report` for each upstream that says it is leaving.
     #[must_use]
     pub fn with_leaving_sign(
         mut self,
-        note: impl Fn(UpstreamAddress) + Send + Sync + 'static,
+        report: impl Fn(UpstreamAddress) + Send + Sync + 'static,
     ) -> Self {
-        self.note_leaving = Arc::new(note);
+        self.report_leaving = Arc::new(report);
         self
     }
 }
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -1,4 +1,5 @@
-//! The decisions of a whole relay: which upstream an event concerns, and what the views say about it.
+//! The decision state of a whole relay: maps each event to its upstream and applies the topology and configuration
+//! views.
 
 use std::time::Duration;
 
@@ -9,21 +10,21 @@
 use crate::ident::{
     ClassName, OrganisationName, RequestFingerprint, SessionId, UpstreamAddress, VmAddress,
 };
-use crate::relay::action::{RelayAction, RelayTables, WorkOrder, WorkSuspicion};
-use crate::relay::clamp::ClassGoal;
+use crate::relay::action::{RelayAction, RelayTables, WorkItem, WorkSuspicion};
+use crate::relay::clamp::LatencyTarget;
 use crate::relay::ids::{ClassId, ConnectionId, OrganisationId, UpstreamId, WorkId};
 use crate::relay::message::{RefusalReason, UpstreamLoad};
-use crate::relay::upstream::{UpstreamAnswer, UpstreamState, UpstreamTerms};
+use crate::relay::upstream::{UpstreamAnswer, UpstreamParams, UpstreamState};
 use crate::settings::{ExperimentSwitches, OwnershipMode};
 use crate::topology::{TopologyView, connection_share, direct_share};
 
-/// Connections assumed for a service that no revision declares yet.
-const UNDECLARED_CONNECTIONS: u32 = 6;
+/// Connection limit assumed for a service that no configuration revision declares yet.
+const DEFAULT_CONNECTIONS: u32 = 6;
 
-/// Shares up to this one have no connection for cancelling.
-const CANCELLING_BEYOND: u32 = 2;
+/// Largest connection share from which no connection is reserved for cancellations.
+const MAX_SHARE_WITHOUT_CANCELLER: u32 = 2;
 
-/// Names one attempt: the peer's session, the query's number, the attempt's number.
+/// Identifies an attempt by the peer's session, the query number and the attempt number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct AttemptKey {
     pub(super) session: SessionId,
@@ -31,7 +32,7 @@
     pub(super) attempt: u32,
 }
 
-/// One attempt as it came in.
+/// An attempt as submitted by an entry.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WorkRequest {
     pub(super) key: AttemptKey,
@@ -43,58 +44,60 @@
     pub(super) suspicion: WorkSuspicion,
 }
 
-/// What an upstream says about itself on a fresh connection.
+/// What an upstream reports about itself on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum OpenSign {
-    /// Nothing speaks against sending.
+pub(super) enum OpenStatus {
+    /// The upstream accepts attempts.
     Ready,
-    /// It marks its answer as an upstream that is leaving does.
+    /// The answer carries the draining header: the upstream is leaving.
     Draining,
-    /// Its status says that it is leaving: a hint, because it lags and may be wrong.
-    SaysDraining,
+    /// The status body says that the upstream is leaving. This is only a hint, because the status lags and may be
+    /// wrong.
+    DrainingHint,
 }
 
-/// What a connection reports.
+/// An event on a connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum ConnectionEvent {
-    /// It is open and the upstream answers on it.
-    Opened { sign: OpenSign },
-    /// It could not be opened.
+    /// The connection is open and the upstream has answered the status call on it.
+    Opened { status: OpenStatus },
+    /// The connection could not be opened.
     OpenFailed,
-    /// The attempt never reached it; its end is reported apart.
+    /// The attempt was not sent on this connection; the end of the connection is reported separately.
     Unsent { work: WorkId },
-    /// The attempt's deadline passed.
+    /// The attempt's deadline passed while it was in flight.
     Overdue { work: WorkId },
     /// The attempt was answered.
     Answered {
         work: WorkId,
         answer: UpstreamAnswer,
     },
-    /// It broke under the attempt.
+    /// The connection broke while the attempt was in flight.
     Broken { work: WorkId },
-    /// It was closed from here because the attempt never came back.
+    /// The relay closed the connection because the attempt got no answer within the grace period after its deadline.
     Dropped { work: WorkId },
-    /// It ended while idle.
+    /// The connection ended while idle.
     Closed,
 }
 
-/// What the views say, as far as a relay needs it.
+/// The views that a relay reads.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ViewPair<'a> {
     pub(super) topology: &'a TopologyView,
     pub(super) config: &'a DeclaredConfig,
 }
 
-/// All that a relay decides on.
+/// The decision state of one relay.
 #[derive(Debug)]
 pub(super) struct RelayState {
     vm: VmAddress,
     switches: ExperimentSwitches,
     upstreams: PrimaryMap<UpstreamId, UpstreamState>,
-    /// Ids of upstreams that were forgotten.
-    spare: Vec<UpstreamId>,
+    /// Ids of removed upstreams, available for reuse.
+    free_upstreams: Vec<UpstreamId>,
     by_address: FxHashMap<UpstreamAddress, UpstreamId>,
     by_key: FxHashMap<AttemptKey, WorkId>,
+    /// Reverse of `by_key`.
     keys: FxHashMap<WorkId, AttemptKey>,
     organisations: FxHashMap<OrganisationName, OrganisationId>,
     classes: FxHashMap<ClassName, ClassId>,
@@ -107,7 +110,7 @@
             vm,
             switches,
             upstreams: PrimaryMap::new(),
-            spare: Vec::new(),
+            free_upstreams: Vec::new(),
             by_address: FxHashMap::default(),
             by_key: FxHashMap::default(),
             keys: FxHashMap::default(),
@@ -131,12 +134,13 @@
             return *class;
         }
         let class = ClassId::from_u32(self.classes.len() as u32);
-        self.tables.goals[class] = class_goal(config, name);
+        self.tables.latency_targets[class] = latency_target(config, name);
         self.classes.insert(name.clone(), class);
         class
     }
 
-    /// Takes an attempt in; none if the same one is already held. Its verdict is among the actions, now or later.
+    /// Accepts an attempt and returns its id, or `None` if an attempt with the same key is already held. Its verdict
+    /// follows as an action, from this call or a later one.
     pub(super) fn submit(
         &mut self,
         now: Duration,
@@ -147,7 +151,7 @@
             return None;
         }
         let upstream = self.upstream(now, views, request.upstream);
-        let work = self.tables.add_work(WorkOrder {
+        let work = self.tables.add_work(WorkItem {
             upstream,
             organisation: request.organisation,
             class: request.class,
@@ -163,47 +167,46 @@
         Some(work)
     }
 
-    /// Gives an attempt up; one that is no longer held is left alone.
+    /// Cancels an attempt. Does nothing if it is no longer held.
     pub(super) fn cancel(&mut self, now: Duration, key: AttemptKey) {
         let work = self.by_key.get(&key).copied();
-        let Some((work, order)) = work.and_then(|work| Some((work, self.tables.order(work)?)))
-        else {
+        let Some((work, item)) = work.and_then(|work| Some((work, self.tables.item(work)?))) else {
             return;
         };
-        self.upstreams[order.upstream].cancel(now, work, &mut self.tables);
+        self.upstreams[item.upstream].cancel(now, work, &mut self.tables);
         self.forget_released();
     }
 
-    /// An attempt that was to be sent is refused instead: it was not handed to its connection.
-    pub(super) fn withhold(&mut self, now: Duration, work: WorkId, reason: RefusalReason) {
-        let Some(order) = self.tables.order(work) else {
+    /// Refuses an attempt for which a [`RelayAction::Send`] was issued but which was not handed to its connection.
+    pub(super) fn refuse_unsent(&mut self, now: Duration, work: WorkId, reason: RefusalReason) {
+        let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[order.upstream].withhold(now, work, reason, &mut self.tables);
+        self.upstreams[item.upstream].refuse_unsent(now, work, reason, &mut self.tables);
         self.forget_released();
     }
 
-    /// An attempt that was to be sent has to wait until it can be sent alone.
+    /// Requeues an attempt for which a [`RelayAction::Send`] was issued, as a suspect that is sent alone.
     pub(super) fn isolate(&mut self, now: Duration, work: WorkId) {
-        let Some(order) = self.tables.order(work) else {
+        let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[order.upstream].isolate(now, work, &mut self.tables);
+        self.upstreams[item.upstream].isolate(now, work, &mut self.tables);
         self.forget_released();
     }
 
-    /// Tells whether an attempt is sent alone.
+    /// Returns whether an attempt belongs to a suspected request and is sent alone.
     pub(super) fn is_suspect(&self, work: WorkId) -> bool {
-        let order = self.tables.order(work);
-        order.is_some_and(|order| order.is_suspect())
+        let item = self.tables.item(work);
+        item.is_some_and(|item| item.is_suspect())
     }
 
-    /// An attempt that was to be sent found its connection gone.
+    /// Requeues an attempt for which a [`RelayAction::Send`] was issued but whose connection was gone.
     pub(super) fn unsent(&mut self, now: Duration, work: WorkId) {
-        let Some(order) = self.tables.order(work) else {
+        let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[order.upstream].unsent(now, work, &mut self.tables);
+        self.upstreams[item.upstream].unsent(now, work, &mut self.tables);
         self.forget_released();
     }
 
@@ -218,7 +221,7 @@
         };
         let (state, tables) = (&mut self.upstreams[upstream], &mut self.tables);
         match event {
-            ConnectionEvent::Opened { sign } => state.opened(now, connection, sign, tables),
+            ConnectionEvent::Opened { status } => state.opened(now, connection, status, tables),
             ConnectionEvent::OpenFailed => state.open_failed(now, connection, tables),
             ConnectionEvent::Unsent { work } => state.unsent(now, work, tables),
             ConnectionEvent::Overdue { work } => state.overdue(work, tables),
@@ -243,31 +246,32 @@
         self.upstreams.values().any(UpstreamState::needs_tick)
     }
 
-    /// Takes over changed views; an upstream that is no longer listed is forgotten once nothing is left there.
+    /// Applies changed views. An upstream that is no longer listed is removed once it has no attempts and no
+    /// connections.
     pub(super) fn apply_views(&mut self, now: Duration, views: ViewPair<'_>) {
         for (name, class) in &self.classes {
-            self.tables.goals[*class] = class_goal(views.config, name);
+            self.tables.latency_targets[*class] = latency_target(views.config, name);
         }
         let (upstreams, tables) = (&mut self.upstreams, &mut self.tables);
-        let (vm, switches, spare) = (self.vm, self.switches, &mut self.spare);
+        let (vm, switches, free_upstreams) = (self.vm, self.switches, &mut self.free_upstreams);
         self.by_address.retain(|address, upstream| {
             let state = &mut upstreams[*upstream];
-            state.apply(now, terms(vm, switches, views, *address), tables);
+            state.apply(now, params(vm, switches, views, *address), tables);
             let keep = views.topology.upstreams.contains_key(address) || !state.is_unused();
             if !keep {
-                spare.push(*upstream);
+                free_upstreams.push(*upstream);
             }
             keep
         });
         self.forget_released();
     }
 
-    /// The address of an upstream.
+    /// Returns the address of an upstream.
     pub(super) fn address(&self, upstream: UpstreamId) -> UpstreamAddress {
         self.upstreams[upstream].address()
     }
 
-    /// Tells whether the share leaves room for a connection that carries cancellations.
+    /// Returns whether the connection share includes one connection for cancellations.
     pub(super) fn may_cancel(&self, upstream: UpstreamId) -> bool {
         self.upstreams[upstream].may_cancel()
     }
@@ -284,7 +288,7 @@
             .collect()
     }
 
-    /// Connections open or being opened, to all upstreams.
+    /// Returns the number of connections that are open or being opened, over all upstreams.
     pub(super) fn connections(&self) -> u32 {
         self.upstreams
             .values()
@@ -292,7 +296,7 @@
             .sum()
     }
 
-    /// Attempts that wait, and attempts at the upstreams.
+    /// Returns the number of waiting attempts and the number of attempts in flight, over all upstreams.
     pub(super) fn occupancy(&self) -> (usize, usize) {
         let states = self.upstreams.values();
         states.fold((0, 0), |(queued, sent), state| {
@@ -300,7 +304,7 @@
         })
     }
 
-    /// What is to be done since the last call.
+    /// Moves the actions issued since the last call to `actions`.
     pub(super) fn take_actions(&mut self, actions: &mut Vec<RelayAction>) {
         actions.append(&mut self.tables.actions);
     }
@@ -314,12 +318,12 @@
         if let Some(upstream) = self.by_address.get(&address) {
             return *upstream;
         }
-        let spare = self.spare.pop();
-        let upstream = spare.unwrap_or_else(|| self.upstreams.next_key());
+        let reused = self.free_upstreams.pop();
+        let upstream = reused.unwrap_or_else(|| self.upstreams.next_key());
         let mut state = UpstreamState::new(upstream, address, self.switches);
-        let terms = terms(self.vm, self.switches, views, address);
-        state.apply(now, terms, &mut self.tables);
-        if spare.is_some() {
+        let params = params(self.vm, self.switches, views, address);
+        state.apply(now, params, &mut self.tables);
+        if reused.is_some() {
             self.upstreams[upstream] = state;
         } else {
             self.upstreams.push(state);
@@ -337,38 +341,38 @@
     }
 }
 
-/// What the declarations state for a class.
-fn class_goal(config: &DeclaredConfig, class: &ClassName) -> Option<ClassGoal> {
+/// Returns the latency target that the configuration declares for a class.
+fn latency_target(config: &DeclaredConfig, class: &ClassName) -> Option<LatencyTarget> {
     let target = config.classes.get(class)?;
-    Some(ClassGoal {
+    Some(LatencyTarget {
         latency: target.latency,
         late_share: 1.0 - target.percentile / 100.0,
     })
 }
 
-/// What the views say about one upstream.
-fn terms(
+/// Derives the parameters of one upstream from the views.
+fn params(
     vm: VmAddress,
     switches: ExperimentSwitches,
     views: ViewPair<'_>,
     address: UpstreamAddress,
-) -> UpstreamTerms {
+) -> UpstreamParams {
     let Some(entry) = views.topology.upstreams.get(&address) else {
-        return UpstreamTerms {
+        return UpstreamParams {
             share: 0,
             cancelling: false,
             leaving: true,
         };
     };
     let service = views.config.services.get(&entry.service);
-    let limit = service.map_or(UNDECLARED_CONNECTIONS, |service| service.connections);
+    let limit = service.map_or(DEFAULT_CONNECTIONS, |service| service.connections);
     let share = match switches.ownership {
         OwnershipMode::Owner => connection_share(views.topology, vm, address, limit),
         OwnershipMode::Direct => direct_share(views.topology, limit),
     };
-    // One connection of the share carries cancellations, if it leaves enough for the attempts.
-    let cancelling = u32::from(share > CANCELLING_BEYOND);
-    UpstreamTerms {
+    // One connection of the share is reserved for cancellations, if enough remain for attempts.
+    let cancelling = u32::from(share > MAX_SHARE_WITHOUT_CANCELLER);
+    UpstreamParams {
         share: share - cancelling,
         cancelling: cancelling == 1,
         leaving: entry.leaving,
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -14,18 +14,18 @@
 use crate::topology::{UpstreamEntry, VmEntry};
 
 const CONNECTIONS: u32 = 25;
-/// A third of the connections, without the one for cancelling.
+/// A third of the connections, minus the one for cancellations.
 const SHARE: usize = 7;
 
-/// The relay's decisions with connections played by the test.
-struct Bench {
+/// The relay's decision state, with connections simulated by the test.
+struct RelayFixture {
     state: RelayState,
     topology: TopologyView,
     config: DeclaredConfig,
     now: Duration,
     actions: Vec<RelayAction>,
     verdicts: BTreeMap<u64, ShardVerdict>,
-    numbers: BTreeMap<WorkId, u64>,
+    queries_by_work: BTreeMap<WorkId, u64>,
     opening: Vec<ConnectionId>,
     busy: Vec<(ConnectionId, WorkId)>,
     closing: Vec<ConnectionId>,
@@ -68,7 +68,7 @@
     }
 }
 
-impl Bench {
+impl RelayFixture {
     fn new(limit: LimitMode) -> Self {
         let mut config = DeclaredConfig::default();
         let name: crate::ident::ServiceName = "tender-00".parse().unwrap();
@@ -89,7 +89,7 @@
             now: Duration::ZERO,
             actions: Vec::new(),
             verdicts: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            queries_by_work: BTreeMap::new(),
             opening: Vec::new(),
             busy: Vec::new(),
             closing: Vec::new(),
@@ -131,7 +131,7 @@
             config: &self.config,
         };
         let work = self.state.submit(self.now, views, &request).unwrap();
-        self.numbers.insert(work, query);
+        self.queries_by_work.insert(work, query);
         self.run();
         query
     }
@@ -155,8 +155,8 @@
 
     fn open_all(&mut self) {
         while let Some(connection) = self.opening.pop() {
-            let sign = OpenSign::Ready;
-            self.report(connection, ConnectionEvent::Opened { sign });
+            let status = OpenStatus::Ready;
+            self.report(connection, ConnectionEvent::Opened { status });
         }
     }
 
@@ -175,7 +175,7 @@
         self.report(connection, ConnectionEvent::Broken { work });
     }
 
-    /// The attempt that is to be sent last has become a suspect in the meantime.
+    /// Marks the request of the last attempt to be sent as a suspect before the attempt reaches its connection.
     fn isolate(&mut self) {
         let Some((_connection, work)) = self.busy.pop() else {
             return;
@@ -214,7 +214,7 @@
             .iter()
             .filter(|(_, work)| self.state.is_suspect(*work));
         let alone = suspects.count() == 0 || self.busy.len() == 1;
-        assert!(alone, "a suspect in company");
+        assert!(alone, "a suspect was sent together with other attempts");
         assert!(self.state.connections() as usize == held);
     }
 
@@ -225,7 +225,7 @@
             RelayAction::Send {
                 connection, work, ..
             } => {
-                let query = self.numbers[&work];
+                let query = self.queries_by_work[&work];
                 assert!(
                     !self.verdicts.contains_key(&query),
                     "{query} sent after its verdict"
@@ -235,17 +235,17 @@
             }
             RelayAction::CancelSent { .. } => self.cancels += 1,
             RelayAction::Finish { work, verdict } => {
-                let query = self.numbers[&work];
-                let twin = self.verdicts.insert(query, verdict);
-                assert_eq!(twin, None, "{query} finished twice");
+                let query = self.queries_by_work[&work];
+                let previous = self.verdicts.insert(query, verdict);
+                assert_eq!(previous, None, "{query} finished twice");
             }
             RelayAction::ReportLoss(loss) => self.losses.push(loss),
             RelayAction::ReportAnswer { fingerprint, .. } => self.answered.push(fingerprint),
-            RelayAction::NoteLeaving(_) => {}
+            RelayAction::ReportLeaving(_) => {}
         }
     }
 
-    /// Lets everything come to its end.
+    /// Answers all attempts in flight and lets the remaining ones expire.
     fn finish(&mut self) {
         self.open_all();
         while !self.busy.is_empty() {
@@ -263,7 +263,7 @@
         within: u64,
     },
     Cancel(u64),
-    Opened(OpenSign),
+    Opened(OpenStatus),
     OpenFailed,
     Answered {
         verdict: ShardVerdict,
@@ -288,9 +288,9 @@
     let step = prop_oneof![
         12 => (0..4_u32, 0..300_u64).prop_map(|(organisation, within)| Step::Submit { organisation, within }),
         3 => (0..150_u64).prop_map(Step::Cancel),
-        6 => Just(Step::Opened(OpenSign::Ready)),
-        1 => Just(Step::Opened(OpenSign::Draining)),
-        1 => Just(Step::Opened(OpenSign::SaysDraining)),
+        6 => Just(Step::Opened(OpenStatus::Ready)),
+        1 => Just(Step::Opened(OpenStatus::Draining)),
+        1 => Just(Step::Opened(OpenStatus::DrainingHint)),
         1 => Just(Step::OpenFailed),
         8 => (verdict, prop::bool::weighted(0.02))
             .prop_map(|(verdict, draining)| Step::Answered { verdict, draining }),
@@ -306,7 +306,7 @@
     prop::collection::vec(step, 0..250)
 }
 
-fn apply_step(bench: &mut Bench, step: Step) {
+fn apply_step(fixture: &mut RelayFixture, step: Step) {
     match step {
         Step::Submit {
             organisation,
@@ -317,47 +317,47 @@
                 1 => WorkSuspicion::AfterLoss,
                 _ => WorkSuspicion::Clear,
             };
-            bench.submit_as(organisation, within, suspicion);
+            fixture.submit_as(organisation, within, suspicion);
         }
-        Step::Isolate if !bench.busy.is_empty() => bench.isolate(),
-        Step::Cancel(query) => bench.cancel(query),
-        Step::Opened(sign) => {
-            if let Some(connection) = bench.opening.pop() {
-                bench.report(connection, ConnectionEvent::Opened { sign });
+        Step::Isolate if !fixture.busy.is_empty() => fixture.isolate(),
+        Step::Cancel(query) => fixture.cancel(query),
+        Step::Opened(status) => {
+            if let Some(connection) = fixture.opening.pop() {
+                fixture.report(connection, ConnectionEvent::Opened { status });
             }
         }
         Step::OpenFailed => {
-            if let Some(connection) = bench.opening.pop() {
-                bench.report(connection, ConnectionEvent::OpenFailed);
+            if let Some(connection) = fixture.opening.pop() {
+                fixture.report(connection, ConnectionEvent::OpenFailed);
             }
         }
         Step::Closed => {
-            if let Some(connection) = bench.closing.pop() {
-                bench.report(connection, ConnectionEvent::Closed);
+            if let Some(connection) = fixture.closing.pop() {
+                fixture.report(connection, ConnectionEvent::Closed);
             }
         }
-        Step::Leaving(leaving) => bench.set_leaving(leaving),
-        Step::Tick(by) => bench.tick(by),
-        step if !bench.busy.is_empty() => apply_busy_step(bench, step),
+        Step::Leaving(leaving) => fixture.set_leaving(leaving),
+        Step::Tick(by) => fixture.tick(by),
+        step if !fixture.busy.is_empty() => apply_busy_step(fixture, step),
         _ => {}
     }
 }
 
-fn apply_busy_step(bench: &mut Bench, step: Step) {
-    let (connection, work) = bench.busy[0];
+fn apply_busy_step(fixture: &mut RelayFixture, step: Step) {
+    let (connection, work) = fixture.busy[0];
     match step {
-        Step::Answered { verdict, draining } => bench.answer(0, verdict, draining),
-        Step::Overdue => bench.report(connection, ConnectionEvent::Overdue { work }),
-        Step::Broken => bench.break_one(0),
+        Step::Answered { verdict, draining } => fixture.answer(0, verdict, draining),
+        Step::Overdue => fixture.report(connection, ConnectionEvent::Overdue { work }),
+        Step::Broken => fixture.break_one(0),
         Step::Dropped => {
-            bench.report(connection, ConnectionEvent::Overdue { work });
-            bench.busy.swap_remove(0);
-            bench.report(connection, ConnectionEvent::Dropped { work });
+            fixture.report(connection, ConnectionEvent::Overdue { work });
+            fixture.busy.swap_remove(0);
+            fixture.report(connection, ConnectionEvent::Dropped { work });
         }
         Step::Unsent => {
-            bench.busy.swap_remove(0);
-            bench.report(connection, ConnectionEvent::Unsent { work });
-            bench.report(connection, ConnectionEvent::Closed);
+            fixture.busy.swap_remove(0);
+            fixture.report(connection, ConnectionEvent::Unsent { work });
+            fixture.report(connection, ConnectionEvent::Closed);
         }
         _ => {}
     }
@@ -373,111 +373,114 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let run = |steps: Vec<Step>| {
-        let mut bench = Bench::new(LimitMode::Adaptive);
+        let mut fixture = RelayFixture::new(LimitMode::Adaptive);
         for step in steps {
-            apply_step(&mut bench, step);
+            apply_step(&mut fixture, step);
         }
-        bench.finish();
-        let finished: BTreeSet<u64> = bench.verdicts.keys().copied().collect();
-        assert_eq!(finished, (0..bench.submitted).collect());
-        assert_eq!(bench.state.occupancy(), (0, 0));
+        fixture.finish();
+        let finished: BTreeSet<u64> = fixture.verdicts.keys().copied().collect();
+        assert_eq!(finished, (0..fixture.submitted).collect());
+        assert_eq!(fixture.state.occupancy(), (0, 0));
         Ok(())
     };
     runner.run(&steps(), run).unwrap();
 }
 
 #[gtest]
-fn what_was_sent_is_never_called_not_run() {
-    let mut bench = Bench::new(LimitMode::Adaptive);
-    let (first, second) = (bench.submit(0, 100), bench.submit(0, 100));
-    let third = bench.submit(0, 100);
-    bench.open_all();
-    bench.cancel(first);
-    bench.cancel(third);
-    bench.break_one(1);
+fn sent_attempt_is_never_reported_as_not_run() {
+    let mut fixture = RelayFixture::new(LimitMode::Adaptive);
+    let (first, second) = (fixture.submit(0, 100), fixture.submit(0, 100));
+    let third = fixture.submit(0, 100);
+    fixture.open_all();
+    fixture.cancel(first);
+    fixture.cancel(third);
+    fixture.break_one(1);
     let failed = |reason| ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason,
     };
     expect_that!(
-        bench.verdicts[&first],
+        fixture.verdicts[&first],
         eq(&failed(FailureReason::Cancelled))
     );
-    expect_that!(bench.verdicts[&second], eq(&failed(FailureReason::Broken)));
+    expect_that!(
+        fixture.verdicts[&second],
+        eq(&failed(FailureReason::Broken))
+    );
     let cancelled = ShardVerdict::NotRun(RefusalReason::Cancelled);
-    expect_that!(bench.verdicts[&third], eq(&cancelled));
-    expect_that!(bench.cancels, eq(1));
+    expect_that!(fixture.verdicts[&third], eq(&cancelled));
+    expect_that!(fixture.cancels, eq(1));
 }
 
 #[gtest]
-fn upstream_that_leaves_gets_nothing_more() {
+fn leaving_upstream_gets_no_further_attempts() {
     for by_answer in [true, false] {
-        let mut bench = Bench::new(LimitMode::Adaptive);
-        let queries: Vec<u64> = (0..6).map(|_| bench.submit(0, 100)).collect();
-        bench.open_all();
-        let sent = bench.busy.len();
+        let mut fixture = RelayFixture::new(LimitMode::Adaptive);
+        let queries: Vec<u64> = (0..6).map(|_| fixture.submit(0, 100)).collect();
+        fixture.open_all();
+        let sent = fixture.busy.len();
         if by_answer {
-            bench.answer(0, rows(), true);
+            fixture.answer(0, rows(), true);
         } else {
-            bench.set_leaving(true);
+            fixture.set_leaving(true);
         }
         let leaving = ShardVerdict::NotRun(RefusalReason::Leaving);
-        let handed_back = bench
+        let handed_back = fixture
             .verdicts
             .values()
             .filter(|verdict| **verdict == leaving);
         expect_that!(handed_back.count(), eq(queries.len() - sent));
-        let late = bench.submit(0, 100);
-        expect_that!(bench.verdicts[&late], eq(&leaving));
+        let late = fixture.submit(0, 100);
+        expect_that!(fixture.verdicts[&late], eq(&leaving));
     }
 }
 
 #[gtest]
-fn upstream_that_is_gone_is_forgotten() {
-    let mut bench = Bench::new(LimitMode::Adaptive);
-    bench.submit(0, 100);
-    bench.open_all();
-    bench.topology = TopologyView::default();
+fn removed_upstream_is_dropped_once_unused() {
+    let mut fixture = RelayFixture::new(LimitMode::Adaptive);
+    fixture.submit(0, 100);
+    fixture.open_all();
+    fixture.topology = TopologyView::default();
     let views = ViewPair {
-        topology: &bench.topology,
-        config: &bench.config,
+        topology: &fixture.topology,
+        config: &fixture.config,
     };
-    bench.state.apply_views(bench.now, views);
-    expect_that!(bench.state.loads(bench.now).len(), eq(1));
-    bench.answer(0, rows(), false);
-    while let Some(connection) = bench.closing.pop() {
-        bench.report(connection, ConnectionEvent::Closed);
+    fixture.state.apply_views(fixture.now, views);
+    expect_that!(fixture.state.loads(fixture.now).len(), eq(1));
+    fixture.answer(0, rows(), false);
+    while let Some(connection) = fixture.closing.pop() {
+        fixture.report(connection, ConnectionEvent::Closed);
     }
-    bench.tick(5_000);
-    while let Some(connection) = bench.closing.pop() {
-        bench.report(connection, ConnectionEvent::Closed);
+    fixture.tick(5_000);
+    while let Some(connection) = fixture.closing.pop() {
+        fixture.report(connection, ConnectionEvent::Closed);
     }
     let views = ViewPair {
-        topology: &bench.topology,
-        config: &bench.config,
+        topology: &fixture.topology,
+        config: &fixture.config,
     };
-    bench.state.apply_views(bench.now, views);
-    expect_that!(bench.state.loads(bench.now).len(), eq(0));
+    fixture.state.apply_views(fixture.now, views);
+    expect_that!(fixture.state.loads(fixture.now).len(), eq(0));
 }
 
 #[gtest]
 fn connections_that_break_together_are_one_loss() {
-    let mut bench = Bench::new(LimitMode::Adaptive);
+    let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     for _query in 0..4 {
-        bench.submit(0, 100);
+        fixture.submit(0, 100);
     }
-    bench.open_all();
-    expect_that!(bench.busy.len(), eq(2));
-    bench.break_one(0);
-    expect_that!(bench.losses.len(), eq(0));
-    bench.break_one(0);
-    expect_that!(bench.losses.len(), eq(1));
-    expect_that!(bench.losses[0].in_flight.len(), eq(2));
+    fixture.open_all();
+    expect_that!(fixture.busy.len(), eq(2));
+    fixture.break_one(0);
+    expect_that!(fixture.losses.len(), eq(0));
+    fixture.break_one(0);
+    expect_that!(fixture.losses.len(), eq(1));
+    expect_that!(fixture.losses[0].in_flight.len(), eq(2));
 }
 
 #[gtest]
-fn suspects_are_sent_alone_in_turn_with_others() {
-    let mut bench = Bench::new(LimitMode::Adaptive);
+fn suspects_are_sent_alone_and_alternate_with_others() {
+    let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     let queries = [
         WorkSuspicion::AfterLoss,
         WorkSuspicion::Suspect,
@@ -485,49 +488,52 @@
         WorkSuspicion::Clear,
         WorkSuspicion::Clear,
     ]
-    .map(|suspicion| bench.submit_as(0, 100, suspicion));
-    bench.open_all();
-    let busy = |bench: &Bench| {
-        let numbers = bench.busy.iter().map(|(_, work)| bench.numbers[work]);
-        numbers.collect::<Vec<_>>()
+    .map(|suspicion| fixture.submit_as(0, 100, suspicion));
+    fixture.open_all();
+    let busy = |fixture: &RelayFixture| {
+        let queries_by_work = fixture
+            .busy
+            .iter()
+            .map(|(_, work)| fixture.queries_by_work[work]);
+        queries_by_work.collect::<Vec<_>>()
     };
-    expect_that!(busy(&bench), elements_are![eq(&queries[0])]);
-    bench.answer(0, rows(), false);
-    bench.open_all();
+    expect_that!(busy(&fixture), elements_are![eq(&queries[0])]);
+    fixture.answer(0, rows(), false);
+    fixture.open_all();
     expect_that!(
-        bench.answered,
+        fixture.answered,
         elements_are![eq(&RequestFingerprint(queries[0]))]
     );
-    expect_that!(busy(&bench).len(), eq(2));
-    bench.answer(0, rows(), false);
-    expect_that!(busy(&bench).len(), eq(1));
-    bench.answer(0, rows(), false);
-    expect_that!(busy(&bench), elements_are![eq(&queries[1])]);
-    bench.break_one(0);
-    bench.open_all();
-    expect_that!(bench.losses[0].in_flight.len(), eq(1));
-    expect_that!(bench.losses[0].in_flight[0].fingerprint.0, eq(queries[1]));
+    expect_that!(busy(&fixture).len(), eq(2));
+    fixture.answer(0, rows(), false);
+    expect_that!(busy(&fixture).len(), eq(1));
+    fixture.answer(0, rows(), false);
+    expect_that!(busy(&fixture), elements_are![eq(&queries[1])]);
+    fixture.break_one(0);
+    fixture.open_all();
+    expect_that!(fixture.losses[0].in_flight.len(), eq(1));
+    expect_that!(fixture.losses[0].in_flight[0].fingerprint.0, eq(queries[1]));
 }
 
 #[gtest]
-fn upstream_that_refuses_connections_refuses_at_once() {
-    let mut bench = Bench::new(LimitMode::Adaptive);
+fn unreachable_upstream_refuses_attempts_at_once() {
+    let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     for _query in 0..4 {
-        bench.submit(0, 100);
+        fixture.submit(0, 100);
     }
-    while let Some(connection) = bench.opening.pop() {
-        bench.report(connection, ConnectionEvent::OpenFailed);
+    while let Some(connection) = fixture.opening.pop() {
+        fixture.report(connection, ConnectionEvent::OpenFailed);
     }
     let unreachable = ShardVerdict::NotRun(RefusalReason::Unreachable);
     expect_that!(
-        bench
+        fixture
             .verdicts
             .values()
             .filter(|verdict| **verdict == unreachable)
             .count(),
         eq(4)
     );
-    bench.tick(2_000);
-    bench.submit(0, 100);
-    expect_that!(bench.opening.len(), eq(1));
+    fixture.tick(2_000);
+    fixture.submit(0, 100);
+    expect_that!(fixture.opening.len(), eq(1));
 }
--- a/crates/ebonyfork/src/relay/suspects.rs
+++ b/crates/ebonyfork/src/relay/suspects.rs
@@ -1,14 +1,15 @@
-//! Attempts of requests that are suspected of crashing upstreams: each is sent when nothing else is at the upstream. Pure.
+//! The waiting attempts of requests that are suspected of crashing upstreams. Each is sent only when nothing else is in
+//! flight at the upstream, so that a loss during that time can be attributed to it. Pure.
 //!
-//! If the upstream is lost while one of them is there, it alone is to blame. Between two suspects as many others pass as
-//! the upstream takes at a time, so that many suspects don't keep them out.
+//! Between two suspects, as many other attempts are sent as the concurrency limit allows at once, so that a large
+//! number of suspects does not block the regular queue.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::relay::ids::WorkId;
 
-/// Suspects that may wait at one upstream.
+/// Maximum number of suspects waiting at one upstream.
 const WAITING_LIMIT: usize = 64;
 
 #[derive(Debug, Clone, Copy)]
@@ -17,16 +18,16 @@
     deadline: Duration,
 }
 
-/// Suspects that wait at one upstream, in order of arrival.
+/// The suspects waiting at one upstream, in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct SuspectQueue {
     waiting: VecDeque<WaitingSuspect>,
-    /// Others that pass before the next suspect.
-    passing: u32,
+    /// Number of other attempts to send before the next suspect.
+    others_first: u32,
 }
 
 impl SuspectQueue {
-    /// Takes an attempt in; false if too many wait.
+    /// Adds an attempt. Returns false if the queue is full.
     pub(super) fn push(&mut self, work: WorkId, deadline: Duration) -> bool {
         if self.waiting.len() == WAITING_LIMIT {
             return false;
@@ -35,24 +36,25 @@
         true
     }
 
-    /// Tells whether the next attempt to be sent is a suspect; `alone` if no others wait.
+    /// Returns whether the next attempt to send is a suspect; `alone` means that no other attempts wait.
     pub(super) fn is_due(&self, alone: bool) -> bool {
-        !self.waiting.is_empty() && (alone || self.passing == 0)
+        !self.waiting.is_empty() && (alone || self.others_first == 0)
     }
 
-    /// Another attempt is sent.
-    pub(super) fn let_pass(&mut self) {
-        self.passing = self.passing.saturating_sub(1);
+    /// Records that another attempt was sent.
+    pub(super) fn note_other_sent(&mut self) {
+        self.others_first = self.others_first.saturating_sub(1);
     }
 
-    /// Takes the next attempt out, before `passing` others; those that have expired go to `expired`.
+    /// Removes and returns the next suspect; `others_first` is the number of other attempts to send before the one
+    /// after it. Suspects whose deadline has passed are moved to `expired`.
     pub(super) fn pop(
         &mut self,
         now: Duration,
-        passing: u32,
+        others_first: u32,
         expired: &mut Vec<WorkId>,
     ) -> Option<WorkId> {
-        self.passing = passing;
+        self.others_first = others_first;
         while let Some(suspect) = self.waiting.pop_front() {
             if suspect.deadline > now {
                 return Some(suspect.work);
@@ -62,14 +64,14 @@
         None
     }
 
-    /// Takes an attempt out that is no longer wanted; false if it does not wait here.
+    /// Removes an attempt and returns whether it was waiting.
     pub(super) fn cancel(&mut self, work: WorkId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|suspect| suspect.work != work);
         self.waiting.len() < before
     }
 
-    /// Moves those that have expired to `expired`.
+    /// Moves the attempts whose deadline has passed to `expired`.
     pub(super) fn drop_expired(&mut self, now: Duration, expired: &mut Vec<WorkId>) {
         self.waiting.retain(|suspect| {
             let keep = suspect.deadline > now;
@@ -80,7 +82,7 @@
         });
     }
 
-    /// Moves all to `taken`.
+    /// Moves all attempts to `taken`.
     pub(super) fn drain(&mut self, taken: &mut Vec<WorkId>) {
         taken.extend(self.waiting.drain(..).map(|suspect| suspect.work));
     }
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -1,182 +1,195 @@
-//! One trial of two neighbouring concurrency limits: a sequential test on the service times under both.
+//! One trial of two neighbouring concurrency limits: a sequential test on the log service times under both.
 
-/// Attempts sent for one block, per attempt in flight of the lower value.
+/// Attempts sent for one block, per attempt in flight under the lower value.
 const BLOCK_FACTOR: u32 = 4;
-const BLOCK_LEAST: u32 = 6;
-/// The last answers of a block, one in this many, are not waited for: under both values these are the stragglers.
-const TRIMMED_PART: u32 = 4;
-/// Logarithm of the odds at which a hypothesis is taken: about 15 to 1.
-const DECIDING_ODDS: f64 = 2.7;
-/// Evidence that is asked for however quiet the samples are, in cycles of full weight times two.
-const LEAST_EVIDENCE: f64 = 1.5;
-/// Cycles below which nothing is decided.
-const LEAST_CYCLES: u32 = 2;
-/// Least distance, in steps, that one cycle may count from the middle of the hypotheses; where samples are noisier, one
-/// standard deviation. An upstream that slows down within a cycle must not decide.
+/// Minimum number of attempts sent for one block.
+const MIN_BLOCK_SIZE: u32 = 6;
+/// A block ends without its last answers, one in this many: under either value these are the stragglers.
+const TRIM_DIVISOR: u32 = 4;
+/// Log odds at which a hypothesis is accepted: about 15 to 1.
+const DECISION_LOG_ODDS: f64 = 2.7;
+/// Minimum evidence for a decision, however small the variance, in steps. A cycle without noise adds half a step.
+const MIN_EVIDENCE: f64 = 1.5;
+/// Minimum number of cycles for a decision.
+const MIN_CYCLES: u32 = 2;
+/// Maximum distance, in steps, by which one cycle may deviate from the midpoint between the hypotheses; one standard
+/// deviation of a cycle where that is larger. The clamp keeps a slowdown of the upstream within a single cycle from
+/// deciding the trial.
 const CYCLE_CLAMP: f64 = 0.75;
-/// Variance of a cycle, in squared steps, from which no more evidence is asked for: certainty would take too long.
-const VARIANCE_LIMIT: f64 = 3.0;
-/// Cycles after which the sign of the evidence decides.
-const CYCLE_LIMIT: u32 = 60;
-/// Farthest that one sample counts from the centre of the previous block: a factor of four.
-const CLAMP: f64 = 1.386;
-
-/// What a trial has found about the higher value.
+/// Variance of a cycle, in squared steps, beyond which the required evidence no longer grows, because a decision would
+/// take too long.
+const MAX_VARIANCE: f64 = 3.0;
+/// Number of cycles after which the sign of the evidence decides.
+const MAX_CYCLES: u32 = 60;
+/// Maximum distance of one sample from the mean of the previous block, in log space: a factor of four.
+const SAMPLE_CLAMP: f64 = 1.386;
+
+/// The result of a trial for the higher value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TrialVerdict {
-    /// A slot was free for the further attempt.
+    /// A slot was free for the additional attempt.
     Free,
-    /// It only waited.
+    /// The additional attempt only waited.
     Saturated,
 }
 
+/// Count, sum and sum of squares of the samples in one block.
 #[derive(Debug, Clone, Copy, Default)]
 struct BlockSums {
     count: u32,
     sum: f64,
-    squares: f64,
+    sum_of_squares: f64,
 }
 
 impl BlockSums {
     fn add(&mut self, value: f64) {
         self.count += 1;
         self.sum += value;
-        self.squares += value * value;
+        self.sum_of_squares += value * value;
     }
 
     fn mean(&self) -> f64 {
         self.sum / f64::from(self.count)
     }
 
-    /// Sum of the squared distances from the mean.
-    fn scatter(&self) -> f64 {
-        self.squares - self.sum * self.mean()
+    /// Returns the sum of the squared deviations from the mean.
+    fn squared_deviations(&self) -> f64 {
+        self.sum_of_squares - self.sum * self.mean()
     }
 }
 
-/// A running trial. Its cycles are a block under each value, in the order low, high, high, low: what drifts slowly
-/// cancels out.
+/// A running trial. Each cycle has one block under each value, and the order is low, high, high, low, so that slow
+/// drift cancels out.
 #[derive(Debug, Clone)]
 pub(super) struct LimitTrial {
     low: u32,
     block: BlockSums,
-    /// Attempts sent for the running block whose answers are due or were taken.
+    /// Attempts sent for the current block that are in flight or were answered.
     sent: u32,
-    /// Mean of the cycle's first block.
-    first: Option<f64>,
-    high: bool,
+    /// Mean of the first block in the current cycle.
+    first_mean: Option<f64>,
+    /// Whether the current block is under the higher value.
+    at_high: bool,
     cycles: u32,
+    /// Sum of the clamped cycle differences, in steps from the midpoint between the hypotheses. Positive evidence means
+    /// saturation.
     evidence: f64,
+    /// Mean of the previous block, or the first sample: the value around which samples are clamped.
     centre: Option<f64>,
-    scatter: f64,
-    freedom: u32,
+    /// Squared deviations from the block means, summed over all blocks, and their degrees of freedom.
+    squared_deviations: f64,
+    degrees_of_freedom: u32,
 }
 
 impl LimitTrial {
-    /// Starts to compare `low` with one more.
+    /// Starts a trial of `low` against `low + 1`.
     pub(super) fn new(low: u32) -> Self {
         Self {
             low,
             block: BlockSums::default(),
             sent: 0,
-            first: None,
-            high: false,
+            first_mean: None,
+            at_high: false,
             cycles: 0,
             evidence: 0.0,
             centre: None,
-            scatter: 0.0,
-            freedom: 0,
+            squared_deviations: 0.0,
+            degrees_of_freedom: 0,
         }
     }
 
-    /// The lower value.
+    /// Returns the lower value.
     pub(super) fn low(&self) -> u32 {
         self.low
     }
 
-    /// The value under trial.
+    /// Returns the value of the current block.
     pub(super) fn value(&self) -> u32 {
-        self.low + u32::from(self.high)
+        self.low + u32::from(self.at_high)
     }
 
-    /// The value in force: the higher one only until enough was sent under it.
+    /// Returns the limit in force: the higher value only until enough attempts were sent for its block.
     pub(super) fn limit(&self) -> u32 {
-        self.low + u32::from(self.high && !self.is_full())
+        self.low + u32::from(self.at_high && !self.is_block_full())
     }
 
-    /// Tells whether enough was sent for the running block. What is sent later does not count: a block of the answers
-    /// that came first would be a block of the fast ones.
-    pub(super) fn is_full(&self) -> bool {
-        self.sent >= self.size()
+    /// Returns whether enough attempts were sent for the current block. Later attempts don't count: if they did, the
+    /// block would consist of whichever answers come back first, which are the fast ones.
+    pub(super) fn is_block_full(&self) -> bool {
+        self.sent >= self.block_size()
     }
 
-    /// Tells whether nothing was sent yet for the running block.
-    pub(super) fn is_fresh(&self) -> bool {
+    /// Returns whether no attempt was sent yet for the current block.
+    pub(super) fn is_block_empty(&self) -> bool {
         self.sent == 0
     }
 
-    /// Tells whether the higher value is under trial.
+    /// Returns whether the current block is under the higher value.
     pub(super) fn overshoots(&self) -> bool {
-        self.high
+        self.at_high
     }
 
-    /// An attempt was sent under the value.
+    /// Records that an attempt was sent for the current block.
     pub(super) fn note_sent(&mut self) {
         self.sent += 1;
     }
 
-    /// An attempt sent under the value brought no service time.
-    pub(super) fn note_lost(&mut self) {
+    /// Records that an attempt of the current block ended without a service time.
+    pub(super) fn record_lost(&mut self) {
         self.sent = self.sent.saturating_sub(1);
     }
 
-    /// Attempts to be sent for one block.
-    fn size(&self) -> u32 {
-        u32::max(self.low * BLOCK_FACTOR, BLOCK_LEAST)
+    /// Returns the number of attempts to send for one block.
+    fn block_size(&self) -> u32 {
+        u32::max(self.low * BLOCK_FACTOR, MIN_BLOCK_SIZE)
     }
 
-    /// Takes the logarithm of a service time, measured under the value in force.
-    pub(super) fn record(&mut self, level: f64) -> Option<TrialVerdict> {
-        let centre = *self.centre.get_or_insert(level);
+    /// Records the log service time of an attempt of the current block, and returns the verdict once the trial is
+    /// decided.
+    pub(super) fn record(&mut self, log_service_time: f64) -> Option<TrialVerdict> {
+        let centre = *self.centre.get_or_insert(log_service_time);
         self.block
-            .add((level - centre).clamp(-CLAMP, CLAMP) + centre);
-        let size = self.size();
-        let needed = size - size / TRIMMED_PART;
+            .add((log_service_time - centre).clamp(-SAMPLE_CLAMP, SAMPLE_CLAMP) + centre);
+        let block_size = self.block_size();
+        let needed = block_size - block_size / TRIM_DIVISOR;
         if self.block.count < needed {
             return None;
         }
         let block = std::mem::take(&mut self.block);
         self.sent = 0;
         self.centre = Some(block.mean());
-        self.scatter += block.scatter();
-        self.freedom += block.count - 1;
-        let Some(first) = self.first.take() else {
-            self.first = Some(block.mean());
-            self.high = !self.high;
+        self.squared_deviations += block.squared_deviations();
+        self.degrees_of_freedom += block.count - 1;
+        let Some(first_mean) = self.first_mean.take() else {
+            self.first_mean = Some(block.mean());
+            self.at_high = !self.at_high;
             return None;
         };
-        // The next cycle starts with the value that this one ends with.
-        let difference = if self.high {
-            block.mean() - first
+        // A cycle starts under the value with which the last one ended.
+        let difference = if self.at_high {
+            block.mean() - first_mean
         } else {
-            first - block.mean()
+            first_mean - block.mean()
         };
-        self.weigh(difference, f64::from(needed))
+        self.add_cycle(difference, f64::from(needed))
     }
 
-    /// Adds a cycle's difference to the evidence: 0 is expected with a free slot, `step` or more without. Under
-    /// saturation the further attempt waits for 1 / n of a service time; one that arrives at random waits for the first
-    /// of n residual times, 1 / (n + 1) in the mean, and that has to be enough.
-    fn weigh(&mut self, difference: f64, size: f64) -> Option<TrialVerdict> {
+    /// Adds the difference between a cycle's blocks to the evidence, and returns the verdict if that decides the trial.
+    /// The expected difference is 0 with a free slot and at least `step` without one: under saturation the additional
+    /// attempt waits for 1 / n of a service time, and if it arrives at a random moment, it waits for the first of n
+    /// residual times, 1 / (n + 1) on average. `step` assumes the smaller of the two.
+    fn add_cycle(&mut self, difference: f64, block_size: f64) -> Option<TrialVerdict> {
         let step = (1.0 + 1.0 / f64::from(self.low + 1)).ln();
-        let variance = self.scatter / f64::from(self.freedom) * 2.0 / size / (step * step);
-        let farthest = f64::max(CYCLE_CLAMP, variance.sqrt());
-        self.evidence += (difference / step - 0.5).clamp(-farthest, farthest);
+        let variance = self.squared_deviations / f64::from(self.degrees_of_freedom) * 2.0
+            / block_size
+            / (step * step);
+        let max_deviation = f64::max(CYCLE_CLAMP, variance.sqrt());
+        self.evidence += (difference / step - 0.5).clamp(-max_deviation, max_deviation);
         self.cycles += 1;
-        let noise = f64::min(variance, VARIANCE_LIMIT);
-        let needed = f64::max(DECIDING_ODDS * noise, LEAST_EVIDENCE);
-        let decided = self.evidence.abs() >= needed && self.cycles >= LEAST_CYCLES;
-        if !decided && self.cycles < CYCLE_LIMIT {
+        let noise = f64::min(variance, MAX_VARIANCE);
+        let needed = f64::max(DECISION_LOG_ODDS * noise, MIN_EVIDENCE);
+        let decided = self.evidence.abs() >= needed && self.cycles >= MIN_CYCLES;
+        if !decided && self.cycles < MAX_CYCLES {
             return None;
         }
         if self.evidence > 0.0 {
