--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -1,16 +1,17 @@
-//! The decisions about one upstream: what is sent when, on which connection, and what its answers mean for the rest.
+//! Scheduling of the attempts for one upstream: when each is sent, on which connection, and how answers and failures
+//! affect the rest.
 //!
-//! Pure: every function takes the time since the process started and puts what is to be done into an [`RelayTables`].
-//! Each attempt is finished exactly once: refused while it waits, or with the verdict of its sending. An attempt that
-//! was given up after it was sent still counts against the concurrency limit until the upstream lets go of it, so that
-//! what is in flight there is never underestimated.
+//! Pure: every function takes the time since process start and appends the resulting actions to a [`RelayTables`]. Each
+//! attempt gets exactly one verdict: a refusal while it waits, or the outcome of sending it. An attempt that was given
+//! up after it was sent still counts against the concurrency limit until the upstream answers or its connection ends,
+//! so that the number in flight is never underestimated.
 
 mod dispatch;
 
 use std::time::Duration;
 
 use crate::ident::UpstreamAddress;
-use crate::relay::action::{RelayAction, RelayTables, WorkOrder};
+use crate::relay::action::{RelayAction, RelayTables, WorkItem};
 use crate::relay::clamp::ClassClamp;
 use crate::relay::ids::{ConnectionId, UpstreamId, WorkId};
 use crate::relay::limit::{ConcurrencyLimit, LimitEpoch, LimitSample};
@@ -19,41 +20,42 @@
 use crate::relay::pool::ConnectionPool;
 use crate::relay::queue::{PushResult, QueueEntry, RelayQueue};
 use crate::relay::service::ServiceTimes;
-use crate::relay::state::OpenSign;
+use crate::relay::state::OpenStatus;
 use crate::relay::suspects::SuspectQueue;
 use crate::settings::ExperimentSwitches;
 
-/// How long an upstream that said it is draining gets nothing, unless the topology says more.
-const DRAIN_HOLD: Duration = Duration::from_secs(30);
-/// How long an upstream whose status says so gets nothing; then its status is asked again.
-const HINT_HOLD: Duration = Duration::from_secs(2);
+/// How long a draining upstream gets no attempts, unless the topology lists it as leaving.
+const DRAINING_HOLD: Duration = Duration::from_secs(30);
+/// How long an upstream whose status body says that it is draining gets no attempts; the next new connection asks for
+/// its status again.
+const DRAINING_HINT_HOLD: Duration = Duration::from_secs(2);
 
-/// What came back from an upstream for one attempt.
+/// An upstream's answer to one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct UpstreamAnswer {
     pub(super) verdict: ShardVerdict,
-    /// Whether it said that it is leaving.
+    /// Whether the answer carries the draining header.
     pub(super) draining: bool,
-    /// Time from the sending to the end of the answer.
+    /// Time from sending the request to the end of the answer.
     pub(super) served: Duration,
 }
 
-/// An attempt that is at the upstream.
+/// An attempt in flight at the upstream.
 #[derive(Debug, Clone, Copy)]
 struct SentWork {
     work: WorkId,
-    order: WorkOrder,
+    item: WorkItem,
     connection: ConnectionId,
-    /// Attempts that were there when it was sent, itself included.
+    /// Attempts in flight when this one was sent, itself included.
     in_flight: u32,
     epoch: LimitEpoch,
     /// When it was sent.
-    since: Duration,
-    /// Its verdict was given before the upstream let go of it.
+    sent_at: Duration,
+    /// Whether its verdict was already given because it was cancelled or overdue.
     given_up: bool,
 }
 
-/// What one VM knows and does about one upstream.
+/// The queue, limits, connections and attempts of one upstream.
 #[derive(Debug)]
 pub(super) struct UpstreamState {
     id: UpstreamId,
@@ -62,25 +64,29 @@
     suspects: SuspectQueue,
     limit: ConcurrencyLimit,
     service: ServiceTimes,
-    /// Depths of the classes, if looser ones are clamped.
+    /// Per-class depth limits, if the clamp experiment is on.
     clamp: Option<ClassClamp>,
     pool: ConnectionPool,
+    /// Whether one connection of the share carries cancellations.
     cancelling: bool,
     leaving: bool,
+    /// End of the period in which nothing is sent because the upstream itself said that it is draining.
     draining_until: Duration,
     sent: Vec<SentWork>,
+    /// The connections that broke within the current loss window.
     loss: Option<LossWindow>,
+    /// Buffer for attempts removed from the queues; empty between calls.
     taken: Vec<WorkId>,
 }
 
-/// What the views say about an upstream.
+/// The parameters of one upstream that are derived from the views.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct UpstreamTerms {
-    /// Connections that this VM may hold to it, the one for cancelling not counted.
+pub(super) struct UpstreamParams {
+    /// Connections to the upstream that this VM may hold for attempts, without the one for cancellations.
     pub(super) share: u32,
-    /// Whether there is one for cancelling.
+    /// Whether this VM may hold a further connection for cancellations.
     pub(super) cancelling: bool,
-    /// Whether it is leaving or unknown.
+    /// Whether the upstream is leaving or not in the topology.
     pub(super) leaving: bool,
 }
 
@@ -108,29 +114,34 @@
         }
     }
 
-    /// Takes over what the views say.
-    pub(super) fn apply(&mut self, now: Duration, terms: UpstreamTerms, tables: &mut RelayTables) {
-        self.cancelling = terms.cancelling;
-        self.leaving = terms.leaving;
-        self.limit.set_share(terms.share);
-        self.pool.set_share(terms.share, tables);
-        if terms.leaving {
+    /// Applies parameters derived from changed views.
+    pub(super) fn apply(
+        &mut self,
+        now: Duration,
+        params: UpstreamParams,
+        tables: &mut RelayTables,
+    ) {
+        self.cancelling = params.cancelling;
+        self.leaving = params.leaving;
+        self.limit.set_share(params.share);
+        self.pool.set_share(params.share, tables);
+        if params.leaving {
             self.pool.close_idle(tables);
         }
         self.dispatch(now, tables);
     }
 
-    /// Takes an attempt in, or refuses it at once.
+    /// Queues an attempt or refuses it at once.
     pub(super) fn submit(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(order) = tables.order(work) else {
+        let Some(item) = tables.item(work) else {
             return;
         };
-        if let Some(reason) = self.refusal(now, &order) {
+        if let Some(reason) = self.refusal(now, &item) {
             tables.refuse(work, reason);
             return;
         }
-        if order.is_suspect() {
-            if !self.suspects.push(work, order.deadline) {
+        if item.is_suspect() {
+            if !self.suspects.push(work, item.deadline) {
                 tables.refuse(work, RefusalReason::QueueFull);
             }
             self.dispatch(now, tables);
@@ -138,10 +149,10 @@
         }
         let entry = QueueEntry {
             work,
-            organisation: order.organisation,
-            class: order.class,
-            deadline: order.deadline,
-            cost: self.service.expected(order.class),
+            organisation: item.organisation,
+            class: item.class,
+            deadline: item.deadline,
+            cost: self.service.expected(item.class),
         };
         if let PushResult::Evicted(evicted) = self.queue.push(entry) {
             tables.refuse(evicted, RefusalReason::QueueFull);
@@ -149,11 +160,12 @@
         self.dispatch(now, tables);
     }
 
-    fn refusal(&self, now: Duration, order: &WorkOrder) -> Option<RefusalReason> {
+    /// Returns why an attempt can't be queued now, if there is a reason.
+    fn refusal(&self, now: Duration, item: &WorkItem) -> Option<RefusalReason> {
         if self.is_leaving(now) {
             return Some(RefusalReason::Leaving);
         }
-        if order.deadline <= now {
+        if item.deadline <= now {
             return Some(RefusalReason::Expired);
         }
         if self.pool.share() == 0 {
@@ -165,7 +177,7 @@
         None
     }
 
-    /// The entry no longer wants an attempt.
+    /// Cancels an attempt that its entry no longer wants.
     pub(super) fn cancel(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
         if self.queue.cancel(work) || self.suspects.cancel(work) {
             tables.refuse(work, RefusalReason::Cancelled);
@@ -175,11 +187,12 @@
         self.dispatch(now, tables);
     }
 
-    /// The deadline of an attempt passed while it was at the upstream.
+    /// Gives up an attempt whose deadline passed while it was in flight.
     pub(super) fn overdue(&mut self, work: WorkId, tables: &mut RelayTables) {
         self.give_up(work, FailureReason::Timeout, tables);
     }
 
+    /// Gives an in-flight attempt its verdict before the upstream answers, and asks the upstream to cancel it.
     fn give_up(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
         let Some(sent) = self.sent.iter_mut().find(|sent| sent.work == work) else {
             return;
@@ -195,27 +208,27 @@
         tables.fail(work, reason);
     }
 
-    /// A connection is open.
+    /// Handles a connection that was opened.
     pub(super) fn opened(
         &mut self,
         now: Duration,
         connection: ConnectionId,
-        sign: OpenSign,
+        status: OpenStatus,
         tables: &mut RelayTables,
     ) {
         self.pool.opened(now, connection);
-        match sign {
-            OpenSign::Ready => {}
-            OpenSign::Draining => self.note_draining(now, tables),
-            OpenSign::SaysDraining => {
-                self.draining_until = now + HINT_HOLD;
+        match status {
+            OpenStatus::Ready => {}
+            OpenStatus::Draining => self.mark_draining(now, tables),
+            OpenStatus::DrainingHint => {
+                self.draining_until = now + DRAINING_HINT_HOLD;
                 self.pool.close_idle(tables);
             }
         }
         self.dispatch(now, tables);
     }
 
-    /// A connection could not be opened; nothing was sent on it.
+    /// Handles a connection that could not be opened; nothing was sent on it.
     pub(super) fn open_failed(
         &mut self,
         now: Duration,
@@ -224,11 +237,11 @@
     ) {
         self.pool.open_failed(now, connection, tables);
         if self.pool.total() == 0 {
-            self.hand_back(RefusalReason::Unreachable, tables);
+            self.refuse_queued(RefusalReason::Unreachable, tables);
         }
     }
 
-    /// An idle connection ended.
+    /// Handles the end of an idle connection.
     pub(super) fn closed(
         &mut self,
         now: Duration,
@@ -239,7 +252,7 @@
         self.dispatch(now, tables);
     }
 
-    /// An attempt that was to be sent never reached the connection: it waits again.
+    /// Requeues an attempt that did not reach its connection.
     pub(super) fn unsent(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
         let Some(sent) = self.take_unanswered(work) else {
             return;
@@ -251,8 +264,8 @@
         self.submit(now, work, tables);
     }
 
-    /// An attempt was not handed to its connection after all; it is refused and the connection is free.
-    pub(super) fn withhold(
+    /// Refuses an attempt that was not handed to its connection; the connection becomes idle again.
+    pub(super) fn refuse_unsent(
         &mut self,
         now: Duration,
         work: WorkId,
@@ -267,7 +280,8 @@
         self.dispatch(now, tables);
     }
 
-    /// An attempt was not handed to its connection, because it has become a suspect: it waits to be sent alone.
+    /// Requeues an attempt that was not handed to its connection because its request has become a suspect; it is sent
+    /// alone later.
     pub(super) fn isolate(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
         let Some(sent) = self.take_unanswered(work) else {
             return;
@@ -278,11 +292,11 @@
             self.dispatch(now, tables);
             return;
         }
-        tables.suspect(work);
+        tables.mark_suspect(work);
         self.submit(now, work, tables);
     }
 
-    /// An attempt was answered; the connection is free.
+    /// Handles the answer to an attempt; its connection becomes idle again.
     pub(super) fn answered(
         &mut self,
         now: Duration,
@@ -294,18 +308,18 @@
             return;
         };
         self.pool.put_back(now, sent.connection);
-        self.learn(now, &sent, &answer);
+        self.record_answer(now, &sent, &answer);
         if !sent.given_up {
-            note_spent(&mut self.clamp, now, &sent.order, tables);
+            record_time_spent(&mut self.clamp, now, &sent.item, tables);
         }
-        if sent.order.is_suspect() && matches!(answer.verdict, ShardVerdict::Rows { .. }) {
+        if sent.item.is_suspect() && matches!(answer.verdict, ShardVerdict::Rows { .. }) {
             tables.actions.push(RelayAction::ReportAnswer {
-                fingerprint: sent.order.fingerprint,
-                flight: now.saturating_sub(sent.since),
+                fingerprint: sent.item.fingerprint,
+                flight: now.saturating_sub(sent.sent_at),
             });
         }
         if answer.draining {
-            self.note_draining(now, tables);
+            self.mark_draining(now, tables);
         }
         if !sent.given_up {
             tables.finish(work, answer.verdict);
@@ -315,7 +329,7 @@
         self.dispatch(now, tables);
     }
 
-    /// The connection broke under an attempt.
+    /// Handles a connection that broke while an attempt was in flight on it.
     pub(super) fn broken(
         &mut self,
         now: Duration,
@@ -324,14 +338,15 @@
         tables: &mut RelayTables,
     ) {
         self.pool.ended(connection, tables);
-        // The others most likely lead to the same lost process; what is sent on them would break without having run.
+        // The idle connections most likely lead to the same lost process: an attempt sent on them would break as well,
+        // without having run.
         self.pool.close_idle(tables);
         if let Some(sent) = self.take_unanswered(work) {
             if !sent.given_up {
                 tables.fail(work, FailureReason::Broken);
             }
             tables.release(work);
-            self.note_loss(now, &sent, tables);
+            self.record_loss(now, &sent, tables);
         }
         if self.sent.is_empty() {
             self.limit.restart(now);
@@ -339,7 +354,7 @@
         self.dispatch(now, tables);
     }
 
-    /// The connection was closed from here because an attempt that was given up never came back.
+    /// Handles a connection that the relay closed because an attempt that was given up got no answer.
     pub(super) fn dropped(
         &mut self,
         now: Duration,
@@ -354,47 +369,49 @@
         self.dispatch(now, tables);
     }
 
-    /// Does what is due by time alone.
+    /// Does the work that depends on time alone.
     pub(super) fn tick(&mut self, now: Duration, tables: &mut RelayTables) {
         self.queue.drop_expired(now, &mut self.taken);
         self.suspects.drop_expired(now, &mut self.taken);
         self.refuse_expired(now, tables);
         if let Some(clamp) = &mut self.clamp {
-            clamp.advance(now, self.limit.settled(), |class| tables.goals[class]);
+            clamp.advance(now, self.limit.settled(), |class| {
+                tables.latency_targets[class]
+            });
         }
         if self.loss.as_ref().is_some_and(|window| window.is_over(now)) {
             self.report_loss(now, tables);
         }
-        self.pool.close_unused(now, tables);
+        self.pool.close_timed_out(now, tables);
         self.dispatch(now, tables);
     }
 
-    /// Tells whether time alone may bring something to do.
+    /// Returns whether [`Self::tick`] may have work to do.
     pub(super) fn needs_tick(&self) -> bool {
         self.queued() > 0 || self.pool.idle() > 0 || self.loss.is_some()
     }
 
-    /// Tells whether nothing waits, runs or is connected.
+    /// Returns whether there are no attempts and no connections.
     pub(super) fn is_unused(&self) -> bool {
         self.queued() == 0 && self.sent.is_empty() && self.connections() == 0
     }
 
-    /// Attempts that wait.
+    /// Returns the number of waiting attempts.
     pub(super) fn queued(&self) -> usize {
         self.queue.len() + self.suspects.len()
     }
 
-    /// Attempts at the upstream, those given up included.
+    /// Returns the number of attempts in flight, including those given up.
     pub(super) fn in_flight(&self) -> usize {
         self.sent.len()
     }
 
-    /// Connections open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub(super) fn connections(&self) -> u32 {
         self.pool.total()
     }
 
-    /// What entries are told about it.
+    /// Returns the load that is reported to entries.
     pub(super) fn load(&self, now: Duration) -> UpstreamLoad {
         let limit = u32::max(1, self.limit.settled());
         let service = self.service.median();
@@ -421,10 +438,10 @@
         self.leaving || now < self.draining_until
     }
 
-    /// Takes out an attempt whose service time stays unknown.
+    /// Removes an attempt that ended without a service time.
     fn take_unanswered(&mut self, work: WorkId) -> Option<SentWork> {
         let sent = self.take_sent(work)?;
-        self.limit.note_lost(sent.epoch, sent.in_flight);
+        self.limit.record_lost(sent.epoch, sent.in_flight);
         Some(sent)
     }
 
@@ -433,10 +450,11 @@
         Some(self.sent.swap_remove(position))
     }
 
-    fn learn(&mut self, now: Duration, sent: &SentWork, answer: &UpstreamAnswer) {
+    /// Updates the service times and the concurrency limit from an answer.
+    fn record_answer(&mut self, now: Duration, sent: &SentWork, answer: &UpstreamAnswer) {
         match answer.verdict {
             ShardVerdict::Rows { .. } => {
-                let level = self.service.record(sent.order.class, answer.served);
+                let level = self.service.record(sent.item.class, answer.served);
                 let sample = LimitSample {
                     epoch: sent.epoch,
                     in_flight: sent.in_flight,
@@ -448,23 +466,25 @@
             ShardVerdict::NotRun(RefusalReason::Shed) if !sent.given_up && !answer.draining => {
                 self.limit.shed(now, sent.epoch);
             }
-            _ => self.limit.note_lost(sent.epoch, sent.in_flight),
+            _ => self.limit.record_lost(sent.epoch, sent.in_flight),
         }
     }
 
-    fn note_draining(&mut self, now: Duration, tables: &mut RelayTables) {
+    /// Stops sending after the upstream said that it is draining.
+    fn mark_draining(&mut self, now: Duration, tables: &mut RelayTables) {
         if self.draining_until <= now {
             let address = self.address;
-            tables.actions.push(RelayAction::NoteLeaving(address));
+            tables.actions.push(RelayAction::ReportLeaving(address));
         }
-        self.draining_until = now + DRAIN_HOLD;
+        self.draining_until = now + DRAINING_HOLD;
         self.pool.close_idle(tables);
     }
 
-    /// Gathers what broke at about the same time, and reports it as soon as nothing is left that could belong to it.
-    fn note_loss(&mut self, now: Duration, sent: &SentWork, tables: &mut RelayTables) {
+    /// Adds a broken connection to the current loss window. The loss is reported at once if nothing else is in flight,
+    /// because then nothing more can belong to it.
+    fn record_loss(&mut self, now: Duration, sent: &SentWork, tables: &mut RelayTables) {
         let window = self.loss.get_or_insert_with(|| LossWindow::new(now));
-        window.add(sent.order.lost_request(), sent.since);
+        window.add(sent.item.lost_request(), sent.sent_at);
         if self.sent.is_empty() {
             self.report_loss(now, tables);
         }
@@ -478,15 +498,15 @@
     }
 }
 
-/// Tells the clamp, if there is one, what an attempt has spent here.
-fn note_spent(
+/// Records in the clamp, if there is one, the time that an attempt has spent at this upstream.
+fn record_time_spent(
     clamp: &mut Option<ClassClamp>,
     now: Duration,
-    order: &WorkOrder,
+    item: &WorkItem,
     tables: &RelayTables,
 ) {
-    let goal = tables.goals[order.class];
-    if let (Some(clamp), Some(goal)) = (clamp, goal) {
-        clamp.record(order.class, goal, now.saturating_sub(order.arrived));
+    let target = tables.latency_targets[item.class];
+    if let (Some(clamp), Some(target)) = (clamp, target) {
+        clamp.record(item.class, target, now.saturating_sub(item.arrived));
     }
 }
