--- a/crates/ebonyfork/src/quarantine/entry.rs
+++ b/crates/ebonyfork/src/quarantine/entry.rs
@@ -1,4 +1,4 @@
-//! What the quarantine tells the rest of a process, and what it is told.
+//! The types that the quarantine exchanges with the rest of the process.
 
 use std::time::Duration;
 
@@ -6,30 +6,31 @@
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
 
-/// What a request may do.
+/// How a request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestStanding {
-    /// It runs.
+    /// The request runs normally.
     Clear,
-    /// It runs, but at no upstream where another suspect is in flight, and for one upstream at a time.
+    /// The request runs, but only at an upstream where no other suspect is in flight, and at one upstream at a time.
     Suspect,
-    /// It is refused.
+    /// The request is refused.
     Quarantined,
 }
 
-/// A request that was in flight at an upstream when that was lost.
+/// A request that was in flight at an upstream when the upstream was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LostRequest {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// How long before the loss it was sent.
+    /// Time from sending the request to the loss.
     pub flight: Duration,
-    /// Whether it was sent in the knowledge that it had lost an upstream before, whatever this table has heard.
+    /// Whether the sender already knew that the request had lost an upstream. It counts as a repeated loss even if this
+    /// table has not heard of the earlier one.
     pub after_loss: bool,
 }
 
 impl LostRequest {
-    /// A request that was sent `flight` before the loss.
+    /// Creates the entry for a request that was sent `flight` before the loss.
     pub fn new(fingerprint: RequestFingerprint, flight: Duration) -> Self {
         Self {
             fingerprint,
@@ -39,33 +40,33 @@
     }
 }
 
-/// A change that the table has decided.
+/// A change in how a request is treated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineDecision {
-    /// The request runs alone from now on.
+    /// The request runs in isolation from now on.
     Suspect(RequestFingerprint),
     /// The request is refused from now on.
     Quarantine {
         /// The request.
         fingerprint: RequestFingerprint,
-        /// Whether other requests could have caused the losses just as well.
+        /// Whether other requests could equally have caused the losses.
         ambiguous: bool,
     },
-    /// The request runs as any other again.
+    /// The request runs normally again.
     Clear(RequestFingerprint),
 }
 
-/// A quarantined request, as operators see it.
+/// A quarantined request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineEntry {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Upstreams that were lost under it.
-    pub victims: SmallVec<[UpstreamAddress; 2]>,
-    /// Whether other requests could have caused the losses just as well.
+    /// Upstreams that were lost while the request was in flight.
+    pub lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
+    /// Whether other requests could equally have caused the losses.
     pub ambiguous: bool,
-    /// Time since it was decided.
+    /// Time since the request was quarantined.
     pub age: Duration,
-    /// Time until it lapses if nobody sends it.
+    /// Time until the quarantine expires if the request is not sent again.
     pub left: Duration,
 }
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -1,4 +1,4 @@
-//! The table shared within a process: the clock, the decision log and the metrics around it.
+//! Shares the quarantine table within a process, and adds the clock, the decision log and the metrics.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -16,9 +16,9 @@
 use crate::quarantine::notice::QuarantineNotice;
 use crate::quarantine::table::QuarantineTable;
 
-/// Suspects whose last admission is remembered at most.
+/// Maximum number of suspects whose last admission is stored; at this number all are discarded.
 const ADMISSION_LIMIT: usize = 8_192;
-/// Time between two looks for what no longer counts.
+/// Minimum interval between removals of outdated records.
 const SWEEP_PERIOD: Duration = Duration::from_mins(1);
 
 /// The quarantine of one process. Cheap to clone.
@@ -41,19 +41,20 @@
 struct QuarantineShared {
     started: Instant,
     state: Mutex<QuarantineState>,
-    /// True while the table remembers nothing: the usual case, answered without the lock.
+    /// Whether the table has no records. In this usual case requests are admitted without taking the lock.
     empty: AtomicBool,
-    news: Notify,
+    /// Signals that notices may be queued.
+    notices_ready: Notify,
     metrics: QuarantineMetrics,
 }
 
 #[derive(Debug)]
 struct QuarantineState {
     table: QuarantineTable,
-    /// When a suspect was last admitted here, for callers that don't tell when they sent it.
-    admitted: FxHashMap<RequestFingerprint, Duration>,
-    /// When what no longer counts was forgotten last.
-    swept: Duration,
+    /// Time of each suspect's last admission here, used when a loss is reported without the times of sending.
+    last_admitted: FxHashMap<RequestFingerprint, Duration>,
+    /// Time of the last removal of outdated records.
+    last_sweep: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -74,18 +75,18 @@
 }
 
 impl QuarantineHandle {
-    /// Makes an empty quarantine.
+    /// Creates an empty quarantine.
     pub fn new() -> Self {
         let state = QuarantineState {
             table: QuarantineTable::new(rand::random()),
-            admitted: FxHashMap::default(),
-            swept: Duration::ZERO,
+            last_admitted: FxHashMap::default(),
+            last_sweep: Duration::ZERO,
         };
         let shared = QuarantineShared {
             started: Instant::now(),
             state: Mutex::new(state),
             empty: AtomicBool::new(true),
-            news: Notify::new(),
+            notices_ready: Notify::new(),
             metrics: QuarantineMetrics::default(),
         };
         Self {
@@ -93,13 +94,13 @@
         }
     }
 
-    /// Tells whether a request that is about to be sent is refused.
+    /// Returns whether a request that is about to be sent is refused.
     pub fn refuses(&self, fingerprint: RequestFingerprint) -> bool {
         self.admit(fingerprint) == RequestStanding::Quarantined
     }
 
-    /// What a request that is about to be sent may do. A suspect goes only to an upstream at which no other suspect is
-    /// in flight, and to one upstream at a time.
+    /// Returns how a request that is about to be sent is treated. A suspect may be sent only to an upstream at which no
+    /// other suspect is in flight, and to one upstream at a time.
     pub fn admit(&self, fingerprint: RequestFingerprint) -> RequestStanding {
         if self.shared.empty.load(Ordering::Acquire) {
             return RequestStanding::Clear;
@@ -109,7 +110,7 @@
         let standing = state.table.admit(fingerprint, now);
         match standing {
             RequestStanding::Clear => {}
-            RequestStanding::Suspect => state.note_admitted(fingerprint, now),
+            RequestStanding::Suspect => state.record_admission(fingerprint, now),
             RequestStanding::Quarantined => {
                 self.shared.metrics.refusals.inc();
             }
@@ -122,23 +123,25 @@
         standing
     }
 
-    /// Reports that an upstream was lost with these requests in flight. Use [`Self::report_broken`] where the times of
-    /// sending are known: without them a suspect counts as sent when it was last admitted here.
+    /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_broken`] if the times of
+    /// sending are known. This function assumes that each request was sent when it was last admitted here as a suspect,
+    /// or else before any loss.
     pub fn report_loss(&self, upstream: UpstreamAddress, in_flight: &[RequestFingerprint]) {
         let now = self.now();
         let mut lost = Vec::with_capacity(in_flight.len());
         let state = self.lock();
         for fingerprint in in_flight {
-            let admitted = state.admitted.get(fingerprint);
-            let flight = admitted.map_or(now, |admitted| now.saturating_sub(*admitted));
+            let last_admitted = state.last_admitted.get(fingerprint);
+            let flight =
+                last_admitted.map_or(now, |last_admitted| now.saturating_sub(*last_admitted));
             lost.push(LostRequest::new(*fingerprint, flight));
         }
         drop(state);
         self.report_broken(upstream, &lost, Duration::ZERO);
     }
 
-    /// Reports that an upstream was lost with these requests in flight, each with the time since it was sent. One call
-    /// per lost upstream, with everything that was in flight there, `age` after it was lost.
+    /// Reports the loss of an upstream `age` ago with these requests in flight, each with the time since it was sent.
+    /// Call this once per lost upstream, with all requests that were in flight there.
     pub fn report_broken(&self, upstream: UpstreamAddress, lost: &[LostRequest], age: Duration) {
         self.shared.metrics.losses.inc();
         if lost.is_empty() {
@@ -150,7 +153,8 @@
         self.publish(state, &decisions);
     }
 
-    /// Reports that an attempt, sent `flight` ago, was answered: a suspect is cleared. Cheap while there is none.
+    /// Reports that an attempt sent `flight` ago was answered, which clears a suspect. Takes no lock while the table
+    /// has no records.
     pub fn report_answer(&self, fingerprint: RequestFingerprint, flight: Duration) {
         if self.shared.empty.load(Ordering::Acquire) {
             return;
@@ -161,7 +165,7 @@
         self.publish(state, &decisions);
     }
 
-    /// Allows a request again, on an operator's word; false if it was neither quarantined nor suspected.
+    /// Lifts the quarantine or suspicion of a request for an operator. Returns false if it is under neither.
     pub fn lift(&self, fingerprint: RequestFingerprint) -> bool {
         let now = self.now();
         let mut state = self.lock();
@@ -174,17 +178,17 @@
         lifted
     }
 
-    /// Quarantined requests, by fingerprint.
+    /// Returns the quarantined requests, ordered by fingerprint.
     pub fn entries(&self) -> Vec<QuarantineEntry> {
         let now = self.now();
         self.lock().table.entries(now)
     }
 
-    /// Takes the news since the last time, own and heard, for gossip.
+    /// Takes the notices queued since the last call, this process's own and forwarded ones, for gossip.
     pub fn take_notices(&self) -> Vec<QuarantineNotice> {
         let now = self.now();
         let mut state = self.lock();
-        state.table.forget_old(now);
+        state.table.remove_outdated(now);
         let entries = state.table.entries(now).len();
         self.shared.metrics.entries.set(entries as i64);
         let notices = state.table.take_notices(now);
@@ -192,18 +196,19 @@
         notices
     }
 
-    /// Everything known, for a VM that has just started or an upstream's relay that is about to get a suspect.
+    /// Returns notices of the whole state, for a VM that has just started or for a relay that is about to receive a
+    /// suspect.
     pub fn all_notices(&self) -> Vec<QuarantineNotice> {
         let now = self.now();
         self.lock().table.all_notices(now)
     }
 
-    /// Waits until there may be news to take.
-    pub async fn wait_news(&self) {
-        self.shared.news.notified().await;
+    /// Waits until notices may be queued.
+    pub async fn wait_for_notices(&self) {
+        self.shared.notices_ready.notified().await;
     }
 
-    /// Takes in news of another VM.
+    /// Merges a notice from another VM.
     pub fn merge(&self, notice: QuarantineNotice) {
         let now = self.now();
         let mut state = self.lock();
@@ -254,9 +259,9 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts and logs decisions, and wakes whoever waits for news.
+    /// Counts and logs decisions, and wakes the task that waits for notices.
     fn publish(&self, state: MutexGuard<'_, QuarantineState>, decisions: &[QuarantineDecision]) {
-        let has_news = state.table.has_news();
+        let has_notices = state.table.has_notices();
         let empty = state.table.is_empty();
         self.shared.empty.store(empty, Ordering::Release);
         drop(state);
@@ -264,25 +269,25 @@
             self.shared.metrics.count(decision);
             log_decision(decision);
         }
-        if has_news {
-            self.shared.news.notify_one();
+        if has_notices {
+            self.shared.notices_ready.notify_one();
         }
     }
 }
 
 impl QuarantineState {
     fn sweep(&mut self, now: Duration) {
-        if now > self.swept + SWEEP_PERIOD {
-            self.swept = now;
-            self.table.forget_old(now);
+        if now > self.last_sweep + SWEEP_PERIOD {
+            self.last_sweep = now;
+            self.table.remove_outdated(now);
         }
     }
 
-    fn note_admitted(&mut self, fingerprint: RequestFingerprint, now: Duration) {
-        if self.admitted.len() >= ADMISSION_LIMIT {
-            self.admitted.clear();
+    fn record_admission(&mut self, fingerprint: RequestFingerprint, now: Duration) {
+        if self.last_admitted.len() >= ADMISSION_LIMIT {
+            self.last_admitted.clear();
         }
-        self.admitted.insert(fingerprint, now);
+        self.last_admitted.insert(fingerprint, now);
     }
 }
 
@@ -311,7 +316,7 @@
         } => {
             log::info!(
                 target: "ebonyfork::decision",
-                "quarantine convict request={fingerprint} ambiguous={ambiguous}"
+                "quarantine add request={fingerprint} ambiguous={ambiguous}"
             );
         }
         QuarantineDecision::Clear(fingerprint) => {
--- a/crates/ebonyfork/src/quarantine/handle_tests.rs
+++ b/crates/ebonyfork/src/quarantine/handle_tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn two_losses_quarantine_and_an_operator_lifts() {
+async fn second_loss_quarantines_until_an_operator_lifts_it() {
     let quarantine = QuarantineHandle::new();
     let request = RequestFingerprint(9);
     for server in ["10.0.0.1:80", "10.0.0.2:80"] {
@@ -25,15 +25,15 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn news_wake_their_reader_once_and_are_forgotten_in_the_end() {
+async fn notice_wakes_its_reader_once_and_records_expire() {
     let quarantine = QuarantineHandle::new();
     let request = RequestFingerprint(9);
-    assert_that!(quarantine.wait_news().now_or_never(), none());
+    assert_that!(quarantine.wait_for_notices().now_or_never(), none());
     quarantine.report_loss("10.0.0.1:80".parse().unwrap(), &[request]);
-    assert_that!(quarantine.wait_news().now_or_never(), some(eq(())));
+    assert_that!(quarantine.wait_for_notices().now_or_never(), some(eq(())));
     assert_that!(quarantine.take_notices().len(), eq(1));
     assert_that!(quarantine.admit(request), eq(RequestStanding::Suspect));
-    assert_that!(quarantine.wait_news().now_or_never(), none());
+    assert_that!(quarantine.wait_for_notices().now_or_never(), none());
     tokio::time::advance(Duration::from_hours(2)).await;
     assert_that!(quarantine.admit(request), eq(RequestStanding::Clear));
     assert_that!(quarantine.shared.empty.load(Ordering::Acquire), eq(true));
--- a/crates/ebonyfork/src/quarantine/mod.rs
+++ b/crates/ebonyfork/src/quarantine/mod.rs
@@ -1,13 +1,15 @@
-//! Requests that crash upstreams: who is suspected, who is refused, and how all VMs learn of it.
+//! Quarantine of requests that crash upstreams: which requests are suspected, which are refused, and how all VMs learn
+//! of it.
 //!
-//! When a connection breaks under a request, the request may be as much to blame as the upstream. Every request in
-//! flight at a lost upstream becomes a *suspect*. A suspect still runs, but alone: a relay sends it to an upstream only
-//! while no other suspect is in flight there. If the upstream of an attempt that was sent *after* an earlier loss is lost
-//! too, the request is *quarantined*: refused on every VM. So one request loses at most two upstreams one after the
-//! other, and an innocent one that shared an upstream is cleared by its first answer.
+//! When a connection breaks during a request, the request may be as much to blame as the upstream. Every request in
+//! flight at a lost upstream becomes a *suspect*. A suspect still runs, but in isolation: a relay sends it to an
+//! upstream only while no other suspect is in flight there. If an attempt that was sent *after* an earlier loss loses
+//! its upstream as well, the request is *quarantined*: it is refused on every VM. A single request therefore crashes at
+//! most two upstreams, one after the other, and a harmless request that shared an upstream with it is cleared by its
+//! first answer.
 //!
-//! [`QuarantineTable`] decides and is pure; [`QuarantineHandle`] shares it within a process, logs and counts.
-//! [`QuarantineNotice`]s carry the news between VMs.
+//! [`QuarantineTable`] is the pure decision logic; [`QuarantineHandle`] shares it within a process, with logging and
+//! metrics. [`QuarantineNotice`]s carry its changes between VMs.
 
 mod entry;
 mod handle;
--- a/crates/ebonyfork/src/quarantine/notice.rs
+++ b/crates/ebonyfork/src/quarantine/notice.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other about suspects and quarantined requests.
+//! The notices by which VMs share suspects and quarantined requests.
 
 use std::time::Duration;
 
@@ -7,18 +7,19 @@
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
 
-/// Random name of a loss or a quarantine, so that news heard twice counts once.
+/// Random id of a loss, a quarantine or a lift, by which a notice that arrives twice is recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NoticeId(pub u64);
 
-/// One piece of news. Times are ages, because the clocks of two VMs differ; an age is brought up to date whenever the
-/// notice is sent on, so that a receiver errs only by the network's delay, and always towards "more recent".
+/// A change in the quarantine. Times are sent as ages, because the clocks of two VMs differ. The ages are updated
+/// whenever the notice is forwarded, so the receiver's error is the network delay only, and events always appear more
+/// recent than they are.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineNotice {
     /// A request was in flight when an upstream was lost.
     Suspected {
-        /// Names the loss.
+        /// Id of the loss.
         id: NoticeId,
         /// The request.
         fingerprint: RequestFingerprint,
@@ -27,43 +28,44 @@
         /// Time since the loss.
         age: Duration,
     },
-    /// A suspect was answered after the losses: it did not cause them.
+    /// A suspect that was sent after the losses was answered: it did not cause them.
     Cleared {
         /// The request.
         fingerprint: RequestFingerprint,
-        /// The losses that are explained otherwise.
+        /// Ids of the losses that no longer count against the request.
         losses: SmallVec<[NoticeId; 2]>,
     },
     /// A request is refused from now on.
     Quarantined {
-        /// Names the quarantine; a longer term of the same quarantine has the same name.
+        /// Id of the quarantine; an extension keeps the id.
         id: NoticeId,
         /// The request.
         fingerprint: RequestFingerprint,
-        /// Upstreams that were lost under it.
-        victims: SmallVec<[UpstreamAddress; 2]>,
-        /// Whether other requests could have caused the losses just as well.
+        /// Upstreams that were lost while the request was in flight.
+        lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
+        /// Whether other requests could equally have caused the losses.
         ambiguous: bool,
-        /// Time since it was decided.
+        /// Time since the request was quarantined.
         age: Duration,
-        /// Time until it lapses.
+        /// Time until the quarantine expires.
         left: Duration,
     },
-    /// An operator allowed the request again; what was decided before no longer counts.
+    /// An operator lifted the quarantine or suspicion; earlier evidence no longer counts.
     Lifted {
-        /// Names the act.
+        /// Id of the lift.
         id: NoticeId,
         /// The request.
         fingerprint: RequestFingerprint,
-        /// Time since it was lifted.
+        /// Time since the lift.
         age: Duration,
     },
 }
 
 impl QuarantineNotice {
-    /// Names the news for gossip: the same on every VM that tells it on. A quarantine whose term was extended is news.
+    /// Returns the number that identifies the notice in gossip, which is the same on every VM that forwards it. The
+    /// extension of a quarantine gets a new number.
     pub fn number(&self) -> u64 {
-        /// Terms that differ by less count as one, because ages travel with an error.
+        /// Granularity of the expiry time in the number, because ages become inexact as a notice travels.
         const TERM_STEP_S: u64 = 30;
         let (tag, id, term) = match self {
             Self::Suspected {
@@ -88,7 +90,7 @@
         hasher.digest()
     }
 
-    /// Brings the ages up to date after the notice has been on its way for some time.
+    /// Adds `elapsed`, the time that the notice has spent in transit or in a queue, to its ages.
     #[must_use]
     pub fn with_elapsed(mut self, elapsed: Duration) -> Self {
         match &mut self {
@@ -102,7 +104,7 @@
         self
     }
 
-    /// The request it is about.
+    /// Returns the request that the notice is about.
     pub fn fingerprint(&self) -> RequestFingerprint {
         match self {
             Self::Suspected { fingerprint, .. }
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What one process holds about one request: losses that count against it, what explained them, whether it is refused.
+//! The state of one request: the losses that count against it, those that were cleared, and whether it is quarantined.
 
 use std::time::Duration;
 
@@ -9,42 +9,46 @@
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
 use crate::quarantine::table::{QUARANTINE_TERM, SUSPICION_WINDOW};
 
-/// Losses remembered per request.
-pub(super) const MARK_LIMIT: usize = 8;
-/// Notices from other VMs appear this much later than they were, at most; a lift outranks what is older than that.
-pub(super) const NEWS_DELAY: Duration = Duration::from_secs(5);
+/// Maximum number of losses stored per request.
+pub(super) const LOSS_LIMIT: usize = 8;
+/// Maximum delay of a notice from another VM, by which its event appears more recent than it is. A lift therefore also
+/// outranks notices whose events appear up to this long after it.
+pub(super) const MAX_NOTICE_DELAY: Duration = Duration::from_secs(5);
 
-/// One loss that counts against a request.
+/// A loss that counts against a request.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct LossMark {
+pub(super) struct LossRecord {
     pub(super) id: NoticeId,
     pub(super) upstream: UpstreamAddress,
     pub(super) at: Duration,
-    /// When the request was sent to that upstream; known for losses that this process saw.
+    /// When the request was sent to that upstream; known only for losses that this process observed.
     pub(super) sent: Option<Duration>,
 }
 
+/// The quarantine of a request.
 #[derive(Debug, Clone)]
-pub(super) struct Conviction {
+pub(super) struct ActiveQuarantine {
     pub(super) id: NoticeId,
-    pub(super) victims: SmallVec<[UpstreamAddress; 2]>,
+    pub(super) lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
     pub(super) ambiguous: bool,
     pub(super) decided: Duration,
     pub(super) until: Duration,
 }
 
+/// What one process knows about a request.
 #[derive(Debug, Default)]
 pub(super) struct RequestRecord {
-    pub(super) marks: SmallVec<[LossMark; 2]>,
-    /// Losses that an answer has explained otherwise; their news may still arrive.
+    pub(super) losses: SmallVec<[LossRecord; 2]>,
+    /// Losses that an answer has cleared; notices of them may still arrive.
     pub(super) cleared: SmallVec<[NoticeId; 2]>,
-    pub(super) conviction: Option<Conviction>,
+    pub(super) quarantine: Option<ActiveQuarantine>,
+    /// Time of the last lift by an operator.
     pub(super) lifted: Option<Duration>,
-    /// Last change, for forgetting.
-    pub(super) touched: Duration,
+    /// Time of the last change, which decides what is evicted first.
+    pub(super) changed_at: Duration,
 }
 
-impl LossMark {
+impl LossRecord {
     pub(super) fn notice(
         &self,
         fingerprint: RequestFingerprint,
@@ -59,7 +63,7 @@
     }
 }
 
-impl Conviction {
+impl ActiveQuarantine {
     pub(super) fn notice(
         &self,
         fingerprint: RequestFingerprint,
@@ -68,7 +72,7 @@
         QuarantineNotice::Quarantined {
             id: self.id,
             fingerprint,
-            victims: self.victims.clone(),
+            lost_upstreams: self.lost_upstreams.clone(),
             ambiguous: self.ambiguous,
             age: now.saturating_sub(self.decided),
             left: self.until.saturating_sub(now),
@@ -77,70 +81,81 @@
 }
 
 impl RequestRecord {
+    /// Returns how the request is treated at `now`.
     pub(super) fn standing(&self, now: Duration) -> RequestStanding {
-        if self.conviction_at(now).is_some() {
+        if self.quarantine_at(now).is_some() {
             RequestStanding::Quarantined
-        } else if self.live_marks(now).next().is_some() {
+        } else if self.recent_losses(now).next().is_some() {
             RequestStanding::Suspect
         } else {
             RequestStanding::Clear
         }
     }
 
-    pub(super) fn conviction_at(&self, now: Duration) -> Option<&Conviction> {
-        let conviction = self.conviction.as_ref();
-        conviction.filter(|conviction| conviction.until > now)
+    /// Returns the quarantine unless it has expired.
+    pub(super) fn quarantine_at(&self, now: Duration) -> Option<&ActiveQuarantine> {
+        let quarantine = self.quarantine.as_ref();
+        quarantine.filter(|quarantine| quarantine.until > now)
     }
 
-    pub(super) fn live_marks(&self, now: Duration) -> impl Iterator<Item = &LossMark> {
-        let marks = self.marks.iter();
-        marks.filter(move |mark| mark.at + SUSPICION_WINDOW > now)
+    /// Returns the losses that still count against the request.
+    pub(super) fn recent_losses(&self, now: Duration) -> impl Iterator<Item = &LossRecord> {
+        let losses = self.losses.iter();
+        losses.filter(move |loss| loss.at + SUSPICION_WINDOW > now)
     }
 
+    /// Returns whether the loss is already recorded, counting or cleared.
     pub(super) fn knows_loss(&self, id: NoticeId) -> bool {
-        self.cleared.contains(&id) || self.marks.iter().any(|mark| mark.id == id)
+        self.cleared.contains(&id) || self.losses.iter().any(|loss| loss.id == id)
     }
 
-    /// Tells whether an attempt that this process sent after a loss has lost its upstream as well.
+    /// Returns whether an attempt that this process sent after one loss has lost its upstream as well.
     pub(super) fn is_repeated(&self, now: Duration) -> bool {
-        for later in self.live_marks(now) {
+        for later in self.recent_losses(now) {
             let Some(sent) = later.sent else {
                 continue;
             };
-            if self.live_marks(now).any(|earlier| earlier.at < sent) {
+            if self.recent_losses(now).any(|earlier| earlier.at < sent) {
                 return true;
             }
         }
         false
     }
 
-    /// Tells whether evidence of that time was lifted; what other VMs saw appears later than it was.
+    /// Returns whether evidence from time `at` was lifted. Unless the time is `exact`, it comes from another VM's
+    /// notice and may be too recent by up to [`MAX_NOTICE_DELAY`].
     pub(super) fn is_lifted(&self, at: Duration, exact: bool) -> bool {
-        let delay = if exact { Duration::ZERO } else { NEWS_DELAY };
+        let delay = if exact {
+            Duration::ZERO
+        } else {
+            MAX_NOTICE_DELAY
+        };
         self.lifted.is_some_and(|lifted| at <= lifted + delay)
     }
 
-    /// Extends the term once a tenth of it has passed; returns the news.
-    pub(super) fn renew(
+    /// Extends the quarantine if at least a tenth of its term has passed, and returns the notice of the extension. An
+    /// ambiguous quarantine is not extended.
+    pub(super) fn extend(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Duration,
     ) -> Option<QuarantineNotice> {
-        let conviction = self.conviction.as_mut()?;
+        let quarantine = self.quarantine.as_mut()?;
         let extended = now + QUARANTINE_TERM;
-        if conviction.ambiguous || conviction.until + QUARANTINE_TERM / 10 > extended {
+        if quarantine.ambiguous || quarantine.until + QUARANTINE_TERM / 10 > extended {
             return None;
         }
-        conviction.until = extended;
-        self.touched = now;
-        Some(conviction.notice(fingerprint, now))
+        quarantine.until = extended;
+        self.changed_at = now;
+        Some(quarantine.notice(fingerprint, now))
     }
 
+    /// Clears the losses that happened before `sent`, and returns their ids.
     pub(super) fn clear_before(&mut self, sent: Duration) -> SmallVec<[NoticeId; 2]> {
         let mut losses = SmallVec::new();
-        for mark in &self.marks {
-            if mark.at < sent {
-                losses.push(mark.id);
+        for loss in &self.losses {
+            if loss.at < sent {
+                losses.push(loss.id);
             }
         }
         for loss in &losses {
@@ -149,37 +164,39 @@
         losses
     }
 
-    /// Explains a loss otherwise; false if that was known.
-    pub(super) fn clear_loss(&mut self, loss: NoticeId) -> bool {
-        self.marks.retain(|mark| mark.id != loss);
-        if self.cleared.contains(&loss) {
+    /// Stops counting a loss against the request. Returns false if it was already cleared.
+    pub(super) fn clear_loss(&mut self, id: NoticeId) -> bool {
+        self.losses.retain(|loss| loss.id != id);
+        if self.cleared.contains(&id) {
             return false;
         }
-        if self.cleared.len() == MARK_LIMIT {
+        if self.cleared.len() == LOSS_LIMIT {
             self.cleared.remove(0);
         }
-        self.cleared.push(loss);
+        self.cleared.push(id);
         true
     }
 
+    /// Ends the quarantine and removes all losses, as an operator decided at time `at`.
     pub(super) fn lift(&mut self, at: Duration, now: Duration) {
         self.lifted = Some(at);
-        self.conviction = None;
-        self.marks.clear();
-        self.touched = now;
+        self.quarantine = None;
+        self.losses.clear();
+        self.changed_at = now;
     }
 
+    /// Appends notices of the losses that still count and of the quarantine.
     pub(super) fn collect_notices(
         &self,
         fingerprint: RequestFingerprint,
         now: Duration,
         notices: &mut Vec<QuarantineNotice>,
     ) {
-        for mark in self.live_marks(now) {
-            notices.push(mark.notice(fingerprint, now));
+        for loss in self.recent_losses(now) {
+            notices.push(loss.notice(fingerprint, now));
         }
-        if let Some(conviction) = self.conviction_at(now) {
-            notices.push(conviction.notice(fingerprint, now));
+        if let Some(quarantine) = self.quarantine_at(now) {
+            notices.push(quarantine.notice(fingerprint, now));
         }
     }
 }
--- a/crates/ebonyfork/src/quarantine/spread.rs
+++ b/crates/ebonyfork/src/quarantine/spread.rs
@@ -1,14 +1,14 @@
-//! Carries the quarantine's news between VMs by gossip.
+//! Exchanges quarantine notices between VMs by gossip.
 
 use tokio::sync::broadcast::error::RecvError;
 
 use crate::membership::{GossipNotice, MemberHandle};
 use crate::quarantine::{QuarantineHandle, QuarantineNotice};
 
-/// Publishes this process's news until the future is dropped.
+/// Publishes the notices of this process until the future is dropped.
 pub async fn tell_notices(members: MemberHandle, quarantine: QuarantineHandle) {
     loop {
-        quarantine.wait_news().await;
+        quarantine.wait_for_notices().await;
         for notice in quarantine.take_notices() {
             let number = notice.number();
             let Ok(payload) = postcard::to_stdvec(&notice) else {
@@ -19,21 +19,21 @@
     }
 }
 
-/// Takes in the news of other members until gossip ends.
+/// Merges the notices of other members until gossip ends.
 pub async fn hear_notices(members: MemberHandle, quarantine: QuarantineHandle) {
-    let mut heard = members.notices();
+    let mut received = members.notices();
     loop {
-        let notice = match heard.recv().await {
+        let notice = match received.recv().await {
             Ok(notice) => notice,
             Err(RecvError::Lagged(lost)) => {
-                log::warn!("{lost} gossip notices were missed");
+                log::warn!("gossip receiver lagged, {lost} notices lost");
                 continue;
             }
             Err(RecvError::Closed) => return,
         };
         match postcard::from_bytes::<QuarantineNotice>(&notice.payload) {
-            Ok(news) => quarantine.merge(news.with_elapsed(notice.age())),
-            Err(error) => log::warn!("gossip notice {:016x}: {error}", notice.number),
+            Ok(change) => quarantine.merge(change.with_elapsed(notice.age())),
+            Err(error) => log::warn!("invalid gossip notice {:016x}: {error}", notice.number),
         }
     }
 }
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -1,9 +1,11 @@
-//! The decisions: who is a suspect, who is quarantined. Pure; all times are spans since the process started.
+//! The decision logic: which requests are suspects and which are quarantined. Pure; all times are durations since
+//! process start.
 //!
-//! The table never convicts on losses that happened side by side. A query over many shards is in flight at many
-//! upstreams at once, and a rack that fails takes them all; only an attempt that was *sent after* a known loss and lost
-//! its upstream as well is evidence. That comparison is exact for the table that saw the later loss: its own sending
-//! time is known, and the earlier loss, if heard of from another VM, appears later than it was, never earlier.
+//! The table never quarantines a request for losses that happened concurrently. A query over many shards is in flight
+//! at many upstreams at once, and the failure of a rack loses all of them. Only an attempt that was *sent after* a
+//! known loss and lost its upstream as well is evidence. The comparison is safe in the table that observed the later
+//! loss: it knows the exact time of sending, and an earlier loss reported by another VM appears more recent than it
+//! was, never older.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,43 +18,45 @@
 use crate::ident::{RequestFingerprint, UpstreamAddress};
 use crate::quarantine::entry::{LostRequest, QuarantineDecision, QuarantineEntry, RequestStanding};
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
-use crate::quarantine::record::{Conviction, LossMark, MARK_LIMIT, NEWS_DELAY, RequestRecord};
+use crate::quarantine::record::{
+    ActiveQuarantine, LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, RequestRecord,
+};
 
 /// How long a loss counts against the requests that were in flight.
 pub const SUSPICION_WINDOW: Duration = Duration::from_hours(1);
-/// How long a request stays quarantined after the last time that somebody sent it.
+/// How long a request stays quarantined after the last attempt to send it.
 pub const QUARANTINE_TERM: Duration = Duration::from_hours(1);
-/// Requests that are remembered at most; beyond that the one whose news is oldest is forgotten.
+/// Maximum number of records; beyond it those that changed least recently are evicted.
 const RECORD_LIMIT: usize = 8_192;
-/// Notices that wait to be told at most; beyond that the oldest is dropped.
-const NEWS_LIMIT: usize = 4_096;
+/// Maximum number of queued notices; beyond it the oldest is dropped.
+const OUTGOING_LIMIT: usize = 4_096;
 
-/// Suspects and quarantined requests, as one process knows them.
+/// The suspects and quarantined requests known to one process.
 #[derive(Debug)]
 pub struct QuarantineTable {
     records: FxHashMap<RequestFingerprint, RequestRecord>,
-    news: VecDeque<PendingNews>,
+    outgoing: VecDeque<PendingNotice>,
     rng: ChaCha8Rng,
 }
 
-/// A notice to be told, with the time its ages refer to.
+/// A notice to be sent, with the time to which its ages refer.
 #[derive(Debug)]
-struct PendingNews {
+struct PendingNotice {
     notice: QuarantineNotice,
-    noted: Duration,
+    queued_at: Duration,
 }
 
 impl QuarantineTable {
-    /// Makes an empty table; the seed names its losses.
+    /// Creates an empty table. `seed` seeds the generator of its notice ids.
     pub fn new(seed: u64) -> Self {
         Self {
             records: FxHashMap::default(),
-            news: VecDeque::new(),
+            outgoing: VecDeque::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// What a request may do now.
+    /// Returns how a request is treated now.
     pub fn standing(&self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
         let Some(record) = self.records.get(&fingerprint) else {
             return RequestStanding::Clear;
@@ -60,22 +64,22 @@
         record.standing(now)
     }
 
-    /// What a request that somebody wants to run may do; a refusal renews the quarantine, so that it outlasts a caller
-    /// who goes on sending.
+    /// Returns how a request that is about to be sent is treated. A refusal extends the quarantine, so that it does not
+    /// expire while a caller keeps sending the request.
     pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return RequestStanding::Clear;
         };
         let standing = record.standing(now);
         if standing == RequestStanding::Quarantined
-            && let Some(notice) = record.renew(fingerprint, now)
+            && let Some(notice) = record.extend(fingerprint, now)
         {
-            self.tell(notice, now);
+            self.queue_notice(notice, now);
         }
         standing
     }
 
-    /// Takes in that an upstream was lost at `now` with these requests in flight.
+    /// Handles the loss of an upstream at `now` with these requests in flight.
     ///
     /// # Examples
     ///
@@ -102,33 +106,34 @@
     ) -> Vec<QuarantineDecision> {
         let mut decisions = Vec::new();
         let id = self.next_id();
-        let mut convicted = SmallVec::<[RequestFingerprint; 2]>::new();
+        let mut quarantined = SmallVec::<[RequestFingerprint; 2]>::new();
         for request in lost {
             let fingerprint = request.fingerprint;
-            let mark = LossMark {
+            let loss = LossRecord {
                 id,
                 upstream,
                 at: now,
                 sent: Some(now.saturating_sub(request.flight)),
             };
-            if !self.mark_loss(fingerprint, mark, now, &mut decisions) {
+            if !self.add_loss(fingerprint, loss, now, &mut decisions) {
                 continue;
             }
-            self.tell_suspected(fingerprint, mark, now);
+            self.queue_suspected(fingerprint, loss, now);
             let record = &self.records[&fingerprint];
             let repeated = request.after_loss || record.is_repeated(now);
-            if repeated && !convicted.contains(&fingerprint) {
-                convicted.push(fingerprint);
+            if repeated && !quarantined.contains(&fingerprint) {
+                quarantined.push(fingerprint);
             }
         }
-        let ambiguous = convicted.len() > 1;
-        for fingerprint in convicted {
-            self.convict(fingerprint, ambiguous, now, &mut decisions);
+        let ambiguous = quarantined.len() > 1;
+        for fingerprint in quarantined {
+            self.quarantine(fingerprint, ambiguous, now, &mut decisions);
         }
         decisions
     }
 
-    /// Takes in that an attempt, sent `flight` ago, was answered: losses before it was sent were not its doing.
+    /// Handles the answer to an attempt that was sent `flight` ago: the request did not cause the losses before that
+    /// time.
     pub fn report_answer(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -144,7 +149,7 @@
         if losses.is_empty() {
             return decisions;
         }
-        record.touched = now;
+        record.changed_at = now;
         if record.standing(now) == RequestStanding::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
@@ -152,11 +157,11 @@
             fingerprint,
             losses,
         };
-        self.tell(notice, now);
+        self.queue_notice(notice, now);
         decisions
     }
 
-    /// Allows a quarantined or suspected request again; false if it is neither.
+    /// Lifts the quarantine or suspicion of a request. Returns false if it is under neither.
     pub fn lift(&mut self, fingerprint: RequestFingerprint, now: Duration) -> bool {
         if self.standing(fingerprint, now) == RequestStanding::Clear {
             return false;
@@ -171,30 +176,30 @@
             fingerprint,
             age,
         };
-        self.tell(notice, now);
+        self.queue_notice(notice, now);
         true
     }
 
-    /// Quarantined requests, by fingerprint.
+    /// Returns the quarantined requests, ordered by fingerprint.
     pub fn entries(&self, now: Duration) -> Vec<QuarantineEntry> {
         let mut entries = Vec::new();
         for (fingerprint, record) in &self.records {
-            let Some(conviction) = record.conviction_at(now) else {
+            let Some(quarantine) = record.quarantine_at(now) else {
                 continue;
             };
             entries.push(QuarantineEntry {
                 fingerprint: *fingerprint,
-                victims: conviction.victims.clone(),
-                ambiguous: conviction.ambiguous,
-                age: now.saturating_sub(conviction.decided),
-                left: conviction.until.saturating_sub(now),
+                lost_upstreams: quarantine.lost_upstreams.clone(),
+                ambiguous: quarantine.ambiguous,
+                age: now.saturating_sub(quarantine.decided),
+                left: quarantine.until.saturating_sub(now),
             });
         }
         entries.sort_by_key(|entry| entry.fingerprint);
         entries
     }
 
-    /// Number of requests that run alone.
+    /// Returns the number of suspects.
     pub fn suspect_count(&self, now: Duration) -> usize {
         let suspects = self.records.values();
         suspects
@@ -202,26 +207,30 @@
             .count()
     }
 
-    /// Tells whether nothing is remembered, so that every request is clear.
+    /// Returns whether there are no records, so that every request is clear.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Tells whether there is news to take.
-    pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+    /// Returns whether notices are queued.
+    pub fn has_notices(&self) -> bool {
+        !self.outgoing.is_empty()
     }
 
-    /// Takes the news since the last time, own and heard, with their ages brought up to date.
+    /// Takes the notices queued since the last call, this process's own and forwarded ones, with updated ages.
     pub fn take_notices(&mut self, now: Duration) -> Vec<QuarantineNotice> {
-        let mut notices = Vec::with_capacity(self.news.len());
-        for news in self.news.drain(..) {
-            notices.push(news.notice.with_elapsed(now.saturating_sub(news.noted)));
+        let mut notices = Vec::with_capacity(self.outgoing.len());
+        for pending in self.outgoing.drain(..) {
+            notices.push(
+                pending
+                    .notice
+                    .with_elapsed(now.saturating_sub(pending.queued_at)),
+            );
         }
         notices
     }
 
-    /// Everything that another VM needs to know to decide as this one does: for a VM that has just started.
+    /// Returns notices of the whole state, for a VM that has just started.
     pub fn all_notices(&self, now: Duration) -> Vec<QuarantineNotice> {
         let mut notices = Vec::new();
         for (fingerprint, record) in &self.records {
@@ -230,59 +239,61 @@
         notices
     }
 
-    /// Takes in news of another VM. What is new is told on.
+    /// Merges a notice from another VM. If it was new, it is queued to be forwarded.
     pub fn merge(&mut self, notice: QuarantineNotice, now: Duration) -> Vec<QuarantineDecision> {
         let mut decisions = Vec::new();
         let fingerprint = notice.fingerprint();
-        let is_news = match &notice {
+        let is_new = match &notice {
             QuarantineNotice::Suspected {
                 id, upstream, age, ..
             } => {
-                let mark = LossMark {
+                let loss = LossRecord {
                     id: *id,
                     upstream: *upstream,
                     at: now.saturating_sub(*age),
                     sent: None,
                 };
-                *age < SUSPICION_WINDOW && self.merge_mark(fingerprint, mark, now, &mut decisions)
+                *age < SUSPICION_WINDOW && self.merge_loss(fingerprint, loss, now, &mut decisions)
             }
             QuarantineNotice::Cleared { losses, .. } => {
                 self.merge_cleared(fingerprint, losses, now, &mut decisions)
             }
             QuarantineNotice::Quarantined {
                 id,
-                victims,
+                lost_upstreams,
                 ambiguous,
                 age,
                 left,
                 ..
             } => {
-                let conviction = Conviction {
+                let quarantine = ActiveQuarantine {
                     id: *id,
-                    victims: victims.clone(),
+                    lost_upstreams: lost_upstreams.clone(),
                     ambiguous: *ambiguous,
                     decided: now.saturating_sub(*age),
                     until: now + (*left).min(QUARANTINE_TERM),
                 };
-                self.merge_conviction(fingerprint, conviction, now, &mut decisions)
+                self.merge_quarantine(fingerprint, quarantine, now, &mut decisions)
             }
             QuarantineNotice::Lifted { age, .. } => {
                 self.merge_lift(fingerprint, now.saturating_sub(*age), now, &mut decisions)
             }
         };
-        if is_news {
-            self.tell(notice, now);
+        if is_new {
+            self.queue_notice(notice, now);
         }
         decisions
     }
 
-    /// Forgets what no longer counts.
-    pub fn forget_old(&mut self, now: Duration) {
+    /// Removes losses and records that no longer count.
+    pub fn remove_outdated(&mut self, now: Duration) {
         self.records.retain(|_fingerprint, record| {
-            record.marks.retain(|mark| mark.at + SUSPICION_WINDOW > now);
-            record.touched + SUSPICION_WINDOW + NEWS_DELAY > now
-                || !record.marks.is_empty()
-                || record.conviction_at(now).is_some()
+            record
+                .losses
+                .retain(|loss| loss.at + SUSPICION_WINDOW > now);
+            record.changed_at + SUSPICION_WINDOW + MAX_NOTICE_DELAY > now
+                || !record.losses.is_empty()
+                || record.quarantine_at(now).is_some()
         });
     }
 
@@ -290,45 +301,48 @@
         NoticeId(self.rng.random())
     }
 
-    /// Records a loss; false if it was known, explained or lifted.
-    fn mark_loss(
+    /// Records a loss. Returns false if it was already known, cleared or lifted.
+    fn add_loss(
         &mut self,
         fingerprint: RequestFingerprint,
-        mark: LossMark,
+        loss: LossRecord,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
         let record = self.record(fingerprint, now);
-        if record.knows_loss(mark.id) || record.is_lifted(mark.at, mark.sent.is_some()) {
+        if record.knows_loss(loss.id) || record.is_lifted(loss.at, loss.sent.is_some()) {
             return false;
         }
         if record.standing(now) == RequestStanding::Clear {
             decisions.push(QuarantineDecision::Suspect(fingerprint));
         }
-        if record.marks.len() == MARK_LIMIT {
-            record.marks.remove(0);
+        if record.losses.len() == LOSS_LIMIT {
+            record.losses.remove(0);
         }
-        record.marks.push(mark);
-        record.touched = now;
+        record.losses.push(loss);
+        record.changed_at = now;
         true
     }
 
-    fn merge_mark(
+    /// Merges a loss that another VM observed, and quarantines the request if it is a repeated one. Returns false if the
+    /// loss was not new.
+    fn merge_loss(
         &mut self,
         fingerprint: RequestFingerprint,
-        mark: LossMark,
+        loss: LossRecord,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        if !self.mark_loss(fingerprint, mark, now, decisions) {
+        if !self.add_loss(fingerprint, loss, now, decisions) {
             return false;
         }
         if self.records[&fingerprint].is_repeated(now) {
-            self.convict(fingerprint, false, now, decisions);
+            self.quarantine(fingerprint, false, now, decisions);
         }
         true
     }
 
+    /// Merges the clearing of losses. Returns false if all were already cleared.
     fn merge_cleared(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -338,44 +352,46 @@
     ) -> bool {
         let record = self.record(fingerprint, now);
         let before = record.standing(now);
-        let mut is_news = false;
+        let mut is_new = false;
         for loss in losses {
-            is_news |= record.clear_loss(*loss);
+            is_new |= record.clear_loss(*loss);
         }
         let after = record.standing(now);
         if before != RequestStanding::Clear && after == RequestStanding::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
-        is_news
+        is_new
     }
 
-    fn merge_conviction(
+    /// Merges another VM's quarantine or its extension. Returns false if it was lifted or adds nothing.
+    fn merge_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
-        conviction: Conviction,
+        quarantine: ActiveQuarantine,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
         let record = self.record(fingerprint, now);
-        if record.is_lifted(conviction.decided, false) {
+        if record.is_lifted(quarantine.decided, false) {
             return false;
         }
-        if let Some(known) = record.conviction_at(now) {
-            // Two VMs may convict on the same evidence; a term that is hardly longer is not news.
-            if conviction.until <= known.until + NEWS_DELAY {
+        if let Some(known) = record.quarantine_at(now) {
+            // Two VMs may quarantine on the same evidence; a hardly longer term is not worth forwarding.
+            if quarantine.until <= known.until + MAX_NOTICE_DELAY {
                 return false;
             }
         } else {
             decisions.push(QuarantineDecision::Quarantine {
                 fingerprint,
-                ambiguous: conviction.ambiguous,
+                ambiguous: quarantine.ambiguous,
             });
         }
-        record.conviction = Some(conviction);
-        record.touched = now;
+        record.quarantine = Some(quarantine);
+        record.changed_at = now;
         true
     }
 
+    /// Merges another VM's lift. Returns false if a lift of about that time or later is already known.
     fn merge_lift(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -386,7 +402,7 @@
         let record = self.record(fingerprint, now);
         if record
             .lifted
-            .is_some_and(|lifted| lifted + NEWS_DELAY >= at)
+            .is_some_and(|lifted| lifted + MAX_NOTICE_DELAY >= at)
         {
             return false;
         }
@@ -398,7 +414,8 @@
         true
     }
 
-    fn convict(
+    /// Quarantines a request, unless it already is.
+    fn quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
         ambiguous: bool,
@@ -409,53 +426,55 @@
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
-        if record.conviction_at(now).is_some() {
+        if record.quarantine_at(now).is_some() {
             return;
         }
-        let mut victims = SmallVec::new();
-        for mark in &record.marks {
-            if !victims.contains(&mark.upstream) {
-                victims.push(mark.upstream);
+        let mut lost_upstreams = SmallVec::new();
+        for loss in &record.losses {
+            if !lost_upstreams.contains(&loss.upstream) {
+                lost_upstreams.push(loss.upstream);
             }
         }
-        let conviction = Conviction {
+        let quarantine = ActiveQuarantine {
             id,
-            victims,
+            lost_upstreams,
             ambiguous,
             decided: now,
             until: now + QUARANTINE_TERM,
         };
-        let notice = conviction.notice(fingerprint, now);
-        record.conviction = Some(conviction);
-        record.touched = now;
+        let notice = quarantine.notice(fingerprint, now);
+        record.quarantine = Some(quarantine);
+        record.changed_at = now;
         decisions.push(QuarantineDecision::Quarantine {
             fingerprint,
             ambiguous,
         });
-        self.tell(notice, now);
+        self.queue_notice(notice, now);
     }
 
+    /// Returns the record of a request, creating it if needed.
     fn record(&mut self, fingerprint: RequestFingerprint, now: Duration) -> &mut RequestRecord {
         if self.records.len() >= RECORD_LIMIT && !self.records.contains_key(&fingerprint) {
-            self.make_room(now);
+            self.evict_records(now);
         }
         let record = self.records.entry(fingerprint).or_default();
-        if record.touched.is_zero() {
-            record.touched = now;
+        if record.changed_at.is_zero() {
+            record.changed_at = now;
         }
         record
     }
 
-    /// Forgets old records, then an eighth of all, oldest first; quarantined requests are the last to go.
-    fn make_room(&mut self, now: Duration) {
-        self.forget_old(now);
+    /// Removes outdated records and, if that is not enough, an eighth of all: least recently changed first, quarantined
+    /// requests last.
+    fn evict_records(&mut self, now: Duration) {
+        self.remove_outdated(now);
         if self.records.len() < RECORD_LIMIT {
             return;
         }
         let mut order = Vec::with_capacity(self.records.len());
         for (fingerprint, record) in &self.records {
-            let convicted = record.conviction_at(now).is_some();
-            order.push((convicted, record.touched, *fingerprint));
+            let quarantined = record.quarantine_at(now).is_some();
+            order.push((quarantined, record.changed_at, *fingerprint));
         }
         order.sort_unstable();
         for (_convicted, _touched, fingerprint) in order.iter().take(RECORD_LIMIT / 8) {
@@ -463,16 +482,25 @@
         }
     }
 
-    fn tell_suspected(&mut self, fingerprint: RequestFingerprint, mark: LossMark, now: Duration) {
-        let notice = mark.notice(fingerprint, now);
-        self.tell(notice, now);
+    fn queue_suspected(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        loss: LossRecord,
+        now: Duration,
+    ) {
+        let notice = loss.notice(fingerprint, now);
+        self.queue_notice(notice, now);
     }
 
-    fn tell(&mut self, notice: QuarantineNotice, now: Duration) {
-        if self.news.len() == NEWS_LIMIT {
-            self.news.pop_front();
+    /// Queues a notice to be sent to other VMs.
+    fn queue_notice(&mut self, notice: QuarantineNotice, now: Duration) {
+        if self.outgoing.len() == OUTGOING_LIMIT {
+            self.outgoing.pop_front();
         }
-        self.news.push_back(PendingNews { notice, noted: now });
+        self.outgoing.push_back(PendingNotice {
+            notice,
+            queued_at: now,
+        });
     }
 }
 
