--- a/crates/ebonyfork/benches/relay.rs
+++ b/crates/ebonyfork/benches/relay.rs
@@ -68,12 +68,12 @@
         let mut now = Duration::ZERO;
         bencher.iter(|| {
             now += Duration::from_micros(100);
-            limit.note_sent(limit.current());
+            limit.record_sent(limit.current());
             let sample = LimitSample {
                 epoch: limit.epoch(),
                 in_flight: limit.current(),
-                level: 9.0 + f64::from(now.subsec_micros() % 1_000) / 2_000.0,
-                waiting: true,
+                log_service_time: 9.0 + f64::from(now.subsec_micros() % 1_000) / 2_000.0,
+                has_backlog: true,
             };
             limit.record(now, black_box(sample));
             limit.current()
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -54,9 +54,9 @@
     pub in_flight: u32,
     /// Natural logarithm of the service time in microseconds, adjusted for the difference between its class and the
     /// mean of all classes.
-    pub level: f64,
+    pub log_service_time: f64,
     /// Whether further attempts wait to be sent.
-    pub waiting: bool,
+    pub has_backlog: bool,
 }
 
 /// Direction of a trial: up compares the limit with one more, down with one less.
@@ -157,17 +157,17 @@
         if self.trial.is_some() {
             self.record_in_trial(now, sample, saturated);
         } else if saturated && now >= self.next_trial {
-            self.start_trial(now, sample.waiting);
+            self.start_trial(now, sample.has_backlog);
         }
     }
 
     /// Records that an attempt was sent and that `in_flight` attempts are now in flight.
-    pub fn note_sent(&mut self, in_flight: u32) {
+    pub fn record_sent(&mut self, in_flight: u32) {
         let saturated = self.is_saturated(self.epoch, in_flight);
         let Some(trial) = self.trial.as_mut().filter(|_| saturated) else {
             return;
         };
-        trial.note_sent();
+        trial.record_sent();
         if trial.is_block_full() {
             self.epoch = self.epoch.next();
         }
@@ -212,12 +212,12 @@
     }
 
     /// Starts a trial, unless it would go upwards without a backlog or beyond the share.
-    fn start_trial(&mut self, now: Duration, waiting: bool) {
+    fn start_trial(&mut self, now: Duration, has_backlog: bool) {
         if self.limit == 1 {
             self.direction = TrialDirection::Up;
         }
         let low = match self.direction {
-            TrialDirection::Up if !waiting || self.limit >= self.share => return,
+            TrialDirection::Up if !has_backlog || self.limit >= self.share => return,
             TrialDirection::Up => self.limit,
             TrialDirection::Down => self.limit - 1,
         };
@@ -237,7 +237,7 @@
             return;
         };
         self.last_sample = now;
-        let verdict = trial.record(sample.level);
+        let verdict = trial.record(sample.log_service_time);
         let low = trial.low();
         if trial.is_block_empty() {
             self.next_epoch();
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -65,7 +65,7 @@
         while pending.len() < limit.current() as usize {
             let in_flight = pending.len() as u32 + 1;
             let epoch = limit.epoch().0;
-            limit.note_sent(in_flight);
+            limit.record_sent(in_flight);
             if model.sheds_beyond.is_some_and(|most| pending.len() >= most) {
                 pending.push(Reverse((now + 200, now, in_flight, epoch, true)));
                 continue;
@@ -88,12 +88,12 @@
             limit.shed(Duration::from_micros(now), epoch);
             continue;
         }
-        let level = service.record(class, Duration::from_micros(now - sent));
+        let log_service_time = service.record(class, Duration::from_micros(now - sent));
         let sample = LimitSample {
             epoch,
             in_flight,
-            level,
-            waiting: true,
+            log_service_time,
+            has_backlog: true,
         };
         limit.record(Duration::from_micros(now), sample);
         if limit.settled() as usize >= model.slots {
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -130,7 +130,7 @@
     }
 
     /// Records that an attempt was sent for the current block.
-    pub(super) fn note_sent(&mut self) {
+    pub(super) fn record_sent(&mut self) {
         self.sent += 1;
     }
 
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -454,12 +454,12 @@
     fn record_answer(&mut self, now: Duration, sent: &SentWork, answer: &UpstreamAnswer) {
         match answer.verdict {
             ShardVerdict::Rows { .. } => {
-                let level = self.service.record(sent.item.class, answer.served);
+                let log_service_time = self.service.record(sent.item.class, answer.served);
                 let sample = LimitSample {
                     epoch: sent.epoch,
                     in_flight: sent.in_flight,
-                    level,
-                    waiting: !self.queue.is_empty(),
+                    log_service_time,
+                    has_backlog: !self.queue.is_empty(),
                 };
                 self.limit.record(now, sample);
             }
--- a/crates/ebonyfork/src/relay/upstream/dispatch.rs
+++ b/crates/ebonyfork/src/relay/upstream/dispatch.rs
@@ -63,7 +63,7 @@
         };
         let in_flight = self.sent.len() as u32 + 1;
         let epoch = self.limit.epoch();
-        self.limit.note_sent(in_flight);
+        self.limit.record_sent(in_flight);
         self.sent.push(SentWork {
             work,
             item,
