--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -296,7 +296,7 @@
                     move |fingerprint| standing.admit(fingerprint),
                     move |fingerprint, flight| answering.report_answer(fingerprint, flight),
                 )
-                .with_leaving_sign(move |upstream| topology.note_leaving(upstream));
+                .with_leaving_report(move |upstream| topology.note_leaving(upstream));
         RelayHandle::start(settings)
     }
 
--- a/crates/ebonyfork/src/relay/settings.rs
+++ b/crates/ebonyfork/src/relay/settings.rs
@@ -91,7 +91,7 @@
 
     /// Calls `report` for each upstream that says it is leaving.
     #[must_use]
-    pub fn with_leaving_sign(
+    pub fn with_leaving_report(
         mut self,
         report: impl Fn(UpstreamAddress) + Send + Sync + 'static,
     ) -> Self {
--- a/crates/ebonyfork/tests/relay.rs
+++ b/crates/ebonyfork/tests/relay.rs
@@ -206,7 +206,7 @@
                 |fingerprint| fingerprint.0 == 666,
                 move |loss| lost.lock().unwrap().push(loss),
             )
-            .with_leaving_sign(move |upstream| left.lock().unwrap().push(upstream));
+            .with_leaving_report(move |upstream| left.lock().unwrap().push(upstream));
         let relay = RelayHandle::start(settings);
         let (sender, outcomes) = mpsc::unbounded_channel();
         tokio::spawn(async move {
