--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -9,7 +9,7 @@
 use crate::gateway::policy::latency::millis;
 use crate::ident::{RevisionNumber, VmAddress, ZoneName};
 use crate::membership::{MemberDigest, MemberHandle};
-use crate::quarantine::{hear_notices, tell_notices};
+use crate::quarantine::{publish_notices, receive_notices};
 
 /// Time between two looks at how busy this VM is.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
@@ -27,8 +27,8 @@
 ) {
     tasks.spawn_local(follow_members(Rc::clone(core), members.clone(), own));
     tasks.spawn_local(publish_digest(Rc::clone(core), members.clone()));
-    tasks.spawn(tell_notices(members.clone(), core.quarantine.clone()));
-    tasks.spawn(hear_notices(members.clone(), core.quarantine.clone()));
+    tasks.spawn(publish_notices(members.clone(), core.quarantine.clone()));
+    tasks.spawn(receive_notices(members.clone(), core.quarantine.clone()));
 }
 
 async fn follow_members(
--- a/crates/ebonyfork/src/node/gossip.rs
+++ b/crates/ebonyfork/src/node/gossip.rs
@@ -8,7 +8,7 @@
 use crate::ident::{RevisionNumber, VmAddress};
 use crate::membership::{MemberDigest, MemberHandle, MemberSnapshot};
 use crate::node::dispatch::PeerDispatch;
-use crate::quarantine::{QuarantineHandle, hear_notices, tell_notices};
+use crate::quarantine::{QuarantineHandle, publish_notices, receive_notices};
 use crate::revision::RevisionHandle;
 use crate::views::NodeViews;
 
@@ -31,8 +31,8 @@
         views.clone(),
     ));
     tasks.spawn(hear_digests(members.clone(), dispatch.revision.clone()));
-    tasks.spawn(tell_notices(members.clone(), quarantine.clone()));
-    tasks.spawn(hear_notices(members.clone(), quarantine.clone()));
+    tasks.spawn(publish_notices(members.clone(), quarantine.clone()));
+    tasks.spawn(receive_notices(members.clone(), quarantine.clone()));
 }
 
 async fn tell_digest(members: MemberHandle, dispatch: PeerDispatch, mut views: NodeViews) {
--- a/crates/ebonyfork/src/quarantine/mod.rs
+++ b/crates/ebonyfork/src/quarantine/mod.rs
@@ -21,5 +21,5 @@
 pub use entry::{LostRequest, QuarantineDecision, QuarantineEntry, RequestStanding};
 pub use handle::QuarantineHandle;
 pub use notice::{NoticeId, QuarantineNotice};
-pub use spread::{hear_notices, tell_notices};
+pub use spread::{publish_notices, receive_notices};
 pub use table::{QUARANTINE_TERM, QuarantineTable, SUSPICION_WINDOW};
--- a/crates/ebonyfork/src/quarantine/spread.rs
+++ b/crates/ebonyfork/src/quarantine/spread.rs
@@ -6,7 +6,7 @@
 use crate::quarantine::{QuarantineHandle, QuarantineNotice};
 
 /// Publishes the notices of this process until the future is dropped.
-pub async fn tell_notices(members: MemberHandle, quarantine: QuarantineHandle) {
+pub async fn publish_notices(members: MemberHandle, quarantine: QuarantineHandle) {
     loop {
         quarantine.wait_for_notices().await;
         for notice in quarantine.take_notices() {
@@ -20,7 +20,7 @@
 }
 
 /// Merges the notices of other members until gossip ends.
-pub async fn hear_notices(members: MemberHandle, quarantine: QuarantineHandle) {
+pub async fn receive_notices(members: MemberHandle, quarantine: QuarantineHandle) {
     let mut received = members.notices();
     loop {
         let notice = match received.recv().await {
