--- a/crates/ebonyfork/src/gateway/loss_check.rs
+++ b/crates/ebonyfork/src/gateway/loss_check.rs
@@ -53,5 +53,5 @@
     );
     let age = now().saturating_duration_since(broken);
     core.quarantine
-        .report_broken(UpstreamAddress(entry.address), &lost, age);
+        .report_loss_at(UpstreamAddress(entry.address), &lost, age);
 }
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -290,7 +290,7 @@
                 .with_experiment(self.settings.experiment)
                 .with_quarantine(
                     move |fingerprint| refusing.refuses(fingerprint),
-                    move |loss| reporting.report_broken(loss.upstream, &loss.in_flight, loss.age),
+                    move |loss| reporting.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
                 )
                 .with_suspicion(
                     move |fingerprint| standing.admit(fingerprint),
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -123,7 +123,7 @@
         standing
     }
 
-    /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_broken`] if the times of
+    /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_loss_at`] if the times of
     /// sending are known. This function assumes that each request was sent when it was last admitted here as a suspect,
     /// or else before any loss.
     pub fn report_loss(&self, upstream: UpstreamAddress, in_flight: &[RequestFingerprint]) {
@@ -137,12 +137,12 @@
             lost.push(LostRequest::new(*fingerprint, flight));
         }
         drop(state);
-        self.report_broken(upstream, &lost, Duration::ZERO);
+        self.report_loss_at(upstream, &lost, Duration::ZERO);
     }
 
     /// Reports the loss of an upstream `age` ago with these requests in flight, each with the time since it was sent.
     /// Call this once per lost upstream, with all requests that were in flight there.
-    pub fn report_broken(&self, upstream: UpstreamAddress, lost: &[LostRequest], age: Duration) {
+    pub fn report_loss_at(&self, upstream: UpstreamAddress, lost: &[LostRequest], age: Duration) {
         self.shared.metrics.losses.inc();
         if lost.is_empty() {
             return;
