--- a/crates/ebonyfork/src/node/status.rs
+++ b/crates/ebonyfork/src/node/status.rs
@@ -112,7 +112,7 @@
     for entry in quarantine.entries() {
         list.push(QuarantineStatus {
             fingerprint: entry.fingerprint,
-            expires_in_s: entry.left.as_secs(),
+            expires_in_s: entry.remaining.as_secs(),
         });
     }
     list
--- a/crates/ebonyfork/src/quarantine/entry.rs
+++ b/crates/ebonyfork/src/quarantine/entry.rs
@@ -68,5 +68,5 @@
     /// Time since the request was quarantined.
     pub age: Duration,
     /// Time until the quarantine expires if the request is not sent again.
-    pub left: Duration,
+    pub remaining: Duration,
 }
--- a/crates/ebonyfork/src/quarantine/notice.rs
+++ b/crates/ebonyfork/src/quarantine/notice.rs
@@ -48,7 +48,7 @@
         /// Time since the request was quarantined.
         age: Duration,
         /// Time until the quarantine expires.
-        left: Duration,
+        remaining: Duration,
     },
     /// An operator lifted the quarantine or suspicion; earlier evidence no longer counts.
     Lifted {
@@ -80,7 +80,9 @@
                     .fold(0, |sum: u64, loss| sum.wrapping_add(loss.0));
                 (1, fingerprint.0 ^ losses, 0)
             }
-            Self::Quarantined { id, age, left, .. } => (2, id.0, (*age + *left).as_secs()),
+            Self::Quarantined {
+                id, age, remaining, ..
+            } => (2, id.0, (*age + *remaining).as_secs()),
             Self::Lifted { id, .. } => (3, id.0, 0),
         };
         let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
@@ -95,9 +97,9 @@
     pub fn with_elapsed(mut self, elapsed: Duration) -> Self {
         match &mut self {
             Self::Suspected { age, .. } | Self::Lifted { age, .. } => *age += elapsed,
-            Self::Quarantined { age, left, .. } => {
+            Self::Quarantined { age, remaining, .. } => {
                 *age += elapsed;
-                *left = left.saturating_sub(elapsed);
+                *remaining = remaining.saturating_sub(elapsed);
             }
             Self::Cleared { .. } => {}
         }
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -75,7 +75,7 @@
             lost_upstreams: self.lost_upstreams.clone(),
             ambiguous: self.ambiguous,
             age: now.saturating_sub(self.decided),
-            left: self.until.saturating_sub(now),
+            remaining: self.until.saturating_sub(now),
         }
     }
 }
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -192,7 +192,7 @@
                 lost_upstreams: quarantine.lost_upstreams.clone(),
                 ambiguous: quarantine.ambiguous,
                 age: now.saturating_sub(quarantine.decided),
-                left: quarantine.until.saturating_sub(now),
+                remaining: quarantine.until.saturating_sub(now),
             });
         }
         entries.sort_by_key(|entry| entry.fingerprint);
@@ -263,7 +263,7 @@
                 lost_upstreams,
                 ambiguous,
                 age,
-                left,
+                remaining,
                 ..
             } => {
                 let quarantine = ActiveQuarantine {
@@ -271,7 +271,7 @@
                     lost_upstreams: lost_upstreams.clone(),
                     ambiguous: *ambiguous,
                     decided: now.saturating_sub(*age),
-                    until: now + (*left).min(QUARANTINE_TERM),
+                    until: now + (*remaining).min(QUARANTINE_TERM),
                 };
                 self.merge_quarantine(fingerprint, quarantine, now, &mut decisions)
             }
