--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -324,8 +324,8 @@
         true
     }
 
-    /// Merges a loss that another VM observed, and quarantines the request if it is a repeated one. Returns false if the
-    /// loss was not new.
+    /// Merges a loss that another VM observed, and quarantines the request if it is a repeated one. Returns false if
+    /// the loss was not new.
     fn merge_loss(
         &mut self,
         fingerprint: RequestFingerprint,
