--- a/crates/ebonyfork/src/quarantine/notice.rs
+++ b/crates/ebonyfork/src/quarantine/notice.rs
@@ -65,7 +65,8 @@
     /// Returns the number that identifies the notice in gossip, which is the same on every VM that forwards it. The
     /// extension of a quarantine gets a new number.
     pub fn number(&self) -> u64 {
-        /// Granularity of the expiry time in the number, because ages become inexact as a notice travels.
+        /// Granularity of the expiry time in the number: expiry times that differ by less count as equal, because ages
+        /// become inexact as a notice travels.
         const TERM_STEP_S: u64 = 30;
         let (tag, id, term) = match self {
             Self::Suspected {
