--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -290,13 +290,13 @@
                 .with_experiment(self.settings.experiment)
                 .with_quarantine(
                     move |fingerprint| refusing.refuses(fingerprint),
-                    move |loss| reporting.report_broken(loss.upstream, &loss.in_flight, loss.age),
+                    move |loss| reporting.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
                 )
                 .with_suspicion(
                     move |fingerprint| standing.admit(fingerprint),
                     move |fingerprint, flight| answering.report_answer(fingerprint, flight),
                 )
-                .with_leaving_sign(move |upstream| topology.note_leaving(upstream));
+                .with_leaving_report(move |upstream| topology.note_leaving(upstream));
         RelayHandle::start(settings)
     }
 
