--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -1,4 +1,4 @@
-//! What requests spend repeats from: the buckets, as large as the shares that are held at that moment. Pure.
+//! Retry budget whose token buckets follow the shares of the slack that the process holds at each moment. Does no I/O.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 use crate::gateway::ident::UpstreamService;
 use crate::ident::VmAddress;
 
-/// Why a repeat was denied.
+/// Reason why a repeat was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum RepeatDenial {
-    /// The process holds no share: it has just started, or has leased its own out.
+    /// The process holds no share: it has just started, or has leased its own share to another VM.
     #[snafu(display("no_share"))]
     NoShare,
-    /// The service's bucket is empty.
+    /// The service's token bucket is empty.
     #[snafu(display("empty"))]
     Empty,
 }
 
 impl RepeatDenial {
-    /// One word for logs and metrics.
+    /// Returns the reason as it appears in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::NoShare => "no_share",
@@ -30,17 +30,18 @@
     }
 }
 
-/// The repeats of one process; times are spans since its start on a clock that goes on while the VM is suspended.
+/// Retry budget of one process. Times are durations since its start, on a clock that keeps running while the VM is
+/// suspended.
 #[derive(Debug)]
 pub struct RepeatAccount {
     budget: RetryBudget,
     leases: ShareLeases,
-    /// When the shares held may change next.
+    /// Next time at which the number of held shares may change without a message.
     next_change: Option<Duration>,
 }
 
 impl RepeatAccount {
-    /// Makes the account of a process that has just started.
+    /// Creates the budget of a process that has just started.
     ///
     /// # Examples
     ///
@@ -65,36 +66,37 @@
         }
     }
 
-    /// Puts the shares held at this moment in force. Each change since the last call takes effect at its own time.
-    fn settle(&mut self, now: Duration) {
+    /// Applies all changes of the held shares that are due by `now`, each at its own time.
+    fn apply_due_changes(&mut self, now: Duration) {
         while let Some(change) = self.next_change.filter(|change| *change <= now) {
             self.budget.hold_shares(self.leases.shares(change), change);
             self.next_change = self.leases.next_change(change);
         }
     }
 
-    /// Puts the shares held in force after a message.
-    fn note_change(&mut self, now: Duration) {
+    /// Updates the held shares after a lease was granted or accepted.
+    fn update_shares(&mut self, now: Duration) {
         self.budget.hold_shares(self.leases.shares(now), now);
         self.next_change = self.leases.next_change(now);
     }
 
-    /// States among how many VMs the slack is shared: all that may be running, known or not.
+    /// Sets the number of VMs that share the slack: all that may be running, whether known or not.
     pub fn share_among(&mut self, vms: usize, now: Duration) {
-        self.settle(now);
+        self.apply_due_changes(now);
         self.budget.share_among(vms, now);
     }
 
-    /// Counts a request that this VM has taken from a caller, once for each service that it needs.
+    /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
+    /// request needs.
     pub fn note_request(&mut self, service: &UpstreamService, now: Duration) {
-        self.settle(now);
+        self.apply_due_changes(now);
         self.budget.note_request(service, now);
     }
 
-    /// Takes one repeat, or says why there is none.
+    /// Takes one token, or returns the reason why the repeat is denied.
     pub fn spend(&mut self, service: &UpstreamService, now: Duration) -> Result<(), RepeatDenial> {
-        self.settle(now);
-        self.leases.note_wanted(now);
+        self.apply_due_changes(now);
+        self.leases.record_repeat(now);
         if self.budget.spend(service, now) {
             return Ok(());
         }
@@ -104,50 +106,50 @@
         Err(RepeatDenial::Empty)
     }
 
-    /// Repeats of a service that may be sent at once.
+    /// Returns the number of repeats that could be sent to a service now.
     pub fn left(&self, service: &UpstreamService, now: Duration) -> f64 {
         self.budget.left(service, now)
     }
 
-    /// Forgets services that were not in use for a span, and leases that have ended.
+    /// Removes services that were unused for a window, and expired leases.
     pub fn forget_idle(&mut self, now: Duration) {
-        self.settle(now);
+        self.apply_due_changes(now);
         self.budget.forget_idle(now);
-        self.leases.forget_past(now);
+        self.leases.remove_expired(now);
     }
 
-    /// Begins a question to the owner of a share; returns its number.
+    /// Records a lease request to the owner of a share and returns its number.
     pub fn ask(&mut self, owner: VmAddress, now: Duration) -> u64 {
         self.leases.ask(owner, now)
     }
 
-    /// Takes in a grant; false if it answers no open question.
+    /// Accepts a granted lease; returns false if no pending request matches.
     pub fn take_grant(&mut self, owner: VmAddress, number: u64, now: Duration) -> bool {
-        self.settle(now);
+        self.apply_due_changes(now);
         let taken = self.leases.take_grant(owner, number);
-        self.note_change(now);
+        self.update_shares(now);
         taken
     }
 
-    /// Leases this VM's own share, or says why not.
+    /// Leases this VM's own share to `borrower`, or returns the reason for refusing.
     pub fn lend(
         &mut self,
         borrower: VmAddress,
         serves: bool,
         now: Duration,
     ) -> Result<(), LendRefusal> {
-        self.settle(now);
+        self.apply_due_changes(now);
         let lent = self.leases.lend(borrower, serves, now);
-        self.note_change(now);
+        self.update_shares(now);
         lent
     }
 
-    /// Shares of other VMs that are held.
+    /// Returns the number of shares borrowed from other VMs.
     pub fn borrowed(&self, now: Duration) -> usize {
         self.leases.borrowed(now)
     }
 
-    /// Who has this VM's own share.
+    /// Returns the VM that this VM's own share is leased to.
     pub fn lent_to(&self, now: Duration) -> Option<VmAddress> {
         self.leases.lent_to(now)
     }
--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -22,7 +22,7 @@
     VmAddress([10, 0, 0, number as u8].into())
 }
 
-/// A message on its way.
+/// Message in transit.
 #[derive(Debug, Clone, Copy)]
 enum FleetMessage {
     Ask { number: u64 },
@@ -31,22 +31,22 @@
 
 struct FleetVm {
     account: RepeatAccount,
-    /// Lives begun: a message to or from an earlier life is lost with its link.
-    life: u32,
+    /// Number of restarts. A message to or from an earlier process is lost with its connection.
+    incarnation: u32,
     started: Duration,
-    /// How fast its clock runs.
+    /// Speed of the VM's clock relative to model time.
     rate: f64,
     paused_until: Duration,
     next_ask: Duration,
-    /// Whether it held no share when it last ran, and when that was.
+    /// Whether the VM held no share when it last ran, and its own time then.
     held_none: (bool, Duration),
 }
 
 impl FleetVm {
-    fn new(terms: BudgetTerms, now: Duration, life: u32, rate: f64) -> Self {
+    fn new(terms: BudgetTerms, now: Duration, incarnation: u32, rate: f64) -> Self {
         Self {
             account: RepeatAccount::new(terms),
-            life,
+            incarnation,
             started: now,
             rate,
             paused_until: now,
@@ -55,42 +55,42 @@
         }
     }
 
-    /// Its own clock, which goes on while it is paused.
+    /// Returns the VM's own time, which advances while it is paused.
     fn time(&self, now: Duration) -> Duration {
         now.saturating_sub(self.started).mul_f64(self.rate)
     }
 }
 
-struct FleetLink {
+struct InTransitMessage {
     arrives: Duration,
     from: (usize, u32),
     to: (usize, u32),
     message: FleetMessage,
 }
 
-/// What a random history does to the VMs.
+/// Faults that a random history injects.
 #[derive(Debug, Clone, Copy)]
-struct FleetTrouble {
-    /// Chance of a restart, of a pause, and of the loss of a message.
+struct FleetFaults {
+    /// Probability of a restart, of a pause (both per VM and step) and of losing a message.
     restarts: f64,
     pauses: f64,
     losses: f64,
-    /// Longest time on the way.
+    /// Longest message delay.
     delay: Duration,
-    /// Whether the fleet is cut in two for parts of the time.
-    cuts: bool,
-    /// Whether the VMs take turns in serving.
-    turns: bool,
+    /// Whether the fleet is partitioned in two for parts of the time.
+    partitions: bool,
+    /// Whether the VMs take turns in taking requests.
+    rotates: bool,
 }
 
-/// VMs that serve in turn, borrow shares from the others and spend all they can.
+/// Model of VMs that take requests, borrow shares from one another and spend all tokens they have.
 struct ShareFleet {
     terms: BudgetTerms,
     vms: Vec<FleetVm>,
-    links: VecDeque<FleetLink>,
+    in_transit: VecDeque<InTransitMessage>,
     rng: ChaCha8Rng,
-    trouble: FleetTrouble,
-    /// Whether the VMs that serve spend what they may.
+    faults: FleetFaults,
+    /// Whether the VMs that take requests spend all their tokens.
     spends: bool,
     now: Duration,
     requests: Vec<Duration>,
@@ -98,7 +98,7 @@
 }
 
 impl ShareFleet {
-    fn new(terms: BudgetTerms, count: usize, trouble: FleetTrouble, seed: u64) -> Self {
+    fn new(terms: BudgetTerms, count: usize, faults: FleetFaults, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut vms = Vec::new();
         for _ in 0..count {
@@ -108,9 +108,9 @@
         Self {
             terms,
             vms,
-            links: VecDeque::new(),
+            in_transit: VecDeque::new(),
             rng,
-            trouble,
+            faults,
             spends: true,
             now: Duration::ZERO,
             requests: Vec::new(),
@@ -118,9 +118,9 @@
         }
     }
 
-    /// Whether a VM serves; views of this differ by their age.
+    /// Returns whether a VM takes requests in this step.
     fn serves(&self, number: usize, serving: usize) -> bool {
-        let phase = if self.trouble.turns {
+        let phase = if self.faults.rotates {
             self.now.as_secs() as usize / 7
         } else {
             0
@@ -128,11 +128,11 @@
         (number + phase) % self.vms.len() < serving
     }
 
-    /// One step, in which each VM that serves gets so many requests on average.
+    /// Runs one step in which each VM that takes requests receives `per_step` of them on average.
     fn step(&mut self, serving: usize, per_step: f64) {
         self.now += STEP;
         let now = self.now;
-        self.disturb();
+        self.inject_faults();
         self.deliver();
         for number in 0..self.vms.len() {
             if self.vms[number].paused_until > now {
@@ -147,7 +147,7 @@
             let count = self.vms.len();
             let account = &mut self.vms[number].account;
             account.share_among(count, time);
-            self.check_bucket(number, time);
+            self.check_starts_empty(number, time);
             let account = &mut self.vms[number].account;
             if !serves {
                 continue;
@@ -163,13 +163,13 @@
         }
     }
 
-    /// Whoever begins to hold a share begins with an empty bucket.
-    fn check_bucket(&mut self, number: usize, time: Duration) {
+    /// Checks that a VM which starts to hold a share starts with an empty bucket.
+    fn check_starts_empty(&mut self, number: usize, time: Duration) {
         let vm = &mut self.vms[number];
         let shares = vm.account.budget.shares();
         let (held_none, ran) = std::mem::replace(&mut vm.held_none, (shares == 0, time));
         if held_none && shares > 0 {
-            // What has come in since it last ran, at the rate of all shares together.
+            // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
             let rate = self.terms.slack / self.terms.window.as_secs_f64();
             let most = rate * time.saturating_sub(ran).as_secs_f64();
             let left = vm.account.left(&service(), time);
@@ -177,7 +177,7 @@
         }
     }
 
-    /// No share has two holders that may spend, whether they are paused or not: a pause may end at any moment.
+    /// Checks that no share has two holders. Paused VMs count too, because a pause may end at any moment.
     fn check_holders(&self) {
         for owner in 0..self.vms.len() {
             let mut holders = Vec::new();
@@ -202,13 +202,13 @@
         }
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         for number in 0..self.vms.len() {
-            if self.rng.random_bool(self.trouble.restarts) {
+            if self.rng.random_bool(self.faults.restarts) {
                 let vm = &self.vms[number];
-                self.vms[number] = FleetVm::new(self.terms, self.now, vm.life + 1, vm.rate);
+                self.vms[number] = FleetVm::new(self.terms, self.now, vm.incarnation + 1, vm.rate);
             }
-            if self.rng.random_bool(self.trouble.pauses) {
+            if self.rng.random_bool(self.faults.pauses) {
                 let pause = Duration::from_millis(self.rng.random_range(100..6_000));
                 self.vms[number].paused_until = self.now + pause;
             }
@@ -227,39 +227,40 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: FleetMessage) {
-        let cut = self.trouble.cuts && (self.now.as_secs() / 5).is_multiple_of(2);
-        let parted = cut && from % 2 != to % 2;
-        if parted || self.rng.random_bool(self.trouble.losses) {
+        let partitioned = self.faults.partitions && (self.now.as_secs() / 5).is_multiple_of(2);
+        let separated = partitioned && from % 2 != to % 2;
+        if separated || self.rng.random_bool(self.faults.losses) {
             return;
         }
-        let delay = self.trouble.delay.mul_f64(self.rng.random::<f64>());
-        self.links.push_back(FleetLink {
+        let delay = self.faults.delay.mul_f64(self.rng.random::<f64>());
+        self.in_transit.push_back(InTransitMessage {
             arrives: self.now + delay,
-            from: (from, self.vms[from].life),
-            to: (to, self.vms[to].life),
+            from: (from, self.vms[from].incarnation),
+            to: (to, self.vms[to].incarnation),
             message,
         });
     }
 
     fn deliver(&mut self) {
-        for _ in 0..self.links.len() {
-            let Some(link) = self.links.pop_front() else {
+        for _ in 0..self.in_transit.len() {
+            let Some(delivery) = self.in_transit.pop_front() else {
                 return;
             };
-            let (from, to) = (link.from.0, link.to.0);
-            let broken = self.vms[from].life != link.from.1 || self.vms[to].life != link.to.1;
+            let (from, to) = (delivery.from.0, delivery.to.0);
+            let broken = self.vms[from].incarnation != delivery.from.1
+                || self.vms[to].incarnation != delivery.to.1;
             if broken {
                 continue;
             }
-            if link.arrives > self.now || self.vms[to].paused_until > self.now {
-                self.links.push_back(link);
+            if delivery.arrives > self.now || self.vms[to].paused_until > self.now {
+                self.in_transit.push_back(delivery);
                 continue;
             }
-            self.take(from, to, link.message);
+            self.handle(from, to, delivery.message);
         }
     }
 
-    fn take(&mut self, from: usize, to: usize, message: FleetMessage) {
+    fn handle(&mut self, from: usize, to: usize, message: FleetMessage) {
         let time = self.vms[to].time(self.now);
         match message {
             FleetMessage::Ask { number } => {
@@ -276,23 +277,23 @@
     }
 }
 
-/// VMs take turns in serving, restart, pause and wake, and are cut off from one another, while messages are lost or come
-/// seconds late. All that serve spend whatever they may.
+/// Guards against a share being spent by two VMs. VMs take turns in taking requests, restart, pause and are
+/// partitioned, while messages are lost or arrive seconds late; all VMs that take requests spend every token they have.
 #[gtest]
 fn no_span_exceeds_the_bound_while_shares_are_on_lease() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(1_000 + seed);
         let count = rng.random_range(2..=12_usize);
         let serving = rng.random_range(1..=count);
-        let trouble = FleetTrouble {
+        let faults = FleetFaults {
             restarts: rng.random_range(0.0..0.01),
             pauses: rng.random_range(0.0..0.01),
             losses: rng.random_range(0.0..0.3),
             delay: Duration::from_millis(rng.random_range(1..4_000)),
-            cuts: rng.random_bool(0.5),
-            turns: true,
+            partitions: rng.random_bool(0.5),
+            rotates: true,
         };
-        let mut fleet = ShareFleet::new(TERMS, count, trouble, seed);
+        let mut fleet = ShareFleet::new(TERMS, count, faults, seed);
         let mut per_step = 0.0;
         while fleet.now < Duration::from_mins(1) {
             if rng.random_bool(0.02) {
@@ -305,23 +306,24 @@
     }
 }
 
-/// Share of what the bound allows over a span that VMs can spend, of which some serve a few requests a second.
+/// Returns the fraction of the repeats allowed over one window that can be spent when `serving` of `count` VMs take
+/// requests.
 fn usable_share(count: usize, serving: usize) -> f64 {
     const REQUESTS_PER_SECOND: f64 = 48.5;
     let terms = BudgetTerms {
         slack: 430.0,
         ..TERMS
     };
-    let calm = FleetTrouble {
+    let healthy = FleetFaults {
         restarts: 0.0,
         pauses: 0.0,
         losses: 0.0,
         delay: Duration::from_millis(2),
-        cuts: false,
-        turns: false,
+        partitions: false,
+        rotates: false,
     };
-    let mut fleet = ShareFleet::new(terms, count, calm, 1);
-    // All shares are where they are used, and the buckets are full.
+    let mut fleet = ShareFleet::new(terms, count, healthy, 1);
+    // Let all shares be leased and all buckets fill up.
     fleet.spends = false;
     while fleet.now < Duration::from_secs(20) {
         fleet.step(serving, 0.0);
@@ -336,7 +338,8 @@
     fleet.repeats.len() as f64 / allowed
 }
 
-/// In parts of its own each of 200 VMs could spend a fifth of a repeat for each of its requests.
+/// Guards against fragmentation of the slack: without leases, each of 200 VMs could spend only a fifth of a repeat for
+/// each of its requests.
 #[gtest]
 fn few_serving_vms_can_spend_what_the_bound_allows_for_all() {
     for (count, serving) in [(9, 9), (78, 12), (200, 18)] {
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
@@ -1,11 +1,13 @@
-//! Token buckets, one for each service, whose size and rate follow the shares of the slack that the process holds.
+//! Token buckets, one per service, whose capacity and refill rate depend on how many shares of the slack the process
+//! holds.
 //!
-//! A request that the VM takes from a caller earns the ratio; the shares add tokens with time. What is spent in a span
-//! was earned in it, by requests that count for the bound in just that span, was added in it, or lay in the buckets when it
-//! began. A share's part in a bucket and what it adds over a span are together no more than the share. A bucket begins
-//! empty, so an earlier life needs no memory. Counting the requests of a span that slides for each VM by itself does not
-//! keep to the bound: when callers move, one VM spends what it has counted before the move and another one what it counts
-//! after it.
+//! Each request that the VM accepts from a caller adds `ratio` tokens; the shares add tokens over time. Tokens spent in
+//! a window were therefore earned by requests that count towards the bound in that window, were refilled in it, or were
+//! in the bucket when it began. The part of a share that a bucket can store and the part refilled during one window add
+//! up to no more than the share. A bucket starts empty, so a restarted process needs no state from its predecessor.
+//!
+//! Counting the requests of a sliding window on each VM separately would exceed the bound: when callers move to another
+//! VM, the first VM spends what it counted before the move and the second one what it counts after it.
 
 use std::time::Duration;
 
@@ -13,60 +15,63 @@
 
 use crate::gateway::ident::UpstreamService;
 
-/// Share of the bound that is used. The rest is for the time between paying for a repeat and its arrival.
-const USED_SHARE: f64 = 0.96;
-/// Share of the slack that a bucket may hold; the rest is added over the span.
-const HELD_SHARE: f64 = 0.6;
+/// Fraction of the bound that is used. The rest allows for the delay between spending a token and the arrival of the
+/// repeat.
+const USABLE_FRACTION: f64 = 0.96;
+/// Fraction of the slack that a bucket can store; the rest is refilled over the window.
+const STORED_FRACTION: f64 = 0.6;
 
-/// The bound on repeats.
+/// Bound on repeats for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetTerms {
-    /// Repeats for each request.
+    /// Repeats allowed per request.
     pub ratio: f64,
-    /// Repeats on top, for all VMs together.
+    /// Repeats allowed in addition, for all VMs together.
     pub slack: f64,
-    /// The span for which the bound holds.
+    /// Length of the window over which the bound holds.
     pub window: Duration,
 }
 
-/// How many tokens a bucket may hold, and how fast they are added.
+/// Capacity (tokens) and refill rate (tokens per second) of a bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct BucketLimits {
-    most: f64,
-    per_second: f64,
+struct BucketParameters {
+    capacity: f64,
+    refill_per_second: f64,
 }
 
-/// The tokens of one service.
+/// Token bucket of one service.
 #[derive(Debug, Clone, Copy, Default)]
 struct TokenBucket {
-    level: f64,
-    /// Until when tokens were added.
-    filled: Duration,
-    /// When it was last used.
-    used: Duration,
+    tokens: f64,
+    /// Time up to which refilled tokens are included.
+    refilled_until: Duration,
+    /// Time of the last request or repeat.
+    last_used: Duration,
 }
 
 impl TokenBucket {
-    fn fill(&mut self, limits: BucketLimits, now: Duration) {
-        let passed = now.saturating_sub(self.filled).as_secs_f64();
-        self.filled = self.filled.max(now);
-        self.level = (self.level + passed * limits.per_second).min(limits.most);
+    fn refill(&mut self, parameters: BucketParameters, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_until).as_secs_f64();
+        self.refilled_until = self.refilled_until.max(now);
+        self.tokens =
+            (self.tokens + elapsed * parameters.refill_per_second).min(parameters.capacity);
     }
 }
 
-/// The repeats of one process.
+/// Token buckets of one process.
 #[derive(Debug)]
 pub struct RetryBudget {
     terms: BudgetTerms,
-    vms: usize,
+    vm_count: usize,
     shares: usize,
-    /// What a bucket holds that was never used.
+    /// State of a bucket that was never used; new services start from it.
     unused: TokenBucket,
     services: FxHashMap<UpstreamService, TokenBucket>,
 }
 
 impl RetryBudget {
-    /// Makes a budget for a process that has just started and holds its own share; times are spans since that start.
+    /// Creates the budget of a process that has just started and holds its own share. Times are durations since that
+    /// start.
     ///
     /// # Examples
     ///
@@ -88,92 +93,96 @@
     pub fn new(terms: BudgetTerms) -> Self {
         Self {
             terms,
-            vms: 1,
+            vm_count: 1,
             shares: 1,
             unused: TokenBucket::default(),
             services: FxHashMap::default(),
         }
     }
 
-    /// States among how many VMs the slack is shared: all that may be running, known or not.
-    pub fn share_among(&mut self, vms: usize, now: Duration) {
-        if self.vms != vms.max(1) {
-            self.fill_all(now);
-            self.vms = vms.max(1);
-            self.fill_all(now);
+    /// Sets the number of VMs that share the slack: all that may be running, whether known or not.
+    pub fn share_among(&mut self, vm_count: usize, now: Duration) {
+        if self.vm_count != vm_count.max(1) {
+            self.refill_all(now);
+            self.vm_count = vm_count.max(1);
+            self.refill_all(now);
         }
     }
 
-    /// States how many shares of the slack this process holds from now on. Tokens of a share that it no longer holds are
-    /// gone.
+    /// Sets the number of shares of the slack that this process holds from now on. Tokens above the new capacity are
+    /// discarded.
     pub fn hold_shares(&mut self, shares: usize, now: Duration) {
         if self.shares != shares {
-            self.fill_all(now);
+            self.refill_all(now);
             self.shares = shares;
-            self.fill_all(now);
+            self.refill_all(now);
         }
     }
 
-    /// Shares that the process holds.
+    /// Returns the number of shares that the process holds.
     pub fn shares(&self) -> usize {
         self.shares
     }
 
-    fn limits(&self) -> BucketLimits {
-        let held = self.terms.slack * USED_SHARE * self.shares as f64 / self.vms as f64;
-        BucketLimits {
-            most: held * HELD_SHARE,
-            per_second: held * (1.0 - HELD_SHARE) / self.terms.window.as_secs_f64(),
+    fn parameters(&self) -> BucketParameters {
+        let held_slack =
+            self.terms.slack * USABLE_FRACTION * self.shares as f64 / self.vm_count as f64;
+        BucketParameters {
+            capacity: held_slack * STORED_FRACTION,
+            refill_per_second: held_slack * (1.0 - STORED_FRACTION)
+                / self.terms.window.as_secs_f64(),
         }
     }
 
-    fn fill_all(&mut self, now: Duration) {
-        let limits = self.limits();
-        self.unused.fill(limits, now);
+    fn refill_all(&mut self, now: Duration) {
+        let parameters = self.parameters();
+        self.unused.refill(parameters, now);
         for bucket in self.services.values_mut() {
-            bucket.fill(limits, now);
+            bucket.refill(parameters, now);
         }
     }
 
-    /// Counts a request that this VM has taken from a caller, once for each service that it needs.
+    /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
+    /// request needs.
     pub fn note_request(&mut self, service: &UpstreamService, now: Duration) {
-        let earned = self.terms.ratio * USED_SHARE;
-        let most = self.limits().most;
+        let earned = self.terms.ratio * USABLE_FRACTION;
+        let capacity = self.parameters().capacity;
         let bucket = self.bucket(service, now);
-        bucket.level = (bucket.level + earned).min(most);
+        bucket.tokens = (bucket.tokens + earned).min(capacity);
     }
 
-    /// Takes one repeat out of the budget, or tells that there is none left.
+    /// Takes one token and returns true, or returns false if there is none.
     pub fn spend(&mut self, service: &UpstreamService, now: Duration) -> bool {
         let bucket = self.bucket(service, now);
-        if bucket.level < 1.0 {
+        if bucket.tokens < 1.0 {
             return false;
         }
-        bucket.level -= 1.0;
+        bucket.tokens -= 1.0;
         true
     }
 
-    /// Repeats that may be sent at once.
+    /// Returns the number of repeats that could be sent now.
     pub fn left(&self, service: &UpstreamService, now: Duration) -> f64 {
         let bucket = self.services.get(service).unwrap_or(&self.unused);
         let mut bucket = *bucket;
-        bucket.fill(self.limits(), now);
-        bucket.level
+        bucket.refill(self.parameters(), now);
+        bucket.tokens
     }
 
-    /// Forgets services that were not in use for a span: their buckets hold what one does that was never used, or more.
+    /// Removes services that were unused for a window. Their buckets hold at least as many tokens as one that was never
+    /// used, so removing them adds no tokens.
     pub fn forget_idle(&mut self, now: Duration) {
         let window = self.terms.window;
         self.services
-            .retain(|_service, bucket| now.saturating_sub(bucket.used) < window);
+            .retain(|_service, bucket| now.saturating_sub(bucket.last_used) < window);
     }
 
     fn bucket(&mut self, service: &UpstreamService, now: Duration) -> &mut TokenBucket {
-        let limits = self.limits();
+        let parameters = self.parameters();
         let unused = self.unused;
         let bucket = self.services.entry(service.clone()).or_insert(unused);
-        bucket.fill(limits, now);
-        bucket.used = now;
+        bucket.refill(parameters, now);
+        bucket.last_used = now;
         bucket
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -14,7 +14,8 @@
     UpstreamService::new("shard")
 }
 
-/// Earlier lives of the process may have spent all there was; what it earns itself it may spend at once.
+/// The previous process may have spent the whole bound, so a new one only has what its own requests earn; it may spend
+/// that at once.
 #[gtest]
 fn a_new_process_begins_with_nothing_but_what_its_requests_earn() {
     let mut budget = RetryBudget::new(TERMS);
@@ -28,8 +29,8 @@
     expect_that!(budget.spend(&service(), now), eq(false));
 }
 
-/// However long the calm, and however many requests have earned: what is spent in a span without requests is no more than
-/// the VM's part of the slack, and all of that can be spent.
+/// Guards against saving up tokens: however long the VM was idle and however many requests it counted, it spends no
+/// more than its part of the slack in a window without requests. It can spend all of that part.
 #[gtest]
 fn the_slack_is_shared_among_all_vms() {
     let mut budget = RetryBudget::new(TERMS);
@@ -48,19 +49,22 @@
     expect_that!(spent, eq(5));
 }
 
-/// Shares that a process no longer holds take their tokens along; those that it comes to hold begin empty.
+/// Tokens of shares that a process gives up are lost; shares that it gains start without tokens.
 #[gtest]
 fn a_bucket_follows_the_shares_that_are_held() {
     let mut budget = RetryBudget::new(TERMS);
     budget.share_among(9, Duration::ZERO);
-    let calm = Duration::from_secs(30);
-    let one = budget.left(&service(), calm);
-    budget.hold_shares(4, calm);
-    expect_that!(budget.left(&service(), calm), le(one));
-    let later = calm + TERMS.window * 2;
-    expect_that!(budget.left(&service(), later), near(one * 4.0, 1e-9));
+    let idle = Duration::from_secs(30);
+    let single_share = budget.left(&service(), idle);
+    budget.hold_shares(4, idle);
+    expect_that!(budget.left(&service(), idle), le(single_share));
+    let later = idle + TERMS.window * 2;
+    expect_that!(
+        budget.left(&service(), later),
+        near(single_share * 4.0, 1e-9)
+    );
     budget.hold_shares(1, later);
-    expect_that!(budget.left(&service(), later), near(one, 1e-9));
+    expect_that!(budget.left(&service(), later), near(single_share, 1e-9));
     budget.hold_shares(0, later);
     expect_that!(budget.left(&service(), later + TERMS.window), eq(0.0));
 }
@@ -76,7 +80,7 @@
     expect_that!(budget.spend(&service(), now), eq(true));
 }
 
-/// Many VMs that come, go and start again spend all they can; no span may hold more than the bound for all of them.
+/// Many VMs that restart at random spend all the tokens they have; no window may exceed the bound for all VMs together.
 #[gtest]
 fn no_span_exceeds_the_bound_over_all_vms() {
     const STEP: Duration = Duration::from_millis(50);
@@ -117,14 +121,15 @@
     }
 }
 
-/// Requests count in the span, the one before it or the one half a span before it, whichever has most.
+/// Checks the bound over every window. Requests are counted in the same window, the preceding one or the one starting
+/// half a window earlier, whichever has the most.
 pub(in crate::gateway::policy::budget) fn check_spans(
     terms: BudgetTerms,
     seed: u64,
     requests: &[Duration],
     repeats: &[Duration],
 ) {
-    // Both lists are in order of time.
+    // Both lists are sorted by time.
     let count = |times: &[Duration], from: Duration, to: Duration| {
         let before = |moment: Duration| times.partition_point(|time| *time < moment);
         before(to) - before(from)
@@ -146,15 +151,15 @@
     }
 }
 
-/// One VM of the model: its life's budget and when that life began.
+/// Model of one VM: the budget of its current process and the time at which that process started.
 struct ModelVm {
     budget: RetryBudget,
     started: Duration,
-    /// How fast its clock runs.
+    /// Speed of the VM's clock relative to model time.
     rate: f64,
-    /// Share of the callers that use it.
+    /// Relative share of the callers that use this VM.
     callers: f64,
-    /// When it takes its next callers' requests, after a stop.
+    /// Time until which the VM takes no requests after a restart.
     away_until: Duration,
 }
 
@@ -174,9 +179,9 @@
     }
 }
 
-/// VMs join, stop, start again and take their callers from one another while an upstream declines: each spends all that it
-/// may as soon as trouble begins. Requests count where a caller's request was taken, and are repeated there or by a VM
-/// that gathers parts. Clocks run up to a hundredth too fast or too slow.
+/// VMs join, stop, restart and take over one another's callers while an upstream declines requests; each VM spends all
+/// its tokens as soon as that begins. A request counts on the VM that accepted it and is repeated there or by a VM that
+/// gathers parts. Clocks are up to 1 % too fast or too slow.
 #[gtest]
 fn no_span_exceeds_the_bound_while_vms_join_and_start_again() {
     const STEP: Duration = Duration::from_millis(50);
@@ -194,7 +199,7 @@
         let mut now = Duration::ZERO;
         while now < Duration::from_mins(1) {
             now += STEP;
-            let trouble = (now.as_secs() / 9) % 2 == 1;
+            let declining = (now.as_secs() / 9) % 2 == 1;
             if vms.len() < most && rng.random_bool(0.01) {
                 let rate = skew(&mut rng);
                 vms.push(ModelVm::new(now, rate));
@@ -202,7 +207,7 @@
             let count = vms.len();
             for vm in &mut vms {
                 if rng.random_bool(0.004) {
-                    // A stop: its callers go to the others for a while.
+                    // The VM stops, and its callers use the others for a while.
                     *vm = ModelVm::new(now, vm.rate);
                     vm.away_until = now + Duration::from_secs(rng.random_range(1..6));
                 }
@@ -225,7 +230,7 @@
                 let gatherer = rng.random_range(0..count);
                 for spender in [number, gatherer] {
                     let age = vms[spender].uptime(now);
-                    while trouble && vms[spender].budget.spend(&service(), age) {
+                    while declining && vms[spender].budget.spend(&service(), age) {
                         repeats.push(now);
                     }
                 }
--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -1,4 +1,4 @@
-//! Which shares of the slack this process holds: its own, and those that it has on lease. Pure.
+//! Tracks which shares of the slack this process holds: its own, and those leased from other VMs. Does no I/O.
 
 use std::time::Duration;
 
@@ -7,62 +7,64 @@
 
 use crate::ident::VmAddress;
 
-/// How long an owner leaves its share alone after a grant.
+/// Time for which an owner doesn't use its share after granting a lease.
 pub const LEASE_TERM: Duration = Duration::from_secs(3);
-/// Part of the term for which a borrower uses a share: the clocks of two VMs differ by far less than the rest.
-const USED_TERM: Duration = Duration::from_millis(2_800);
-/// How long a VM keeps its share after it has wanted a repeat itself.
-const WANTED_TIME: Duration = Duration::from_secs(3);
+/// Time for which a borrower uses a share, counted from its request. The difference to [`LEASE_TERM`] is far larger
+/// than the clock drift between two VMs over a term.
+const BORROWER_TERM: Duration = Duration::from_millis(2_800);
+/// Time for which a VM refuses to lease its share after it tried to send a repeat itself.
+const RECENT_REPEAT_PERIOD: Duration = Duration::from_secs(3);
 
-/// Why an owner does not lease its share.
+/// Reason why an owner refuses to lease its share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum LendRefusal {
-    /// An earlier life of the process may have leased it to another VM.
+    /// The previous process on this VM may have leased the share to another VM.
     #[snafu(display("just started"))]
     JustStarted,
-    /// It is on lease.
+    /// The share is leased to another VM.
     #[snafu(display("on lease to {borrower}"))]
     OnLease {
-        /// The VM that holds it.
+        /// The VM that holds the share.
         borrower: VmAddress,
     },
-    /// This VM serves requests.
+    /// This VM takes requests or has recently tried to send a repeat.
     #[snafu(display("needed here"))]
     NeededHere,
 }
 
-/// A question that was not answered yet.
+/// Lease request that was not answered yet.
 #[derive(Debug, Clone, Copy)]
-struct OpenQuestion {
+struct PendingRequest {
     number: u64,
-    asked: Duration,
+    sent: Duration,
 }
 
-/// A share of another VM.
+/// Share borrowed from another VM.
 #[derive(Debug, Clone, Copy)]
 struct BorrowedShare {
-    until: Duration,
+    expires: Duration,
 }
 
-/// The shares of one process; times are spans since its start on a clock that goes on while the VM is suspended.
+/// Shares held by one process. Times are durations since its start, on a clock that keeps running while the VM is
+/// suspended.
 #[derive(Debug, Default)]
 pub struct ShareLeases {
     next_number: u64,
-    open: FxHashMap<VmAddress, OpenQuestion>,
+    pending: FxHashMap<VmAddress, PendingRequest>,
     borrowed: FxHashMap<VmAddress, BorrowedShare>,
-    /// Who has this VM's own share, and until when.
+    /// Borrower of this VM's own share and the end of the lease.
     lent: Option<(VmAddress, Duration)>,
-    /// When this VM last wanted a repeat.
-    wanted: Option<Duration>,
+    /// Time at which this VM last tried to send a repeat.
+    last_repeat: Option<Duration>,
 }
 
 impl ShareLeases {
-    /// A process that has just started, with no share.
+    /// Creates the state of a process that has just started, which holds no share.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Shares held at a moment.
+    /// Returns the number of shares held at `now`.
     ///
     /// # Examples
     ///
@@ -79,65 +81,66 @@
         usize::from(self.holds_own(now)) + self.borrowed(now)
     }
 
-    /// Shares of other VMs that are held at a moment.
+    /// Returns the number of shares borrowed from other VMs at `now`.
     pub fn borrowed(&self, now: Duration) -> usize {
         let shares = self.borrowed.values();
-        shares.filter(|share| now < share.until).count()
+        shares.filter(|share| now < share.expires).count()
     }
 
-    /// Who has this VM's own share at a moment.
+    /// Returns the VM that this VM's own share is leased to at `now`.
     pub fn lent_to(&self, now: Duration) -> Option<VmAddress> {
-        let (borrower, until) = self.lent?;
-        (now < until).then_some(borrower)
+        let (borrower, expires) = self.lent?;
+        (now < expires).then_some(borrower)
     }
 
-    /// Whether another VM's share is held at a moment.
+    /// Returns whether the share of `owner` is held at `now`.
     #[cfg(test)]
     pub(super) fn holds_share_of(&self, owner: VmAddress, now: Duration) -> bool {
         let share = self.borrowed.get(&owner);
-        share.is_some_and(|share| now < share.until)
+        share.is_some_and(|share| now < share.expires)
     }
 
-    /// Whether this VM's own share is held at a moment.
+    /// Returns whether this VM's own share is held at `now`.
     pub(super) fn holds_own(&self, now: Duration) -> bool {
         now >= LEASE_TERM && self.lent_to(now).is_none()
     }
 
-    /// When [`Self::shares`] may change next without a message.
+    /// Returns the next time after `now` at which [`Self::shares`] may change without a message.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let lapses = self.borrowed.values().map(|share| share.until);
-        let own = self.lent.map(|(_borrower, until)| until);
-        let changes = lapses.chain(own).chain([LEASE_TERM]);
+        let expiries = self.borrowed.values().map(|share| share.expires);
+        let own = self.lent.map(|(_borrower, expires)| expires);
+        let changes = expiries.chain(own).chain([LEASE_TERM]);
         changes.filter(|change| *change > now).min()
     }
 
-    /// Notes that this VM wants a repeat.
-    pub fn note_wanted(&mut self, now: Duration) {
-        self.wanted = Some(now);
+    /// Records that this VM tried to send a repeat.
+    pub fn record_repeat(&mut self, now: Duration) {
+        self.last_repeat = Some(now);
     }
 
-    /// Begins a question to the owner of a share; returns its number.
+    /// Records a lease request to the owner of a share and returns its number.
     pub fn ask(&mut self, owner: VmAddress, now: Duration) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        let question = OpenQuestion { number, asked: now };
-        self.open.insert(owner, question);
+        let request = PendingRequest { number, sent: now };
+        self.pending.insert(owner, request);
         number
     }
 
-    /// Takes in a grant; false if the question was not the last one asked of that VM.
+    /// Accepts a granted lease; returns false unless `number` is the latest pending request to `owner`.
     pub fn take_grant(&mut self, owner: VmAddress, number: u64) -> bool {
-        let question = self.open.get(&owner).copied();
-        let Some(question) = question.filter(|question| question.number == number) else {
+        let request = self.pending.get(&owner).copied();
+        let Some(request) = request.filter(|request| request.number == number) else {
             return false;
         };
-        self.open.remove(&owner);
-        let until = question.asked + USED_TERM;
-        self.borrowed.insert(owner, BorrowedShare { until });
+        self.pending.remove(&owner);
+        let expires = request.sent + BORROWER_TERM;
+        self.borrowed.insert(owner, BorrowedShare { expires });
         true
     }
 
-    /// Leases this VM's own share, or says why not. `serves` tells whether this VM takes requests itself.
+    /// Leases this VM's own share to `borrower`, or returns the reason for refusing. `serves` tells whether this VM
+    /// takes requests itself.
     pub fn lend(
         &mut self,
         borrower: VmAddress,
@@ -150,19 +153,19 @@
         if let Some(holder) = self.lent_to(now).filter(|holder| *holder != borrower) {
             return Err(LendRefusal::OnLease { borrower: holder });
         }
-        let wanted = |since| now.saturating_sub(since) < WANTED_TIME;
-        if serves || self.wanted.is_some_and(wanted) {
+        let is_recent = |since| now.saturating_sub(since) < RECENT_REPEAT_PERIOD;
+        if serves || self.last_repeat.is_some_and(is_recent) {
             return Err(LendRefusal::NeededHere);
         }
         self.lent = Some((borrower, now + LEASE_TERM));
         Ok(())
     }
 
-    /// Forgets what has passed.
-    pub fn forget_past(&mut self, now: Duration) {
-        self.borrowed.retain(|_owner, share| now < share.until);
-        let term = |question: &OpenQuestion| question.asked + LEASE_TERM;
-        self.open.retain(|_owner, question| now < term(question));
+    /// Removes expired leases and requests.
+    pub fn remove_expired(&mut self, now: Duration) {
+        self.borrowed.retain(|_owner, share| now < share.expires);
+        let expiry = |request: &PendingRequest| request.sent + LEASE_TERM;
+        self.pending.retain(|_owner, request| now < expiry(request));
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
@@ -27,14 +27,14 @@
     expect_that!(borrower.take_grant(vm(1), number), eq(true));
     let held = |time: Duration| (owner.shares(time), borrower.borrowed(time));
     expect_that!(held(START), eq((0, 1)));
-    expect_that!(held(START + USED_TERM), eq((0, 0)));
+    expect_that!(held(START + BORROWER_TERM), eq((0, 0)));
     expect_that!(held(START + LEASE_TERM), eq((1, 0)));
     let refused = owner.lend(vm(3), false, START);
     let holder = LendRefusal::OnLease { borrower: vm(2) };
     expect_that!(refused, err(eq(holder)));
 }
 
-/// A grant that was long on its way is worth no more than what is left of the term since the question.
+/// A lease that is granted late is only valid for the rest of the term since the request.
 #[gtest]
 fn a_late_grant_brings_nothing() {
     let mut borrower = ShareLeases::new();
@@ -60,11 +60,11 @@
     let mut owner = ShareLeases::new();
     let refusal = err(eq(LendRefusal::NeededHere));
     expect_that!(owner.lend(vm(2), true, START), refusal);
-    owner.note_wanted(START);
+    owner.record_repeat(START);
     let soon = START + Duration::from_secs(1);
     let refusal = err(eq(LendRefusal::NeededHere));
     expect_that!(owner.lend(vm(2), false, soon), refusal);
-    let later = START + WANTED_TIME;
+    let later = START + RECENT_REPEAT_PERIOD;
     expect_that!(owner.lend(vm(2), false, later), ok(anything()));
 }
 
@@ -74,6 +74,6 @@
     let number = borrower.ask(vm(1), START);
     expect_that!(borrower.take_grant(vm(1), number), eq(true));
     let _lost = borrower.ask(vm(3), START);
-    borrower.forget_past(START + LEASE_TERM);
-    expect_that!(borrower.borrowed.len() + borrower.open.len(), eq(0));
+    borrower.remove_expired(START + LEASE_TERM);
+    expect_that!(borrower.borrowed.len() + borrower.pending.len(), eq(0));
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/message.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/message.rs
@@ -1,21 +1,21 @@
-//! What VMs tell one another about shares of the slack.
+//! Messages between VMs about leasing shares of the slack.
 
 use serde::{Deserialize, Serialize};
 
-/// One message about the sender's or the receiver's share.
+/// Message about the sender's or the receiver's share of the slack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareMessage {
-    /// Asks for the receiver's share for a term, anew or again.
+    /// Requests the receiver's share for one lease term, or renews the lease.
     Ask {
-        /// Number of the question.
+        /// Identifies the request; chosen by the sender.
         number: u64,
     },
-    /// The sender leaves its share to the receiver for a term.
+    /// The sender leases its share to the receiver for one term.
     Granted {
         /// Number of the [`ShareMessage::Ask`].
         number: u64,
     },
-    /// The sender keeps its share, or has left it to another VM.
+    /// The sender needs its share itself, or has leased it to another VM.
     Refused {
         /// Number of the [`ShareMessage::Ask`].
         number: u64,
--- a/crates/ebonyfork/src/gateway/policy/budget/mod.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/mod.rs
@@ -1,19 +1,23 @@
-//! How many repeats may be sent: hedges and retries out of one bound that holds for all VMs together.
+//! Limits how many repeats (retries and hedges) all VMs together may send.
 //!
-//! The bound is a ratio of the requests plus a slack, for each service and for every span of a given length. Each VM owns
-//! an equal share of the slack ([`RetryBudget`]). A VM that only stands by can't use its share, and the share of one VM
-//! among hundreds is less than a repeat or two: so VMs that stand by lease their shares to the ones that serve
-//! ([`ShareLeases`]). [`RepeatAccount`] joins both; it is what requests spend from.
+//! For each service, the repeats sent in any window of the configured length are bounded by a ratio of the requests
+//! plus a fixed slack. Each VM owns an equal share of the slack, which its token buckets turn into repeats
+//! ([`RetryBudget`]). A VM that takes no requests can't use its share, and the share of one VM among hundreds is less
+//! than one or two repeats, so VMs that take no requests lease their shares to VMs that do ([`ShareLeases`]).
+//! [`RepeatAccount`] combines both; requests spend from it.
 //!
-//! The sum keeps to the bound by construction, whatever the VMs do:
+//! The sum over all VMs stays within the bound, whatever happens to individual VMs:
 //!
-//! - A share has one holder at a time. The owner leaves it alone from its grant for a whole term; the borrower
-//!   counts a shorter term from the moment at which it asked, on a clock that goes on while the VM is suspended.
-//! - A process does not touch its own share before it has run for a term: an earlier life may have leased it out.
-//! - Whoever begins to hold a share begins with an empty bucket, so what the holder before has spent needs no memory.
+//! - A share has one holder at a time. The owner doesn't use it for a whole lease term after granting it; the borrower
+//!   uses it for a shorter term that starts when it sent the request. Both measure time on a clock that keeps running
+//!   while the VM is suspended.
+//! - A process doesn't use its own share until it has run for one lease term, because its predecessor on the VM may
+//!   have leased the share out.
+//! - A process that starts to hold a share starts with an empty bucket, so it needn't know what the previous holder
+//!   spent.
 //!
-//! A lost message, a partition or a killed VM only leaves a share unused for a term. There is no VM that keeps an account
-//! for others, nothing is written to the store, and one message a second leases a share for all services.
+//! A lost message, a network partition or a killed VM only leaves a share unused for one term. No VM keeps accounts for
+//! the others, nothing is written to the store, and one message per second leases a share for all services.
 
 mod account;
 mod bucket;
