--- a/crates/ebonyfork/src/gateway/policy/answer_lag_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/answer_lag_tests.rs
@@ -6,7 +6,7 @@
     Duration::from_millis(millis)
 }
 
-/// A VM answers 20 queries a second for some seconds, each with this lag.
+/// Simulates a VM that answers 20 queries per second with constant delays; returns the time at the end.
 fn answer(
     lag: &mut AnswerLag,
     began: Instant,
@@ -29,7 +29,7 @@
     expect_that!(AnswerLag::new(0.12).margin(), ge(ms(16)));
 }
 
-/// The margin follows a VM that turns slow within two seconds, and is back as soon after the VM is.
+/// The margin adapts within two seconds when a VM becomes slow, and recovers after the VM does.
 #[gtest]
 fn the_margin_follows_a_vm_that_turns_slow_and_fast_again() {
     let mut lag = AnswerLag::new(0.25);
@@ -39,7 +39,7 @@
     expect_that!(lag.margin(), all![ge(ms(28)), le(ms(36))]);
     let now = answer(&mut lag, now, 20, ms(1), ms(2));
     expect_that!(lag.margin(), le(ms(5)));
-    // One answer that lags says nothing about the next.
+    // A single delayed answer doesn't change the margin.
     lag.note_work(ms(60), now);
     expect_that!(lag.margin(), le(ms(5)));
 }
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -1,4 +1,4 @@
-//! Which upstream an attempt goes to: the one expected to answer soonest, with a bias towards near ones.
+//! Selects the upstream for an attempt: the one expected to answer first, with a bias towards nearby upstreams.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -9,27 +9,27 @@
 use crate::gateway::settings::{NodePlace, PlaceDistance};
 use crate::gateway::upstream::Upstream;
 
-/// What a near upstream may be slower before one in another zone or region is taken, in milliseconds: it pays for the bytes
-/// between zones.
+/// Cost in milliseconds of an upstream in another zone or region, which accounts for the price of traffic between
+/// zones.
 const FAR_BIAS_MS: f64 = 8.0;
-/// What an attempt that brings no answer costs beside its time, in usual attempts beside this VM. It takes a repeat, and
-/// where they have run out the part is missing, and the answer with it.
-const FAILURE_TIMES: f64 = 10.0;
-/// Weight of the expected time of an upstream that was not reachable: it is taken if there is no other.
-const EJECTED_MS: f64 = 100_000.0;
+/// Cost of a failed attempt, as a multiple of the median time of attempts in the same zone. A failure uses up a repeat;
+/// once the budget is empty the shard's part is missing, and possibly the whole answer.
+const FAILURE_COST_FACTOR: f64 = 10.0;
+/// Cost in milliseconds of an upstream that could not be reached: it is only chosen if there is no other.
+const EJECTED_COST_MS: f64 = 100_000.0;
 
-/// An upstream with the time in which it is expected to answer.
+/// Selected upstream and its expected speed.
 #[derive(Debug, Clone)]
 pub struct UpstreamChoice {
-    /// The upstream.
+    /// Upstream to send to.
     pub upstream: Rc<Upstream>,
-    /// How far away it is.
+    /// Distance from this VM.
     pub distance: PlaceDistance,
-    /// Expected time of an attempt over the usual time of attempts at that distance.
+    /// Expected time of an attempt divided by the median time of attempts at that distance; at least 1.
     pub slowness: f64,
 }
 
-/// Chooses among the upstreams of a service that are allowed and take requests.
+/// Returns the best upstream among the candidates that are allowed and take requests.
 pub fn choose_upstream(
     candidates: &[Rc<Upstream>],
     allowed: impl Fn(&Upstream, &UpstreamLife) -> bool,
@@ -38,7 +38,7 @@
     now: Instant,
 ) -> Option<UpstreamChoice> {
     let mut best: Option<(f64, UpstreamChoice)> = None;
-    // A different upstream goes first each time, so that equal ones share the load.
+    // Start at a random candidate so that equally good ones share the load.
     let offset = rand::random_range(0..candidates.len().max(1));
     for number in 0..candidates.len() {
         let upstream = &candidates[(number + offset) % candidates.len()];
@@ -52,14 +52,17 @@
         let near_ms = latency.usual_ms(AttemptKind::Zone);
         let own_ms = health.expected_ms(now, near_ms, entry.slots);
         let expected = latency.way_ms(kind) + own_ms;
-        let mut cost = expected + (1.0 - health.success(now)) * near_ms * FAILURE_TIMES;
+        let mut cost = expected + (1.0 - health.success(now)) * near_ms * FAILURE_COST_FACTOR;
         if distance != PlaceDistance::Zone {
             cost += FAR_BIAS_MS;
         }
         if health.is_ejected(now) {
-            cost += EJECTED_MS;
+            cost += EJECTED_COST_MS;
         }
-        if best.as_ref().is_some_and(|(least, _choice)| *least <= cost) {
+        if best
+            .as_ref()
+            .is_some_and(|(lowest, _choice)| *lowest <= cost)
+        {
             continue;
         }
         let choice = UpstreamChoice {
@@ -72,7 +75,7 @@
     best.map(|(_cost, choice)| choice)
 }
 
-/// Finds an upstream nearer than the chosen one that is avoided and should be probed.
+/// Returns an upstream nearer than the chosen one that is avoided and due for a probe.
 pub fn probe_upstream(
     candidates: &[Rc<Upstream>],
     chosen: &UpstreamChoice,
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -96,8 +96,8 @@
     }
 }
 
-/// A near upstream that declines two of five requests is no slower than a far one that runs all, but each decline takes a
-/// repeat.
+/// A nearby upstream that declines two of five requests is no slower than a distant one that accepts all, but each
+/// declined request uses up a repeat.
 #[gtest]
 fn one_that_declines_gives_way_to_one_further_away() {
     let now = Instant::now();
@@ -107,7 +107,7 @@
     ];
     decline_two_of_five(&candidates[0], now);
     expect_that!(chosen(&candidates, now), some(eq("far")));
-    // If both decline as often the near one is as good as ever.
+    // If both decline equally often, the nearby one is preferred again.
     decline_two_of_five(&candidates[1], now);
     expect_that!(chosen(&candidates, now), some(eq("near")));
 }
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -1,4 +1,4 @@
-//! The state of one query over many shards: which parts are in, which can still come, and whether to answer now.
+//! State of one query over many shards: which parts have arrived, which may still arrive, and whether to answer now.
 
 use std::time::Instant;
 
@@ -7,17 +7,17 @@
 
 use crate::gateway::partial::ShardReach;
 
-/// One shard's part of an answer.
+/// Answer of one shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardPart {
-    /// The upstream's signature under it.
+    /// Signature of the upstream for this part.
     pub signature: HeaderValue,
-    /// Its records.
+    /// Records of the part.
     pub records: PartRecords,
 }
 
 impl ShardPart {
-    /// Its records, if they came by themselves.
+    /// Returns the records if they were not merged with those of other shards.
     pub fn own_records(&self) -> Option<&[u8]> {
         match &self.records {
             PartRecords::Own(records) => Some(records.as_ref()),
@@ -26,44 +26,46 @@
     }
 }
 
-/// Where the records of a part are.
+/// Location of a part's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PartRecords {
-    /// They came by themselves.
+    /// The part arrived separately.
     Own(Bytes),
-    /// They were merged with those of other shards: the number of that group.
+    /// The records were merged with those of other shards; holds the index of the group.
     Group(usize),
 }
 
-/// What is known of one shard.
+/// Outcome of one shard.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ShardStanding {
-    /// Its part may still come.
+    /// The part may still arrive.
     Open,
-    /// Its part is in.
+    /// The part has arrived.
     Answered(ShardPart),
-    /// Its part won't come.
+    /// The part won't arrive.
     Failed,
 }
 
-/// One shard of a query.
+/// State of one shard of a query.
 #[derive(Debug)]
 pub struct ShardState {
-    /// What is known of it.
+    /// Outcome so far.
     pub standing: ShardStanding,
-    /// Attempts that are out.
+    /// Number of attempts in flight.
     pub out: usize,
-    /// Attempts that may have run, those that are out included.
+    /// Number of attempts that may have run at an upstream, including those in flight.
     pub ran: usize,
-    /// Attempts that an upstream declined.
+    /// Number of attempts that upstreams declined.
     pub declined: usize,
-    /// Attempts of which nothing was sent.
+    /// Number of attempts that ended before anything was sent.
     pub unsent: usize,
-    /// Whether a connection broke under it.
+    /// Whether a connection broke during an attempt.
     pub lost: bool,
-    /// Whether the request is counted in the budget: once, by the VM that has taken it from the caller.
+    /// Whether the request was counted in the retry budget. This is done once, on the VM that accepted it from the
+    /// caller.
     pub counted: bool,
-    /// Whether it is not sent for now: its part is unlikely to come in time, and enough others are there.
+    /// Whether the shard is not sent for now because its part is unlikely to arrive in time and the query has enough
+    /// shards without it.
     pub postponed: bool,
 }
 
@@ -81,7 +83,7 @@
         }
     }
 
-    /// How far the request has got with it.
+    /// Returns how far the request got at the shard's upstreams.
     pub fn reach(&self) -> ShardReach {
         if self.lost {
             return ShardReach::Broken;
@@ -95,7 +97,7 @@
         ShardReach::Unsent
     }
 
-    /// Whether its part may still come.
+    /// Returns whether the part may still arrive.
     pub fn is_open(&self) -> bool {
         matches!(self.standing, ShardStanding::Open)
     }
@@ -104,35 +106,35 @@
 /// How a query over many shards ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GatherEnd {
-    /// All parts are in.
+    /// All parts have arrived.
     Whole,
-    /// Enough parts are in, and waiting for the others is not worth it.
+    /// Enough parts have arrived, and waiting for the others isn't worthwhile.
     Partial,
-    /// Too few parts can be had.
+    /// The required coverage can no longer be reached.
     TooThin,
-    /// Too few parts have come in time.
+    /// The deadline has passed and the required coverage wasn't reached.
     Late,
 }
 
-/// The state of one query.
+/// State of one query.
 #[derive(Debug)]
 pub struct GatherState {
     shards: Vec<ShardState>,
     answered: usize,
     failed: usize,
     least: usize,
-    /// Records of groups of shards that came merged.
+    /// Merged records of each group of shards.
     groups: Vec<Bytes>,
-    /// Whether to wait for all parts until the end: another VM decides when to answer.
+    /// Whether to wait for all parts until the deadline, because another VM decides when to answer.
     patient: bool,
-    /// Until when an answer is of full worth.
+    /// Time until which an answer has its full value.
     answer_by: Instant,
-    /// Until when there must be an answer of some kind.
+    /// Deadline for any answer.
     finish_by: Instant,
 }
 
 impl GatherState {
-    /// A query over `shards` shards that needs the parts of `least` of them.
+    /// Creates a query over `shards` shards that needs the parts of `least` of them.
     pub fn new(shards: usize, least: usize, answer_by: Instant, finish_by: Instant) -> Self {
         Self {
             shards: (0..shards).map(|_number| ShardState::new()).collect(),
@@ -146,24 +148,24 @@
         }
     }
 
-    /// Waits for all parts until the end, whatever the target says.
+    /// Makes the query wait for all parts until the deadline, regardless of the target.
     #[must_use]
     pub fn with_patience(mut self) -> Self {
         self.patient = true;
         self
     }
 
-    /// All shards.
+    /// Returns the states of all shards.
     pub fn shards(&self) -> &[ShardState] {
         &self.shards
     }
 
-    /// One shard, for counting its attempts.
+    /// Returns one shard's state for updates of its attempt counts.
     pub fn shard_mut(&mut self, number: usize) -> &mut ShardState {
         &mut self.shards[number]
     }
 
-    /// The first part of a shard is in; a second one changes nothing.
+    /// Stores the first part of a shard; further parts of the same shard are ignored.
     pub fn take_part(&mut self, number: usize, signature: HeaderValue, records: Bytes) {
         let shard = &mut self.shards[number];
         if !shard.is_open() {
@@ -176,8 +178,9 @@
         self.answered += 1;
     }
 
-    /// Parts came in whose records are merged. They can't be taken apart: a part of these shards that came by itself
-    /// gives way, so that no shard's records count twice. Parts of which one is in another group already are dropped.
+    /// Stores parts whose records were merged. Merged records can't be separated, so a part that arrived separately for
+    /// one of these shards is replaced; otherwise its records would count twice. The whole group is dropped if one of
+    /// its shards has failed or is in another group already.
     pub fn take_group(&mut self, parts: Vec<(usize, HeaderValue)>, records: Bytes) {
         let grouped = |shard: &ShardState| {
             matches!(
@@ -209,7 +212,7 @@
         }
     }
 
-    /// A shard's part won't come.
+    /// Marks a shard as failed unless its part has arrived.
     pub fn fail(&mut self, number: usize) {
         let shard = &mut self.shards[number];
         if !shard.is_open() {
@@ -219,47 +222,48 @@
         self.failed += 1;
     }
 
-    /// Shards that can be left out without making the answer too thin.
+    /// Returns the number of further shards that can be left out without missing the required coverage.
     pub fn surplus(&self) -> usize {
         let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
         (self.shards.len() - self.failed - postponed).saturating_sub(self.least)
     }
 
-    /// Whether the answer would be too thin without postponed shards.
+    /// Returns whether the required coverage can't be reached without postponed shards.
     pub fn lacks(&self) -> bool {
         let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
         self.shards.len() - self.failed - postponed < self.least
     }
 
-    /// Ends the postponement of a shard, if one is postponed.
+    /// Resumes one postponed shard, if any, and returns its index.
     pub fn resume_one(&mut self) -> Option<usize> {
         let number = self.shards.iter().position(|shard| shard.postponed)?;
         self.shards[number].postponed = false;
         Some(number)
     }
 
-    /// Parts that are in.
+    /// Returns the number of parts that have arrived.
     pub fn answered(&self) -> usize {
         self.answered
     }
 
-    /// Whether enough parts for an answer are in.
+    /// Returns whether enough parts for an answer have arrived.
     pub fn is_enough(&self) -> bool {
         self.answered >= self.least
     }
 
-    /// Shards whose upstream was lost under the query.
+    /// Returns the number of shards for which a connection broke during an attempt.
     pub fn lost(&self) -> usize {
         self.shards.iter().filter(|shard| shard.lost).count()
     }
 
-    /// Until when a further part still adds to the worth of the answer; `None` once that has passed.
+    /// Returns the time until which a further part increases the value of the answer; `None` once it has passed.
     pub fn useful_until(&self, now: Instant) -> Option<Instant> {
         (now < self.answer_by).then_some(self.answer_by)
     }
 
-    /// Whether the query ends now. Its worth rises with the square of the coverage up to the target and is almost
-    /// nothing after it: so it waits for all parts until then, and from then on only until there are enough.
+    /// Returns how the query ends if it ends now. The value of an answer rises with the square of its coverage until
+    /// the target and is close to nothing after it, so the query waits for all parts until the target and after that
+    /// only until there are enough.
     pub fn judge(&self, now: Instant) -> Option<GatherEnd> {
         let total = self.shards.len();
         if self.answered == total {
@@ -279,7 +283,7 @@
         (now >= self.finish_by).then_some(GatherEnd::Late)
     }
 
-    /// The next moment at which [`Self::judge`] may end the query without news.
+    /// Returns the next time at which [`Self::judge`] may end the query without a further event.
     pub fn next_judgement(&self, now: Instant) -> Instant {
         if now < self.answer_by {
             self.answer_by
@@ -288,12 +292,12 @@
         }
     }
 
-    /// Signatures of the parts that are in.
+    /// Returns the signatures of the parts that have arrived.
     pub fn signatures(&self) -> impl Iterator<Item = &HeaderValue> {
         self.parts().map(|part| &part.signature)
     }
 
-    /// Records of the parts that are in, merged in groups or not.
+    /// Returns the records of the parts that have arrived, merged or separate.
     pub fn records(&self) -> impl Iterator<Item = &[u8]> {
         let own = self.parts().filter_map(ShardPart::own_records);
         own.chain(self.groups.iter().map(Bytes::as_ref))
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -117,7 +117,7 @@
     );
     let records: Vec<_> = query.records().collect();
     expect_that!(records, elements_are![eq(&[5_u8; 32].as_slice())]);
-    // A shard is in one group only.
+    // A group with a shard of another group is dropped.
     let again = vec![(1, signature("c")), (2, signature("d"))];
     query.take_group(again, Bytes::from_static(&[7; 16]));
     expect_that!(query.answered(), eq(2));
@@ -126,7 +126,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// However parts and groups come in, the answer holds just the records of the parts that it names.
+    /// In whatever order parts and groups arrive, the answer contains exactly the records of the parts whose signatures
+    /// it lists.
     #[test]
     fn records_and_signatures_belong_together(
         parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 16..64), 6),
--- a/crates/ebonyfork/src/gateway/policy/health_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/health_tests.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(millis)
 }
 
-/// Runs attempts of a given length one after the other and returns the time after the last.
+/// Runs attempts of the given lengths one after another and returns the time after the last one.
 fn answer(health: &mut UpstreamHealth, from: Instant, took_ms: &[u64]) -> Instant {
     let mut now = from;
     for took in took_ms {
@@ -25,7 +25,7 @@
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
     let mut now = answer(&mut health, start, &[30, 30, 30]);
-    // Three attempts are out when the upstream pauses, and end together.
+    // Three attempts are in flight when the upstream pauses, and end together.
     let began = now;
     for _ in 0..3 {
         health.begin(began);
--- a/crates/ebonyfork/src/gateway/policy/hedge.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge.rs
@@ -1,53 +1,54 @@
-//! Whether a second attempt is worth its load: by what is known of the first one and of a fresh one elsewhere.
+//! Decides whether a second attempt (a hedge) is worth its load, from the latencies of the first attempt and of a new
+//! one elsewhere.
 
 use crate::gateway::policy::latency::{LatencyTrack, STRAGGLER_SHARE};
 
-/// Gain in the likelihood of an answer in time for which a hedge is sent. A hedge loads an upstream and may cross
-/// regions, which costs about a fifth of what a shard in time is worth.
-const LEAST_GAIN: f64 = 0.2;
-/// Shortest time between two looks at a straggler, in milliseconds.
-const LOOK_STEP_MS: f64 = 4.0;
+/// Minimum gain in the probability of an answer in time for a hedge to be sent. A hedge loads an upstream and may cross
+/// regions, which costs about a fifth of the value of a shard in time.
+const MIN_GAIN: f64 = 0.2;
+/// Shortest time between two checks of a straggler, in milliseconds.
+const MIN_CHECK_INTERVAL_MS: f64 = 4.0;
 
-/// An attempt that is out, and the one that could be sent beside it. Times are in milliseconds.
+/// Attempt in flight and the possible hedge. Times are in milliseconds.
 #[derive(Debug)]
 pub struct HedgeQuestion<'a> {
-    /// How long the attempt has been out.
+    /// Time for which the attempt has been in flight.
     pub waited_ms: f64,
-    /// How long an answer is still of full use; `None` once that has passed.
+    /// Time for which an answer still has its full value; `None` once that has passed.
     pub left_ms: Option<f64>,
-    /// Times of such attempts.
+    /// Latency of attempts like the one in flight.
     pub original: &'a LatencyTrack,
-    /// Times of attempts like the one that could be sent.
+    /// Latency of attempts like the hedge.
     pub other: &'a LatencyTrack,
-    /// How much slower than usual the other upstream is expected to be.
+    /// Slowness expected of the other upstream, as a multiple of the usual time.
     pub other_slowness: f64,
-    /// Whether the attempt is known to be late, whatever its time.
+    /// Whether the attempt is known to be late, regardless of its time in flight.
     pub known_late: bool,
 }
 
 impl HedgeQuestion<'_> {
-    /// When an attempt is looked at next, in milliseconds after it was begun.
+    /// Returns when to check an attempt next, in milliseconds after its start.
     pub fn next_look(original: &LatencyTrack, waited_ms: f64) -> f64 {
         let first = original.quantile(STRAGGLER_SHARE);
         if waited_ms < first {
             return first;
         }
-        waited_ms + (waited_ms / 6.0).max(LOOK_STEP_MS)
+        waited_ms + (waited_ms / 6.0).max(MIN_CHECK_INTERVAL_MS)
     }
 
-    /// Whether to send the other attempt.
+    /// Returns whether to send the hedge.
     pub fn is_worth(&self) -> bool {
         let usual = self.original.quantile(STRAGGLER_SHARE);
         if self.waited_ms < usual && !self.known_late {
             return false;
         }
         let left = self.left_ms.unwrap_or_else(|| {
-            // The target has passed: what counts is whether the other one is likely to be first.
+            // The target has passed, so compare over the time in which the hedge probably ends.
             self.other.quantile(STRAGGLER_SHARE) * self.other_slowness
         });
         let original = self.original.ends_within(self.waited_ms, left);
         let other = 1.0 - self.other.survival(left / self.other_slowness);
-        (1.0 - original) * other >= LEAST_GAIN
+        (1.0 - original) * other >= MIN_GAIN
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
@@ -4,7 +4,8 @@
 
 use super::*;
 
-/// Attempts that take 30 ms but for 5 % that meet a pause of 300 ms; `extra_ms` is the distance.
+/// Returns a histogram in which attempts take 30 ms, except for 5 % that meet a pause of 300 ms; `extra_ms` is the
+/// network time.
 fn pausing(extra_ms: u64) -> LatencyTrack {
     let mut track = LatencyTrack::new(Duration::from_millis(30));
     let now = Instant::now();
@@ -21,11 +22,11 @@
     let far = pausing(24);
     let cases = [
         // (waited, left, slowness of the other, expected)
-        (10.0, Some(230.0), 1.0, false), // still usual
-        (80.0, Some(160.0), 1.0, true),  // paused, the other can make it
-        (80.0, Some(40.0), 1.0, false),  // the other can't make it
+        (10.0, Some(230.0), 1.0, false), // within the usual time
+        (80.0, Some(160.0), 1.0, true),  // paused; the other can answer in time
+        (80.0, Some(40.0), 1.0, false),  // the other can't answer in time
         (80.0, Some(160.0), 4.0, false), // the other is slow too
-        (80.0, None, 1.0, true),         // late already: whatever comes first
+        (80.0, None, 1.0, true),         // target has passed: the first answer counts
     ];
     for (waited_ms, left_ms, other_slowness, expected) in cases {
         let question = HedgeQuestion {
@@ -46,6 +47,6 @@
     let first = HedgeQuestion::next_look(&track, 0.0);
     expect_that!(first, all![ge(30.0), lt(60.0)]);
     let second = HedgeQuestion::next_look(&track, first);
-    expect_that!(second - first, ge(LOOK_STEP_MS));
+    expect_that!(second - first, ge(MIN_CHECK_INTERVAL_MS));
     expect_that!(HedgeQuestion::next_look(&track, 600.0), eq(700.0));
 }
--- a/crates/ebonyfork/src/gateway/policy/homes.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes.rs
@@ -1,7 +1,9 @@
-//! In which regions the requests of a route may be served, and which VMs callers of a host may be told of.
+//! Determines in which regions the requests of a route may be served, and which VMs callers of a host may be referred
+//! to.
 //!
-//! A caller may reach any VM, so what the VM does with the request counts: it sends it only to upstreams of a home region.
-//! Which VMs callers are told of has to do with bytes that cross regions: the caller's own region, or a home.
+//! Any VM may receive a request, so the limit is enforced by the VM that handles it: it sends the request only to
+//! upstreams in the route's home regions. The choice of VMs for callers only reduces traffic between regions: VMs in
+//! the caller's own region or in a home region are offered.
 
 use std::fmt;
 
@@ -9,7 +11,7 @@
 
 use crate::gateway::ident::PlaceName;
 
-/// The regions in which a route's requests may be served.
+/// Regions in which a route's requests may be served (its home regions).
 ///
 /// # Examples
 ///
@@ -24,29 +26,29 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HomeRegions {
-    /// Empty where requests may be served anywhere.
+    /// Home regions; empty if requests may be served in any region.
     regions: SmallVec<[PlaceName; 2]>,
 }
 
 impl HomeRegions {
-    /// Only these regions; anywhere if there are none.
+    /// Limits requests to these regions; no limit if there are none.
     pub fn new(regions: impl IntoIterator<Item = PlaceName>) -> Self {
         Self {
             regions: regions.into_iter().collect(),
         }
     }
 
-    /// The regions; empty where requests may be served anywhere.
+    /// Returns the home regions; empty if requests may be served in any region.
     pub fn regions(&self) -> &[PlaceName] {
         &self.regions
     }
 
-    /// Whether some regions are excluded.
+    /// Returns whether requests are limited to certain regions.
     pub fn is_limited(&self) -> bool {
         !self.regions.is_empty()
     }
 
-    /// Whether a request may be served in a region. A place whose region is not known is at home nowhere.
+    /// Returns whether a request may be served in a region. If any limit applies, an unknown region is not allowed.
     pub fn allows(&self, region: Option<&PlaceName>) -> bool {
         !self.is_limited() || region.is_some_and(|region| self.regions.contains(region))
     }
@@ -65,24 +67,24 @@
     }
 }
 
-/// The regions whose VMs callers of one host may be told of, beside their own region.
+/// Regions whose VMs the callers of one host may be referred to, besides the caller's own region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostRegions {
-    /// `None` where no route of the host is limited.
+    /// `None` if no route of the host is limited.
     limits: Option<RegionLimits>,
 }
 
-/// Regions that the limited routes of a host name.
+/// Home regions of the limited routes of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RegionLimits {
-    /// At home on every limited route.
-    shared: SmallVec<[PlaceName; 2]>,
-    /// At home on one of them at least.
-    any: SmallVec<[PlaceName; 2]>,
+    /// Regions allowed by every limited route.
+    all_routes: SmallVec<[PlaceName; 2]>,
+    /// Regions allowed by at least one limited route.
+    some_route: SmallVec<[PlaceName; 2]>,
 }
 
 impl HostRegions {
-    /// What the routes of a host allow together.
+    /// Combines the home regions of all routes of a host.
     pub fn new<'a>(routes: impl IntoIterator<Item = &'a HomeRegions>) -> Self {
         let mut limits: Option<RegionLimits> = None;
         for homes in routes {
@@ -91,30 +93,30 @@
             }
             let Some(limits) = &mut limits else {
                 limits = Some(RegionLimits {
-                    shared: homes.regions.clone(),
-                    any: homes.regions.clone(),
+                    all_routes: homes.regions.clone(),
+                    some_route: homes.regions.clone(),
                 });
                 continue;
             };
             limits
-                .shared
+                .all_routes
                 .retain(|region| homes.regions.contains(region));
             for region in &homes.regions {
-                if !limits.any.contains(region) {
-                    limits.any.push(region.clone());
+                if !limits.some_route.contains(region) {
+                    limits.some_route.push(region.clone());
                 }
             }
         }
         Self { limits }
     }
 
-    /// Whether some route of the host is limited.
+    /// Returns whether any route of the host is limited.
     pub fn is_limited(&self) -> bool {
         self.limits.is_some()
     }
 
-    /// How well a VM's region suits a caller: the least is the best, `None` if the caller may not be told of the VM as
-    /// long as there is another one.
+    /// Returns how suitable a VM in `region` is for a caller in region `callers`: lower is better. `None` means that
+    /// the caller is only referred to the VM if there is no other.
     pub fn rank(&self, region: &PlaceName, callers: &PlaceName) -> Option<usize> {
         let Some(limits) = &self.limits else {
             return Some(0);
@@ -122,10 +124,10 @@
         if region == callers {
             return Some(0);
         }
-        if limits.shared.contains(region) {
+        if limits.all_routes.contains(region) {
             return Some(1);
         }
-        limits.any.contains(region).then_some(2)
+        limits.some_route.contains(region).then_some(2)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/homes_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes_tests.rs
@@ -24,7 +24,7 @@
     expect_that!(homes(&[]).to_string(), eq("anywhere"));
 }
 
-/// A caller's own region goes first, then what is at home on all limited routes, then what is at home on one.
+/// The caller's own region ranks first, then regions allowed by all limited routes, then those allowed by some.
 #[gtest]
 fn the_vms_of_a_host_are_ranked_by_the_homes_of_its_routes() {
     let routes = [
--- a/crates/ebonyfork/src/gateway/policy/latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency.rs
@@ -1,27 +1,27 @@
-//! What is known about how long attempts take: one decaying histogram for each kind of attempt.
+//! Latency of attempts: one decaying histogram for each kind of attempt of a route.
 //!
-//! A kind is a route and a distance. The histogram answers the two questions of a hedge: how likely is an attempt that
-//! has been out for a while to end before a given moment, and how likely is a fresh one.
+//! A kind is a distance, or delegation to another VM. The histogram answers the two questions that decide on a hedge:
+//! how likely an attempt that has been in flight for some time is to end by a given time, and how likely a new one is.
 
 use std::time::{Duration, Instant};
 
 use crate::gateway::settings::PlaceDistance;
 
-/// Share of the attempts that have ended when one is first looked at as a straggler: early enough for a second attempt where
+/// Quantile of the latency at which an attempt is first checked as a straggler: early enough for a second attempt if
 /// both upstreams of a shard are in other regions.
 pub const STRAGGLER_SHARE: f64 = 0.8;
-/// Buckets of a histogram. With [`GROWTH`] they reach from [`FIRST_MS`] to about 30 s.
+/// Number of buckets in a histogram. With [`GROWTH`] they cover [`FIRST_MS`] to about 30 s.
 const BUCKETS: usize = 64;
 /// Upper bound of the first bucket, in milliseconds.
 const FIRST_MS: f64 = 0.5;
-/// Ratio of the bounds of two neighbouring buckets: a quantile is off by at most a fifth.
+/// Ratio of the upper bounds of neighbouring buckets; quantiles are off by at most a fifth.
 const GROWTH: f64 = 1.19;
-/// Time in which samples lose half of their weight. Slow phases of upstreams last some seconds; with a longer memory they
-/// would count as usual long after they have passed, and hedges come too late.
+/// Half-life of the samples' weight. Slow phases of upstreams last some seconds; with a longer half-life they would
+/// still count as usual long after they have ended, and hedges would be sent too late.
 const HALF_LIFE: Duration = Duration::from_secs(3);
-/// Weight below which samples are no longer forgotten: some picture must remain of a route with few requests.
-const WEIGHT_LEAST: f64 = 24.0;
-/// Weight of the assumed samples a new histogram begins with; a few dozen real ones outweigh them.
+/// Total weight below which samples no longer decay, so that a route with few requests keeps an estimate.
+const MIN_WEIGHT: f64 = 24.0;
+/// Weight of the assumed samples in a new histogram; a few dozen real ones outweigh them.
 const PRIOR_WEIGHT: f64 = 8.0;
 
 /// How an attempt reaches its upstream.
@@ -33,7 +33,7 @@
     Region,
     /// Directly, in another region.
     Far,
-    /// By way of one of our VMs beside the upstream.
+    /// Through another VM, in the zone of the upstream.
     Delegated,
 }
 
@@ -47,17 +47,17 @@
     }
 }
 
-/// A histogram over attempt times. Its figures are in milliseconds.
+/// Decaying histogram of attempt times in milliseconds.
 #[derive(Debug, Clone)]
 pub struct LatencyTrack {
     weights: [f64; BUCKETS],
     total: f64,
-    /// Since when no weight was taken away; `None` before the first sample.
-    aged: Option<Instant>,
+    /// Time of the last decay; `None` before the first sample.
+    last_decay: Option<Instant>,
 }
 
 impl LatencyTrack {
-    /// Starts from an assumed latency, which real samples soon outweigh.
+    /// Creates a histogram from an assumed latency, which real samples soon outweigh.
     ///
     /// # Examples
     ///
@@ -77,23 +77,24 @@
         let mut track = Self {
             weights: [0.0; BUCKETS],
             total: 0.0,
-            aged: None,
+            last_decay: None,
         };
-        // Spread over a factor of four, since nothing is known yet.
+        // Spread the assumption over a factor of four to reflect its uncertainty.
         for factor in [0.5, 0.75, 1.0, 2.0] {
             track.add(millis(assumed) * factor, PRIOR_WEIGHT / 4.0);
         }
         track
     }
 
-    /// Takes in how long an attempt took that ended at `now`.
+    /// Adds a sample for an attempt that ended at `now`.
     pub fn record(&mut self, took: Duration, now: Instant) {
-        self.age(now);
+        self.decay(now);
         self.add(millis(took), 1.0);
     }
 
-    /// Takes in that an attempt was given up after a time. If it was late it counts as one that would have taken as long
-    /// again. Without it pauses, which mostly end that way, vanished from the picture, and hedges with them.
+    /// Adds a sample for an attempt that was abandoned after `waited`. If it was late it counts as taking twice that
+    /// time. Without this, pauses would disappear from the histogram, because most attempts that meet one are
+    /// abandoned, and then no hedges would be sent.
     pub fn record_abandoned(&mut self, waited: Duration, now: Instant) {
         if millis(waited) > self.quantile(STRAGGLER_SHARE) {
             self.record(waited * 2, now);
@@ -101,67 +102,72 @@
     }
 
     fn add(&mut self, took_ms: f64, weight: f64) {
-        self.weights[bucket(took_ms)] += weight;
+        self.weights[bucket_index(took_ms)] += weight;
         self.total += weight;
     }
 
     /// Halves the weights for each half-life that has passed.
-    fn age(&mut self, now: Instant) {
-        let since = *self.aged.get_or_insert(now);
-        let passed = now.saturating_duration_since(since);
-        if passed < HALF_LIFE {
+    fn decay(&mut self, now: Instant) {
+        let since = *self.last_decay.get_or_insert(now);
+        let elapsed = now.saturating_duration_since(since);
+        if elapsed < HALF_LIFE {
             return;
         }
-        self.aged = Some(now);
-        let kept = 0.5_f64.powf(passed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        let kept = kept.max((WEIGHT_LEAST / self.total).min(1.0));
+        self.last_decay = Some(now);
+        let retention = 0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
+        let retention = retention.max((MIN_WEIGHT / self.total).min(1.0));
         for weight in &mut self.weights {
-            *weight *= kept;
+            *weight *= retention;
         }
-        self.total *= kept;
+        self.total *= retention;
     }
 
-    /// The time within which a share of the attempts end, in milliseconds.
+    /// Returns the latency in milliseconds within which the fraction `share` of the attempts end.
     pub fn quantile(&self, share: f64) -> f64 {
         let wanted = self.total * share;
-        let mut passed = 0.0;
+        let mut cumulative = 0.0;
         for (number, weight) in self.weights.iter().enumerate() {
-            passed += weight;
-            if passed >= wanted {
-                return bound(number);
+            cumulative += weight;
+            if cumulative >= wanted {
+                return bucket_bound(number);
             }
         }
-        bound(BUCKETS - 1)
+        bucket_bound(BUCKETS - 1)
     }
 
-    /// The share of the attempts that take longer than a time, in milliseconds.
+    /// Returns the fraction of the attempts that take longer than `time_ms` milliseconds.
     pub fn survival(&self, time_ms: f64) -> f64 {
         if time_ms <= 0.0 {
             return 1.0;
         }
-        let number = bucket(time_ms);
+        let number = bucket_index(time_ms);
         let longer: f64 = self.weights[number + 1..].iter().sum();
-        let low = if number == 0 { 0.0 } else { bound(number - 1) };
-        let inside = ((bound(number) - time_ms) / (bound(number) - low)).clamp(0.0, 1.0);
+        let low = if number == 0 {
+            0.0
+        } else {
+            bucket_bound(number - 1)
+        };
+        let inside =
+            ((bucket_bound(number) - time_ms) / (bucket_bound(number) - low)).clamp(0.0, 1.0);
         (longer + self.weights[number] * inside) / self.total
     }
 
-    /// How likely an attempt that has been out for `waited_ms` ends within the next `left_ms`.
+    /// Returns the probability that an attempt which has been in flight for `waited_ms` ends within the next `left_ms`.
     pub fn ends_within(&self, waited_ms: f64, left_ms: f64) -> f64 {
-        /// An attempt that has outlasted all samples says nothing; it is taken as unlikely to end soon.
-        const UNSEEN: f64 = 1e-4;
-        let alive = self.survival(waited_ms).max(UNSEEN);
+        /// Survival assumed for an attempt that has outlasted all samples, which makes it unlikely to end soon.
+        const MIN_SURVIVAL: f64 = 1e-4;
+        let alive = self.survival(waited_ms).max(MIN_SURVIVAL);
         let later = self.survival(waited_ms + left_ms.max(0.0));
         (1.0 - later / alive).clamp(0.0, 1.0)
     }
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1_000.0
 }
 
-fn bucket(time_ms: f64) -> usize {
+fn bucket_index(time_ms: f64) -> usize {
     if time_ms <= FIRST_MS {
         return 0;
     }
@@ -169,7 +175,7 @@
     number.min(BUCKETS - 1)
 }
 
-fn bound(number: usize) -> f64 {
+fn bucket_bound(number: usize) -> f64 {
     FIRST_MS * GROWTH.powi(number as i32)
 }
 
--- a/crates/ebonyfork/src/gateway/policy/load_report.rs
+++ b/crates/ebonyfork/src/gateway/policy/load_report.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of their own load in their answers.
+//! Load reports that upstreams add to their answers.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,14 +8,14 @@
 use smallvec::SmallVec;
 use snafu::Snafu;
 
-/// Age at which a report counts for half: it changes many times a second.
+/// Age at which the weight of a report has halved; load changes many times per second.
 const HALF_LIFE: Duration = Duration::from_millis(300);
-/// Longest times of work that are believed, in per cent of the usual ones.
+/// Highest processing time that is accepted, in per cent of the usual one.
 const PERCENT_LIMIT: u32 = 10_000;
-/// Most requests that are believed to be at one upstream.
+/// Highest number of requests or slots that is accepted.
 const REQUEST_LIMIT: u32 = 10_000;
 
-/// How busy an upstream is, as it says itself.
+/// Load of an upstream as it reports it.
 ///
 /// # Examples
 ///
@@ -31,33 +31,33 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that run.
+    /// Number of requests being processed.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that can run side by side.
+    /// Number of requests that the upstream can process in parallel.
     pub slots: u32,
-    /// How long work takes at this moment, in per cent of what it usually takes.
+    /// Current processing time in per cent of the usual one.
     pub percent: u32,
 }
 
-/// A report that says nothing.
+/// Error for an invalid load report.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
-#[snafu(display("`{text}` is no load: {reason}"))]
+#[snafu(display("invalid load report `{text}`: {reason}"))]
 pub struct LoadReportError {
-    /// The report.
+    /// Text of the report.
     pub text: CompactString,
-    /// What is wrong.
+    /// Reason why it is invalid.
     pub reason: CompactString,
 }
 
 impl LoadReport {
-    /// How long work takes at this moment over what it usually takes.
+    /// Returns the current processing time divided by the usual one.
     pub fn slowness(&self) -> f64 {
         f64::from(self.percent) / 100.0
     }
 
-    /// Requests at the upstream for each of its slots.
+    /// Returns the number of requests at the upstream per slot.
     pub fn queued(&self) -> f64 {
         f64::from(self.running + self.waiting) / f64::from(self.slots)
     }
@@ -83,12 +83,12 @@
             text: text.into(),
             reason,
         };
-        let mut figures: SmallVec<[u32; 4]> = SmallVec::new();
-        for figure in text.split(',') {
-            let parsed = figure.trim().parse::<u32>();
-            figures.push(parsed.map_err(|cause| error(format_compact!("{cause}")))?);
+        let mut fields: SmallVec<[u32; 4]> = SmallVec::new();
+        for field in text.split(',') {
+            let parsed = field.trim().parse::<u32>();
+            fields.push(parsed.map_err(|cause| error(format_compact!("{cause}")))?);
         }
-        let [running, waiting, slots, ref rest @ ..] = figures[..] else {
+        let [running, waiting, slots, ref rest @ ..] = fields[..] else {
             return Err(error("expected running, waiting and slots".into()));
         };
         let percent = rest.first().copied().unwrap_or(100);
@@ -99,26 +99,26 @@
             percent,
         };
         if slots == 0 || running.max(waiting).max(slots) > REQUEST_LIMIT {
-            return Err(error("no upstream has so many slots or requests".into()));
+            return Err(error("number of requests or slots is out of range".into()));
         }
         if percent == 0 || percent > PERCENT_LIMIT {
-            return Err(error("no work takes so long".into()));
+            return Err(error("processing time is out of range".into()));
         }
         Ok(report)
     }
 }
 
-/// A report with the moment at which it came.
+/// Load report with the time at which it arrived.
 #[derive(Debug, Clone, Copy)]
 pub struct AgedReport {
-    /// The report.
+    /// Load report.
     pub report: LoadReport,
-    /// When it came.
+    /// Time of arrival.
     pub at: Instant,
 }
 
 impl AgedReport {
-    /// How much the report counts beside what else is known, 0 to 1.
+    /// Returns the weight of the report relative to other knowledge, from 0 to 1.
     pub fn weight(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at);
         0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
--- a/crates/ebonyfork/src/gateway/policy/load_report_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/load_report_tests.rs
@@ -20,7 +20,7 @@
     ] {
         expect_that!(text.parse::<LoadReport>().is_err(), eq(true), "{text}");
     }
-    // Figures that are added later are passed over.
+    // Unknown trailing fields are ignored.
     expect_that!("3,0,8,100,7".parse::<LoadReport>().is_ok(), eq(true));
     let report: LoadReport = "1,2,2,50".parse().expect("a load");
     expect_that!(report.to_string().parse::<LoadReport>(), ok(eq(&report)));
--- a/crates/ebonyfork/src/gateway/policy/mod.rs
+++ b/crates/ebonyfork/src/gateway/policy/mod.rs
@@ -1,21 +1,23 @@
-//! The decisions about requests, apart from input and output: plain values in, the time given, a decision out.
+//! Decision logic for requests, free of I/O: each function takes plain values and the current time and returns a
+//! decision.
 //!
-//! No socket, channel or log line is in here, and no module knows the process around it; `run/` and the other modules of
-//! the gateway carry the decisions out. The same code runs in virtual time against modelled upstreams (`load_tests`).
+//! This module uses no sockets, channels or logging and doesn't depend on the rest of the process; `run/` and the other
+//! gateway modules carry the decisions out. The load tests run the same code in virtual time against model upstreams
+//! (`load_tests`).
 //!
-//! | decision | module | load pattern that it answers |
+//! | decision | module | load pattern it handles |
 //! | --- | --- | --- |
-//! | where a request may be served | [`homes`] | routes that are bound to regions, moved while they are in use |
-//! | which VMs take requests | [`serving`] | hundreds of VMs, each of which would see too little to know upstreams and callers |
-//! | which upstream gets a shard | [`choice`] | half of a service's upstreams decline while others have room |
-//! | what is known of an upstream | [`health`], [`latency`], [`route_latency`], [`load_report`] | pauses, slow phases, crashes, cold starts, neighbours on the upstream's machine |
-//! | how many requests a cold upstream gets, and from which VM | [`cold`] | the upstreams of a zone return together and cold |
-//! | which shards wait at first | [`postpone`] | some shards have no upstream that answers in time, coverage allows to leave them out |
-//! | whether a shard is sent again | [`retry`] | upstreams decline, or can't be reached |
-//! | whether a second attempt is sent beside the first | [`hedge`] | pauses of a few hundred milliseconds |
-//! | how many repeats may be sent | [`budget`] | many VMs that share one bound, and lose it in parts too small to use |
-//! | when a query is answered | [`gather`] | the last parts come after the target, or not at all |
-//! | how much sooner that must be decided | [`answer_lag`] | a VM that is busy or slow |
+//! | where a request may be served | [`homes`] | routes that are limited to regions, and limits that change while in use |
+//! | which VMs take requests | [`serving`] | hundreds of VMs, each of which would see too few requests to know upstreams and callers |
+//! | which upstream gets a shard | [`choice`] | half of a service's upstreams decline requests while the others have capacity |
+//! | how an upstream performs | [`health`], [`latency`], [`route_latency`], [`load_report`] | pauses, slow phases, crashes, cold starts, other load on the upstream's machine |
+//! | how many requests a cold upstream gets, and from which VM | [`cold`] | all upstreams of a zone return at once, and cold |
+//! | which shards are postponed | [`postpone`] | no upstream of some shards answers in time, and the required coverage is met without them |
+//! | whether a shard is retried | [`retry`] | upstreams that decline requests or can't be reached |
+//! | whether a hedge is sent | [`hedge`] | pauses of a few hundred milliseconds |
+//! | how many repeats (retries and hedges) may be sent | [`budget`] | many VMs that share one bound, whose equal parts of it are too small to use |
+//! | when a query is answered | [`gather`] | the last parts arrive after the target, or never |
+//! | how long before the target this must be decided | [`answer_lag`] | a VM that is busy or slow |
 
 pub mod answer_lag;
 pub mod budget;
--- a/crates/ebonyfork/src/gateway/policy/postpone.rs
+++ b/crates/ebonyfork/src/gateway/policy/postpone.rs
@@ -1,35 +1,35 @@
-//! Which shards of a query are left out at first, because their parts are unlikely to come in time.
+//! Selects the shards of a query to postpone because their parts are unlikely to arrive in time.
 //!
-//! Answers it: overload of some shards, whose upstreams are slow or away, while the others have room. What such a part would
-//! add is less than what its work takes from the queries behind it. The least likely go first, so that the load falls where
-//! it is highest.
+//! This handles an overload of some shards whose upstreams are slow or unavailable while the others have capacity. A
+//! late part adds less to its query than its processing costs the queries behind it. The least likely shards are
+//! postponed first, which takes load off the most loaded upstreams.
 
 use smallvec::SmallVec;
 
-/// Likelihood of a part in time below which its shard is left out.
-const LEAST_LIKELIHOOD: f64 = 0.3;
+/// Likelihood of a part in time below which its shard may be postponed.
+const MIN_LIKELIHOOD: f64 = 0.3;
 
-/// How likely a shard's part comes while it is of use.
+/// Likelihood that a shard's part arrives while it is useful.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShardLikelihood {
-    /// The shard.
+    /// Index of the shard in the query.
     pub shard: usize,
-    /// From 0 to 1.
+    /// Probability from 0 to 1.
     pub likelihood: f64,
 }
 
-/// Whether a part is so unlikely to come in time that its shard may be postponed.
-pub fn is_hopeless(likelihood: f64) -> bool {
-    likelihood < LEAST_LIKELIHOOD
+/// Returns whether a part is unlikely enough to arrive in time for its shard to be postponed.
+pub fn is_unlikely(likelihood: f64) -> bool {
+    likelihood < MIN_LIKELIHOOD
 }
 
-/// Chooses the shards to postpone: at most `surplus`, without which there is still an answer.
+/// Returns the shards to postpone: at most `surplus`, the number that the answer can do without.
 pub fn postponed_shards(
     shards: impl IntoIterator<Item = ShardLikelihood>,
     surplus: usize,
 ) -> SmallVec<[usize; 8]> {
-    let hopeless = |shard: &ShardLikelihood| is_hopeless(shard.likelihood);
-    let mut shards: SmallVec<[ShardLikelihood; 8]> = shards.into_iter().filter(hopeless).collect();
+    let unlikely = |shard: &ShardLikelihood| is_unlikely(shard.likelihood);
+    let mut shards: SmallVec<[ShardLikelihood; 8]> = shards.into_iter().filter(unlikely).collect();
     shards.sort_unstable_by(|a, b| a.likelihood.total_cmp(&b.likelihood));
     shards.truncate(surplus);
     shards.into_iter().map(|shard| shard.shard).collect()
--- a/crates/ebonyfork/src/gateway/policy/retry.rs
+++ b/crates/ebonyfork/src/gateway/policy/retry.rs
@@ -1,35 +1,35 @@
-//! Whether a shard is sent again after an attempt that brought no answer.
+//! Decides whether a shard is retried after an attempt without an answer.
 //!
-//! Answers it: upstreams that decline under load, and ones that can't be reached. A few tries find one that is back or has
-//! room; more only add to the load. The route bounds on how many upstreams a shard may run, the budget how often all VMs
-//! send again; the limits here end what those still allow.
+//! This handles upstreams that decline requests under load or can't be reached. A few retries find one that has
+//! recovered or has capacity; more only add load. The route limits the number of upstreams on which a shard may run,
+//! and the retry budget limits the repeats of all VMs; the limits here apply on top of both.
 
 use std::time::Duration;
 
 use crate::gateway::route::RepeatKind;
 
-/// Wait before a shard is sent again to an upstream that has declined it: about one service time.
+/// Delay before a retry at an upstream that declined the shard: about one service time.
 const DECLINED_PAUSE: Duration = Duration::from_millis(25);
-/// Attempts of one shard that upstreams may decline before it is given up.
+/// Number of declined attempts after which a shard fails.
 const DECLINED_LIMIT: usize = 3;
-/// Attempts of one shard of which nothing was sent before it is given up.
+/// Number of attempts that ended before anything was sent after which a shard fails.
 const UNSENT_LIMIT: usize = 4;
-/// Attempts of one shard that may have run before it is given up, on the same upstreams or others.
+/// Number of attempts of one shard that may run, at the same or different upstreams.
 const SENT_LIMIT: usize = 4;
 
-/// What follows an attempt without an answer.
+/// Action after an attempt without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStep {
-    /// Another attempt; the pause holds for an upstream that was tried already.
+    /// Start another attempt. The pause only applies to an upstream that was tried before.
     Again {
-        /// How long to wait.
+        /// Delay before the attempt.
         pause: Duration,
     },
-    /// None, unless one is still out.
+    /// Start no further attempt; the shard fails once none is in flight.
     GiveUp,
 }
 
-/// Decides after an upstream has declined an attempt, the `declined`th of the shard.
+/// Returns the action after a declined attempt; `declined` counts the shard's declined attempts.
 pub fn after_declined(declined: usize) -> RetryStep {
     if declined >= DECLINED_LIMIT {
         return RetryStep::GiveUp;
@@ -38,7 +38,7 @@
     RetryStep::Again { pause }
 }
 
-/// Decides after an attempt of which nothing was sent, the `unsent`th of the shard.
+/// Returns the action after an attempt that was not sent; `unsent` counts those of the shard.
 pub fn after_unsent(unsent: usize) -> RetryStep {
     if unsent >= UNSENT_LIMIT {
         return RetryStep::GiveUp;
@@ -47,7 +47,7 @@
     RetryStep::Again { pause }
 }
 
-/// Most attempts of a shard that may run.
+/// Returns the maximum number of attempts of a shard that may run.
 pub fn sends_allowed(repeat: RepeatKind) -> usize {
     match repeat {
         RepeatKind::Idempotent => SENT_LIMIT,
--- a/crates/ebonyfork/src/gateway/policy/route_latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency.rs
@@ -1,4 +1,4 @@
-//! How long the attempts of one route take, by where they go.
+//! Latency of the attempts of one route, by distance of the upstream.
 
 use std::time::Duration;
 
@@ -6,17 +6,17 @@
 use crate::gateway::policy::latency::{AttemptKind, LatencyTrack};
 use crate::gateway::settings::PlaceDistance;
 
-/// Latency that is assumed of an attempt in the same zone before any was measured.
+/// Assumed latency of attempts in the same zone before any was measured.
 const ASSUMED_NEAR: Duration = Duration::from_millis(30);
-/// The same for another zone of the region.
+/// Assumed latency of attempts in another zone of the region.
 const ASSUMED_REGION: Duration = Duration::from_millis(35);
-/// The same for another region: the stated distances are 10 to 20 ms one way.
+/// Assumed latency of attempts in another region; regions are 10 to 20 ms apart one way.
 const ASSUMED_FAR: Duration = Duration::from_millis(70);
-/// How long the attempts of one route take, by kind.
+/// Latency of the attempts of one route, by kind.
 #[derive(Debug)]
 pub struct RouteLatency {
     tracks: [LatencyTrack; 4],
-    /// How long its callers wait in all.
+    /// How long the route's callers wait in total.
     pub waits: WaitTrack,
 }
 
@@ -35,23 +35,24 @@
         &self.tracks[kind.into() as usize]
     }
 
-    /// How long attempts of a kind usually take, in milliseconds.
+    /// Returns the median latency of attempts of a kind, in milliseconds.
     pub fn usual_ms(&self, kind: impl Into<AttemptKind>) -> f64 {
         self.track(kind).quantile(0.5)
     }
 
-    /// What the way to the upstream adds to the time of an attempt, in milliseconds.
+    /// Returns the network time that the distance adds to an attempt, in milliseconds.
     pub fn way_ms(&self, kind: impl Into<AttemptKind>) -> f64 {
         (self.usual_ms(kind) - self.usual_ms(AttemptKind::Zone)).max(0.0)
     }
 
-    /// The time that an upstream took for an attempt over the time that one beside this VM usually takes.
+    /// Returns the time an upstream took for an attempt, without the network time, divided by the median time of
+    /// attempts in the same zone.
     pub fn slowness(&self, kind: impl Into<AttemptKind>, took_ms: f64) -> f64 {
         let own_ms = (took_ms - self.way_ms(kind)).max(0.0);
         own_ms / self.usual_ms(AttemptKind::Zone)
     }
 
-    /// The quickest kind of attempt at a distance.
+    /// Returns the fastest kind of attempt at a distance: direct or delegated.
     pub fn quickest(&self, distance: PlaceDistance) -> AttemptKind {
         let direct = AttemptKind::from(distance);
         let near = distance == PlaceDistance::Zone;
--- a/crates/ebonyfork/src/gateway/policy/serving_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/serving_tests.rs
@@ -16,7 +16,7 @@
         (&[0.25, 0.25, 0.25], 3),
         (&[0.5, 0.5, 0.12, 0.12, 0.12, 0.12], 2),
         (&[0.5, 0.3, 0.12], 2),
-        // One strong VM beside many weak ones can't carry them all.
+        // One strong VM can't take the load of many weak ones.
         (
             &[
                 0.5, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12, 0.12,
@@ -27,7 +27,7 @@
     for (cores, expected) in cases {
         expect_that!(chosen(cores, 0), eq(expected), "{cores:?}");
     }
-    // A few strong VMs can, until their answers lag.
+    // A few strong VMs can, until they are busy.
     let mut many = vec![0.12; 35];
     many.extend([0.5; 3]);
     expect_that!(chosen(&many, 250), eq(3));
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -9,7 +9,7 @@
 use crate::gateway::clock::now;
 use crate::gateway::policy::choice::{UpstreamChoice, probe_upstream};
 use crate::gateway::policy::latency::{AttemptKind, millis};
-use crate::gateway::policy::postpone::{ShardLikelihood, is_hopeless, postponed_shards};
+use crate::gateway::policy::postpone::{ShardLikelihood, is_unlikely, postponed_shards};
 use crate::gateway::settings::PlaceDistance;
 use crate::quarantine::RequestStanding;
 
@@ -30,7 +30,7 @@
             // Too few shards have an upstream: nothing is sent, so that the caller can be told so.
             return;
         }
-        self.postpone_hopeless(&choices);
+        self.postpone_unlikely(&choices);
         if matches!(self.target, RunTarget::Gather(_)) {
             self.delegate(&mut choices);
         }
@@ -49,7 +49,7 @@
     }
 
     /// Postpones the shards whose parts are unlikely to come in time, as far as the others suffice.
-    fn postpone_hopeless(&mut self, choices: &[Option<UpstreamChoice>]) {
+    fn postpone_unlikely(&mut self, choices: &[Option<UpstreamChoice>]) {
         if self.state.surplus() == 0 {
             return;
         }
@@ -57,7 +57,7 @@
         for (shard, choice) in choices.iter().enumerate() {
             let Some(choice) = choice else { continue };
             let likelihood = self.likelihood(choice);
-            if is_hopeless(likelihood) && self.find_probe(shard, choice).is_none() {
+            if is_unlikely(likelihood) && self.find_probe(shard, choice).is_none() {
                 likelihoods.push(ShardLikelihood { shard, likelihood });
             }
         }
