--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt after another: where it goes, what it is counted as, how it is sent.
+//! Starts attempts: selects the upstream, spends the retry budget and sends the request.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -21,48 +21,49 @@
 use crate::gateway::settings::PlaceDistance;
 use crate::gateway::upstream::Upstream;
 
-/// An attempt that has ended.
+/// Finished attempt.
 pub(super) struct FinishedAttempt {
-    /// Its place in the list of attempts.
+    /// Index in the list of attempts.
     pub number: usize,
-    /// What became of it.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// An attempt that was begun.
+/// Attempt that was started; it may have ended.
 #[derive(Debug)]
-pub(super) struct LiveAttempt {
-    /// The shard it is for.
+pub(super) struct StartedAttempt {
+    /// Shard that it is for.
     pub shard: usize,
-    /// The upstream it goes to; for one that another VM gathers, the upstream it would have gone to.
+    /// Upstream that it is sent to. For a delegated attempt, the upstream that this VM would have used.
     pub upstream: Rc<Upstream>,
-    /// That upstream's life.
+    /// Incarnation of that upstream.
     pub life: UpstreamLife,
-    /// How it gets there.
+    /// How the attempt reaches the upstream.
     pub kind: AttemptKind,
-    /// Whether the request may have run there.
+    /// Whether the request may have run at the upstream.
     pub may_have_run: bool,
-    /// Whether it has been handed to a connection, or to another VM: until then it waits for one.
+    /// Whether it was handed to a connection or to another VM; before that it waits for a connection.
     pub sent: Rc<Cell<bool>>,
-    /// Ends it.
+    /// Aborts the attempt.
     pub abort: AbortHandle,
-    /// When it was begun.
+    /// Start time.
     pub began: Instant,
-    /// When to look whether it is a straggler.
-    pub next_look: Instant,
-    /// Whether the VM that gathers it has shown that it is late.
+    /// Time of the next check whether it is a straggler.
+    pub next_check: Instant,
+    /// Whether the replies of the VM it was delegated to have shown that it is late.
     pub known_late: bool,
-    /// How long it took, once its answer is in.
+    /// Time that it took; `None` until its answer has arrived.
     pub took: Option<Duration>,
-    /// Whether it has ended.
+    /// Whether the attempt has ended.
     pub ended: bool,
 }
 
-/// The attempts that are out; one that was aborted ends with nothing.
+/// Attempts in flight; an aborted one yields `None`.
 pub(super) type AttemptSet = FuturesUnordered<LocalBoxFuture<'static, Option<FinishedAttempt>>>;
 
 impl QueryRun {
-    /// Begins an attempt of a shard after a pause; the shard fails if it can't have one and none is out.
+    /// Starts an attempt of a shard after a pause. Marks the shard as failed if no attempt is possible and none is in
+    /// flight.
     pub(super) fn start(&mut self, shard: usize, pause: Duration) {
         if self.try_start(shard, pause) || self.state.shards()[shard].out > 0 {
             return;
@@ -82,7 +83,7 @@
         if repeat && !self.spend(shard) {
             return false;
         }
-        // The way to another zone is pause enough.
+        // The network time to another zone is pause enough.
         let delegated = repeat && self.delegate_repeat(shard, &choice);
         if !delegated {
             self.launch(shard, choice, pause);
@@ -90,26 +91,27 @@
         true
     }
 
-    /// Most attempts of a shard that may run, on the same upstreams or others.
+    /// Returns the maximum number of attempts of a shard that may run, at the same or different upstreams.
     pub(super) fn sends_allowed(&self) -> usize {
         retry::sends_allowed(self.route.repeat)
     }
 
-    /// Whether an upstream may have run the request, or may run it yet. An attempt that still waits for a connection is
-    /// not sent any more once the request has ended.
+    /// Returns whether an upstream may have run the request, or may still run it. An attempt that waits for a
+    /// connection isn't sent any more once the request has ended.
     pub(super) fn may_have_run(&self) -> bool {
-        let may_have = |attempt: &LiveAttempt| attempt.may_have_run && attempt.sent.get();
-        self.live.iter().any(may_have)
+        let may_have = |attempt: &StartedAttempt| attempt.may_have_run && attempt.sent.get();
+        self.attempts.iter().any(may_have)
     }
 
-    /// Attempts of a shard.
-    pub(super) fn attempts_of(&self, shard: usize) -> impl Iterator<Item = &LiveAttempt> {
-        self.live
+    /// Returns the attempts of a shard.
+    pub(super) fn attempts_of(&self, shard: usize) -> impl Iterator<Item = &StartedAttempt> {
+        self.attempts
             .iter()
             .filter(move |attempt| attempt.shard == shard)
     }
 
-    /// Upstreams on which a shard may have run. One that another VM has chosen counts as one of its own.
+    /// Returns the upstreams on which a shard may have run. An upstream that another VM selected counts separately,
+    /// even if it is the same one.
     pub(super) fn upstreams_run(
         &self,
         shard: usize,
@@ -130,7 +132,7 @@
         upstreams
     }
 
-    /// Takes a repeat out of the budget.
+    /// Spends one repeat of the retry budget; returns false if it is denied.
     pub(super) fn spend(&self, shard: usize) -> bool {
         let core = &self.context.core;
         let service = self.target.service(shard);
@@ -152,7 +154,7 @@
         funded.is_ok()
     }
 
-    /// Counts the request to a shard in the budget, once.
+    /// Counts the request to a shard in the retry budget, once.
     pub(super) fn count_request(&mut self, shard: usize) {
         if self.state.shards()[shard].counted {
             return;
@@ -165,34 +167,35 @@
             .note_request(service, core.running_time());
     }
 
-    /// The upstreams that a shard may go to: those in the home regions of the route, less cold ones that may get no
-    /// request from this VM now.
+    /// Returns the upstreams that a shard may be sent to: those in the home regions of the route, except cold ones that
+    /// may get no request from this VM now.
     pub(super) fn candidates(&self, shard: usize) -> UpstreamList {
         let mut listed = self.at_home(shard);
         listed.retain(|upstream| self.context.core.has_cold_room(upstream));
         listed
     }
 
-    /// The upstreams in the home regions of the route.
+    /// Returns the upstreams in the home regions of the route.
     pub(super) fn at_home(&self, shard: usize) -> UpstreamList {
         let service = self.target.service(shard);
         self.context.core.upstreams_at_home(&self.route, service)
     }
 
-    /// Chooses an upstream that the shard was not sent to; if there is none and no attempt is out, one that it was sent
-    /// to, but never more upstreams than the route allows. For another VM only upstreams beside this one count.
+    /// Selects an upstream that the shard was not sent to. If there is none and no attempt is in flight, selects one
+    /// that it was sent to, without exceeding the route's limit on upstreams. For another VM, only upstreams in this
+    /// VM's zone are used.
     pub(super) fn choose(&self, shard: usize, repeat: bool) -> Option<UpstreamChoice> {
         let core = &self.context.core;
         let candidates = self.candidates(shard);
         let latency = self.context.latency.borrow();
         let place = &core.settings.place;
         let time = now();
-        let beside = |upstream: &Upstream| {
-            self.duty.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
+        let in_own_zone = |upstream: &Upstream| {
+            self.delivery.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
         let pick = |allowed: &dyn Fn(&Upstream, &UpstreamLife) -> bool| {
             let allowed = |upstream: &Upstream, life: &UpstreamLife| {
-                beside(upstream) && allowed(upstream, life)
+                in_own_zone(upstream) && allowed(upstream, life)
             };
             choose_upstream(&candidates, allowed, place, &latency, time)
         };
@@ -214,7 +217,7 @@
             .or_else(|| pick(&|_upstream, life| fresh(life) || again(life)))
     }
 
-    /// Notes an attempt as begun; returns its place in the list.
+    /// Records the start of an attempt; returns its index in the list.
     pub(super) fn note_begun(
         &mut self,
         shard: usize,
@@ -223,14 +226,14 @@
         began: Instant,
         abort: AbortHandle,
     ) -> usize {
-        let first_look = {
+        let first_check = {
             let latency = self.context.latency.borrow();
             HedgeQuestion::next_look(latency.track(kind), 0.0)
         };
         if kind == AttemptKind::Delegated {
             choice.upstream.health.borrow_mut().begin(began);
         }
-        self.live.push(LiveAttempt {
+        self.attempts.push(StartedAttempt {
             shard,
             life: choice.upstream.entry().life(),
             upstream: Rc::clone(&choice.upstream),
@@ -239,7 +242,7 @@
             sent: Rc::new(Cell::new(kind == AttemptKind::Delegated)),
             abort,
             began,
-            next_look: began + Duration::from_secs_f64(first_look / 1_000.0),
+            next_check: began + Duration::from_secs_f64(first_check / 1_000.0),
             known_late: false,
             took: None,
             ended: false,
@@ -247,10 +250,10 @@
         let state = self.state.shard_mut(shard);
         state.out += 1;
         state.ran += 1;
-        self.live.len() - 1
+        self.attempts.len() - 1
     }
 
-    /// Begins an attempt at an upstream after a pause.
+    /// Starts an attempt at an upstream after a pause.
     pub(super) fn launch(&mut self, shard: usize, choice: UpstreamChoice, pause: Duration) {
         self.count_request(shard);
         let began = now() + pause;
@@ -260,7 +263,7 @@
         let context = self.context.clone();
         let request = Rc::clone(&self.request);
         let cancelled = Rc::clone(&self.cancelled);
-        let sent = Rc::clone(&self.live[number].sent);
+        let sent = Rc::clone(&self.attempts[number].sent);
         let useful_until = self.state.useful_until(began);
         let attempt = async move {
             if !pause.is_zero() {
@@ -275,6 +278,7 @@
             FinishedAttempt { number, outcome }
         };
         let attempt = Abortable::new(attempt, registration);
-        self.set.push(Box::pin(async move { attempt.await.ok() }));
+        self.in_flight
+            .push(Box::pin(async move { attempt.await.ok() }));
     }
 }
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -1,4 +1,4 @@
-//! The first attempts of a request: which shards go where, which wait.
+//! Starts a request: which shards are sent where, which are delegated and which are postponed.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
     pub(super) fn begin(&mut self, standing: RequestStanding) {
         let shards = self.state.shards().len();
         if standing == RequestStanding::Suspect && shards > 1 {
-            // It may crash what runs it: one shard shows it before the others are put at risk.
+            // The request may crash its upstreams, so one shard is sent as a probe before the others are risked.
             let probe = rand::random_range(0..shards);
-            self.suspicion = RunSuspicion::of_suspect(shards, probe);
+            self.suspicion = RunSuspicion::for_suspect(shards, probe);
             self.request.after_loss.set(true);
             self.start(probe, Duration::ZERO);
             return;
@@ -27,7 +27,7 @@
         let mut choices: Vec<_> = (0..shards).map(|shard| self.choose(shard, false)).collect();
         self.fail_unserved(&choices);
         if self.state.judge(now()).is_some() {
-            // Too few shards have an upstream: nothing is sent, so that the caller can be told so.
+            // Too few shards have an upstream: nothing is sent, so the caller can be told that nothing ran.
             return;
         }
         self.postpone_unlikely(&choices);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Gives up the shards that have no upstream.
+    /// Marks the shards without an upstream as failed.
     fn fail_unserved(&mut self, choices: &[Option<UpstreamChoice>]) {
         for (shard, choice) in choices.iter().enumerate() {
             if choice.is_none() {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Postpones the shards whose parts are unlikely to come in time, as far as the others suffice.
+    /// Postpones shards whose parts are unlikely to arrive in time, as long as the others suffice.
     fn postpone_unlikely(&mut self, choices: &[Option<UpstreamChoice>]) {
         if self.state.surplus() == 0 {
             return;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Sends a shard for the first time, unless it is postponed or with another VM.
+    /// Starts a shard's first attempt, unless the shard is postponed or delegated to another VM.
     fn begin_shard(&mut self, shard: usize, choice: Option<UpstreamChoice>) {
         let state = &self.state.shards()[shard];
         if state.postponed || state.out > 0 {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// An upstream that is avoided and could be tried beside the chosen one.
+    /// Returns an avoided upstream that should be probed in addition to the chosen one.
     pub(super) fn find_probe(
         &self,
         shard: usize,
@@ -97,7 +97,7 @@
         probe_upstream(&candidates, choice, &core.settings.place, now())
     }
 
-    /// How likely a part comes while it is of use.
+    /// Returns the probability that a part arrives while it is useful.
     fn likelihood(&self, choice: &UpstreamChoice) -> f64 {
         let time = now();
         let Some(until) = self.state.useful_until(time) else {
@@ -107,7 +107,7 @@
         let latency = self.context.latency.borrow();
         let track = match choice.distance {
             PlaceDistance::Zone => latency.track(choice.distance),
-            // A VM beside the upstream gathers it.
+            // The shard is delegated to a VM in the upstream's zone.
             PlaceDistance::Region | PlaceDistance::Far => latency.track(AttemptKind::Delegated),
         };
         1.0 - track.survival(left / choice.slowness)
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a request: its answer.
+//! Creates the answer of a request.
 
 use compact_str::format_compact;
 
@@ -9,18 +9,18 @@
 use crate::gateway::refusal::RefusalReason;
 use crate::gateway::reply::{CallerReply, forwarded, gathered, refusal, set_retry_after};
 
-/// Attempts that a failed request's log line names at most.
+/// Maximum number of attempts listed in the log line of a failed request.
 const OPEN_LIMIT: usize = 4;
 
 impl QueryRun {
-    /// Makes the answer.
+    /// Creates the answer and its log details.
     pub(super) fn finish(mut self, end: GatherEnd) -> RunReport {
         let decided = now();
         let detail = format_compact!(
             "parts={}/{} attempts={} groups={} hedges={} retries={} unfunded={} denied={} lost={} postponed={} caller_ms={:.1} lag_ms={:.1}",
             self.state.answered(),
             self.state.shards().len(),
-            self.live.len(),
+            self.attempts.len(),
             self.groups.len(),
             self.hedges,
             self.retries,
@@ -49,11 +49,11 @@
         }
     }
 
-    /// What a failed request was still waiting for, for its log line.
+    /// Lists the attempts that a failed request was still waiting for, for its log line.
     fn open_attempts(&self) -> String {
         let time = now();
         let open = self
-            .live
+            .attempts
             .iter()
             .filter(|attempt| !attempt.ended && self.state.shards()[attempt.shard].is_open());
         let named = open.take(OPEN_LIMIT).map(|attempt| {
@@ -85,7 +85,8 @@
         if let Some(failure) = self.failure.take().filter(|_failure| one) {
             return ("failed", forwarded(failure));
         }
-        // 504 for a request that had only waited for a connection kept callers from sending it again where it may run once.
+        // A request that only waited for a connection hasn't run, so it isn't answered with 504: that status kept
+        // callers from resending requests that may run only once.
         let reason = match (self.may_have_run(), end) {
             (true, GatherEnd::Late) => RefusalReason::Late,
             (true, _) => RefusalReason::Unknown,
@@ -95,7 +96,7 @@
         };
         let mut reply = refusal(reason);
         if reason == RefusalReason::NoUpstream
-            && let Some(wait) = self.settles_in().or_else(|| self.warms_in())
+            && let Some(wait) = self.registration_left().or_else(|| self.warm_up_left())
         {
             set_retry_after(&mut reply, wait);
         }
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -1,4 +1,4 @@
-//! Shards that are gathered elsewhere: asking a VM beside their upstreams, and doing the same for other VMs.
+//! Delegates shards to a VM in the zone of their upstreams, and gathers shards for other VMs.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -21,47 +21,50 @@
 use crate::gateway::policy::latency::{AttemptKind, millis};
 use crate::gateway::settings::PlaceDistance;
 
-/// A group of shards that another VM gathers.
+/// Group of shards that another VM gathers.
 #[derive(Debug)]
 pub(super) struct ShardGroup {
-    /// The query's number at that VM.
+    /// Query number used with that VM.
     number: u64,
-    /// Attempts of the group, by their place in the list.
+    /// Attempts of the group, as indices in the list of attempts.
     attempts: Vec<usize>,
 }
 
-/// What this VM owes to the one that has asked for parts.
+/// Progress of the replies to the VM that requested the parts.
 #[derive(Debug)]
-pub(super) struct PartialDuty {
-    /// Whether each shard's end was told.
-    told: Vec<bool>,
-    /// Shards whose upstream here should be avoided for a moment.
+pub(super) struct PartialDelivery {
+    /// Whether the outcome of each shard was reported.
+    reported: Vec<bool>,
+    /// Shards whose upstreams in this zone should be avoided for a short time.
     avoid: Vec<bool>,
 }
 
-impl PartialDuty {
+impl PartialDelivery {
     pub(super) fn new(shards: usize) -> Self {
         Self {
-            told: vec![false; shards],
+            reported: vec![false; shards],
             avoid: vec![false; shards],
         }
     }
 }
 
 impl QueryRun {
-    /// Hands the shards whose chosen upstreams are in other zones to VMs of these zones; the others stay for direct
-    /// attempts.
+    /// Delegates shards whose chosen upstreams are in other zones to VMs in those zones. The other shards are left for
+    /// direct attempts.
     pub(super) fn delegate(&mut self, choices: &mut [Option<UpstreamChoice>]) {
         let place = self.context.core.settings.place.clone();
         let mut zones: SmallVec<[(PlaceName, Vec<usize>); 4]> = SmallVec::new();
         for (shard, choice) in choices.iter().enumerate() {
             let Some(choice) = choice else { continue };
-            let near = choice.distance == PlaceDistance::Zone;
-            if near || self.state.shards()[shard].postponed {
+            let in_own_zone = choice.distance == PlaceDistance::Zone;
+            if in_own_zone || self.state.shards()[shard].postponed {
                 continue;
             }
             let zone = choice.upstream.entry().zone.clone();
-            debug_assert_ne!(zone, place.zone, "another zone is never near");
+            debug_assert_ne!(
+                zone, place.zone,
+                "an upstream at a distance is in another zone"
+            );
             match zones.iter_mut().find(|(known, _shards)| *known == zone) {
                 Some((_zone, shards)) => shards.push(shard),
                 None => zones.push((zone, vec![shard])),
@@ -85,12 +88,13 @@
         }
     }
 
-    /// Hands a repeated attempt to a VM beside its upstream, whose link is open; a connection of our own would cost
-    /// one more way there and back. Tells whether it did.
+    /// Delegates a repeated attempt to a VM in the upstream's zone, whose link is already open; a new connection from
+    /// here would cost another round trip. Returns whether the attempt was delegated.
     pub(super) fn delegate_repeat(&mut self, shard: usize, choice: &UpstreamChoice) -> bool {
         let gather = matches!(self.target, RunTarget::Gather(_));
         let suspected = self.is_suspected();
-        if !gather || suspected || choice.distance == PlaceDistance::Zone || self.duty.is_some() {
+        if !gather || suspected || choice.distance == PlaceDistance::Zone || self.delivery.is_some()
+        {
             return false;
         }
         let zone = choice.upstream.entry().zone.clone();
@@ -110,7 +114,7 @@
         let began = now();
         let query = self.partial_query(shards, began);
         let group = self.groups.len();
-        let events = (group, self.news_sender.clone());
+        let events = (group, self.event_sender.clone());
         let Some(number) = core.delegates.send(vm, query, usual, events) else {
             return false;
         };
@@ -134,7 +138,7 @@
         let longest = self.context.latency.borrow().waits.own_longest();
         PartialQuery {
             number: 0,
-            mark: *self.mark.get_or_init(|| self.route.shard_mark()),
+            mark: *self.shard_mark.get_or_init(|| self.route.shard_mark()),
             shards: shards
                 .iter()
                 .map(|(shard, _choice)| *shard as u16)
@@ -146,10 +150,10 @@
         }
     }
 
-    /// Takes in what a VM tells of a group.
-    pub(super) fn take_news(&mut self, event: GroupEvent) {
+    /// Handles a reply for a group, or the loss of the link to its VM.
+    pub(super) fn handle_event(&mut self, event: GroupEvent) {
         match event.news {
-            GroupNews::Reply(reply) => self.take_reply(event.group, reply),
+            GroupNews::Reply(reply) => self.handle_reply(event.group, reply),
             GroupNews::Down { sent } => {
                 let reach = if sent {
                     ShardReach::Run
@@ -157,18 +161,18 @@
                     ShardReach::Unsent
                 };
                 for number in self.groups[event.group].attempts.clone() {
-                    self.end_delegated(number, reach);
+                    self.record_delegated_failure(number, reach);
                 }
             }
         }
     }
 
-    fn take_reply(&mut self, group: usize, reply: PartialReply) {
+    fn handle_reply(&mut self, group: usize, reply: PartialReply) {
         let attempts = self.groups[group].attempts.clone();
         let find = |run: &Self, shard: u16| {
             let mut numbers = attempts.iter().copied();
             numbers.find(|number| {
-                let attempt = &run.live[*number];
+                let attempt = &run.attempts[*number];
                 attempt.shard == usize::from(shard) && !attempt.ended
             })
         };
@@ -177,54 +181,54 @@
         for part in reply.parts {
             let Some(number) = find(self, part.shard) else {
                 log::warn!(
-                    "a partial reply names shard {} that was not asked",
+                    "partial reply contains shard {} that was not requested",
                     part.shard
                 );
                 return;
             };
             let Ok(signature) = HeaderValue::from_maybe_shared(part.signature) else {
-                log::warn!("a partial reply holds a malformed signature");
+                log::warn!("partial reply contains a malformed signature");
                 return;
             };
-            self.note_delegated(number, time, part.took_us);
+            self.record_delegated_part(number, time, part.took_us);
             parts.push((usize::from(part.shard), signature));
         }
         if !parts.is_empty() {
             self.state.take_group(parts, reply.records);
         }
-        self.suspect_rest(&attempts, time);
+        self.mark_rest_late(&attempts, time);
         for failed in reply.failed {
             let Some(number) = find(self, failed.shard) else {
                 continue;
             };
             if failed.avoid {
-                let health = &self.live[number].upstream.health;
+                let health = &self.attempts[number].upstream.health;
                 health.borrow_mut().note_advice(time);
             }
-            self.end_delegated(number, failed.reach);
+            self.record_delegated_failure(number, failed.reach);
         }
     }
 
-    /// What is not in the first reply of a group is late at the VM that gathers it.
-    fn suspect_rest(&mut self, attempts: &[usize], time: Instant) {
+    /// Marks the attempts that are missing from the first reply of a group as late.
+    fn mark_rest_late(&mut self, attempts: &[usize], time: Instant) {
         for number in attempts {
-            let attempt = &mut self.live[*number];
+            let attempt = &mut self.attempts[*number];
             if attempt.ended || attempt.known_late {
                 continue;
             }
             attempt.known_late = true;
-            attempt.next_look = time;
+            attempt.next_check = time;
         }
     }
 
-    /// A part that another VM has gathered is in.
-    fn note_delegated(&mut self, number: usize, time: Instant, took_us: u32) {
-        let attempt = &mut self.live[number];
+    /// Records that a part gathered by another VM has arrived.
+    fn record_delegated_part(&mut self, number: usize, time: Instant, took_us: u32) {
+        let attempt = &mut self.attempts[number];
         attempt.ended = true;
         let took = time.saturating_duration_since(attempt.began);
         let mut latency = self.context.latency.borrow_mut();
         latency.track_mut(AttemptKind::Delegated).record(took, time);
-        // What the upstream took there is measured against what those beside this VM take.
+        // Compare the upstream's time there with that of upstreams in this VM's zone.
         let slowness = latency.slowness(AttemptKind::Zone, f64::from(took_us) / 1_000.0);
         let mut health = attempt.upstream.health.borrow_mut();
         health.note_answer(attempt.began, time, slowness);
@@ -232,10 +236,10 @@
         self.state.shard_mut(attempt.shard).out -= 1;
     }
 
-    /// A part that another VM should have gathered won't come from there: it is asked for directly. What upstreams there
-    /// have declined has arrived, so the next attempt is paid for.
-    fn end_delegated(&mut self, number: usize, reach: ShardReach) {
-        let attempt = &mut self.live[number];
+    /// Records that another VM won't deliver a part, and retries the shard. If upstreams declined it, they have
+    /// received the request, so the next attempt spends from the retry budget.
+    fn record_delegated_failure(&mut self, number: usize, reach: ShardReach) {
+        let attempt = &mut self.attempts[number];
         if attempt.ended {
             return;
         }
@@ -271,14 +275,17 @@
         self.retry(shard, Duration::ZERO);
     }
 
-    /// Ends the groups at the VMs that gather them. What was late there counts in the picture of such attempts.
+    /// Ends the groups at the VMs that gather them, and adds late attempts to the latency histogram as abandoned.
     pub(super) fn end_groups(&mut self) {
         let time = now();
         for group in &self.groups {
-            let finished = group.attempts.iter().all(|number| self.live[*number].ended);
+            let finished = group
+                .attempts
+                .iter()
+                .all(|number| self.attempts[*number].ended);
             self.context.core.delegates.end(group.number, finished);
         }
-        for attempt in &self.live {
+        for attempt in &self.attempts {
             if attempt.ended || attempt.kind != AttemptKind::Delegated {
                 continue;
             }
@@ -293,7 +300,8 @@
         }
     }
 
-    /// Begins the shards that another VM has asked for. One without a good upstream beside this VM is handed back.
+    /// Starts the shards that another VM requested. A shard without a healthy upstream in this zone is reported as
+    /// failed at once.
     pub(super) fn begin_partial(&mut self) {
         let time = now();
         let usual = {
@@ -301,7 +309,7 @@
             latency.track(AttemptKind::Zone).quantile(0.5)
         };
         for shard in 0..self.state.shards().len() {
-            // The VM that has the caller's request has counted it.
+            // The VM that accepted the request from the caller has counted it.
             self.state.shard_mut(shard).counted = true;
             let choice = self.choose(shard, false);
             let usable = choice.filter(|choice| {
@@ -311,18 +319,20 @@
             if let Some(choice) = usable {
                 self.launch(shard, choice, Duration::ZERO);
             } else {
-                if let Some(duty) = &mut self.duty {
-                    duty.avoid[shard] = true;
+                if let Some(delivery) = &mut self.delivery {
+                    delivery.avoid[shard] = true;
                 }
                 self.state.fail(shard);
             }
         }
     }
 
-    /// Replies with the parts that have come in, once those that are still out are late: several parts make one reply,
-    /// and none of them waits for a straggler.
+    /// Sends the parts that have arrived once the attempts still in flight are late, so that several parts share one
+    /// reply and none of them waits for a straggler.
     pub(super) fn flush(&mut self, reply: &mut impl FnMut(PartialReply)) {
-        let Some(duty) = &self.duty else { return };
+        let Some(delivery) = &self.delivery else {
+            return;
+        };
         let time = now();
         let shards = self.state.shards();
         let ended = |shard: usize| !shards[shard].is_open();
@@ -331,21 +341,22 @@
             let mut out = self.attempts_of(shard).filter(|attempt| !attempt.ended);
             out.any(|attempt| !self.is_straggler(attempt.began, attempt.kind, time))
         };
-        let failed = (0..shards.len())
-            .any(|shard| !duty.told[shard] && shards[shard].standing == ShardStanding::Failed);
+        let failed = (0..shards.len()).any(|shard| {
+            !delivery.reported[shard] && shards[shard].standing == ShardStanding::Failed
+        });
         if !failed && waiting.clone().any(usual) {
             return;
         }
-        let untold: Vec<usize> = (0..shards.len())
-            .filter(|shard| ended(*shard) && !duty.told[*shard])
+        let unreported: Vec<usize> = (0..shards.len())
+            .filter(|shard| ended(*shard) && !delivery.reported[*shard])
             .collect();
-        if untold.is_empty() {
+        if unreported.is_empty() {
             return;
         }
-        let message = self.partial_reply(&untold);
-        if let Some(duty) = &mut self.duty {
-            for shard in untold {
-                duty.told[shard] = true;
+        let message = self.partial_reply(&unreported);
+        if let Some(delivery) = &mut self.delivery {
+            for shard in unreported {
+                delivery.reported[shard] = true;
             }
         }
         reply(message);
@@ -357,15 +368,16 @@
         waited >= latency.track(kind).quantile(super::STRAGGLER_SHARE)
     }
 
-    /// How long the attempt took that brought a shard's part.
+    /// Returns the time of the attempt that delivered a shard's part.
     fn took_us(&self, shard: usize) -> u32 {
         let took = self.attempts_of(shard).find_map(|attempt| attempt.took);
         let micros = took.unwrap_or_default().as_micros();
         u32::try_from(micros).unwrap_or(u32::MAX)
     }
 
-    /// How far the request got with a shard, as the VM that asked has to know. A break that has not been found to be a
-    /// loss of the upstream is none: as one it kept the asking VM's other shards waiting.
+    /// Returns how far the request got with a shard, for the VM that requested it. A broken connection is only reported
+    /// as broken if the upstream is confirmed lost; reporting every broken connection held back the other VM's
+    /// remaining shards.
     fn reach(&self, shard: usize) -> ShardReach {
         match self.state.shards()[shard].reach() {
             ShardReach::Broken if !self.suspicion.is_confirmed(shard) => ShardReach::Run,
@@ -387,7 +399,10 @@
                 records.push(part);
                 continue;
             }
-            let avoid = self.duty.as_ref().is_some_and(|duty| duty.avoid[*number]);
+            let avoid = self
+                .delivery
+                .as_ref()
+                .is_some_and(|delivery| delivery.avoid[*number]);
             reply.failed.push(FailedShard {
                 shard: *number as u16,
                 reach: self.reach(*number),
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -1,8 +1,8 @@
-//! Runs one request: its attempts at upstreams, hedges, retries, and the moment of its answer.
+//! Runs one request: its attempts at upstreams, its hedges and retries, and the decision when to answer.
 //!
-//! A request to one service is a query over one shard whose part is passed on as it is; so there is one place where
-//! attempts are counted, repeated and given up. Shards whose upstreams are elsewhere are gathered by a VM beside them
-//! ([`group`]); that VM runs the same code for them and replies with merged parts.
+//! A request to a single service is treated as a query over one shard whose part is passed on unchanged, so attempts
+//! are counted, repeated and abandoned in one place. Shards whose upstreams are in other zones are gathered by a VM in
+//! the zone of the upstreams ([`group`]); that VM runs the same code for them and replies with merged parts.
 
 mod attempt;
 mod begin;
@@ -36,35 +36,36 @@
 use crate::gateway::route::{GatherTerms, RepeatKind, RouteEntry};
 use crate::quarantine::RequestStanding;
 
-use self::attempt::{AttemptSet, LiveAttempt};
-use self::group::{PartialDuty, ShardGroup};
-use self::suspicion::{LOSS_LOOK, RunSuspicion};
+use self::attempt::{AttemptSet, StartedAttempt};
+use self::group::{PartialDelivery, ShardGroup};
+use self::suspicion::{LOSS_CHECK_INTERVAL, RunSuspicion};
 
-/// What is kept of the deadline for the same.
+/// Part of the deadline that is reserved for sending the answer.
 const FINISH_MARGIN: Duration = Duration::from_millis(15);
-/// How long attempts that are no longer needed may go on, so that their connections can be used again: a new one holds
-/// an upstream's slot for some milliseconds. Work for a caller that has left must end within half a second.
-const SPARE_TIME: Duration = Duration::from_millis(300);
+/// Time for which attempts that are no longer needed may continue so that their connections can be reused; a new
+/// connection occupies an upstream's slot for some milliseconds. Work for a caller that has disconnected must end
+/// within 500 ms.
+const LINGER_TIME: Duration = Duration::from_millis(300);
 
-/// How a request ended.
+/// Result of a request.
 #[derive(Debug)]
 pub struct RunReport {
-    /// The answer.
+    /// Reply to the caller.
     pub reply: CallerReply,
-    /// One word for logs and metrics.
+    /// Outcome as it appears in logs and metrics.
     pub word: &'static str,
-    /// What decided it, for logs.
+    /// Details of the outcome for the log.
     pub detail: CompactString,
-    /// When a gathered answer was decided on.
+    /// Time at which a gathered answer was decided; `None` for all other answers.
     pub decided: Option<Instant>,
 }
 
-/// Where a request goes.
+/// Target of a request.
 #[derive(Debug, Clone)]
 pub enum RunTarget {
-    /// To one upstream of a service.
+    /// One upstream of a service.
     One(UpstreamService),
-    /// To one upstream of each shard.
+    /// One upstream of each shard.
     Gather(GatherTerms),
 }
 
@@ -77,44 +78,44 @@
     }
 }
 
-/// A request as it runs.
+/// State of a running request.
 struct QueryRun {
     context: AttemptContext,
     route: Rc<RouteEntry>,
     target: RunTarget,
     request: Rc<ForwardRequest>,
     state: GatherState,
-    live: Vec<LiveAttempt>,
-    set: AttemptSet,
-    /// Set when the request has ended: attempts that still wait for a connection are not sent.
+    attempts: Vec<StartedAttempt>,
+    in_flight: AttemptSet,
+    /// Set when the request has ended; attempts that still wait for a connection are then not sent.
     cancelled: Rc<Cell<bool>>,
-    /// The answer to a request to one service.
+    /// Successful answer to a request to a single service.
     single: Option<UpstreamAnswer>,
-    /// The last answer that was no success, for requests to one service.
+    /// Last answer with an error status, for requests to a single service.
     failure: Option<UpstreamAnswer>,
-    /// What is known of the request as the cause of lost upstreams, and the shards that wait for it.
+    /// Connection losses that may be caused by the request, and the shards held back because of them.
     suspicion: RunSuspicion,
-    /// Names the route's shards to other VMs; reckoned with the first group.
-    mark: OnceCell<u64>,
-    /// Shards that other VMs gather.
+    /// Identifies the route's list of shards to other VMs; computed for the first group.
+    shard_mark: OnceCell<u64>,
+    /// Groups of shards that other VMs gather.
     groups: Vec<ShardGroup>,
-    news: mpsc::UnboundedReceiver<GroupEvent>,
-    news_sender: mpsc::UnboundedSender<GroupEvent>,
-    /// Set if this VM gathers parts for another one.
-    duty: Option<PartialDuty>,
+    events: mpsc::UnboundedReceiver<GroupEvent>,
+    event_sender: mpsc::UnboundedSender<GroupEvent>,
+    /// Set if this VM gathers the parts for another VM.
+    delivery: Option<PartialDelivery>,
     hedges: usize,
     retries: usize,
-    /// Repeats for which there was no budget.
+    /// Number of repeats that the retry budget denied.
     unfunded: Cell<usize>,
-    /// Shards that were postponed at the beginning.
+    /// Number of shards that were postponed at the start.
     postponed: usize,
-    /// Why the last of them was denied.
+    /// Reason for the last denied repeat.
     denial: Cell<&'static str>,
-    /// How much sooner than it must be on its way the answer is decided on.
+    /// Time before its send deadline at which the answer is decided.
     lag: Duration,
 }
 
-/// Runs a request to its end. Dropping the future gives it up.
+/// Runs a request to its end. Dropping the future abandons the request.
 pub async fn run_request(
     core: &Rc<GatewayCore>,
     route: &Rc<RouteEntry>,
@@ -123,13 +124,14 @@
     standing: RequestStanding,
 ) -> RunReport {
     let mut run = QueryRun::new(core, route, target, request);
-    run.await_upstreams().await;
+    run.wait_for_upstreams().await;
     run.begin(standing);
     let end = run.drive().await;
     run.finish(end)
 }
 
-/// Gathers shards for another VM; `reply` gets the parts as they come in. Dropping the future gives it up.
+/// Gathers shards for another VM and passes the parts to `reply` as they arrive. Dropping the future abandons the
+/// query.
 pub async fn run_partial(
     core: &Rc<GatewayCore>,
     route: &Rc<RouteEntry>,
@@ -141,7 +143,7 @@
     let shards = terms.shards.len();
     let mut run = QueryRun::new(core, route, RunTarget::Gather(terms), request);
     run.state = GatherState::new(shards, 0, answer_by, run.request.finish_by).with_patience();
-    run.duty = Some(PartialDuty::new(shards));
+    run.delivery = Some(PartialDelivery::new(shards));
     run.begin_partial();
     run.flush(&mut reply);
     run.drive_with(&mut reply).await;
@@ -170,24 +172,24 @@
             repeat: route.repeat,
             stream_patience: matches!(target, RunTarget::One(_)).then_some(route.timeout),
         };
-        let (news_sender, news) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         Self {
             context,
             route: Rc::clone(route),
             target,
             request,
             state: GatherState::new(shards, least, answer_by, finish_by),
-            live: Vec::with_capacity(shards + shards / 4),
-            set: FuturesUnordered::new(),
+            attempts: Vec::with_capacity(shards + shards / 4),
+            in_flight: FuturesUnordered::new(),
             cancelled: Rc::default(),
             single: None,
             failure: None,
             suspicion: RunSuspicion::default(),
-            mark: OnceCell::new(),
+            shard_mark: OnceCell::new(),
             groups: Vec::new(),
-            news,
-            news_sender,
-            duty: None,
+            events,
+            event_sender,
+            delivery: None,
             hedges: 0,
             retries: 0,
             unfunded: Cell::default(),
@@ -197,16 +199,16 @@
         }
     }
 
-    /// Most upstreams on which a shard may run.
+    /// Returns the maximum number of upstreams on which a shard may run.
     fn attempts_allowed(&self) -> usize {
         match self.route.repeat {
-            RepeatKind::Idempotent if self.duty.is_none() => self.route.attempts.max(1),
-            // The asking VM may use the others.
+            RepeatKind::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
+            // The VM that requested the parts may use the others.
             RepeatKind::Idempotent | RepeatKind::Once => 1,
         }
     }
 
-    /// Waits for attempts and times until the request has an end.
+    /// Processes finished attempts, group events and timers until the query ends.
     async fn drive(&mut self) -> GatherEnd {
         self.drive_with(&mut |_reply| {}).await
     }
@@ -221,13 +223,13 @@
             }
             self.resume_held();
             self.resume_postponed(time);
-            self.look_for_stragglers(time);
+            self.check_stragglers(time);
             self.flush(reply);
             let wake = self.next_wake(time);
             timer.as_mut().reset(tokio::time::Instant::from_std(wake));
             tokio::select! {
-                Some(finished) = self.set.next() => self.take_ended(finished),
-                Some(event) = self.news.recv() => self.take_news(event),
+                Some(finished) = self.in_flight.next() => self.handle_ended(finished),
+                Some(event) = self.events.recv() => self.handle_event(event),
                 () = &mut timer => self.note_timer(wake.max(time)),
             }
         }
@@ -240,7 +242,8 @@
         lag.note_timer(late, time);
     }
 
-    /// Sends postponed shards after all: as many as have failed, and all once the target has passed without enough.
+    /// Sends postponed shards: one for each missing shard, or all of them once the target has passed without enough
+    /// parts.
     fn resume_postponed(&mut self, time: Instant) {
         while self.state.lacks() || self.state.useful_until(time).is_none() {
             let Some(shard) = self.state.resume_one() else {
@@ -253,45 +256,45 @@
     fn next_wake(&self, time: Instant) -> Instant {
         let mut wake = self.state.next_judgement(time);
         if self.suspicion.waits() {
-            wake = wake.min(time + LOSS_LOOK);
+            wake = wake.min(time + LOSS_CHECK_INTERVAL);
         }
         if self.route.repeat == RepeatKind::Once {
-            // No second attempt is ever sent beside the first, so nobody looks for stragglers. With their times in here
-            // each such request kept the processor busy from its 90th percentile to its answer.
+            // Requests that may run only once are never hedged, so stragglers aren't checked. Including their check
+            // times made each such request busy-loop from its 90th percentile latency until its answer.
             return wake;
         }
-        for attempt in &self.live {
+        for attempt in &self.attempts {
             if attempt.ended || !self.state.shards()[attempt.shard].is_open() {
                 continue;
             }
-            wake = wake.min(attempt.next_look);
+            wake = wake.min(attempt.next_check);
         }
         wake
     }
 }
 
 impl Drop for QueryRun {
-    /// Attempts that are out may end for a while, so that their connections can be used again.
+    /// Lets attempts in flight continue for a while so that their connections can be reused.
     fn drop(&mut self) {
         self.cancelled.set(true);
         self.end_groups();
         let time = now();
-        for attempt in &self.live {
+        for attempt in &self.attempts {
             let waited = millis(time.saturating_duration_since(attempt.began));
             let latency = self.context.latency.borrow();
-            // What is late already waits in a queue or a pause; ending it takes it out of there.
+            // A late attempt probably waits in a queue or a pause; aborting it removes it from there.
             if waited > latency.track(attempt.kind).quantile(STRAGGLER_SHARE) {
                 attempt.abort.abort();
             }
         }
-        let mut set = std::mem::take(&mut self.set);
-        if set.is_empty() || self.context.core.state() == ServiceState::Finishing {
+        let mut in_flight = std::mem::take(&mut self.in_flight);
+        if in_flight.is_empty() || self.context.core.state() == ServiceState::Finishing {
             return;
         }
         tokio::task::spawn_local(async move {
-            let ending = async { while set.next().await.is_some() {} };
-            // What takes longer is given up, and its connection with it.
-            let _elapsed = tokio::time::timeout(SPARE_TIME, ending).await;
+            let ending = async { while in_flight.next().await.is_some() {} };
+            // Attempts that take longer are aborted, which closes their connections.
+            let _elapsed = tokio::time::timeout(LINGER_TIME, ending).await;
         });
     }
 }
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -1,4 +1,4 @@
-//! What follows the end of an attempt: a part, another attempt, or none.
+//! Handles finished attempts: stores the part, retries the shard or marks it as failed.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 use crate::gateway::run::attempt::FinishedAttempt;
 
 impl QueryRun {
-    /// An attempt has ended; one that was aborted belongs to a shard whose part is in.
-    pub(super) fn take_ended(&mut self, finished: Option<FinishedAttempt>) {
+    /// Handles an attempt that has ended. An aborted attempt belongs to a shard whose part has arrived.
+    pub(super) fn handle_ended(&mut self, finished: Option<FinishedAttempt>) {
         if let Some(finished) = finished {
-            self.take_finished(finished);
+            self.handle_finished(finished);
         }
     }
 
-    fn take_finished(&mut self, finished: FinishedAttempt) {
+    fn handle_finished(&mut self, finished: FinishedAttempt) {
         let FinishedAttempt { number, outcome } = finished;
-        let attempt = &mut self.live[number];
+        let attempt = &mut self.attempts[number];
         attempt.ended = true;
         attempt.may_have_run = outcome.may_have_run();
         attempt.took = Some(now().saturating_duration_since(attempt.began));
@@ -32,7 +32,7 @@
         state.out -= 1;
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status.is_success() => {
-                self.take_answer(shard, answer);
+                self.store_answer(shard, answer);
                 self.clear_probe(shard);
             }
             AttemptOutcome::Answered(answer) => {
@@ -45,13 +45,13 @@
                 state.ran -= 1;
                 state.declined += 1;
                 let step = after_declined(state.declined);
-                self.take_retry_step(step, shard);
+                self.apply_retry_step(step, shard);
             }
             AttemptOutcome::Unsent(_) => {
                 state.ran -= 1;
                 state.unsent += 1;
                 let step = after_unsent(state.unsent);
-                self.take_retry_step(step, shard);
+                self.apply_retry_step(step, shard);
             }
             AttemptOutcome::Lost(loss) => {
                 state.lost = true;
@@ -60,9 +60,9 @@
         }
     }
 
-    fn take_answer(&mut self, shard: usize, answer: UpstreamAnswer) {
+    fn store_answer(&mut self, shard: usize, answer: UpstreamAnswer) {
         let names = &self.context.core.dialect.names;
-        // An answer without a signature was taken for a lost one.
+        // Answers without a signature are treated as lost attempts before this point.
         let Some(signature) = answer.headers.get(&names.signature).cloned() else {
             return;
         };
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Tells of an attempt that brought no answer; the request's own line sums up the others.
+    /// Logs an attempt without a successful answer; the log line of the request summarises the others.
     fn log_attempt(&self, number: usize, outcome: &AttemptOutcome) {
         if matches!(outcome, AttemptOutcome::Answered(answer) if answer.status.is_success()) {
             return;
         }
-        let attempt = &self.live[number];
+        let attempt = &self.attempts[number];
         let id = self.request.id.to_str().unwrap_or("-");
         log::info!(
             target: "ebonyfork::decision",
@@ -89,7 +89,7 @@
         );
     }
 
-    fn take_retry_step(&mut self, step: RetryStep, shard: usize) {
+    fn apply_retry_step(&mut self, step: RetryStep, shard: usize) {
         let alone = self.state.shards()[shard].out == 0;
         match step {
             RetryStep::GiveUp if alone => self.state.fail(shard),
@@ -98,14 +98,14 @@
         }
     }
 
-    /// Sends a shard again unless its part is in or another attempt is out.
+    /// Retries a shard unless its part has arrived or another attempt is in flight.
     pub(super) fn retry(&mut self, shard: usize, pause: Duration) {
         let state = &self.state.shards()[shard];
         if !state.is_open() || state.out > 0 {
             return;
         }
         self.retries += 1;
-        // An upstream that was not tried yet needs no pause.
+        // An upstream that wasn't tried yet needs no pause.
         let pause = if self.has_untried(shard) {
             Duration::ZERO
         } else {
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -23,10 +23,10 @@
 use crate::store::StoreRevision;
 
 const ID: &str = "r-1";
-/// Far longer than anything here takes.
+/// Longer than any operation in these tests.
 const LONG: Duration = Duration::from_secs(10);
 
-/// A process that has run for long enough to hold its share of the repeats' slack.
+/// Creates a process that has run long enough to hold its share of the slack for repeats.
 fn core() -> Rc<GatewayCore> {
     core_with(settings())
 }
@@ -37,7 +37,7 @@
     Rc::new(core)
 }
 
-/// Requests to a service that have earned as many repeats as a VM may save.
+/// Counts enough requests to a service to fill its token bucket.
 fn earn_repeats(core: &GatewayCore, service: &str) {
     for _ in 0..1_000 {
         let service = UpstreamService::new(service);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Starts upstreams of a service that all do the same, and registers them.
+/// Starts and registers upstreams of a service that all behave in the same way.
 async fn upstreams(
     core: &GatewayCore,
     service: &str,
@@ -113,7 +113,7 @@
     run_request(core, &route, target, request(LONG), RequestStanding::Clear).await
 }
 
-/// The route's bound on upstreams holds whatever becomes of the attempts, and for each shard by itself.
+/// The route's limit on upstreams holds for all outcomes of the attempts, and for each shard separately.
 #[gtest]
 #[tokio::test]
 async fn a_request_runs_on_no_more_upstreams_than_its_route_allows() {
@@ -164,12 +164,12 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Work for a caller that has left ends within half a second, and none is begun.
+/// Work for a caller that has disconnected ends within 500 ms, and none is started.
 #[gtest]
 #[tokio::test]
 async fn the_attempts_of_a_caller_that_has_left_end_soon() {
     let test = async {
-        // Soon, when an answer may still come, and when the attempts are late already.
+        // The caller disconnects early, while an answer may still come, or after the attempts are late.
         for leaves_after in [15, 150] {
             let core = core();
             let held = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
@@ -199,7 +199,7 @@
     expect_that!(ended, ge(1));
 }
 
-/// An attempt that still waits for a connection when its caller leaves is never sent.
+/// An attempt that waits for a connection when its caller disconnects is never sent.
 #[gtest]
 #[tokio::test]
 async fn nothing_is_sent_for_a_caller_that_has_left() {
@@ -231,7 +231,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A request that waits must sleep: a time to wake that has passed already would keep the processor busy until the answer.
+/// Guards against a busy loop: with a wake-up time in the past, a waiting request would keep the processor busy until
+/// its answer.
 #[gtest]
 #[tokio::test]
 async fn the_next_wake_is_never_in_the_past() {
@@ -248,7 +249,7 @@
             run.begin(RequestStanding::Clear);
             for after_ms in [1, 40, 100, 450, 2_000, 8_000] {
                 let time = run.request.received + Duration::from_millis(after_ms);
-                run.look_for_stragglers(time);
+                run.check_stragglers(time);
                 let wake = run.next_wake(time);
                 expect_that!(wake, gt(time), "{repeat:?} after {after_ms} ms");
             }
@@ -257,7 +258,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// An attempt that ran out of time before it was sent says nothing about the upstream.
+/// An attempt that ran out of time before it was sent doesn't affect the upstream's health.
 #[gtest]
 #[tokio::test]
 async fn an_attempt_without_time_left_is_not_held_against_its_upstream() {
@@ -280,10 +281,10 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Reads a body to its end; the bytes, or what came before it broke off.
+/// Reads a body to its end; returns the number of bytes and whether the body was complete.
 async fn read_body(body: &mut ReplyBody) -> (usize, bool) {
     let mut length = 0;
-    // As an HTTP server does: it asks for no more once the body says that it has ended.
+    // Like an HTTP server, stop polling once the body reports its end.
     while !hyper::body::Body::is_end_stream(body) {
         let Some(Ok(frame)) = body.frame().await else {
             return (length, false);
@@ -313,7 +314,7 @@
         let stated = hyper::body::Body::size_hint(body).exact();
         expect_that!(stated, some(eq(WHOLE as u64)));
         expect_that!(read_body(body).await, eq((WHOLE, true)));
-        // Its connection takes the next request.
+        // The connection is reused for the next request.
         let mut next = run(&core, 2).await;
         expect_that!(read_body(next.reply.body_mut()).await, eq((WHOLE, true)));
         expect_that!(started[0].log.borrow().connections, eq(1));
@@ -325,7 +326,7 @@
 #[tokio::test]
 async fn an_answer_that_breaks_off_never_looks_whole() {
     let test = async {
-        // A short one is not passed on at all; a long one ends with an error.
+        // A short answer isn't passed on at all; a long one ends with an error.
         for (whole, begun, status) in [(100_000, 50_000, 502), (2 << 20, 1 << 20, 200)] {
             let core = core();
             let reply = ScriptedReply::Truncated { whole, begun };
@@ -355,7 +356,7 @@
         let started = upstreams(&core, "s", 1, reply).await;
         let report = run(&core, 1).await;
         drop(report);
-        // The connection is gone, so the next request needs another one.
+        // The connection was closed, so the next request needs a new one.
         let second = run(&core, 1).await;
         expect_that!(second.reply.status().as_u16(), eq(200));
         expect_that!(started[0].log.borrow().connections, eq(2));
@@ -376,7 +377,8 @@
     (route, RunTarget::Gather(terms))
 }
 
-/// A query that too few shards could answer is refused before anything runs, and the caller told when to come back.
+/// A query for which too few shards have an upstream is refused before anything runs, and the caller is told when to
+/// retry.
 #[gtest]
 #[tokio::test]
 async fn nothing_is_sent_while_too_few_shards_have_an_upstream() {
@@ -395,12 +397,12 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Entries that lapsed while the store was away come back one by one; a request waits for them if it has the time.
+/// Entries that expired during a store outage return one by one; a request waits for them if its deadline allows.
 #[gtest]
 #[tokio::test]
 async fn a_request_waits_for_upstreams_that_are_about_to_be_registered() {
     let test = async {
-        // The caller's patience in ms; what becomes of its request.
+        // Deadline of the request in ms and expected status.
         for (patience, status) in [(5_000, 200), (600, 503)] {
             let core = core();
             core.registry.note_read(now());
@@ -422,14 +424,14 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// What another VM's upstreams have declined has arrived: the VM that asked pays for the next attempt. The request itself
-/// is counted there only, so gathering earns nothing.
+/// Upstreams that declined a request have received it, so the VM that requested the parts spends a repeat for the next
+/// attempt. The request itself is only counted there; gathering parts adds no tokens.
 #[gtest]
 #[tokio::test]
 async fn a_gathering_vm_tells_that_upstreams_have_declined() {
     let test = async {
         let mut settings = settings();
-        // The slack adds next to nothing while the test runs.
+        // The refill from the slack is negligible while the test runs.
         settings.budget.window = Duration::from_hours(10_000);
         let core = core_with(settings);
         let _declining = upstreams(&core, "s0", 1, ScriptedReply::Decline).await;
@@ -469,8 +471,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Upstreams that reset a connection and take the next one have not crashed: the lost shards are sent again side by side,
-/// none waits for the answer to another.
+/// Guards against treating harmless breaks as crashes: upstreams that reset a connection and accept the next one have
+/// not crashed, so the lost shards are retried in parallel and none waits for another.
 #[gtest]
 #[tokio::test]
 async fn shards_lost_by_harmless_breaks_do_not_wait_for_one_another() {
@@ -486,7 +488,7 @@
             let entry = entry(&key, service, "north-a", other.address);
             core.registry.put(&key, entry, now(), 4);
             others.push(other);
-            // The one that breaks goes first.
+            // Makes the upstream that breaks the first choice.
             let listed = core.registry.upstreams(&UpstreamService::new(service));
             let health = &listed[1].health;
             health.borrow_mut().note_failure(now(), now());
@@ -501,8 +503,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Upstreams that are gone after a break may have been crashed by the request: once two are, one shard goes alone, and
-/// when that loses its upstream too nothing more is sent.
+/// Upstreams that are gone after a break may have been crashed by the request. Once two are lost, one shard is sent as
+/// a probe; if its upstream is lost too, nothing more is sent.
 #[gtest]
 #[tokio::test]
 async fn a_request_that_crashes_upstreams_gets_no_further_ones() {
@@ -520,14 +522,14 @@
         let reached = crashing
             .iter()
             .filter(|upstream| !upstream.log.borrow().requests.is_empty());
-        // Six at first, one more by the first break, before it was known to be a loss, and the probe.
+        // Six first attempts, one retry before the first break is confirmed as a loss, and the probe.
         expect_that!(reached.count(), le(8));
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A request that has only waited for a connection until its time was over has not run: the answer says so and when to
-/// come back, and it is not sent afterwards.
+/// A request that only waited for a connection until its deadline has not run. The answer says so and when to retry,
+/// and the request isn't sent later.
 #[gtest]
 #[tokio::test]
 async fn a_request_that_only_waited_for_a_connection_has_not_run() {
@@ -566,11 +568,11 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Registers upstreams of a service that are set up for a test, with a number in their key.
+/// Registers an upstream of a service in a zone, with its port in the key.
 fn register_in(core: &GatewayCore, service: &str, zone: &str, upstream: &ScriptedUpstream) {
     let key = format_compact!("{service}-{zone}-{}", upstream.address.port());
     let entry = entry(&key, service, zone, upstream.address);
-    // Known for long enough to be worth a probe.
+    // Old enough to be probed.
     let known_since = now()
         .checked_sub(LONG)
         .expect("a time after the start of the clock");
@@ -591,7 +593,7 @@
     counts.sum()
 }
 
-/// Whatever becomes of the attempts at home, none goes elsewhere: not the first one, nor a retry, a hedge or a probe.
+/// All attempts stay in the home regions whatever their outcome: first attempts, retries, hedges and probes.
 #[gtest]
 #[tokio::test]
 async fn no_attempt_leaves_the_home_regions() {
@@ -636,8 +638,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Upstreams elsewhere, or in evacuated availability zones, are no reason to wait: the caller hears at once that nothing
-/// has run, and when to come back.
+/// A request doesn't wait if its only upstreams are in other regions or in evacuated availability zones: the caller is
+/// told at once that nothing ran and when to retry.
 #[gtest]
 #[tokio::test]
 async fn a_request_without_an_upstream_at_home_is_refused_at_once() {
@@ -668,7 +670,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// An attempt that waits for a connection when its availability zone is evacuated is not sent; one that runs ends in peace.
+/// An attempt that waits for a connection when its availability zone is evacuated is not sent; a running attempt
+/// completes.
 #[gtest]
 #[tokio::test]
 async fn what_waits_is_not_sent_to_an_evacuated_zone() {
@@ -708,7 +711,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A process of a deployment that bounds requests to cold upstreams, and a service that tolerates some a second.
+/// Creates a process with a bound on requests to cold upstreams, and a service whose upstreams tolerate `tolerated`
+/// requests per second while cold.
 fn core_with_cold(tolerated: f64) -> Rc<GatewayCore> {
     let core = core_with(GatewaySettings {
         cold_bound: Some(ColdBound {
@@ -733,7 +737,7 @@
     core
 }
 
-/// Registers an upstream that says that it is cold.
+/// Registers an upstream that reports that it is cold.
 async fn cold_upstream(core: &GatewayCore, instance: &str) -> ScriptedUpstream {
     let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
     let entry = UpstreamEntry {
@@ -744,7 +748,7 @@
     upstream
 }
 
-/// Puts a claim of this process on its zone in force.
+/// Makes this process the holder of the claim on its zone.
 fn hold_claim(core: &GatewayCore) {
     let zone = &core.settings.place.zone;
     core.cold_claims.with_zone(zone, |claim| {
@@ -754,7 +758,8 @@
     });
 }
 
-/// The load of a zone that returns cold: a VM without the claim sends nothing there, and what has a warm upstream goes there.
+/// Guards against crashing a zone that returns cold: a VM without the claim sends nothing to cold upstreams, and
+/// requests go to warm upstreams if there are any.
 #[gtest]
 #[tokio::test]
 async fn a_cold_upstream_is_left_to_the_vm_that_has_the_claim() {
@@ -778,7 +783,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// The VM that has the claim uses what a cold upstream tolerates, and the others for the rest, whatever route asks.
+/// The claim holder sends cold upstreams as many requests as they tolerate and uses other upstreams for the rest, on
+/// all routes.
 #[gtest]
 #[tokio::test]
 async fn the_vm_that_has_the_claim_keeps_to_the_pace() {
@@ -788,7 +794,7 @@
         let cold = cold_upstream(&core, "cold").await;
         let warm = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
         register_in(&core, "s", "south-a", &warm);
-        // When each request that went to the cold one began and ended.
+        // Start and end of each request that went to the cold upstream.
         let mut spans = Vec::new();
         for _ in 0..20 {
             let (before, began) = (cold.log.borrow().requests.len(), now());
@@ -798,7 +804,7 @@
                 spans.push((began, now()));
             }
         }
-        // Three in any second, however long a busy machine takes for them all.
+        // At most three in any second, however long a busy machine takes for all requests.
         expect_that!(spans.len(), ge(3));
         for four in spans.windows(4) {
             let (first, last) = (four[0].0, four[3].1);
@@ -810,7 +816,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// An upstream of a zone that was evacuated may be cold again and not have said so yet.
+/// After an evacuation upstreams are treated as cold, because they may be cold again without having reported it yet.
 #[gtest]
 #[tokio::test]
 async fn an_evacuation_leaves_cold_upstreams() {
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -1,8 +1,8 @@
-//! A request whose upstreams are not registered yet.
+//! Waits for upstreams that are not registered yet.
 //!
-//! After an outage of the store entries that lapsed come back within about two seconds. A process that reads the store
-//! meanwhile, as all do when they lost power together, knows a few upstreams only. A request that could not be answered
-//! with those waits for the others, as far as it has the time.
+//! After an outage of the store, entries that expired meanwhile return within about two seconds. A process that reads
+//! the store during that time, as all processes do after a common power failure, knows only a few upstreams. A request
+//! that those can't answer waits for the others if its deadline allows.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::gateway::clock::now;
 
 impl QueryRun {
-    /// Returns once enough shards have an upstream, or no more can be expected in time.
-    pub(super) async fn await_upstreams(&self) {
+    /// Waits until enough shards have an upstream, or no more can be expected in time.
+    pub(super) async fn wait_for_upstreams(&self) {
         let registry = &self.context.core.registry;
         while let Some(settling) = registry.settling(now()) {
-            if self.suffices() || settling.likely > self.request.finish_by {
+            if self.has_enough_upstreams() || settling.likely > self.request.finish_by {
                 return;
             }
             let until = settling.until.min(self.request.finish_by);
@@ -26,8 +26,8 @@
         }
     }
 
-    /// When the first of the upstreams is warm that could serve a shard if they were.
-    pub(super) fn warms_in(&self) -> Option<Duration> {
+    /// Returns the time until the first cold upstream that could serve a shard is warm.
+    pub(super) fn warm_up_left(&self) -> Option<Duration> {
         let time = now();
         let shards = 0..self.state.shards().len();
         let cold = shards.flat_map(|shard| self.at_home(shard));
@@ -36,16 +36,17 @@
         Some(until.saturating_duration_since(time))
     }
 
-    /// When a request that lacks upstreams should come again, if more of them are about to be registered.
-    pub(super) fn settles_in(&self) -> Option<Duration> {
+    /// Returns after how long a request without upstreams should be sent again, if more of them are about to be
+    /// registered.
+    pub(super) fn registration_left(&self) -> Option<Duration> {
         let time = now();
         let settling = self.context.core.registry.settling(time)?;
         Some(settling.until.saturating_duration_since(time))
     }
 
-    /// Whether enough shards have an upstream for an answer. One that is cold or in an evacuated availability zone
-    /// counts: no other is on its way because of that.
-    fn suffices(&self) -> bool {
+    /// Returns whether enough shards have an upstream for an answer. Upstreams that are cold or in an evacuated
+    /// availability zone count: no replacement will be registered because of that.
+    fn has_enough_upstreams(&self) -> bool {
         let shards = 0..self.state.shards().len();
         let registered = |shard: &usize| {
             let candidates = self.at_home(*shard);
@@ -55,8 +56,8 @@
         lacking.count() <= self.state.surplus()
     }
 
-    /// Whether a shard has upstreams, but none that may get the route's requests: they are outside its home regions or in
-    /// evacuated availability zones.
+    /// Returns whether a shard has upstreams but none that may get the route's requests, because they are outside its
+    /// home regions or in evacuated availability zones.
     pub(super) fn is_excluded(&self) -> bool {
         let excluded = |shard: usize| {
             let listed = self
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -1,4 +1,4 @@
-//! Second attempts beside first ones that have been out for too long.
+//! Sends hedges: second attempts in addition to first ones that are late.
 
 use std::time::{Duration, Instant};
 
@@ -9,38 +9,38 @@
 use crate::gateway::settings::PlaceDistance;
 
 impl QueryRun {
-    /// Sends a second attempt beside each first one that has been out for too long, where that is worth it.
-    pub(super) fn look_for_stragglers(&mut self, time: Instant) {
+    /// Sends a hedge for each first attempt that is late, if it is worthwhile.
+    pub(super) fn check_stragglers(&mut self, time: Instant) {
         if self.route.repeat == RepeatKind::Once {
             return;
         }
-        for number in 0..self.live.len() {
-            let attempt = &self.live[number];
+        for number in 0..self.attempts.len() {
+            let attempt = &self.attempts[number];
             let shard = attempt.shard;
-            if attempt.ended || attempt.next_look > time {
+            if attempt.ended || attempt.next_check > time {
                 continue;
             }
             let state = &self.state.shards()[shard];
             if state.is_open() && state.out == 1 {
                 self.hedge(number, time);
             }
-            self.look_later(number, time);
+            self.schedule_check(number, time);
         }
     }
 
-    fn look_later(&mut self, number: usize, time: Instant) {
-        let attempt = &self.live[number];
+    fn schedule_check(&mut self, number: usize, time: Instant) {
+        let attempt = &self.attempts[number];
         let waited = millis(time.saturating_duration_since(attempt.began));
         let next = {
             let latency = self.context.latency.borrow();
             HedgeQuestion::next_look(latency.track(attempt.kind), waited)
         };
-        let attempt = &mut self.live[number];
-        attempt.next_look = attempt.began + Duration::from_secs_f64(next / 1_000.0);
+        let attempt = &mut self.attempts[number];
+        attempt.next_check = attempt.began + Duration::from_secs_f64(next / 1_000.0);
     }
 
     fn hedge(&mut self, number: usize, time: Instant) {
-        let shard = self.live[number].shard;
+        let shard = self.attempts[number].shard;
         let suspected = self.is_suspected();
         let full = self.upstreams_run(shard).len() >= self.attempts_allowed();
         if suspected || full || self.state.shards()[shard].ran >= self.sends_allowed() {
@@ -49,7 +49,7 @@
         let Some(choice) = self.choose(shard, true) else {
             return;
         };
-        let attempt = &self.live[number];
+        let attempt = &self.attempts[number];
         let other = match choice.distance {
             PlaceDistance::Zone => AttemptKind::Zone,
             PlaceDistance::Region | PlaceDistance::Far => AttemptKind::Delegated,
--- a/crates/ebonyfork/src/gateway/run/suspicion.rs
+++ b/crates/ebonyfork/src/gateway/run/suspicion.rs
@@ -1,10 +1,11 @@
-//! A request under which connections break may be what crashes the upstreams: then one shard goes first and the others
-//! wait for its answer.
+//! Detects requests that may crash their upstreams. While such a request is suspected, one shard is sent as a probe and
+//! the others are held back until it is answered.
 //!
-//! Most breaks are harmless: the upstream has reset a connection and takes the next one, which is known some 25 ms later
-//! ([`LossCheck`]). Shards wait for that only from the second break on. Where every break counted, and one in five answers
-//! was lost with its connection, nearly every query sent its lost shards one after another and nothing beside late ones:
-//! these seconds earned 0.46 and 0.73 of their worth instead of 0.51 and 0.77 (means of 6 runs).
+//! Most broken connections are harmless: the upstream has reset a connection and accepts the next one, which
+//! [`LossCheck`] finds out about 25 ms later. Shards are only held back from the second break on. In a version where
+//! every break counted, and one in five answers was lost with its connection, nearly every query retried its lost
+//! shards one at a time and sent no hedges: these seconds earned 0.46 and 0.73 of their value instead of 0.51 and 0.77
+//! (means of 6 runs).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,29 +15,29 @@
 use super::QueryRun;
 use crate::gateway::loss::{LossCheck, LossFinding};
 
-/// Breaks that are not known to be harmless from which on the request itself is suspected.
+/// Number of breaks not known to be harmless from which on the request is suspected.
 const SUSPICIOUS_LOSSES: usize = 2;
-/// Time between two looks at what a break has turned out to be.
-pub(super) const LOSS_LOOK: Duration = Duration::from_millis(5);
+/// Interval between checks of the cause of a break.
+pub(super) const LOSS_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What is known of a request as the cause of lost upstreams.
+/// Connection losses that a request may have caused, and the shards held back because of them.
 #[derive(Debug, Default)]
 pub(super) struct RunSuspicion {
-    /// Whether the request was under suspicion when it came.
+    /// Whether the request was suspect when it arrived.
     suspect: bool,
-    /// Breaks under its shards.
+    /// Broken connections, with the shard each one belonged to.
     losses: SmallVec<[(usize, Rc<LossCheck>); 4]>,
-    /// The shard that goes alone.
+    /// Shard that is sent alone.
     probe: Option<usize>,
-    /// Whether a probe has broken.
+    /// Whether the connection of a probe broke.
     probe_broke: bool,
-    /// Shards that wait.
+    /// Shards that are held back.
     held: SmallVec<[usize; 8]>,
 }
 
 impl RunSuspicion {
-    /// A request that comes under suspicion: all its shards but the probe wait.
-    pub(super) fn of_suspect(shards: usize, probe: usize) -> Self {
+    /// Creates the state of a request that was suspect when it arrived: all shards but the probe are held back.
+    pub(super) fn for_suspect(shards: usize, probe: usize) -> Self {
         Self {
             suspect: true,
             probe: Some(probe),
@@ -45,12 +46,12 @@
         }
     }
 
-    /// Whether shards wait for news of breaks.
+    /// Returns whether shards are held back until the cause of a break is known.
     pub(super) fn waits(&self) -> bool {
         !self.held.is_empty() && self.probe.is_none()
     }
 
-    /// Whether an upstream was lost under a shard.
+    /// Returns whether an upstream was confirmed lost during an attempt of a shard.
     pub(super) fn is_confirmed(&self, shard: usize) -> bool {
         let lost = |(of, check): &(usize, Rc<LossCheck>)| {
             *of == shard && check.finding() == LossFinding::Lost
@@ -65,20 +66,21 @@
             .count()
     }
 
-    /// Breaks that may be the request's fault.
+    /// Returns the number of breaks that the request may have caused.
     fn possible(&self) -> usize {
         self.count(LossFinding::Open) + self.count(LossFinding::Lost)
     }
 }
 
 impl QueryRun {
-    /// Whether the request may be what crashes upstreams: nothing is risked for it.
+    /// Returns whether the request may crash upstreams; such requests get no hedges, no probes of avoided upstreams and
+    /// no delegated retries.
     pub(super) fn is_suspected(&self) -> bool {
         let suspicion = &self.suspicion;
         suspicion.suspect || suspicion.probe.is_some() || suspicion.possible() > 0
     }
 
-    /// A shard's attempt was lost; `check` tells of the upstream if the connection broke.
+    /// Handles a lost attempt of a shard; `check` reports the state of the upstream if the connection broke.
     pub(super) fn retry_lost(&mut self, shard: usize, check: Option<Rc<LossCheck>>) {
         if let Some(check) = check {
             self.suspicion.losses.push((shard, check));
@@ -98,7 +100,8 @@
         self.resume_held();
     }
 
-    /// Sends the shards that wait, once it is known what the breaks were: all of them, the next probe, or none any more.
+    /// Continues with the shards that are held back once the causes of all breaks are known: sends all of them, sends
+    /// the next one as a probe, or marks them as failed.
     pub(super) fn resume_held(&mut self) {
         if let Some(probe) = self.suspicion.probe {
             if self.state.shards()[probe].is_open() {
@@ -123,7 +126,7 @@
         self.probe_next();
     }
 
-    /// One of the shards that wait goes alone.
+    /// Sends one of the held-back shards as a probe.
     fn probe_next(&mut self) {
         while !self.suspicion.held.is_empty() {
             let shard = self.suspicion.held.remove(0);
@@ -148,7 +151,7 @@
         }
     }
 
-    /// A part has come in: if it was the probe's, the others may go.
+    /// Handles the arrival of a part: if it is the probe's, the held-back shards are sent.
     pub(super) fn clear_probe(&mut self, shard: usize) {
         if self.suspicion.probe != Some(shard) {
             return;
