--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -19,7 +19,7 @@
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::{FreshnessTerms, MirrorRelay};
 use crate::gateway::policy::answer_lag::AnswerLag;
-use crate::gateway::policy::budget::RepeatAccount;
+use crate::gateway::policy::budget::LeasedRetryBudget;
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::refusal::RefusalReason;
 use crate::gateway::registry::{UpstreamList, UpstreamRegistry};
@@ -63,7 +63,7 @@
     /// Our own VMs.
     pub vms: VmDirectory,
     /// Repeats that may still be sent.
-    pub repeats: RefCell<RepeatAccount>,
+    pub repeats: RefCell<LeasedRetryBudget>,
     /// How late this process's answers are after the decision on them.
     pub lag: Rc<RefCell<AnswerLag>>,
     /// What each service of a weighted route is owed.
@@ -110,7 +110,7 @@
 impl GatewayCore {
     /// Makes the state of a process that has just started.
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
-        let repeats = RepeatAccount::new(settings.budget);
+        let repeats = LeasedRetryBudget::new(settings.budget);
         let metrics = GatewayMetrics::default();
         let limit = FreshnessTerms::new(settings.change_bound).limit;
         let session = own_session(&settings);
@@ -246,7 +246,7 @@
     pub fn share_connections(&self) {
         let vms = self.vms.most_count();
         let time = self.running_time();
-        self.repeats.borrow_mut().share_among(vms, time);
+        self.repeats.borrow_mut().set_vm_count(vms, time);
         self.registry.for_each(|upstream| {
             let share = self.connection_share(&upstream.entry().service);
             upstream.set_share(share);
--- a/crates/ebonyfork/src/gateway/fixture.rs
+++ b/crates/ebonyfork/src/gateway/fixture.rs
@@ -10,7 +10,7 @@
 use crate::gateway::dialect::{GatewayDialect, StoredKind, WireNames};
 use crate::gateway::exchange::UpstreamAnswer;
 use crate::gateway::ident::{InstanceName, PlaceName, UpstreamService};
-use crate::gateway::policy::budget::BudgetTerms;
+use crate::gateway::policy::budget::RetryBudgetConfig;
 use crate::gateway::settings::{GatewaySettings, ListenAddresses, NodePlace};
 use crate::gateway::upstream::UpstreamEntry;
 use crate::settings::LogSettings;
@@ -80,7 +80,7 @@
         grace: Duration::from_secs(6),
         change_bound: Duration::from_secs(3),
         cold_bound: None,
-        budget: BudgetTerms {
+        budget: RetryBudgetConfig {
             ratio: 0.2,
             slack: 50.0,
             window: Duration::from_secs(10),
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -14,7 +14,7 @@
 
 use crate::gateway::fixture::{entry, place};
 use crate::gateway::ident::{PlaceName, UpstreamService};
-use crate::gateway::policy::budget::{BudgetTerms, RetryBudget};
+use crate::gateway::policy::budget::{RetryBudget, RetryBudgetConfig};
 use crate::gateway::policy::choice::{UpstreamChoice, choose_upstream};
 use crate::gateway::policy::gather::{GatherEnd, GatherState};
 use crate::gateway::policy::hedge::HedgeQuestion;
@@ -69,7 +69,7 @@
     target: Duration,
     /// Queries a second over the capacity of the upstreams.
     demand: f64,
-    budget: BudgetTerms,
+    budget: RetryBudgetConfig,
 }
 
 impl ModelDeployment {
@@ -84,7 +84,7 @@
             work,
             target: work * rng.random_range(9..=14) + FAR_WAY * 2,
             demand,
-            budget: BudgetTerms {
+            budget: RetryBudgetConfig {
                 ratio: 0.2,
                 slack: 40.0 + 2.0 * vms as f64,
                 window: Duration::from_secs(10),
@@ -229,7 +229,7 @@
     }
 
     /// The bound on repeats.
-    pub fn terms(&self) -> BudgetTerms {
+    pub fn terms(&self) -> RetryBudgetConfig {
         self.deployment.budget
     }
 
@@ -287,7 +287,7 @@
         for shard in 0..shards {
             let vm = self.queries[query].vm;
             let uptime = now.saturating_duration_since(self.start);
-            self.vms[vm].budget.note_request(&service(shard), uptime);
+            self.vms[vm].budget.record_request(&service(shard), uptime);
             if let Some(choice) = self.choose(query, shard, now) {
                 self.send(query, shard, &choice, now);
             }
@@ -532,7 +532,7 @@
         })
         .collect();
     let mut budget = RetryBudget::new(deployment.budget);
-    budget.share_among(deployment.vms, Duration::ZERO);
+    budget.set_vm_count(deployment.vms, Duration::ZERO);
     ModelVm {
         place,
         upstreams,
--- a/crates/ebonyfork/src/gateway/mod.rs
+++ b/crates/ebonyfork/src/gateway/mod.rs
@@ -73,7 +73,9 @@
 pub use partial::{
     FailedShard, PartialMessage, PartialQuery, PartialReply, PartialRequest, ShardSignature,
 };
-pub use policy::budget::{BudgetTerms, RepeatAccount, RetryBudget, ShareLeases, ShareMessage};
+pub use policy::budget::{
+    LeasedRetryBudget, RetryBudget, RetryBudgetConfig, ShareLeases, ShareMessage,
+};
 pub use policy::cold::{ClaimRecord, ClaimWrite, ColdBound, RequestRate, SendWindow, ZoneClaim};
 pub use policy::gather::{GatherEnd, GatherState};
 pub use policy::homes::HomeRegions;
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -235,7 +235,7 @@
         rounds = rounds.wrapping_add(1);
         if rounds.is_multiple_of(BUDGET_ROUNDS) {
             let time = core.running_time();
-            core.repeats.borrow_mut().forget_idle(time);
+            core.repeats.borrow_mut().remove_idle(time);
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -4,7 +4,7 @@
 
 use snafu::Snafu;
 
-use super::bucket::{BudgetTerms, RetryBudget};
+use super::bucket::{RetryBudget, RetryBudgetConfig};
 use super::lease::{LendRefusal, ShareLeases};
 use crate::gateway::ident::UpstreamService;
 use crate::ident::VmAddress;
@@ -33,14 +33,14 @@
 /// Retry budget of one process. Times are durations since its start, on a clock that keeps running while the VM is
 /// suspended.
 #[derive(Debug)]
-pub struct RepeatAccount {
+pub struct LeasedRetryBudget {
     budget: RetryBudget,
     leases: ShareLeases,
     /// Next time at which the number of held shares may change without a message.
     next_change: Option<Duration>,
 }
 
-impl RepeatAccount {
+impl LeasedRetryBudget {
     /// Creates the budget of a process that has just started.
     ///
     /// # Examples
@@ -48,17 +48,17 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{BudgetTerms, RepeatAccount, UpstreamService};
+    /// use ebonyfork::gateway::{RetryBudgetConfig, LeasedRetryBudget, UpstreamService};
     ///
-    /// let terms = BudgetTerms { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
-    /// let mut account = RepeatAccount::new(terms);
+    /// let terms = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+    /// let mut account = LeasedRetryBudget::new(terms);
     /// let service = UpstreamService::new("shard-3");
     /// assert!(account.spend(&service, Duration::from_secs(1)).is_err());
     /// assert!(account.spend(&service, Duration::from_secs(20)).is_ok());
     /// ```
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: RetryBudgetConfig) -> Self {
         let mut budget = RetryBudget::new(terms);
-        budget.hold_shares(0, Duration::ZERO);
+        budget.set_held_shares(0, Duration::ZERO);
         Self {
             budget,
             leases: ShareLeases::new(),
@@ -69,28 +69,29 @@
     /// Applies all changes of the held shares that are due by `now`, each at its own time.
     fn apply_due_changes(&mut self, now: Duration) {
         while let Some(change) = self.next_change.filter(|change| *change <= now) {
-            self.budget.hold_shares(self.leases.shares(change), change);
+            self.budget
+                .set_held_shares(self.leases.shares(change), change);
             self.next_change = self.leases.next_change(change);
         }
     }
 
     /// Updates the held shares after a lease was granted or accepted.
     fn update_shares(&mut self, now: Duration) {
-        self.budget.hold_shares(self.leases.shares(now), now);
+        self.budget.set_held_shares(self.leases.shares(now), now);
         self.next_change = self.leases.next_change(now);
     }
 
     /// Sets the number of VMs that share the slack: all that may be running, whether known or not.
-    pub fn share_among(&mut self, vms: usize, now: Duration) {
+    pub fn set_vm_count(&mut self, vms: usize, now: Duration) {
         self.apply_due_changes(now);
-        self.budget.share_among(vms, now);
+        self.budget.set_vm_count(vms, now);
     }
 
     /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
     /// request needs.
-    pub fn note_request(&mut self, service: &UpstreamService, now: Duration) {
+    pub fn record_request(&mut self, service: &UpstreamService, now: Duration) {
         self.apply_due_changes(now);
-        self.budget.note_request(service, now);
+        self.budget.record_request(service, now);
     }
 
     /// Takes one token, or returns the reason why the repeat is denied.
@@ -107,26 +108,26 @@
     }
 
     /// Returns the number of repeats that could be sent to a service now.
-    pub fn left(&self, service: &UpstreamService, now: Duration) -> f64 {
-        self.budget.left(service, now)
+    pub fn available(&self, service: &UpstreamService, now: Duration) -> f64 {
+        self.budget.available(service, now)
     }
 
     /// Removes services that were unused for a window, and expired leases.
-    pub fn forget_idle(&mut self, now: Duration) {
+    pub fn remove_idle(&mut self, now: Duration) {
         self.apply_due_changes(now);
-        self.budget.forget_idle(now);
+        self.budget.remove_idle(now);
         self.leases.remove_expired(now);
     }
 
     /// Records a lease request to the owner of a share and returns its number.
-    pub fn ask(&mut self, owner: VmAddress, now: Duration) -> u64 {
-        self.leases.ask(owner, now)
+    pub fn request(&mut self, owner: VmAddress, now: Duration) -> u64 {
+        self.leases.request(owner, now)
     }
 
     /// Accepts a granted lease; returns false if no pending request matches.
-    pub fn take_grant(&mut self, owner: VmAddress, number: u64, now: Duration) -> bool {
+    pub fn accept_grant(&mut self, owner: VmAddress, number: u64, now: Duration) -> bool {
         self.apply_due_changes(now);
-        let taken = self.leases.take_grant(owner, number);
+        let taken = self.leases.accept_grant(owner, number);
         self.update_shares(now);
         taken
     }
--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::gateway::policy::budget::bucket::tests::check_spans;
 
-const TERMS: BudgetTerms = BudgetTerms {
+const TERMS: RetryBudgetConfig = RetryBudgetConfig {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
@@ -25,12 +25,12 @@
 /// Message in transit.
 #[derive(Debug, Clone, Copy)]
 enum FleetMessage {
-    Ask { number: u64 },
+    Request { number: u64 },
     Grant { number: u64 },
 }
 
 struct FleetVm {
-    account: RepeatAccount,
+    account: LeasedRetryBudget,
     /// Number of restarts. A message to or from an earlier process is lost with its connection.
     incarnation: u32,
     started: Duration,
@@ -43,9 +43,9 @@
 }
 
 impl FleetVm {
-    fn new(terms: BudgetTerms, now: Duration, incarnation: u32, rate: f64) -> Self {
+    fn new(terms: RetryBudgetConfig, now: Duration, incarnation: u32, rate: f64) -> Self {
         Self {
-            account: RepeatAccount::new(terms),
+            account: LeasedRetryBudget::new(terms),
             incarnation,
             started: now,
             rate,
@@ -85,7 +85,7 @@
 
 /// Model of VMs that take requests, borrow shares from one another and spend all tokens they have.
 struct ShareFleet {
-    terms: BudgetTerms,
+    terms: RetryBudgetConfig,
     vms: Vec<FleetVm>,
     in_transit: VecDeque<InTransitMessage>,
     rng: ChaCha8Rng,
@@ -98,7 +98,7 @@
 }
 
 impl ShareFleet {
-    fn new(terms: BudgetTerms, count: usize, faults: FleetFaults, seed: u64) -> Self {
+    fn new(terms: RetryBudgetConfig, count: usize, faults: FleetFaults, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut vms = Vec::new();
         for _ in 0..count {
@@ -146,7 +146,7 @@
             let time = self.vms[number].time(now);
             let count = self.vms.len();
             let account = &mut self.vms[number].account;
-            account.share_among(count, time);
+            account.set_vm_count(count, time);
             self.check_starts_empty(number, time);
             let account = &mut self.vms[number].account;
             if !serves {
@@ -154,7 +154,7 @@
             }
             let more = self.rng.random_bool(per_step.fract());
             for _ in 0..per_step as usize + usize::from(more) {
-                account.note_request(&service(), time);
+                account.record_request(&service(), time);
                 self.requests.push(now);
             }
             while self.spends && account.spend(&service(), time).is_ok() {
@@ -172,7 +172,7 @@
             // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
             let rate = self.terms.slack / self.terms.window.as_secs_f64();
             let most = rate * time.saturating_sub(ran).as_secs_f64();
-            let left = vm.account.left(&service(), time);
+            let left = vm.account.available(&service(), time);
             expect_that!(left, le(most), "VM {number} at {:?}", self.now);
         }
     }
@@ -221,8 +221,8 @@
                 continue;
             }
             let time = self.vms[borrower].time(self.now);
-            let number = self.vms[borrower].account.ask(vm(owner), time);
-            self.send(borrower, owner, FleetMessage::Ask { number });
+            let number = self.vms[borrower].account.request(vm(owner), time);
+            self.send(borrower, owner, FleetMessage::Request { number });
         }
     }
 
@@ -263,7 +263,7 @@
     fn handle(&mut self, from: usize, to: usize, message: FleetMessage) {
         let time = self.vms[to].time(self.now);
         match message {
-            FleetMessage::Ask { number } => {
+            FleetMessage::Request { number } => {
                 let lent = self.vms[to].account.lend(vm(from), false, time);
                 if lent.is_ok() {
                     self.send(to, from, FleetMessage::Grant { number });
@@ -271,7 +271,7 @@
             }
             FleetMessage::Grant { number } => {
                 let account = &mut self.vms[to].account;
-                let _taken = account.take_grant(vm(from), number, time);
+                let _taken = account.accept_grant(vm(from), number, time);
             }
         }
     }
@@ -310,7 +310,7 @@
 /// requests.
 fn usable_share(count: usize, serving: usize) -> f64 {
     const REQUESTS_PER_SECOND: f64 = 48.5;
-    let terms = BudgetTerms {
+    let terms = RetryBudgetConfig {
         slack: 430.0,
         ..TERMS
     };
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
@@ -23,7 +23,7 @@
 
 /// Bound on repeats for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetTerms {
+pub struct RetryBudgetConfig {
     /// Repeats allowed per request.
     pub ratio: f64,
     /// Repeats allowed in addition, for all VMs together.
@@ -61,7 +61,7 @@
 /// Token buckets of one process.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: BudgetTerms,
+    terms: RetryBudgetConfig,
     vm_count: usize,
     shares: usize,
     /// State of a bucket that was never used; new services start from it.
@@ -78,19 +78,19 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{BudgetTerms, RetryBudget, UpstreamService};
+    /// use ebonyfork::gateway::{RetryBudgetConfig, RetryBudget, UpstreamService};
     ///
-    /// let terms = BudgetTerms { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+    /// let terms = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
     /// let mut budget = RetryBudget::new(terms);
     /// let service = UpstreamService::new("shard-3");
     /// let now = Duration::ZERO;
     /// assert!(!budget.spend(&service, now));
     /// for _ in 0..10 {
-    ///     budget.note_request(&service, now);
+    ///     budget.record_request(&service, now);
     /// }
     /// assert!(budget.spend(&service, now));
     /// ```
-    pub fn new(terms: BudgetTerms) -> Self {
+    pub fn new(terms: RetryBudgetConfig) -> Self {
         Self {
             terms,
             vm_count: 1,
@@ -101,7 +101,7 @@
     }
 
     /// Sets the number of VMs that share the slack: all that may be running, whether known or not.
-    pub fn share_among(&mut self, vm_count: usize, now: Duration) {
+    pub fn set_vm_count(&mut self, vm_count: usize, now: Duration) {
         if self.vm_count != vm_count.max(1) {
             self.refill_all(now);
             self.vm_count = vm_count.max(1);
@@ -111,7 +111,7 @@
 
     /// Sets the number of shares of the slack that this process holds from now on. Tokens above the new capacity are
     /// discarded.
-    pub fn hold_shares(&mut self, shares: usize, now: Duration) {
+    pub fn set_held_shares(&mut self, shares: usize, now: Duration) {
         if self.shares != shares {
             self.refill_all(now);
             self.shares = shares;
@@ -144,7 +144,7 @@
 
     /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
     /// request needs.
-    pub fn note_request(&mut self, service: &UpstreamService, now: Duration) {
+    pub fn record_request(&mut self, service: &UpstreamService, now: Duration) {
         let earned = self.terms.ratio * USABLE_FRACTION;
         let capacity = self.parameters().capacity;
         let bucket = self.bucket(service, now);
@@ -162,7 +162,7 @@
     }
 
     /// Returns the number of repeats that could be sent now.
-    pub fn left(&self, service: &UpstreamService, now: Duration) -> f64 {
+    pub fn available(&self, service: &UpstreamService, now: Duration) -> f64 {
         let bucket = self.services.get(service).unwrap_or(&self.unused);
         let mut bucket = *bucket;
         bucket.refill(self.parameters(), now);
@@ -171,7 +171,7 @@
 
     /// Removes services that were unused for a window. Their buckets hold at least as many tokens as one that was never
     /// used, so removing them adds no tokens.
-    pub fn forget_idle(&mut self, now: Duration) {
+    pub fn remove_idle(&mut self, now: Duration) {
         let window = self.terms.window;
         self.services
             .retain(|_service, bucket| now.saturating_sub(bucket.last_used) < window);
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-const TERMS: BudgetTerms = BudgetTerms {
+const TERMS: RetryBudgetConfig = RetryBudgetConfig {
     ratio: 0.2,
     slack: 54.0,
     window: Duration::from_secs(10),
@@ -19,11 +19,11 @@
 #[gtest]
 fn a_new_process_begins_with_nothing_but_what_its_requests_earn() {
     let mut budget = RetryBudget::new(TERMS);
-    budget.share_among(9, Duration::ZERO);
+    budget.set_vm_count(9, Duration::ZERO);
     let now = Duration::from_millis(10);
     expect_that!(budget.spend(&service(), now), eq(false));
     for _ in 0..6 {
-        budget.note_request(&service(), now);
+        budget.record_request(&service(), now);
     }
     expect_that!(budget.spend(&service(), now), eq(true));
     expect_that!(budget.spend(&service(), now), eq(false));
@@ -34,10 +34,10 @@
 #[gtest]
 fn the_slack_is_shared_among_all_vms() {
     let mut budget = RetryBudget::new(TERMS);
-    budget.share_among(9, Duration::ZERO);
+    budget.set_vm_count(9, Duration::ZERO);
     let begin = Duration::from_secs(20);
     for _ in 0..1_000 {
-        budget.note_request(&service(), begin);
+        budget.record_request(&service(), begin);
     }
     let mut spent = 0;
     for step in 0..100 {
@@ -53,20 +53,23 @@
 #[gtest]
 fn a_bucket_follows_the_shares_that_are_held() {
     let mut budget = RetryBudget::new(TERMS);
-    budget.share_among(9, Duration::ZERO);
+    budget.set_vm_count(9, Duration::ZERO);
     let idle = Duration::from_secs(30);
-    let single_share = budget.left(&service(), idle);
-    budget.hold_shares(4, idle);
-    expect_that!(budget.left(&service(), idle), le(single_share));
+    let single_share = budget.available(&service(), idle);
+    budget.set_held_shares(4, idle);
+    expect_that!(budget.available(&service(), idle), le(single_share));
     let later = idle + TERMS.window * 2;
     expect_that!(
-        budget.left(&service(), later),
+        budget.available(&service(), later),
         near(single_share * 4.0, 1e-9)
     );
-    budget.hold_shares(1, later);
-    expect_that!(budget.left(&service(), later), near(single_share, 1e-9));
-    budget.hold_shares(0, later);
-    expect_that!(budget.left(&service(), later + TERMS.window), eq(0.0));
+    budget.set_held_shares(1, later);
+    expect_that!(
+        budget.available(&service(), later),
+        near(single_share, 1e-9)
+    );
+    budget.set_held_shares(0, later);
+    expect_that!(budget.available(&service(), later + TERMS.window), eq(0.0));
 }
 
 #[gtest]
@@ -74,7 +77,7 @@
     let mut budget = RetryBudget::new(TERMS);
     let now = Duration::ZERO;
     for _ in 0..100 {
-        budget.note_request(&service(), now);
+        budget.record_request(&service(), now);
     }
     expect_that!(budget.spend(&UpstreamService::new("other"), now), eq(false));
     expect_that!(budget.spend(&service(), now), eq(true));
@@ -106,10 +109,10 @@
                     *budget = RetryBudget::new(TERMS);
                     *started = now;
                 }
-                budget.share_among(vms, now.checked_sub(*started).unwrap());
+                budget.set_vm_count(vms, now.checked_sub(*started).unwrap());
                 let age = now.checked_sub(*started).unwrap();
                 for _ in 0..rng.random_range(0..=load) {
-                    budget.note_request(&service(), age);
+                    budget.record_request(&service(), age);
                     requests.push(now);
                 }
                 while budget.spend(&service(), age) {
@@ -124,7 +127,7 @@
 /// Checks the bound over every window. Requests are counted in the same window, the preceding one or the one starting
 /// half a window earlier, whichever has the most.
 pub(in crate::gateway::policy::budget) fn check_spans(
-    terms: BudgetTerms,
+    terms: RetryBudgetConfig,
     seed: u64,
     requests: &[Duration],
     repeats: &[Duration],
@@ -220,10 +223,10 @@
             for number in 0..count {
                 let share = taking(&vms[number]) / all.max(0.001);
                 let age = vms[number].uptime(now);
-                vms[number].budget.share_among(count, age);
+                vms[number].budget.set_vm_count(count, age);
                 for _ in 0..7 {
                     if rng.random_bool(share.min(1.0)) {
-                        vms[number].budget.note_request(&service(), age);
+                        vms[number].budget.record_request(&service(), age);
                         requests.push(now);
                     }
                 }
@@ -243,9 +246,9 @@
 #[gtest]
 fn idle_services_are_forgotten() {
     let mut budget = RetryBudget::new(TERMS);
-    budget.note_request(&service(), Duration::from_secs(1));
-    budget.forget_idle(Duration::from_secs(5));
+    budget.record_request(&service(), Duration::from_secs(1));
+    budget.remove_idle(Duration::from_secs(5));
     expect_that!(budget.services.len(), eq(1));
-    budget.forget_idle(Duration::from_secs(30));
+    budget.remove_idle(Duration::from_secs(30));
     expect_that!(budget.services.len(), eq(0));
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -119,7 +119,7 @@
     }
 
     /// Records a lease request to the owner of a share and returns its number.
-    pub fn ask(&mut self, owner: VmAddress, now: Duration) -> u64 {
+    pub fn request(&mut self, owner: VmAddress, now: Duration) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
         let request = PendingRequest { number, sent: now };
@@ -128,7 +128,7 @@
     }
 
     /// Accepts a granted lease; returns false unless `number` is the latest pending request to `owner`.
-    pub fn take_grant(&mut self, owner: VmAddress, number: u64) -> bool {
+    pub fn accept_grant(&mut self, owner: VmAddress, number: u64) -> bool {
         let request = self.pending.get(&owner).copied();
         let Some(request) = request.filter(|request| request.number == number) else {
             return false;
--- a/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
@@ -22,9 +22,9 @@
 fn a_share_is_with_one_vm_at_a_time() {
     let mut owner = ShareLeases::new();
     let mut borrower = ShareLeases::new();
-    let number = borrower.ask(vm(1), START);
+    let number = borrower.request(vm(1), START);
     expect_that!(owner.lend(vm(2), false, START), ok(anything()));
-    expect_that!(borrower.take_grant(vm(1), number), eq(true));
+    expect_that!(borrower.accept_grant(vm(1), number), eq(true));
     let held = |time: Duration| (owner.shares(time), borrower.borrowed(time));
     expect_that!(held(START), eq((0, 1)));
     expect_that!(held(START + BORROWER_TERM), eq((0, 0)));
@@ -38,21 +38,21 @@
 #[gtest]
 fn a_late_grant_brings_nothing() {
     let mut borrower = ShareLeases::new();
-    let number = borrower.ask(vm(1), START);
+    let number = borrower.request(vm(1), START);
     let late = START + LEASE_TERM;
-    expect_that!(borrower.take_grant(vm(1), number), eq(true));
+    expect_that!(borrower.accept_grant(vm(1), number), eq(true));
     expect_that!(borrower.borrowed(late), eq(0));
 }
 
 #[gtest]
 fn a_grant_that_answers_no_open_question_is_not_taken() {
     let mut borrower = ShareLeases::new();
-    let first = borrower.ask(vm(1), START);
-    let second = borrower.ask(vm(1), START + Duration::from_secs(1));
-    expect_that!(borrower.take_grant(vm(1), first), eq(false));
-    expect_that!(borrower.take_grant(vm(2), second), eq(false));
-    expect_that!(borrower.take_grant(vm(1), second), eq(true));
-    expect_that!(borrower.take_grant(vm(1), second), eq(false));
+    let first = borrower.request(vm(1), START);
+    let second = borrower.request(vm(1), START + Duration::from_secs(1));
+    expect_that!(borrower.accept_grant(vm(1), first), eq(false));
+    expect_that!(borrower.accept_grant(vm(2), second), eq(false));
+    expect_that!(borrower.accept_grant(vm(1), second), eq(true));
+    expect_that!(borrower.accept_grant(vm(1), second), eq(false));
 }
 
 #[gtest]
@@ -71,9 +71,9 @@
 #[gtest]
 fn what_has_passed_is_forgotten() {
     let mut borrower = ShareLeases::new();
-    let number = borrower.ask(vm(1), START);
-    expect_that!(borrower.take_grant(vm(1), number), eq(true));
-    let _lost = borrower.ask(vm(3), START);
+    let number = borrower.request(vm(1), START);
+    expect_that!(borrower.accept_grant(vm(1), number), eq(true));
+    let _lost = borrower.request(vm(3), START);
     borrower.remove_expired(START + LEASE_TERM);
     expect_that!(borrower.borrowed.len() + borrower.pending.len(), eq(0));
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/message.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/message.rs
@@ -6,18 +6,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareMessage {
     /// Requests the receiver's share for one lease term, or renews the lease.
-    Ask {
+    Request {
         /// Identifies the request; chosen by the sender.
         number: u64,
     },
     /// The sender leases its share to the receiver for one term.
     Granted {
-        /// Number of the [`ShareMessage::Ask`].
+        /// Number of the [`ShareMessage::Request`].
         number: u64,
     },
     /// The sender needs its share itself, or has leased it to another VM.
     Refused {
-        /// Number of the [`ShareMessage::Ask`].
+        /// Number of the [`ShareMessage::Request`].
         number: u64,
     },
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/mod.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/mod.rs
@@ -4,7 +4,7 @@
 //! plus a fixed slack. Each VM owns an equal share of the slack, which its token buckets turn into repeats
 //! ([`RetryBudget`]). A VM that takes no requests can't use its share, and the share of one VM among hundreds is less
 //! than one or two repeats, so VMs that take no requests lease their shares to VMs that do ([`ShareLeases`]).
-//! [`RepeatAccount`] combines both; requests spend from it.
+//! [`LeasedRetryBudget`] combines both; requests spend from it.
 //!
 //! The sum over all VMs stays within the bound, whatever happens to individual VMs:
 //!
@@ -24,7 +24,7 @@
 mod lease;
 mod message;
 
-pub use account::RepeatAccount;
-pub use bucket::{BudgetTerms, RetryBudget};
+pub use account::LeasedRetryBudget;
+pub use bucket::{RetryBudget, RetryBudgetConfig};
 pub use lease::ShareLeases;
 pub use message::ShareMessage;
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -164,7 +164,7 @@
         let service = self.target.service(shard);
         core.repeats
             .borrow_mut()
-            .note_request(service, core.running_time());
+            .record_request(service, core.running_time());
     }
 
     /// Returns the upstreams that a shard may be sent to: those in the home regions of the route, except cold ones that
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -43,7 +43,7 @@
         let service = UpstreamService::new(service);
         core.repeats
             .borrow_mut()
-            .note_request(&service, core.running_time());
+            .record_request(&service, core.running_time());
     }
 }
 
@@ -446,7 +446,10 @@
             core.repeats.borrow_mut().spend(&service, time)
         };
         while spend(&core).is_ok() {}
-        let before = core.repeats.borrow().left(&service, core.running_time());
+        let before = core
+            .repeats
+            .borrow()
+            .available(&service, core.running_time());
         let mut failed = Vec::new();
         let answer_by = now() + LONG;
         run_partial(&core, &route, terms, request(LONG), answer_by, |reply| {
@@ -465,7 +468,7 @@
         );
         expect_that!(held[0].log.borrow().requests.len(), ge(1));
         let time = core.running_time();
-        let after = core.repeats.borrow().left(&service, time);
+        let after = core.repeats.borrow().available(&service, time);
         expect_that!(after - before, lt(0.1), "a counted request earns 0.19");
     };
     LocalSet::new().run_until(test).await;
--- a/crates/ebonyfork/src/gateway/settings.rs
+++ b/crates/ebonyfork/src/gateway/settings.rs
@@ -8,7 +8,7 @@
 
 use crate::finding::FindingList;
 use crate::gateway::ident::PlaceName;
-use crate::gateway::policy::budget::BudgetTerms;
+use crate::gateway::policy::budget::RetryBudgetConfig;
 use crate::gateway::policy::cold::ColdBound;
 use crate::ini::{IniDocument, IniSection, SectionReader};
 use crate::settings::LogSettings;
@@ -88,7 +88,7 @@
     /// How soon a change in the store must be in force: a configuration, that an upstream leaves, or an evacuation.
     pub change_bound: Duration,
     /// The bound on repeats, for all VMs together.
-    pub budget: BudgetTerms,
+    pub budget: RetryBudgetConfig,
     /// The bound on requests to a cold upstream, for all VMs together; `None` where none holds.
     pub cold_bound: Option<ColdBound>,
     /// Logging.
@@ -213,7 +213,7 @@
 struct StatedBounds {
     grace: Duration,
     change: Duration,
-    budget: BudgetTerms,
+    budget: RetryBudgetConfig,
     cold: Option<ColdBound>,
 }
 
@@ -229,7 +229,7 @@
     let window = read_seconds(&mut reader, "retry-window-s");
     let cold = read_cold_bound(&mut reader);
     reader.finish();
-    let budget = BudgetTerms {
+    let budget = RetryBudgetConfig {
         ratio: ratio?,
         slack: slack?,
         window: window?,
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -38,8 +38,11 @@
 }
 
 fn ask(core: &GatewayCore, owner: VmAddress) {
-    let number = core.repeats.borrow_mut().ask(owner, core.running_time());
-    let message = PeerMessage::Share(ShareMessage::Ask { number });
+    let number = core
+        .repeats
+        .borrow_mut()
+        .request(owner, core.running_time());
+    let message = PeerMessage::Share(ShareMessage::Request { number });
     // A VM that can't be reached is asked again in the next round.
     let _sent = core.delegates.tell(owner, message);
 }
@@ -75,7 +78,7 @@
     };
     let time = core.running_time();
     match message {
-        ShareMessage::Ask { number } => {
+        ShareMessage::Request { number } => {
             let answer = answer_ask(core, peer, number, time);
             if let Err(error) = from.send(PeerMessage::Share(answer)) {
                 // The share stays unused until its term has passed.
@@ -83,7 +86,7 @@
             }
         }
         ShareMessage::Granted { number } => {
-            let taken = core.repeats.borrow_mut().take_grant(peer, number, time);
+            let taken = core.repeats.borrow_mut().accept_grant(peer, number, time);
             if !taken {
                 log::info!("share of {peer} not taken: question {number} is not open");
             }
