--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -111,7 +111,7 @@
             let health = known
                 .entry(vm)
                 .or_insert_with(|| UpstreamHealth::new(time, Duration::ZERO));
-            let overdue = millis(health.oldest(time)) > usual_ms * OVERDUE;
+            let overdue = millis(health.oldest_age(time)) > usual_ms * OVERDUE;
             if overdue || health.is_ejected(time) || health.success(time) < USEFUL_SHARE {
                 continue;
             }
@@ -140,7 +140,7 @@
         }
         let began = now();
         if let Some(health) = self.vms.borrow_mut().get_mut(&vm) {
-            health.begin(began);
+            health.record_start(began);
         }
         let pending = PendingPartial {
             events,
@@ -177,9 +177,9 @@
         let took = millis(time.saturating_duration_since(query.began));
         if let Some(health) = self.vms.borrow_mut().get_mut(&query.vm) {
             if useful {
-                health.note_answer(query.began, time, took / query.usual_ms);
+                health.record_answer(query.began, time, took / query.usual_ms);
             } else {
-                health.note_failure(query.began, time);
+                health.record_failure(query.began, time);
             }
         }
     }
@@ -194,7 +194,7 @@
         {
             let time = now();
             let waited = millis(time.saturating_duration_since(query.began));
-            health.note_abandoned(query.began, time, waited / query.usual_ms);
+            health.record_abandoned(query.began, time, waited / query.usual_ms);
         }
         if finished {
             return;
@@ -242,7 +242,7 @@
         };
         for (began, heard) in down {
             if !heard {
-                health.note_unreachable(began, time);
+                health.record_unreachable(began, time);
             }
         }
     }
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -155,14 +155,14 @@
         let mut health = self.upstream.health.borrow_mut();
         match outcome {
             AttemptOutcome::Answered(answer) if !answer.status.is_server_error() => {
-                health.note_answer(self.began, now, self.slowness(now));
+                health.record_answer(self.began, now, self.slowness(now));
                 let took = now.saturating_duration_since(self.began);
                 let mut latency = self.context.latency.borrow_mut();
                 latency.track_mut(self.distance()).record(took, now);
             }
-            AttemptOutcome::Unsent(_) => health.note_unreachable(self.began, now),
+            AttemptOutcome::Unsent(_) => health.record_unreachable(self.began, now),
             AttemptOutcome::Answered(_) | AttemptOutcome::Declined(_) | AttemptOutcome::Lost(_) => {
-                health.note_failure(self.began, now);
+                health.record_failure(self.began, now);
             }
         }
     }
@@ -177,13 +177,13 @@
         match self.sent {
             Some(_) => {
                 let now = now();
-                health.note_abandoned(self.began, now, self.slowness(now));
+                health.record_abandoned(self.began, now, self.slowness(now));
                 let waited = now.saturating_duration_since(self.began);
                 let mut latency = self.context.latency.borrow_mut();
                 let track = latency.track_mut(self.distance());
                 track.record_abandoned(waited, now);
             }
-            None => health.note_unsent(self.began),
+            None => health.record_unsent(self.began),
         }
     }
 }
@@ -198,7 +198,7 @@
     before_send: impl FnOnce() -> bool,
 ) -> AttemptOutcome {
     let began = now();
-    upstream.health.borrow_mut().begin(began);
+    upstream.health.borrow_mut().record_start(began);
     let mut record = AttemptRecord {
         context,
         upstream,
@@ -227,7 +227,7 @@
                 // Nothing of this is the upstream's fault.
                 upstream.keep(held, None);
                 record.noted = true;
-                upstream.health.borrow_mut().note_unsent(began);
+                upstream.health.borrow_mut().record_unsent(began);
                 return AttemptOutcome::Unsent("given up before it was sent".into());
             }
             record.sent = Some(sent);
@@ -357,7 +357,7 @@
     };
     let report = stated.to_str().unwrap_or_default().parse::<LoadReport>();
     match report {
-        Ok(report) => upstream.health.borrow_mut().note_load(report, now()),
+        Ok(report) => upstream.health.borrow_mut().record_load(report, now()),
         Err(error) if !upstream.load_warned.replace(true) => log::warn!(
             target: "ebonyfork::decision",
             "upstream instance={}: {error}; its load is not used",
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -329,7 +329,7 @@
             (FAR_WAY, AttemptKind::Delegated)
         };
         let replica = replica(&choice.upstream);
-        choice.upstream.health.borrow_mut().begin(now);
+        choice.upstream.health.borrow_mut().record_start(now);
         let state = self.queries[query].state.shard_mut(shard);
         state.out += 1;
         state.ran += 1;
@@ -410,7 +410,7 @@
         let slowness = vm.latency.slowness(attempt.kind, millis(took));
         let upstream = &vm.upstreams[shard][attempt.replica];
         let mut health = upstream.health.borrow_mut();
-        health.note_answer(attempt.began, now, slowness);
+        health.record_answer(attempt.began, now, slowness);
         drop(health);
         let signature = http::HeaderValue::from_static("s");
         let state = &mut self.queries[query].state;
@@ -425,7 +425,7 @@
         let attempt = &self.attempts[number];
         let upstream = &self.vms[vm].upstreams[shard][attempt.replica];
         let mut health = upstream.health.borrow_mut();
-        health.note_failure(attempt.began, now);
+        health.record_failure(attempt.began, now);
         drop(health);
         self.retry(query, shard, now);
         self.judge(query, now);
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -87,7 +87,7 @@
         if distance >= chosen.distance || !upstream.takes_requests() {
             continue;
         }
-        if !upstream.health.borrow().wants_probe(now) {
+        if !upstream.health.borrow().is_probe_due(now) {
             continue;
         }
         return Some(UpstreamChoice {
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -20,8 +20,8 @@
     let mut health = upstream.health.borrow_mut();
     for step in 0..4_u32 {
         let began = now + Duration::from_millis(100) * step;
-        health.begin(began);
-        health.note_answer(began, began + Duration::from_millis(100), 10.0);
+        health.record_start(began);
+        health.record_answer(began, began + Duration::from_millis(100), 10.0);
     }
 }
 
@@ -79,7 +79,10 @@
         upstream("near", "north-a", now),
         upstream("far", "south-a", now),
     ];
-    candidates[0].health.borrow_mut().note_unreachable(now, now);
+    candidates[0]
+        .health
+        .borrow_mut()
+        .record_unreachable(now, now);
     expect_that!(chosen(&candidates, now), some(eq("far")));
     expect_that!(chosen(&candidates[..1], now), some(eq("near")));
 }
@@ -87,11 +90,11 @@
 fn decline_two_of_five(upstream: &Upstream, now: Instant) {
     for number in 0..20_u32 {
         let mut health = upstream.health.borrow_mut();
-        health.begin(now);
+        health.record_start(now);
         if number % 5 < 2 {
-            health.note_failure(now, now);
+            health.record_failure(now, now);
         } else {
-            health.note_answer(now, now, 1.0);
+            health.record_answer(now, now, 1.0);
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -90,7 +90,7 @@
     }
 
     /// Records the start of an attempt.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn record_start(&mut self, now: Instant) {
         self.last_request = self.last_request.max(now);
         self.in_flight.push(now);
     }
@@ -103,7 +103,7 @@
     }
 
     /// Records an answer; `slowness` is the attempt's time divided by the usual one.
-    pub fn note_answer(&mut self, began: Instant, now: Instant, slowness: f64) {
+    pub fn record_answer(&mut self, began: Instant, now: Instant, slowness: f64) {
         self.end(began);
         self.decay(now);
         self.success += (1.0 - self.success) * SAMPLE_WEIGHT;
@@ -128,28 +128,28 @@
     }
 
     /// Stores a load report from the upstream.
-    pub fn note_load(&mut self, report: LoadReport, now: Instant) {
+    pub fn record_load(&mut self, report: LoadReport, now: Instant) {
         self.report = Some(AgedReport { report, at: now });
     }
 
     /// Records that an attempt was declined, or failed after it was sent.
-    pub fn note_failure(&mut self, began: Instant, now: Instant) {
+    pub fn record_failure(&mut self, began: Instant, now: Instant) {
         self.end(began);
         self.decay(now);
         self.success -= self.success * SAMPLE_WEIGHT;
     }
 
     /// Records a failure to connect: the upstream gets no requests for a time that grows with each consecutive failure.
-    pub fn note_unreachable(&mut self, began: Instant, now: Instant) {
+    pub fn record_unreachable(&mut self, began: Instant, now: Instant) {
         const MAX_DOUBLINGS: u32 = 6;
-        self.note_failure(began, now);
+        self.record_failure(began, now);
         let wait = EJECTION_MIN * (1 << self.connect_failures.min(MAX_DOUBLINGS));
         self.ejected_until = Some(now + wait.min(EJECTION_MAX));
         self.connect_failures += 1;
     }
 
     /// Records that an attempt was abandoned; `slowness` is its time so far divided by the usual one.
-    pub fn note_abandoned(&mut self, began: Instant, now: Instant, slowness: f64) {
+    pub fn record_abandoned(&mut self, began: Instant, now: Instant, slowness: f64) {
         self.end(began);
         if slowness <= self.slowness.max(LATE_FACTOR) {
             return;
@@ -160,7 +160,7 @@
 
     /// Avoids the upstream for a short time because a VM in its zone advised against it. That VM keeps observing the
     /// upstream, so the advice needn't be remembered for longer.
-    pub fn note_advice(&mut self, now: Instant) {
+    pub fn record_avoid_advice(&mut self, now: Instant) {
         let until = now + ADVICE_DURATION;
         self.ejected_until = Some(
             self.ejected_until
@@ -169,12 +169,12 @@
     }
 
     /// Records that an attempt was abandoned before it was sent.
-    pub fn note_unsent(&mut self, began: Instant) {
+    pub fn record_unsent(&mut self, began: Instant) {
         self.end(began);
     }
 
     /// Returns the age of the oldest attempt in flight, or zero if there is none.
-    pub fn oldest(&self, now: Instant) -> Duration {
+    pub fn oldest_age(&self, now: Instant) -> Duration {
         let oldest = self.in_flight.iter().min();
         oldest.map_or(Duration::ZERO, |began| {
             now.saturating_duration_since(*began)
@@ -188,7 +188,7 @@
     }
 
     /// Returns whether one request should be sent to find out if an avoided upstream has recovered.
-    pub fn wants_probe(&self, now: Instant) -> bool {
+    pub fn is_probe_due(&self, now: Instant) -> bool {
         let is_due = now.saturating_duration_since(self.last_request) >= PROBE_INTERVAL;
         is_due && self.in_flight.is_empty() && !self.is_ejected(now)
     }
@@ -200,7 +200,7 @@
 
     /// Returns whether the upstream, which was not slow, has stopped answering.
     pub fn is_pausing(&self, now: Instant, usual_ms: f64) -> bool {
-        self.slowness < PAUSE_SLOWNESS && millis(self.oldest(now)) > usual_ms * LATE_FACTOR
+        self.slowness < PAUSE_SLOWNESS && millis(self.oldest_age(now)) > usual_ms * LATE_FACTOR
     }
 
     /// Returns the expected time of an attempt in milliseconds. `usual_ms` is the usual time of such attempts; the
@@ -224,7 +224,7 @@
         }
         let own = usual_ms * slowness;
         let expected = own * (1.0 + queued) / aged.success.max(MIN_SUCCESS);
-        let oldest = millis(self.oldest(now));
+        let oldest = millis(self.oldest_age(now));
         if oldest > own * LATE_FACTOR {
             // A pause is likely to last as long again as it has lasted already.
             return expected + oldest;
--- a/crates/ebonyfork/src/gateway/policy/health_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/health_tests.rs
@@ -12,10 +12,10 @@
 fn answer(health: &mut UpstreamHealth, from: Instant, took_ms: &[u64]) -> Instant {
     let mut now = from;
     for took in took_ms {
-        health.begin(now);
+        health.record_start(now);
         let began = now;
         now += ms(*took);
-        health.note_answer(began, now, *took as f64 / USUAL_MS);
+        health.record_answer(began, now, *took as f64 / USUAL_MS);
     }
     now
 }
@@ -28,11 +28,11 @@
     // Three attempts are in flight when the upstream pauses, and end together.
     let began = now;
     for _ in 0..3 {
-        health.begin(began);
+        health.record_start(began);
     }
     now += ms(300);
     for _ in 0..3 {
-        health.note_answer(began, now, 10.0);
+        health.record_answer(began, now, 10.0);
     }
     expect_that!(health.expected_ms(now, USUAL_MS, 2), lt(2.0 * USUAL_MS));
 }
@@ -57,7 +57,7 @@
 fn a_pause_shows_while_it_lasts() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    health.begin(start);
+    health.record_start(start);
     expect_that!(health.expected_ms(start + ms(20), USUAL_MS, 2), lt(60.0));
     expect_that!(health.expected_ms(start + ms(150), USUAL_MS, 2), gt(150.0));
 }
@@ -67,8 +67,8 @@
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
     let now = answer(&mut health, start, &[300, 300, 300]);
-    expect_that!(health.wants_probe(now + ms(100)), eq(false));
-    expect_that!(health.wants_probe(now + ms(1_100)), eq(true));
+    expect_that!(health.is_probe_due(now + ms(100)), eq(false));
+    expect_that!(health.is_probe_due(now + ms(1_100)), eq(true));
     let later = now + Duration::from_mins(1);
     expect_that!(health.expected_ms(later, USUAL_MS, 2), lt(1.1 * USUAL_MS));
 }
@@ -84,16 +84,16 @@
     };
     let mut lengths = Vec::new();
     for _ in 0..5 {
-        health.begin(start);
-        health.note_unreachable(start, start);
+        health.record_start(start);
+        health.record_unreachable(start, start);
         lengths.push(rests(&health, start));
     }
     expect_that!(
         lengths,
         elements_are![eq(&2), eq(&4), eq(&8), eq(&16), eq(&20)]
     );
-    health.begin(start);
-    health.note_answer(start, start + ms(30), 1.0);
+    health.record_start(start);
+    health.record_answer(start, start + ms(30), 1.0);
     expect_that!(health.is_ejected(start + ms(31)), eq(false));
 }
 
@@ -103,8 +103,8 @@
     let mut health = UpstreamHealth::new(start, ms(0));
     let before = health.expected_ms(start, USUAL_MS, 2);
     for _ in 0..4 {
-        health.begin(start);
-        health.note_failure(start, start);
+        health.record_start(start);
+        health.record_failure(start, start);
     }
     expect_that!(health.expected_ms(start, USUAL_MS, 2), gt(2.0 * before));
 }
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -97,7 +97,7 @@
     first.born = Some(BirthTime(1_000));
     registry.put(&KEY, first.clone(), now, 1);
     let before = Rc::clone(&registry.upstreams(&service())[0]);
-    before.health.borrow_mut().note_failure(now, now);
+    before.health.borrow_mut().record_failure(now, now);
     // A heartbeat of the same life changes nothing.
     registry.put(&KEY, first.clone(), now, 1);
     expect_that!(
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -231,7 +231,7 @@
             HedgeQuestion::next_look(latency.track(kind), 0.0)
         };
         if kind == AttemptKind::Delegated {
-            choice.upstream.health.borrow_mut().begin(began);
+            choice.upstream.health.borrow_mut().record_start(began);
         }
         self.attempts.push(StartedAttempt {
             shard,
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -203,7 +203,7 @@
             };
             if failed.avoid {
                 let health = &self.attempts[number].upstream.health;
-                health.borrow_mut().note_advice(time);
+                health.borrow_mut().record_avoid_advice(time);
             }
             self.record_delegated_failure(number, failed.reach);
         }
@@ -231,7 +231,7 @@
         // Compare the upstream's time there with that of upstreams in this VM's zone.
         let slowness = latency.slowness(AttemptKind::Zone, f64::from(took_us) / 1_000.0);
         let mut health = attempt.upstream.health.borrow_mut();
-        health.note_answer(attempt.began, time, slowness);
+        health.record_answer(attempt.began, time, slowness);
         drop(health);
         self.state.shard_mut(attempt.shard).out -= 1;
     }
@@ -247,9 +247,9 @@
         attempt.may_have_run = matches!(reach, ShardReach::Run | ShardReach::Broken);
         let mut health = attempt.upstream.health.borrow_mut();
         if reach == ShardReach::Declined {
-            health.note_failure(attempt.began, now());
+            health.record_failure(attempt.began, now());
         } else {
-            health.note_unsent(attempt.began);
+            health.record_unsent(attempt.began);
         }
         drop(health);
         let shard = attempt.shard;
@@ -296,7 +296,7 @@
                 .record_abandoned(waited, time);
             let slowness = latency.slowness(AttemptKind::Delegated, millis(waited));
             let mut health = attempt.upstream.health.borrow_mut();
-            health.note_abandoned(attempt.began, time, slowness);
+            health.record_abandoned(attempt.began, time, slowness);
         }
     }
 
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -494,7 +494,7 @@
             // Makes the upstream that breaks the first choice.
             let listed = core.registry.upstreams(&UpstreamService::new(service));
             let health = &listed[1].health;
-            health.borrow_mut().note_failure(now(), now());
+            health.borrow_mut().record_failure(now(), now());
         }
         let (route, target) = gather_route(&services, 1.0);
         let request = request(Duration::from_millis(600));
