--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -414,7 +414,7 @@
         drop(health);
         let signature = http::HeaderValue::from_static("s");
         let state = &mut self.queries[query].state;
-        state.take_part(shard, signature, bytes::Bytes::new());
+        state.add_part(shard, signature, bytes::Bytes::new());
         self.judge(query, now);
     }
 
@@ -488,7 +488,7 @@
         if query.done {
             return;
         }
-        let Some(end) = query.state.judge(now) else {
+        let Some(end) = query.state.check_end(now) else {
             return;
         };
         query.done = true;
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -37,7 +37,7 @@
 
 /// Outcome of one shard.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ShardStanding {
+pub enum ShardOutcome {
     /// The part may still arrive.
     Open,
     /// The part has arrived.
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct ShardState {
     /// Outcome so far.
-    pub standing: ShardStanding,
+    pub outcome: ShardOutcome,
     /// Number of attempts in flight.
     pub out: usize,
     /// Number of attempts that may have run at an upstream, including those in flight.
@@ -72,7 +72,7 @@
 impl ShardState {
     fn new() -> Self {
         Self {
-            standing: ShardStanding::Open,
+            outcome: ShardOutcome::Open,
             out: 0,
             ran: 0,
             declined: 0,
@@ -99,7 +99,7 @@
 
     /// Returns whether the part may still arrive.
     pub fn is_open(&self) -> bool {
-        matches!(self.standing, ShardStanding::Open)
+        matches!(self.outcome, ShardOutcome::Open)
     }
 }
 
@@ -111,9 +111,9 @@
     /// Enough parts have arrived, and waiting for the others isn't worthwhile.
     Partial,
     /// The required coverage can no longer be reached.
-    TooThin,
+    InsufficientCoverage,
     /// The deadline has passed and the required coverage wasn't reached.
-    Late,
+    DeadlinePassed,
 }
 
 /// State of one query.
@@ -122,11 +122,11 @@
     shards: Vec<ShardState>,
     answered: usize,
     failed: usize,
-    least: usize,
+    required: usize,
     /// Merged records of each group of shards.
     groups: Vec<Bytes>,
     /// Whether to wait for all parts until the deadline, because another VM decides when to answer.
-    patient: bool,
+    waits_for_all: bool,
     /// Time until which an answer has its full value.
     answer_by: Instant,
     /// Deadline for any answer.
@@ -134,15 +134,15 @@
 }
 
 impl GatherState {
-    /// Creates a query over `shards` shards that needs the parts of `least` of them.
-    pub fn new(shards: usize, least: usize, answer_by: Instant, finish_by: Instant) -> Self {
+    /// Creates a query over `shards` shards that needs the parts of `required` of them.
+    pub fn new(shards: usize, required: usize, answer_by: Instant, finish_by: Instant) -> Self {
         Self {
             shards: (0..shards).map(|_number| ShardState::new()).collect(),
             answered: 0,
             failed: 0,
-            least,
+            required,
             groups: Vec::new(),
-            patient: false,
+            waits_for_all: false,
             answer_by: answer_by.min(finish_by),
             finish_by,
         }
@@ -150,8 +150,8 @@
 
     /// Makes the query wait for all parts until the deadline, regardless of the target.
     #[must_use]
-    pub fn with_patience(mut self) -> Self {
-        self.patient = true;
+    pub fn waiting_for_all(mut self) -> Self {
+        self.waits_for_all = true;
         self
     }
 
@@ -166,12 +166,12 @@
     }
 
     /// Stores the first part of a shard; further parts of the same shard are ignored.
-    pub fn take_part(&mut self, number: usize, signature: HeaderValue, records: Bytes) {
+    pub fn add_part(&mut self, number: usize, signature: HeaderValue, records: Bytes) {
         let shard = &mut self.shards[number];
         if !shard.is_open() {
             return;
         }
-        shard.standing = ShardStanding::Answered(ShardPart {
+        shard.outcome = ShardOutcome::Answered(ShardPart {
             signature,
             records: PartRecords::Own(records),
         });
@@ -181,11 +181,11 @@
     /// Stores parts whose records were merged. Merged records can't be separated, so a part that arrived separately for
     /// one of these shards is replaced; otherwise its records would count twice. The whole group is dropped if one of
     /// its shards has failed or is in another group already.
-    pub fn take_group(&mut self, parts: Vec<(usize, HeaderValue)>, records: Bytes) {
+    pub fn add_merged_group(&mut self, parts: Vec<(usize, HeaderValue)>, records: Bytes) {
         let grouped = |shard: &ShardState| {
             matches!(
-                &shard.standing,
-                ShardStanding::Answered(ShardPart {
+                &shard.outcome,
+                ShardOutcome::Answered(ShardPart {
                     records: PartRecords::Group(_),
                     ..
                 })
@@ -193,7 +193,7 @@
         };
         let unusable = |(number, _): &(usize, HeaderValue)| {
             let shard = &self.shards[*number];
-            grouped(shard) || shard.standing == ShardStanding::Failed
+            grouped(shard) || shard.outcome == ShardOutcome::Failed
         };
         if parts.iter().any(unusable) {
             return;
@@ -205,7 +205,7 @@
             if shard.is_open() {
                 self.answered += 1;
             }
-            shard.standing = ShardStanding::Answered(ShardPart {
+            shard.outcome = ShardOutcome::Answered(ShardPart {
                 signature,
                 records: PartRecords::Group(group),
             });
@@ -218,24 +218,24 @@
         if !shard.is_open() {
             return;
         }
-        shard.standing = ShardStanding::Failed;
+        shard.outcome = ShardOutcome::Failed;
         self.failed += 1;
     }
 
     /// Returns the number of further shards that can be left out without missing the required coverage.
-    pub fn surplus(&self) -> usize {
+    pub fn spare_shards(&self) -> usize {
         let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
-        (self.shards.len() - self.failed - postponed).saturating_sub(self.least)
+        (self.shards.len() - self.failed - postponed).saturating_sub(self.required)
     }
 
     /// Returns whether the required coverage can't be reached without postponed shards.
-    pub fn lacks(&self) -> bool {
+    pub fn needs_postponed(&self) -> bool {
         let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
-        self.shards.len() - self.failed - postponed < self.least
+        self.shards.len() - self.failed - postponed < self.required
     }
 
     /// Resumes one postponed shard, if any, and returns its index.
-    pub fn resume_one(&mut self) -> Option<usize> {
+    pub fn resume_next_postponed(&mut self) -> Option<usize> {
         let number = self.shards.iter().position(|shard| shard.postponed)?;
         self.shards[number].postponed = false;
         Some(number)
@@ -247,8 +247,8 @@
     }
 
     /// Returns whether enough parts for an answer have arrived.
-    pub fn is_enough(&self) -> bool {
-        self.answered >= self.least
+    pub fn has_enough_parts(&self) -> bool {
+        self.answered >= self.required
     }
 
     /// Returns the number of shards for which a connection broke during an attempt.
@@ -264,27 +264,27 @@
     /// Returns how the query ends if it ends now. The value of an answer rises with the square of its coverage until
     /// the target and is close to nothing after it, so the query waits for all parts until the target and after that
     /// only until there are enough.
-    pub fn judge(&self, now: Instant) -> Option<GatherEnd> {
+    pub fn check_end(&self, now: Instant) -> Option<GatherEnd> {
         let total = self.shards.len();
         if self.answered == total {
             return Some(GatherEnd::Whole);
         }
         let open = total - self.answered - self.failed;
         let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
-        if open == postponed && self.is_enough() {
+        if open == postponed && self.has_enough_parts() {
             return Some(GatherEnd::Partial);
         }
-        if self.answered + open < self.least {
-            return Some(GatherEnd::TooThin);
+        if self.answered + open < self.required {
+            return Some(GatherEnd::InsufficientCoverage);
         }
-        if now >= self.answer_by && self.is_enough() && !self.patient {
+        if now >= self.answer_by && self.has_enough_parts() && !self.waits_for_all {
             return Some(GatherEnd::Partial);
         }
-        (now >= self.finish_by).then_some(GatherEnd::Late)
+        (now >= self.finish_by).then_some(GatherEnd::DeadlinePassed)
     }
 
-    /// Returns the next time at which [`Self::judge`] may end the query without a further event.
-    pub fn next_judgement(&self, now: Instant) -> Instant {
+    /// Returns the next time at which [`Self::check_end`] may end the query without a further event.
+    pub fn next_end_check(&self, now: Instant) -> Instant {
         if now < self.answer_by {
             self.answer_by
         } else {
@@ -304,12 +304,10 @@
     }
 
     fn parts(&self) -> impl Iterator<Item = &ShardPart> {
-        self.shards
-            .iter()
-            .filter_map(|shard| match &shard.standing {
-                ShardStanding::Answered(part) => Some(part),
-                ShardStanding::Open | ShardStanding::Failed => None,
-            })
+        self.shards.iter().filter_map(|shard| match &shard.outcome {
+            ShardOutcome::Answered(part) => Some(part),
+            ShardOutcome::Open | ShardOutcome::Failed => None,
+        })
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -21,7 +21,7 @@
 fn take(state: &mut GatherState, shards: impl IntoIterator<Item = usize>) {
     for shard in shards {
         let records = Bytes::from(vec![shard as u8; 16]);
-        state.take_part(shard, signature(&format!("s{shard}")), records);
+        state.add_part(shard, signature(&format!("s{shard}")), records);
     }
 }
 
@@ -30,13 +30,16 @@
     let start = Instant::now();
     let mut query = state(4, 3, start);
     take(&mut query, [0, 1]);
-    expect_that!(query.judge(start + ms(99)), none());
-    expect_that!(query.judge(start + ms(100)), none());
+    expect_that!(query.check_end(start + ms(99)), none());
+    expect_that!(query.check_end(start + ms(100)), none());
     take(&mut query, [2]);
-    expect_that!(query.judge(start + ms(99)), none());
-    expect_that!(query.judge(start + ms(100)), some(eq(GatherEnd::Partial)));
+    expect_that!(query.check_end(start + ms(99)), none());
+    expect_that!(
+        query.check_end(start + ms(100)),
+        some(eq(GatherEnd::Partial))
+    );
     take(&mut query, [3]);
-    expect_that!(query.judge(start + ms(50)), some(eq(GatherEnd::Whole)));
+    expect_that!(query.check_end(start + ms(50)), some(eq(GatherEnd::Whole)));
 }
 
 #[gtest]
@@ -44,9 +47,12 @@
     let start = Instant::now();
     let mut query = state(4, 3, start);
     query.fail(0);
-    expect_that!(query.judge(start), none());
+    expect_that!(query.check_end(start), none());
     query.fail(1);
-    expect_that!(query.judge(start), some(eq(GatherEnd::TooThin)));
+    expect_that!(
+        query.check_end(start),
+        some(eq(GatherEnd::InsufficientCoverage))
+    );
 }
 
 #[gtest]
@@ -55,7 +61,7 @@
     let mut query = state(4, 3, start);
     take(&mut query, [0, 1, 2]);
     query.shard_mut(3).postponed = true;
-    expect_that!(query.judge(start), some(eq(GatherEnd::Partial)));
+    expect_that!(query.check_end(start), some(eq(GatherEnd::Partial)));
 }
 
 #[gtest]
@@ -63,17 +69,20 @@
     let start = Instant::now();
     let mut query = state(4, 3, start);
     take(&mut query, [0, 1]);
-    expect_that!(query.judge(start + ms(1_000)), some(eq(GatherEnd::Late)));
+    expect_that!(
+        query.check_end(start + ms(1_000)),
+        some(eq(GatherEnd::DeadlinePassed))
+    );
 }
 
 #[gtest]
 fn another_vms_parts_are_waited_for_to_the_end() {
     let start = Instant::now();
-    let mut query = state(2, 0, start).with_patience();
+    let mut query = state(2, 0, start).waiting_for_all();
     take(&mut query, [0]);
-    expect_that!(query.judge(start + ms(500)), none());
+    expect_that!(query.check_end(start + ms(500)), none());
     take(&mut query, [1]);
-    expect_that!(query.judge(start + ms(500)), some(eq(GatherEnd::Whole)));
+    expect_that!(query.check_end(start + ms(500)), some(eq(GatherEnd::Whole)));
 }
 
 #[gtest]
@@ -81,21 +90,21 @@
     let start = Instant::now();
     let mut query = state(4, 3, start);
     query.shard_mut(2).postponed = true;
-    expect_that!(query.surplus(), eq(0));
-    expect_that!(query.lacks(), eq(false));
+    expect_that!(query.spare_shards(), eq(0));
+    expect_that!(query.needs_postponed(), eq(false));
     query.fail(0);
-    expect_that!(query.lacks(), eq(true));
-    expect_that!(query.resume_one(), some(eq(2)));
-    expect_that!(query.lacks(), eq(false));
-    expect_that!(query.resume_one(), none());
+    expect_that!(query.needs_postponed(), eq(true));
+    expect_that!(query.resume_next_postponed(), some(eq(2)));
+    expect_that!(query.needs_postponed(), eq(false));
+    expect_that!(query.resume_next_postponed(), none());
 }
 
 #[gtest]
 fn a_second_part_of_a_shard_changes_nothing() {
     let start = Instant::now();
     let mut query = state(1, 1, start);
-    query.take_part(0, signature("first"), Bytes::from_static(&[1; 16]));
-    query.take_part(0, signature("second"), Bytes::from_static(&[2; 16]));
+    query.add_part(0, signature("first"), Bytes::from_static(&[1; 16]));
+    query.add_part(0, signature("second"), Bytes::from_static(&[2; 16]));
     expect_that!(query.signatures().count(), eq(1));
     expect_that!(query.signatures().next(), some(eq(&signature("first"))));
     query.fail(0);
@@ -106,9 +115,9 @@
 fn a_merged_group_replaces_a_part_that_came_by_itself() {
     let start = Instant::now();
     let mut query = state(3, 3, start);
-    query.take_part(1, signature("own"), Bytes::from_static(&[9; 16]));
+    query.add_part(1, signature("own"), Bytes::from_static(&[9; 16]));
     let group = vec![(0, signature("a")), (1, signature("b"))];
-    query.take_group(group, Bytes::from_static(&[5; 32]));
+    query.add_merged_group(group, Bytes::from_static(&[5; 32]));
     expect_that!(query.answered(), eq(2));
     let signatures: Vec<_> = query.signatures().cloned().collect();
     expect_that!(
@@ -119,7 +128,7 @@
     expect_that!(records, elements_are![eq(&[5_u8; 32].as_slice())]);
     // A group with a shard of another group is dropped.
     let again = vec![(1, signature("c")), (2, signature("d"))];
-    query.take_group(again, Bytes::from_static(&[7; 16]));
+    query.add_merged_group(again, Bytes::from_static(&[7; 16]));
     expect_that!(query.answered(), eq(2));
 }
 
@@ -138,13 +147,13 @@
         for (grouped, first, length) in steps {
             if !grouped {
                 let records = Bytes::from(parts[first].clone());
-                query.take_part(first, signature(&first.to_string()), records);
+                query.add_part(first, signature(&first.to_string()), records);
                 continue;
             }
             let shards: Vec<usize> = (first..(first + length).min(6)).collect();
             let records = merge_records(shards.iter().map(|shard| parts[*shard].as_slice()), 4);
             let group = shards.iter().map(|shard| (*shard, signature(&shard.to_string())));
-            query.take_group(group.collect(), records);
+            query.add_merged_group(group.collect(), records);
         }
         let named: Vec<usize> = query
             .signatures()
--- a/crates/ebonyfork/src/gateway/reply_tests.rs
+++ b/crates/ebonyfork/src/gateway/reply_tests.rs
@@ -63,7 +63,7 @@
     let mut state = GatherState::new(3, 1, until, until);
     for (shard, name) in [(0, "one"), (2, "two")] {
         let records = Bytes::from(vec![shard as u8; 16]);
-        state.take_part(shard, HeaderValue::from_static(name), records);
+        state.add_part(shard, HeaderValue::from_static(name), records);
     }
     let reply = gathered(&wire_names(), &state, 1);
     let text = |name: &str| {
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -26,7 +26,7 @@
         }
         let mut choices: Vec<_> = (0..shards).map(|shard| self.choose(shard, false)).collect();
         self.fail_unserved(&choices);
-        if self.state.judge(now()).is_some() {
+        if self.state.check_end(now()).is_some() {
             // Too few shards have an upstream: nothing is sent, so the caller can be told that nothing ran.
             return;
         }
@@ -50,7 +50,7 @@
 
     /// Postpones shards whose parts are unlikely to arrive in time, as long as the others suffice.
     fn postpone_unlikely(&mut self, choices: &[Option<UpstreamChoice>]) {
-        if self.state.surplus() == 0 {
+        if self.state.spare_shards() == 0 {
             return;
         }
         let mut likelihoods: SmallVec<[ShardLikelihood; 8]> = SmallVec::new();
@@ -61,7 +61,7 @@
                 likelihoods.push(ShardLikelihood { shard, likelihood });
             }
         }
-        for shard in postponed_shards(likelihoods, self.state.surplus()) {
+        for shard in postponed_shards(likelihoods, self.state.spare_shards()) {
             self.state.shard_mut(shard).postponed = true;
             self.postponed += 1;
         }
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -33,7 +33,7 @@
         );
         let (word, reply) = match end {
             GatherEnd::Whole | GatherEnd::Partial => self.answer(end),
-            GatherEnd::TooThin | GatherEnd::Late => self.fail(end),
+            GatherEnd::InsufficientCoverage | GatherEnd::DeadlinePassed => self.fail(end),
         };
         let detail = if reply.status().is_success() {
             detail
@@ -88,9 +88,9 @@
         // A request that only waited for a connection hasn't run, so it isn't answered with 504: that status kept
         // callers from resending requests that may run only once.
         let reason = match (self.may_have_run(), end) {
-            (true, GatherEnd::Late) => RefusalReason::Late,
+            (true, GatherEnd::DeadlinePassed) => RefusalReason::Late,
             (true, _) => RefusalReason::Unknown,
-            (false, GatherEnd::Late) => RefusalReason::LateUnsent,
+            (false, GatherEnd::DeadlinePassed) => RefusalReason::LateUnsent,
             (false, _) if self.is_excluded() => RefusalReason::NotAtHome,
             (false, _) => RefusalReason::NoUpstream,
         };
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -17,7 +17,7 @@
     FailedShard, PartialQuery, PartialReply, ShardReach, ShardSignature,
 };
 use crate::gateway::policy::choice::UpstreamChoice;
-use crate::gateway::policy::gather::ShardStanding;
+use crate::gateway::policy::gather::ShardOutcome;
 use crate::gateway::policy::latency::{AttemptKind, millis};
 use crate::gateway::settings::PlaceDistance;
 
@@ -194,7 +194,7 @@
             parts.push((usize::from(part.shard), signature));
         }
         if !parts.is_empty() {
-            self.state.take_group(parts, reply.records);
+            self.state.add_merged_group(parts, reply.records);
         }
         self.mark_rest_late(&attempts, time);
         for failed in reply.failed {
@@ -342,7 +342,7 @@
             out.any(|attempt| !self.is_straggler(attempt.began, attempt.kind, time))
         };
         let failed = (0..shards.len()).any(|shard| {
-            !delivery.reported[shard] && shards[shard].standing == ShardStanding::Failed
+            !delivery.reported[shard] && shards[shard].outcome == ShardOutcome::Failed
         });
         if !failed && waiting.clone().any(usual) {
             return;
@@ -390,7 +390,7 @@
         let mut records = Vec::new();
         for number in shards {
             let shard = &self.state.shards()[*number];
-            if let ShardStanding::Answered(part) = &shard.standing {
+            if let ShardOutcome::Answered(part) = &shard.outcome {
                 reply.parts.push(ShardSignature {
                     shard: *number as u16,
                     signature: bytes::Bytes::copy_from_slice(part.signature.as_bytes()),
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -142,7 +142,7 @@
 ) {
     let shards = terms.shards.len();
     let mut run = QueryRun::new(core, route, RunTarget::Gather(terms), request);
-    run.state = GatherState::new(shards, 0, answer_by, run.request.finish_by).with_patience();
+    run.state = GatherState::new(shards, 0, answer_by, run.request.finish_by).waiting_for_all();
     run.delivery = Some(PartialDelivery::new(shards));
     run.begin_partial();
     run.flush(&mut reply);
@@ -218,7 +218,7 @@
         tokio::pin!(timer);
         loop {
             let time = now();
-            if let Some(end) = self.state.judge(time) {
+            if let Some(end) = self.state.check_end(time) {
                 return end;
             }
             self.resume_held();
@@ -245,8 +245,8 @@
     /// Sends postponed shards: one for each missing shard, or all of them once the target has passed without enough
     /// parts.
     fn resume_postponed(&mut self, time: Instant) {
-        while self.state.lacks() || self.state.useful_until(time).is_none() {
-            let Some(shard) = self.state.resume_one() else {
+        while self.state.needs_postponed() || self.state.useful_until(time).is_none() {
+            let Some(shard) = self.state.resume_next_postponed() else {
                 return;
             };
             self.start(shard, Duration::ZERO);
@@ -254,7 +254,7 @@
     }
 
     fn next_wake(&self, time: Instant) -> Instant {
-        let mut wake = self.state.next_judgement(time);
+        let mut wake = self.state.next_end_check(time);
         if self.suspicion.waits() {
             wake = wake.min(time + LOSS_CHECK_INTERVAL);
         }
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -53,7 +53,7 @@
             candidates.iter().any(|upstream| !upstream.is_leaving())
         };
         let lacking = shards.filter(|shard| !registered(shard));
-        lacking.count() <= self.state.surplus()
+        lacking.count() <= self.state.spare_shards()
     }
 
     /// Returns whether a shard has upstreams but none that may get the route's requests, because they are outside its
