--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -139,7 +139,7 @@
     /// How long such an attempt usually takes.
     fn usual_time(&self) -> Duration {
         let latency = self.context.latency.borrow();
-        Duration::from_secs_f64(latency.usual_ms(self.distance()) / 1_000.0)
+        Duration::from_secs_f64(latency.median_ms(self.distance()) / 1_000.0)
     }
 
     /// The time so far over the usual one.
@@ -158,7 +158,7 @@
                 health.record_answer(self.began, now, self.slowness(now));
                 let took = now.saturating_duration_since(self.began);
                 let mut latency = self.context.latency.borrow_mut();
-                latency.track_mut(self.distance()).record(took, now);
+                latency.histogram_mut(self.distance()).record(took, now);
             }
             AttemptOutcome::Unsent(_) => health.record_unreachable(self.began, now),
             AttemptOutcome::Answered(_) | AttemptOutcome::Declined(_) | AttemptOutcome::Lost(_) => {
@@ -180,7 +180,7 @@
                 health.record_abandoned(self.began, now, self.slowness(now));
                 let waited = now.saturating_duration_since(self.began);
                 let mut latency = self.context.latency.borrow_mut();
-                let track = latency.track_mut(self.distance());
+                let track = latency.histogram_mut(self.distance());
                 track.record_abandoned(waited, now);
             }
             None => health.record_unsent(self.began),
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -17,7 +17,7 @@
 use crate::gateway::policy::budget::{RetryBudget, RetryBudgetConfig};
 use crate::gateway::policy::choice::{UpstreamChoice, choose_upstream};
 use crate::gateway::policy::gather::{GatherEnd, GatherState};
-use crate::gateway::policy::hedge::HedgeQuestion;
+use crate::gateway::policy::hedge::HedgeCandidate;
 use crate::gateway::policy::latency::{AttemptKind, millis};
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::settings::{NodePlace, PlaceDistance};
@@ -351,7 +351,7 @@
         };
         self.push(done + way, event);
         let vm = &self.vms[self.queries[query].vm];
-        let first_look = HedgeQuestion::next_look(vm.latency.track(kind), 0.0);
+        let first_look = HedgeCandidate::next_check_ms(vm.latency.histogram(kind), 0.0);
         let look = now + Duration::from_secs_f64(first_look / 1_000.0);
         self.push(look, ModelEvent::Look(number));
     }
@@ -406,7 +406,7 @@
         let attempt = &self.attempts[number];
         let took = now.saturating_duration_since(attempt.began);
         let vm = &mut self.vms[vm];
-        vm.latency.track_mut(attempt.kind).record(took, now);
+        vm.latency.histogram_mut(attempt.kind).record(took, now);
         let slowness = vm.latency.slowness(attempt.kind, millis(took));
         let upstream = &vm.upstreams[shard][attempt.replica];
         let mut health = upstream.health.borrow_mut();
@@ -458,7 +458,7 @@
         let left = state.useful_until(now);
         let left_ms = left.map(|until| millis(until.saturating_duration_since(now)));
         let latency = &self.vms[self.queries[query].vm].latency;
-        let next = HedgeQuestion::next_look(latency.track(kind), waited_ms);
+        let next = HedgeCandidate::next_check_ms(latency.histogram(kind), waited_ms);
         let look = attempt.began + Duration::from_secs_f64(next / 1_000.0);
         let Some(choice) = self.choose(query, shard, now) else {
             return;
@@ -467,15 +467,15 @@
             PlaceDistance::Zone => AttemptKind::Zone,
             PlaceDistance::Region | PlaceDistance::Far => AttemptKind::Delegated,
         };
-        let question = HedgeQuestion {
+        let question = HedgeCandidate {
             waited_ms,
             left_ms,
-            original: latency.track(kind),
-            other: latency.track(other),
+            original: latency.histogram(kind),
+            other: latency.histogram(other),
             other_slowness: choice.slowness,
             known_late: false,
         };
-        let worth = question.is_worth() && replica(&choice.upstream) != attempt.replica;
+        let worth = question.is_worthwhile() && replica(&choice.upstream) != attempt.replica;
         // Rounded to nanoseconds the next look may lie at this one.
         self.push(look.max(now + LEAST_STEP), ModelEvent::Look(number));
         if worth && self.spend(query, shard, now) {
--- a/crates/ebonyfork/src/gateway/mod.rs
+++ b/crates/ebonyfork/src/gateway/mod.rs
@@ -79,7 +79,7 @@
 pub use policy::cold::{ClaimRecord, ClaimWrite, ColdBound, RequestRate, SendWindow, ZoneClaim};
 pub use policy::gather::{GatherEnd, GatherState};
 pub use policy::homes::HomeRegions;
-pub use policy::latency::{AttemptKind, LatencyTrack};
+pub use policy::latency::{AttemptKind, LatencyHistogram};
 pub use policy::load_report::{LoadReport, LoadReportError};
 pub use request::strip_hop_headers;
 pub use route::{
--- a/crates/ebonyfork/src/gateway/policy/answer_lag.rs
+++ b/crates/ebonyfork/src/gateway/policy/answer_lag.rs
@@ -8,7 +8,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::gateway::policy::latency::LatencyTrack;
+use crate::gateway::policy::latency::LatencyHistogram;
 
 /// CPU time per answer assumed before any was measured, in seconds on a whole core: 2 ms on a VM with half a core, 8 ms
 /// with 0.12 cores. The initial margin is twice that.
@@ -22,8 +22,8 @@
 /// Delay estimate for the answers of this process.
 #[derive(Debug)]
 pub struct AnswerLag {
-    timer: LatencyTrack,
-    work: LatencyTrack,
+    timer: LatencyHistogram,
+    work: LatencyHistogram,
 }
 
 impl AnswerLag {
@@ -31,8 +31,8 @@
     pub fn new(cores: f64) -> Self {
         let work = Duration::from_secs_f64(ASSUMED_WORK_S / cores);
         Self {
-            timer: LatencyTrack::new(ASSUMED_TIMER_DELAY),
-            work: LatencyTrack::new(work),
+            timer: LatencyHistogram::new(ASSUMED_TIMER_DELAY),
+            work: LatencyHistogram::new(work),
         }
     }
 
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -47,11 +47,11 @@
             continue;
         }
         let distance = place.distance(&entry.zone);
-        let kind = latency.quickest(distance);
+        let kind = latency.fastest(distance);
         let health = upstream.health.borrow();
-        let near_ms = latency.usual_ms(AttemptKind::Zone);
+        let near_ms = latency.median_ms(AttemptKind::Zone);
         let own_ms = health.expected_ms(now, near_ms, entry.slots);
-        let expected = latency.way_ms(kind) + own_ms;
+        let expected = latency.network_ms(kind) + own_ms;
         let mut cost = expected + (1.0 - health.success(now)) * near_ms * FAILURE_COST_FACTOR;
         if distance != PlaceDistance::Zone {
             cost += FAR_BIAS_MS;
@@ -68,7 +68,7 @@
         let choice = UpstreamChoice {
             upstream: Rc::clone(upstream),
             distance,
-            slowness: (expected / latency.usual_ms(kind)).max(1.0),
+            slowness: (expected / latency.median_ms(kind)).max(1.0),
         };
         best = Some((cost, choice));
     }
--- a/crates/ebonyfork/src/gateway/policy/hedge.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge.rs
@@ -1,7 +1,7 @@
 //! Decides whether a second attempt (a hedge) is worth its load, from the latencies of the first attempt and of a new
 //! one elsewhere.
 
-use crate::gateway::policy::latency::{LatencyTrack, STRAGGLER_SHARE};
+use crate::gateway::policy::latency::{LatencyHistogram, STRAGGLER_QUANTILE};
 
 /// Minimum gain in the probability of an answer in time for a hedge to be sent. A hedge loads an upstream and may cross
 /// regions, which costs about a fifth of the value of a shard in time.
@@ -11,25 +11,25 @@
 
 /// Attempt in flight and the possible hedge. Times are in milliseconds.
 #[derive(Debug)]
-pub struct HedgeQuestion<'a> {
+pub struct HedgeCandidate<'a> {
     /// Time for which the attempt has been in flight.
     pub waited_ms: f64,
     /// Time for which an answer still has its full value; `None` once that has passed.
     pub left_ms: Option<f64>,
     /// Latency of attempts like the one in flight.
-    pub original: &'a LatencyTrack,
+    pub original: &'a LatencyHistogram,
     /// Latency of attempts like the hedge.
-    pub other: &'a LatencyTrack,
+    pub other: &'a LatencyHistogram,
     /// Slowness expected of the other upstream, as a multiple of the usual time.
     pub other_slowness: f64,
     /// Whether the attempt is known to be late, regardless of its time in flight.
     pub known_late: bool,
 }
 
-impl HedgeQuestion<'_> {
+impl HedgeCandidate<'_> {
     /// Returns when to check an attempt next, in milliseconds after its start.
-    pub fn next_look(original: &LatencyTrack, waited_ms: f64) -> f64 {
-        let first = original.quantile(STRAGGLER_SHARE);
+    pub fn next_check_ms(original: &LatencyHistogram, waited_ms: f64) -> f64 {
+        let first = original.quantile(STRAGGLER_QUANTILE);
         if waited_ms < first {
             return first;
         }
@@ -37,14 +37,14 @@
     }
 
     /// Returns whether to send the hedge.
-    pub fn is_worth(&self) -> bool {
-        let usual = self.original.quantile(STRAGGLER_SHARE);
+    pub fn is_worthwhile(&self) -> bool {
+        let usual = self.original.quantile(STRAGGLER_QUANTILE);
         if self.waited_ms < usual && !self.known_late {
             return false;
         }
         let left = self.left_ms.unwrap_or_else(|| {
             // The target has passed, so compare over the time in which the hedge probably ends.
-            self.other.quantile(STRAGGLER_SHARE) * self.other_slowness
+            self.other.quantile(STRAGGLER_QUANTILE) * self.other_slowness
         });
         let original = self.original.ends_within(self.waited_ms, left);
         let other = 1.0 - self.other.survival(left / self.other_slowness);
--- a/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
@@ -6,14 +6,14 @@
 
 /// Returns a histogram in which attempts take 30 ms, except for 5 % that meet a pause of 300 ms; `extra_ms` is the
 /// network time.
-fn pausing(extra_ms: u64) -> LatencyTrack {
-    let mut track = LatencyTrack::new(Duration::from_millis(30));
+fn pausing(extra_ms: u64) -> LatencyHistogram {
+    let mut histogram = LatencyHistogram::new(Duration::from_millis(30));
     let now = Instant::now();
     for number in 0..400_u64 {
         let took = if number % 20 == 0 { 330 } else { 30 };
-        track.record(Duration::from_millis(took + extra_ms), now);
+        histogram.record(Duration::from_millis(took + extra_ms), now);
     }
-    track
+    histogram
 }
 
 #[gtest]
@@ -29,7 +29,7 @@
         (80.0, None, 1.0, true),         // target has passed: the first answer counts
     ];
     for (waited_ms, left_ms, other_slowness, expected) in cases {
-        let question = HedgeQuestion {
+        let question = HedgeCandidate {
             waited_ms,
             left_ms,
             original: &near,
@@ -37,16 +37,16 @@
             other_slowness,
             known_late: false,
         };
-        expect_that!(question.is_worth(), eq(expected), "{question:?}");
+        expect_that!(question.is_worthwhile(), eq(expected), "{question:?}");
     }
 }
 
 #[gtest]
 fn looks_become_rarer() {
-    let track = pausing(0);
-    let first = HedgeQuestion::next_look(&track, 0.0);
+    let histogram = pausing(0);
+    let first = HedgeCandidate::next_check_ms(&histogram, 0.0);
     expect_that!(first, all![ge(30.0), lt(60.0)]);
-    let second = HedgeQuestion::next_look(&track, first);
+    let second = HedgeCandidate::next_check_ms(&histogram, first);
     expect_that!(second - first, ge(MIN_CHECK_INTERVAL_MS));
-    expect_that!(HedgeQuestion::next_look(&track, 600.0), eq(700.0));
+    expect_that!(HedgeCandidate::next_check_ms(&histogram, 600.0), eq(700.0));
 }
--- a/crates/ebonyfork/src/gateway/policy/latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency.rs
@@ -9,7 +9,7 @@
 
 /// Quantile of the latency at which an attempt is first checked as a straggler: early enough for a second attempt if
 /// both upstreams of a shard are in other regions.
-pub const STRAGGLER_SHARE: f64 = 0.8;
+pub const STRAGGLER_QUANTILE: f64 = 0.8;
 /// Number of buckets in a histogram. With [`GROWTH`] they cover [`FIRST_MS`] to about 30 s.
 const BUCKETS: usize = 64;
 /// Upper bound of the first bucket, in milliseconds.
@@ -49,14 +49,14 @@
 
 /// Decaying histogram of attempt times in milliseconds.
 #[derive(Debug, Clone)]
-pub struct LatencyTrack {
+pub struct LatencyHistogram {
     weights: [f64; BUCKETS],
     total: f64,
     /// Time of the last decay; `None` before the first sample.
     last_decay: Option<Instant>,
 }
 
-impl LatencyTrack {
+impl LatencyHistogram {
     /// Creates a histogram from an assumed latency, which real samples soon outweigh.
     ///
     /// # Examples
@@ -64,26 +64,26 @@
     /// ```
     /// use std::time::{Duration, Instant};
     ///
-    /// use ebonyfork::gateway::LatencyTrack;
+    /// use ebonyfork::gateway::LatencyHistogram;
     ///
-    /// let mut track = LatencyTrack::new(Duration::from_millis(50));
+    /// let mut histogram = LatencyHistogram::new(Duration::from_millis(50));
     /// for _ in 0..200 {
-    ///     track.record(Duration::from_millis(10), Instant::now());
+    ///     histogram.record(Duration::from_millis(10), Instant::now());
     /// }
-    /// assert!(track.quantile(0.5) < 13.0);
-    /// assert!(track.survival(20.0) < 0.1);
+    /// assert!(histogram.quantile(0.5) < 13.0);
+    /// assert!(histogram.survival(20.0) < 0.1);
     /// ```
     pub fn new(assumed: Duration) -> Self {
-        let mut track = Self {
+        let mut histogram = Self {
             weights: [0.0; BUCKETS],
             total: 0.0,
             last_decay: None,
         };
         // Spread the assumption over a factor of four to reflect its uncertainty.
         for factor in [0.5, 0.75, 1.0, 2.0] {
-            track.add(millis(assumed) * factor, PRIOR_WEIGHT / 4.0);
+            histogram.add(millis(assumed) * factor, PRIOR_WEIGHT / 4.0);
         }
-        track
+        histogram
     }
 
     /// Adds a sample for an attempt that ended at `now`.
@@ -96,7 +96,7 @@
     /// time. Without this, pauses would disappear from the histogram, because most attempts that meet one are
     /// abandoned, and then no hedges would be sent.
     pub fn record_abandoned(&mut self, waited: Duration, now: Instant) {
-        if millis(waited) > self.quantile(STRAGGLER_SHARE) {
+        if millis(waited) > self.quantile(STRAGGLER_QUANTILE) {
             self.record(waited * 2, now);
         }
     }
--- a/crates/ebonyfork/src/gateway/policy/route_latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::gateway::caller_time::WaitTrack;
-use crate::gateway::policy::latency::{AttemptKind, LatencyTrack};
+use crate::gateway::policy::latency::{AttemptKind, LatencyHistogram};
 use crate::gateway::settings::PlaceDistance;
 
 /// Assumed latency of attempts in the same zone before any was measured.
@@ -15,7 +15,7 @@
 /// Latency of the attempts of one route, by kind.
 #[derive(Debug)]
 pub struct RouteLatency {
-    tracks: [LatencyTrack; 4],
+    histograms: [LatencyHistogram; 4],
     /// How long the route's callers wait in total.
     pub waits: WaitTrack,
 }
@@ -23,7 +23,8 @@
 impl Default for RouteLatency {
     fn default() -> Self {
         Self {
-            tracks: [ASSUMED_NEAR, ASSUMED_REGION, ASSUMED_FAR, ASSUMED_FAR].map(LatencyTrack::new),
+            histograms: [ASSUMED_NEAR, ASSUMED_REGION, ASSUMED_FAR, ASSUMED_FAR]
+                .map(LatencyHistogram::new),
             waits: WaitTrack::default(),
         }
     }
@@ -31,40 +32,40 @@
 
 impl RouteLatency {
     /// The attempts of a kind.
-    pub fn track(&self, kind: impl Into<AttemptKind>) -> &LatencyTrack {
-        &self.tracks[kind.into() as usize]
+    pub fn histogram(&self, kind: impl Into<AttemptKind>) -> &LatencyHistogram {
+        &self.histograms[kind.into() as usize]
     }
 
     /// Returns the median latency of attempts of a kind, in milliseconds.
-    pub fn usual_ms(&self, kind: impl Into<AttemptKind>) -> f64 {
-        self.track(kind).quantile(0.5)
+    pub fn median_ms(&self, kind: impl Into<AttemptKind>) -> f64 {
+        self.histogram(kind).quantile(0.5)
     }
 
     /// Returns the network time that the distance adds to an attempt, in milliseconds.
-    pub fn way_ms(&self, kind: impl Into<AttemptKind>) -> f64 {
-        (self.usual_ms(kind) - self.usual_ms(AttemptKind::Zone)).max(0.0)
+    pub fn network_ms(&self, kind: impl Into<AttemptKind>) -> f64 {
+        (self.median_ms(kind) - self.median_ms(AttemptKind::Zone)).max(0.0)
     }
 
     /// Returns the time an upstream took for an attempt, without the network time, divided by the median time of
     /// attempts in the same zone.
     pub fn slowness(&self, kind: impl Into<AttemptKind>, took_ms: f64) -> f64 {
-        let own_ms = (took_ms - self.way_ms(kind)).max(0.0);
-        own_ms / self.usual_ms(AttemptKind::Zone)
+        let own_ms = (took_ms - self.network_ms(kind)).max(0.0);
+        own_ms / self.median_ms(AttemptKind::Zone)
     }
 
     /// Returns the fastest kind of attempt at a distance: direct or delegated.
-    pub fn quickest(&self, distance: PlaceDistance) -> AttemptKind {
+    pub fn fastest(&self, distance: PlaceDistance) -> AttemptKind {
         let direct = AttemptKind::from(distance);
         let near = distance == PlaceDistance::Zone;
-        if near || self.usual_ms(direct) <= self.usual_ms(AttemptKind::Delegated) {
+        if near || self.median_ms(direct) <= self.median_ms(AttemptKind::Delegated) {
             return direct;
         }
         AttemptKind::Delegated
     }
 
     /// The attempts of a kind.
-    pub fn track_mut(&mut self, kind: impl Into<AttemptKind>) -> &mut LatencyTrack {
-        &mut self.tracks[kind.into() as usize]
+    pub fn histogram_mut(&mut self, kind: impl Into<AttemptKind>) -> &mut LatencyHistogram {
+        &mut self.histograms[kind.into() as usize]
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/route_latency_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency_tests.rs
@@ -12,10 +12,10 @@
     let now = now();
     let mut latency = RouteLatency::default();
     for _ in 0..500 {
-        latency.track_mut(AttemptKind::Zone).record(ms(20), now);
-        latency.track_mut(AttemptKind::Far).record(ms(44), now);
+        latency.histogram_mut(AttemptKind::Zone).record(ms(20), now);
+        latency.histogram_mut(AttemptKind::Far).record(ms(44), now);
         latency
-            .track_mut(AttemptKind::Delegated)
+            .histogram_mut(AttemptKind::Delegated)
             .record(ms(50), now);
     }
     expect_that!(
@@ -27,6 +27,6 @@
         all![gt(0.5), lt(1.5)]
     );
     expect_that!(latency.slowness(AttemptKind::Far, 224.0), gt(7.0));
-    expect_that!(latency.quickest(PlaceDistance::Far), eq(AttemptKind::Far));
-    expect_that!(latency.quickest(PlaceDistance::Zone), eq(AttemptKind::Zone));
+    expect_that!(latency.fastest(PlaceDistance::Far), eq(AttemptKind::Far));
+    expect_that!(latency.fastest(PlaceDistance::Zone), eq(AttemptKind::Zone));
 }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -14,7 +14,7 @@
 use crate::gateway::ident::UpstreamLife;
 use crate::gateway::metrics::OutcomeLabel;
 use crate::gateway::policy::choice::{UpstreamChoice, choose_upstream};
-use crate::gateway::policy::hedge::HedgeQuestion;
+use crate::gateway::policy::hedge::HedgeCandidate;
 use crate::gateway::policy::latency::AttemptKind;
 use crate::gateway::policy::retry;
 use crate::gateway::registry::UpstreamList;
@@ -228,7 +228,7 @@
     ) -> usize {
         let first_check = {
             let latency = self.context.latency.borrow();
-            HedgeQuestion::next_look(latency.track(kind), 0.0)
+            HedgeCandidate::next_check_ms(latency.histogram(kind), 0.0)
         };
         if kind == AttemptKind::Delegated {
             choice.upstream.health.borrow_mut().record_start(began);
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -105,11 +105,11 @@
         };
         let left = millis(until.saturating_duration_since(time));
         let latency = self.context.latency.borrow();
-        let track = match choice.distance {
-            PlaceDistance::Zone => latency.track(choice.distance),
+        let histogram = match choice.distance {
+            PlaceDistance::Zone => latency.histogram(choice.distance),
             // The shard is delegated to a VM in the upstream's zone.
-            PlaceDistance::Region | PlaceDistance::Far => latency.track(AttemptKind::Delegated),
+            PlaceDistance::Region | PlaceDistance::Far => latency.histogram(AttemptKind::Delegated),
         };
-        1.0 - track.survival(left / choice.slowness)
+        1.0 - histogram.survival(left / choice.slowness)
     }
 }
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -105,7 +105,7 @@
         let core = Rc::clone(&self.context.core);
         let usual = {
             let latency = self.context.latency.borrow();
-            latency.track(AttemptKind::Delegated).quantile(0.5)
+            latency.histogram(AttemptKind::Delegated).quantile(0.5)
         };
         let working = core.vms.working_in(zone);
         let Some(vm) = core.delegates.choose_vm(&working, usual) else {
@@ -227,7 +227,9 @@
         attempt.ended = true;
         let took = time.saturating_duration_since(attempt.began);
         let mut latency = self.context.latency.borrow_mut();
-        latency.track_mut(AttemptKind::Delegated).record(took, time);
+        latency
+            .histogram_mut(AttemptKind::Delegated)
+            .record(took, time);
         // Compare the upstream's time there with that of upstreams in this VM's zone.
         let slowness = latency.slowness(AttemptKind::Zone, f64::from(took_us) / 1_000.0);
         let mut health = attempt.upstream.health.borrow_mut();
@@ -292,7 +294,7 @@
             let mut latency = self.context.latency.borrow_mut();
             let waited = time.saturating_duration_since(attempt.began);
             latency
-                .track_mut(AttemptKind::Delegated)
+                .histogram_mut(AttemptKind::Delegated)
                 .record_abandoned(waited, time);
             let slowness = latency.slowness(AttemptKind::Delegated, millis(waited));
             let mut health = attempt.upstream.health.borrow_mut();
@@ -306,7 +308,7 @@
         let time = now();
         let usual = {
             let latency = self.context.latency.borrow();
-            latency.track(AttemptKind::Zone).quantile(0.5)
+            latency.histogram(AttemptKind::Zone).quantile(0.5)
         };
         for shard in 0..self.state.shards().len() {
             // The VM that accepted the request from the caller has counted it.
@@ -365,7 +367,7 @@
     fn is_straggler(&self, began: Instant, kind: AttemptKind, time: Instant) -> bool {
         let waited = millis(time.saturating_duration_since(began));
         let latency = self.context.latency.borrow();
-        waited >= latency.track(kind).quantile(super::STRAGGLER_SHARE)
+        waited >= latency.histogram(kind).quantile(super::STRAGGLER_QUANTILE)
     }
 
     /// Returns the time of the attempt that delivered a shard's part.
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -29,7 +29,7 @@
 use crate::gateway::ident::UpstreamService;
 use crate::gateway::partial::PartialReply;
 use crate::gateway::policy::gather::{GatherEnd, GatherState};
-use crate::gateway::policy::latency::STRAGGLER_SHARE;
+use crate::gateway::policy::latency::STRAGGLER_QUANTILE;
 use crate::gateway::policy::latency::millis;
 use crate::gateway::reply::CallerReply;
 use crate::gateway::request::ForwardRequest;
@@ -283,7 +283,7 @@
             let waited = millis(time.saturating_duration_since(attempt.began));
             let latency = self.context.latency.borrow();
             // A late attempt probably waits in a queue or a pause; aborting it removes it from there.
-            if waited > latency.track(attempt.kind).quantile(STRAGGLER_SHARE) {
+            if waited > latency.histogram(attempt.kind).quantile(STRAGGLER_QUANTILE) {
                 attempt.abort.abort();
             }
         }
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::QueryRun;
-use crate::gateway::policy::hedge::HedgeQuestion;
+use crate::gateway::policy::hedge::HedgeCandidate;
 use crate::gateway::policy::latency::{AttemptKind, millis};
 use crate::gateway::route::RepeatKind;
 use crate::gateway::settings::PlaceDistance;
@@ -33,7 +33,7 @@
         let waited = millis(time.saturating_duration_since(attempt.began));
         let next = {
             let latency = self.context.latency.borrow();
-            HedgeQuestion::next_look(latency.track(attempt.kind), waited)
+            HedgeCandidate::next_check_ms(latency.histogram(attempt.kind), waited)
         };
         let attempt = &mut self.attempts[number];
         attempt.next_check = attempt.began + Duration::from_secs_f64(next / 1_000.0);
@@ -57,15 +57,15 @@
         let worth = {
             let latency = self.context.latency.borrow();
             let left = self.state.useful_until(time);
-            let question = HedgeQuestion {
+            let question = HedgeCandidate {
                 waited_ms: millis(time.saturating_duration_since(attempt.began)),
                 left_ms: left.map(|until| millis(until.saturating_duration_since(time))),
-                original: latency.track(attempt.kind),
-                other: latency.track(other),
+                original: latency.histogram(attempt.kind),
+                other: latency.histogram(other),
                 other_slowness: choice.slowness,
                 known_late: attempt.known_late,
             };
-            question.is_worth()
+            question.is_worthwhile()
         };
         if !worth || !self.spend(shard) {
             return;
