--- a/crates/ebonyfork/src/gateway/policy/serving.rs
+++ b/crates/ebonyfork/src/gateway/policy/serving.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns the number of cores that a VM must have to take requests; zero if all VMs take them.
-pub fn least_cores(vms: impl IntoIterator<Item = VmCapacity>) -> f32 {
+pub fn min_serving_cores(vms: impl IntoIterator<Item = VmCapacity>) -> f32 {
     let vms: SmallVec<[VmCapacity; 32]> = vms.into_iter().collect();
     let max_cores = vms.iter().map(|vm| vm.cores).fold(0.0, f32::max);
     let min_cores = max_cores * STRONG_RATIO;
--- a/crates/ebonyfork/src/gateway/policy/serving_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/serving_tests.rs
@@ -9,7 +9,7 @@
             cores: *cores,
             load,
         });
-        let least = least_cores(vms);
+        let least = min_serving_cores(vms);
         cores.iter().filter(|cores| **cores >= least).count()
     };
     let cases: [(&[f32], usize); 4] = [
--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -12,7 +12,7 @@
 
 use crate::gateway::ident::{PlaceName, UpstreamService};
 use crate::gateway::policy::homes::HostRegions;
-use crate::gateway::policy::serving::{VmCapacity, least_cores};
+use crate::gateway::policy::serving::{VmCapacity, min_serving_cores};
 use crate::gateway::registry::UpstreamRegistry;
 use crate::gateway::settings::NodePlace;
 use crate::ident::VmAddress;
@@ -303,7 +303,7 @@
 /// Those of some VMs that take requests.
 fn serving_vms<'a>(vms: impl Iterator<Item = &'a UsableVm>) -> Vec<&'a UsableVm> {
     let mut vms: Vec<_> = vms.collect();
-    let least = least_cores(vms.iter().map(|vm| VmCapacity {
+    let least = min_serving_cores(vms.iter().map(|vm| VmCapacity {
         cores: vm.cores,
         load: vm.load,
     }));
