--- a/crates/ebonyfork/src/gateway/policy/answer_lag.rs
+++ b/crates/ebonyfork/src/gateway/policy/answer_lag.rs
@@ -37,12 +37,12 @@
     }
 
     /// Records that a query's timer fired `late` after its time.
-    pub fn note_timer(&mut self, late: Duration, now: Instant) {
+    pub fn record_timer_delay(&mut self, late: Duration, now: Instant) {
         self.timer.record(late, now);
     }
 
     /// Records the time from the decision until a gathered answer was written to the socket.
-    pub fn note_work(&mut self, took: Duration, now: Instant) {
+    pub fn record_work(&mut self, took: Duration, now: Instant) {
         self.work.record(took, now);
     }
 
--- a/crates/ebonyfork/src/gateway/policy/answer_lag_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/answer_lag_tests.rs
@@ -17,8 +17,8 @@
     let mut now = began;
     for _ in 0..seconds * 20 {
         now += ms(50);
-        lag.note_timer(timer, now);
-        lag.note_work(work, now);
+        lag.record_timer_delay(timer, now);
+        lag.record_work(work, now);
     }
     now
 }
@@ -40,6 +40,6 @@
     let now = answer(&mut lag, now, 20, ms(1), ms(2));
     expect_that!(lag.margin(), le(ms(5)));
     // A single delayed answer doesn't change the margin.
-    lag.note_work(ms(60), now);
+    lag.record_work(ms(60), now);
     expect_that!(lag.margin(), le(ms(5)));
 }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -230,16 +230,16 @@
             tokio::select! {
                 Some(finished) = self.in_flight.next() => self.handle_ended(finished),
                 Some(event) = self.events.recv() => self.handle_event(event),
-                () = &mut timer => self.note_timer(wake.max(time)),
+                () = &mut timer => self.record_timer_delay(wake.max(time)),
             }
         }
     }
 
-    fn note_timer(&self, due: Instant) {
+    fn record_timer_delay(&self, due: Instant) {
         let time = now();
         let late = time.saturating_duration_since(due);
         let mut lag = self.context.core.lag.borrow_mut();
-        lag.note_timer(late, time);
+        lag.record_timer_delay(late, time);
     }
 
     /// Sends postponed shards: one for each missing shard, or all of them once the target has passed without enough
--- a/crates/ebonyfork/src/gateway/stream_activity.rs
+++ b/crates/ebonyfork/src/gateway/stream_activity.rs
@@ -49,7 +49,7 @@
         };
         let time = now();
         let took = time.saturating_duration_since(decided);
-        self.lag.borrow_mut().note_work(took, time);
+        self.lag.borrow_mut().record_work(took, time);
     }
 }
 
