--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -97,14 +97,14 @@
     pub fn has_cold_room(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
         let pace = self.cold_pace(upstream, time);
-        pace.is_none_or(|pace| upstream.cold_sends.borrow().room(pace, time) > 0)
+        pace.is_none_or(|pace| upstream.cold_sends.borrow().remaining(pace, time) > 0)
     }
 
     /// Counts a request that is about to be sent to an upstream; false if it must not be sent because that is cold.
     pub fn take_cold_room(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
         let pace = self.cold_pace(upstream, time);
-        pace.is_none_or(|pace| upstream.cold_sends.borrow_mut().take(pace, time))
+        pace.is_none_or(|pace| upstream.cold_sends.borrow_mut().try_record(pace, time))
     }
 
     /// The upstreams of a zone may have become cold unnoticed: they count as cold for as long as it usually takes.
@@ -189,7 +189,7 @@
             let time = core.running_time();
             let write = core
                 .cold_claims
-                .with_zone(&zone, |claim| claim.step(wanted, time));
+                .with_zone(&zone, |claim| claim.next_write(wanted, time));
             if let Some(write) = write {
                 tokio::task::spawn_local(do_write(Rc::clone(&core), port.clone(), zone, write));
             }
@@ -224,7 +224,7 @@
             let time = core.running_time();
             core.enter_era(revision.era());
             core.cold_claims.with_zone(&zone, |claim| {
-                claim.note_written(write, *revision, begun, time);
+                claim.record_write(write, *revision, begun, time);
             });
             let void = write.expected.era() != revision.era();
             format_compact!("revision={revision} void={void}")
--- a/crates/ebonyfork/src/gateway/policy/cold/claim.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim.rs
@@ -91,9 +91,9 @@
     ///
     /// let mut claim = ZoneClaim::new("10.0.0.1-7".parse()?);
     /// let now = Duration::from_secs(60);
-    /// let write = claim.step(true, now).expect("nobody holds it");
+    /// let write = claim.next_write(true, now).expect("nobody holds it");
     /// assert!(!claim.may_send(now));
-    /// claim.note_written(write, StoreRevision::new(4), now, now);
+    /// claim.record_write(write, StoreRevision::new(4), now, now);
     /// assert!(claim.may_send(now));
     /// assert!(!claim.may_send(now + Duration::from_secs(5)));
     /// # Ok::<(), ebonyfork::ident::IdentError>(())
@@ -156,7 +156,7 @@
 
     /// Returns the write that is due, if any. `wanted` tells whether this process should send to the zone's cold
     /// upstreams.
-    pub fn step(&mut self, wanted: bool, now: Duration) -> Option<ClaimWrite> {
+    pub fn next_write(&mut self, wanted: bool, now: Duration) -> Option<ClaimWrite> {
         if now < self.no_writes_until {
             return None;
         }
@@ -223,7 +223,7 @@
     }
 
     /// Records that a write begun at `begun` was applied and the key is now at `revision`.
-    pub fn note_written(
+    pub fn record_write(
         &mut self,
         write: ClaimWrite,
         revision: StoreRevision,
--- a/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
@@ -32,31 +32,31 @@
 #[gtest]
 fn a_claim_is_void_in_another_era_and_granted_anew_after_its_term() {
     let mut holder = ZoneClaim::new(session(1, 1));
-    let write = holder.step(true, ms(0)).expect("nobody holds it");
-    holder.note_written(write, StoreRevision::new(9), ms(0), ms(10));
+    let write = holder.next_write(true, ms(0)).expect("nobody holds it");
+    holder.record_write(write, StoreRevision::new(9), ms(0), ms(10));
     expect_that!(holder.may_send(ms(100)), eq(true));
     holder.enter_era(StoreEra(1), ms(100));
     expect_that!(holder.may_send(ms(100)), eq(false));
-    expect_that!(holder.step(true, ms(5_599)), none());
-    let write = holder.step(true, ms(5_600)).expect("no term is left");
+    expect_that!(holder.next_write(true, ms(5_599)), none());
+    let write = holder.next_write(true, ms(5_600)).expect("no term is left");
     expect_that!(write.expected, eq(in_era(0, 1)));
     // A process that has just started can't know for how long the era has lasted.
     let mut started = ZoneClaim::new(session(2, 1));
     started.enter_era(StoreEra(1), ms(20));
-    expect_that!(started.step(true, ms(5_519)), none());
-    expect_that!(started.step(true, ms(5_520)), some(anything()));
+    expect_that!(started.next_write(true, ms(5_519)), none());
+    expect_that!(started.next_write(true, ms(5_520)), some(anything()));
 }
 
 #[gtest]
 fn a_write_that_was_done_in_another_era_counts_for_nothing() {
     let mut claim = ZoneClaim::new(session(1, 1));
-    let write = claim.step(true, ms(0)).expect("nobody holds it");
-    claim.note_written(write, in_era(9, 1), ms(0), ms(10));
+    let write = claim.next_write(true, ms(0)).expect("nobody holds it");
+    claim.record_write(write, in_era(9, 1), ms(0), ms(10));
     expect_that!(claim.may_send(ms(100)), eq(false));
-    expect_that!(claim.step(true, ms(2_000)), none());
+    expect_that!(claim.next_write(true, ms(2_000)), none());
     // The same holds for a write of an era that has ended.
     claim.enter_era(StoreEra(2), ms(3_000));
-    claim.note_written(write, in_era(9, 1), ms(0), ms(3_100));
+    claim.record_write(write, in_era(9, 1), ms(0), ms(3_100));
     expect_that!(claim.may_send(ms(3_100)), eq(false));
 }
 
@@ -71,8 +71,8 @@
         let mut claim = ZoneClaim::new(session(1, 1));
         claim.enter_era(StoreEra(2), ms(0));
         claim.observe(in_era(7, 2), stale(holder), ms(6_000));
-        expect_that!(claim.step(true, ms(11_499)), none());
-        expect_that!(claim.step(true, ms(11_500)), some(anything()));
+        expect_that!(claim.next_write(true, ms(11_499)), none());
+        expect_that!(claim.next_write(true, ms(11_500)), some(anything()));
     }
 }
 
@@ -80,13 +80,15 @@
 fn a_claim_of_another_vm_is_taken_over_after_its_term() {
     let mut claim = ZoneClaim::new(session(1, 1));
     claim.observe(StoreRevision::new(7), held_by(session(2, 1)), ms(1_000));
-    expect_that!(claim.step(true, ms(5_000)), none());
+    expect_that!(claim.next_write(true, ms(5_000)), none());
     expect_that!(claim.is_held(ms(5_000)), eq(true));
     claim.observe(StoreRevision::new(8), held_by(session(2, 1)), ms(5_000));
-    expect_that!(claim.step(true, ms(10_400)), none());
-    let write = claim.step(true, ms(10_500)).expect("the term has passed");
+    expect_that!(claim.next_write(true, ms(10_400)), none());
+    let write = claim
+        .next_write(true, ms(10_500))
+        .expect("the term has passed");
     expect_that!(write.expected, eq(StoreRevision::new(8)));
-    claim.note_written(write, StoreRevision::new(9), ms(10_500), ms(10_520));
+    claim.record_write(write, StoreRevision::new(9), ms(10_500), ms(10_520));
     expect_that!(claim.may_send(ms(11_519)), eq(false));
     expect_that!(claim.may_send(ms(11_520)), eq(true));
     expect_that!(claim.may_send(ms(14_500)), eq(false));
@@ -95,22 +97,24 @@
 #[gtest]
 fn a_holder_stops_before_it_gives_the_claim_back() {
     let mut claim = ZoneClaim::new(session(1, 1));
-    let write = claim.step(true, ms(0)).expect("nobody holds it");
-    claim.note_written(write, StoreRevision::new(2), ms(0), ms(10));
-    expect_that!(claim.step(true, ms(1_000)), none());
-    expect_that!(claim.step(true, ms(1_300)), some(anything()));
-    let back = claim.step(false, ms(2_000)).expect("it is given back");
+    let write = claim.next_write(true, ms(0)).expect("nobody holds it");
+    claim.record_write(write, StoreRevision::new(2), ms(0), ms(10));
+    expect_that!(claim.next_write(true, ms(1_000)), none());
+    expect_that!(claim.next_write(true, ms(1_300)), some(anything()));
+    let back = claim
+        .next_write(false, ms(2_000))
+        .expect("it is given back");
     expect_that!(back.record.holder, none());
     expect_that!(claim.may_send(ms(2_000)), eq(false));
-    claim.note_written(back, StoreRevision::new(3), ms(2_000), ms(2_010));
-    expect_that!(claim.step(false, ms(9_000)), none());
+    claim.record_write(back, StoreRevision::new(3), ms(2_000), ms(2_010));
+    expect_that!(claim.next_write(false, ms(9_000)), none());
 }
 
 #[gtest]
 fn a_holder_that_hears_of_another_one_stops() {
     let mut claim = ZoneClaim::new(session(1, 1));
-    let write = claim.step(true, ms(0)).expect("nobody holds it");
-    claim.note_written(write, StoreRevision::new(2), ms(0), ms(10));
+    let write = claim.next_write(true, ms(0)).expect("nobody holds it");
+    claim.record_write(write, StoreRevision::new(2), ms(0), ms(10));
     expect_that!(claim.may_send(ms(100)), eq(true));
     claim.observe(StoreRevision::new(3), held_by(session(2, 1)), ms(100));
     expect_that!(claim.may_send(ms(100)), eq(false));
@@ -354,10 +358,10 @@
         for answer in answers {
             if let Some(revision) = answer.done {
                 vm.claim
-                    .note_written(answer.write, revision, answer.begun, now);
+                    .record_write(answer.write, revision, answer.begun, now);
             }
         }
-        if let Some(write) = vm.claim.step(vm.wants_claim, now) {
+        if let Some(write) = vm.claim.next_write(vm.wants_claim, now) {
             let late = self.rng.random_bool(0.05);
             let delay = self.rng.random_range(2..if late { 6_000 } else { 100 });
             let arrives = now + ms(delay);
@@ -371,7 +375,7 @@
             });
         }
         // Unlimited demand: sends as many requests as the window allows.
-        while vm.claim.may_send(now) && vm.sent.take(PACE, now) {
+        while vm.claim.may_send(now) && vm.sent.try_record(PACE, now) {
             self.sends.push(now);
         }
     }
--- a/crates/ebonyfork/src/gateway/policy/cold/window.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/window.rs
@@ -19,7 +19,7 @@
     }
 
     /// Returns the number of requests that may be sent now if at most `pace` are allowed in any second.
-    pub fn room(&self, pace: usize, now: Duration) -> usize {
+    pub fn remaining(&self, pace: usize, now: Duration) -> usize {
         let recent = self.sent.iter().filter(|sent| now < **sent + WINDOW);
         pace.saturating_sub(recent.count())
     }
@@ -34,11 +34,11 @@
     /// use ebonyfork::gateway::SendWindow;
     ///
     /// let mut window = SendWindow::new();
-    /// assert!(window.take(1, Duration::from_millis(100)));
-    /// assert!(!window.take(1, Duration::from_millis(1_099)));
-    /// assert!(window.take(1, Duration::from_millis(1_100)));
+    /// assert!(window.try_record(1, Duration::from_millis(100)));
+    /// assert!(!window.try_record(1, Duration::from_millis(1_099)));
+    /// assert!(window.try_record(1, Duration::from_millis(1_100)));
     /// ```
-    pub fn take(&mut self, pace: usize, now: Duration) -> bool {
+    pub fn try_record(&mut self, pace: usize, now: Duration) -> bool {
         while self.sent.front().is_some_and(|sent| *sent + WINDOW <= now) {
             self.sent.pop_front();
         }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -756,8 +756,8 @@
     let zone = &core.settings.place.zone;
     core.cold_claims.with_zone(zone, |claim| {
         let time = core.running_time();
-        let write = claim.step(true, time).expect("nobody holds it");
-        claim.note_written(write, StoreRevision::new(1), time, time);
+        let write = claim.next_write(true, time).expect("nobody holds it");
+        claim.record_write(write, StoreRevision::new(1), time, time);
     });
 }
 
