--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -48,16 +48,16 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{RetryBudgetConfig, LeasedRetryBudget, UpstreamService};
+    /// use ebonyfork::gateway::{LeasedRetryBudget, RetryBudgetConfig, UpstreamService};
     ///
-    /// let terms = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
-    /// let mut account = LeasedRetryBudget::new(terms);
+    /// let config = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+    /// let mut budget = LeasedRetryBudget::new(config);
     /// let service = UpstreamService::new("shard-3");
-    /// assert!(account.spend(&service, Duration::from_secs(1)).is_err());
-    /// assert!(account.spend(&service, Duration::from_secs(20)).is_ok());
+    /// assert!(budget.spend(&service, Duration::from_secs(1)).is_err());
+    /// assert!(budget.spend(&service, Duration::from_secs(20)).is_ok());
     /// ```
-    pub fn new(terms: RetryBudgetConfig) -> Self {
-        let mut budget = RetryBudget::new(terms);
+    pub fn new(config: RetryBudgetConfig) -> Self {
+        let mut budget = RetryBudget::new(config);
         budget.set_held_shares(0, Duration::ZERO);
         Self {
             budget,
--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -5,9 +5,9 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::*;
-use crate::gateway::policy::budget::bucket::tests::check_spans;
+use crate::gateway::policy::budget::bucket::tests::check_windows;
 
-const TERMS: RetryBudgetConfig = RetryBudgetConfig {
+const CONFIG: RetryBudgetConfig = RetryBudgetConfig {
     ratio: 0.2,
     slack: 60.0,
     window: Duration::from_secs(10),
@@ -37,20 +37,20 @@
     /// Speed of the VM's clock relative to model time.
     rate: f64,
     paused_until: Duration,
-    next_ask: Duration,
+    next_request: Duration,
     /// Whether the VM held no share when it last ran, and its own time then.
     held_none: (bool, Duration),
 }
 
 impl FleetVm {
-    fn new(terms: RetryBudgetConfig, now: Duration, incarnation: u32, rate: f64) -> Self {
+    fn new(config: RetryBudgetConfig, now: Duration, incarnation: u32, rate: f64) -> Self {
         Self {
-            account: LeasedRetryBudget::new(terms),
+            account: LeasedRetryBudget::new(config),
             incarnation,
             started: now,
             rate,
             paused_until: now,
-            next_ask: now,
+            next_request: now,
             held_none: (true, Duration::ZERO),
         }
     }
@@ -85,7 +85,7 @@
 
 /// Model of VMs that take requests, borrow shares from one another and spend all tokens they have.
 struct ShareFleet {
-    terms: RetryBudgetConfig,
+    config: RetryBudgetConfig,
     vms: Vec<FleetVm>,
     in_transit: VecDeque<InTransitMessage>,
     rng: ChaCha8Rng,
@@ -98,15 +98,15 @@
 }
 
 impl ShareFleet {
-    fn new(terms: RetryBudgetConfig, count: usize, faults: FleetFaults, seed: u64) -> Self {
+    fn new(config: RetryBudgetConfig, count: usize, faults: FleetFaults, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut vms = Vec::new();
         for _ in 0..count {
             let rate = 1.0 + rng.random_range(-0.01..0.01);
-            vms.push(FleetVm::new(terms, Duration::ZERO, 0, rate));
+            vms.push(FleetVm::new(config, Duration::ZERO, 0, rate));
         }
         Self {
-            terms,
+            config,
             vms,
             in_transit: VecDeque::new(),
             rng,
@@ -139,9 +139,9 @@
                 continue;
             }
             let serves = self.serves(number, serving);
-            if serves && self.vms[number].next_ask <= now {
-                self.vms[number].next_ask = now + Duration::from_secs(1);
-                self.ask_all(number);
+            if serves && self.vms[number].next_request <= now {
+                self.vms[number].next_request = now + Duration::from_secs(1);
+                self.request_all(number);
             }
             let time = self.vms[number].time(now);
             let count = self.vms.len();
@@ -170,7 +170,7 @@
         let (held_none, ran) = std::mem::replace(&mut vm.held_none, (shares == 0, time));
         if held_none && shares > 0 {
             // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
-            let rate = self.terms.slack / self.terms.window.as_secs_f64();
+            let rate = self.config.slack / self.config.window.as_secs_f64();
             let most = rate * time.saturating_sub(ran).as_secs_f64();
             let left = vm.account.available(&service(), time);
             expect_that!(left, le(most), "VM {number} at {:?}", self.now);
@@ -206,7 +206,7 @@
         for number in 0..self.vms.len() {
             if self.rng.random_bool(self.faults.restarts) {
                 let vm = &self.vms[number];
-                self.vms[number] = FleetVm::new(self.terms, self.now, vm.incarnation + 1, vm.rate);
+                self.vms[number] = FleetVm::new(self.config, self.now, vm.incarnation + 1, vm.rate);
             }
             if self.rng.random_bool(self.faults.pauses) {
                 let pause = Duration::from_millis(self.rng.random_range(100..6_000));
@@ -215,7 +215,7 @@
         }
     }
 
-    fn ask_all(&mut self, borrower: usize) {
+    fn request_all(&mut self, borrower: usize) {
         for owner in 0..self.vms.len() {
             if owner == borrower {
                 continue;
@@ -280,7 +280,7 @@
 /// Guards against a share being spent by two VMs. VMs take turns in taking requests, restart, pause and are
 /// partitioned, while messages are lost or arrive seconds late; all VMs that take requests spend every token they have.
 #[gtest]
-fn no_span_exceeds_the_bound_while_shares_are_on_lease() {
+fn no_window_exceeds_the_bound_while_shares_are_leased() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(1_000 + seed);
         let count = rng.random_range(2..=12_usize);
@@ -293,7 +293,7 @@
             partitions: rng.random_bool(0.5),
             rotates: true,
         };
-        let mut fleet = ShareFleet::new(TERMS, count, faults, seed);
+        let mut fleet = ShareFleet::new(CONFIG, count, faults, seed);
         let mut per_step = 0.0;
         while fleet.now < Duration::from_mins(1) {
             if rng.random_bool(0.02) {
@@ -302,17 +302,17 @@
             fleet.step(serving, per_step);
             fleet.check_holders();
         }
-        check_spans(TERMS, seed, &fleet.requests, &fleet.repeats);
+        check_windows(CONFIG, seed, &fleet.requests, &fleet.repeats);
     }
 }
 
 /// Returns the fraction of the repeats allowed over one window that can be spent when `serving` of `count` VMs take
 /// requests.
-fn usable_share(count: usize, serving: usize) -> f64 {
+fn usable_fraction(count: usize, serving: usize) -> f64 {
     const REQUESTS_PER_SECOND: f64 = 48.5;
-    let terms = RetryBudgetConfig {
+    let config = RetryBudgetConfig {
         slack: 430.0,
-        ..TERMS
+        ..CONFIG
     };
     let healthy = FleetFaults {
         restarts: 0.0,
@@ -322,7 +322,7 @@
         partitions: false,
         rotates: false,
     };
-    let mut fleet = ShareFleet::new(terms, count, healthy, 1);
+    let mut fleet = ShareFleet::new(config, count, healthy, 1);
     // Let all shares be leased and all buckets fill up.
     fleet.spends = false;
     while fleet.now < Duration::from_secs(20) {
@@ -331,10 +331,10 @@
     fleet.spends = true;
     let begin = fleet.now;
     let per_step = REQUESTS_PER_SECOND * STEP.as_secs_f64() / serving as f64;
-    while fleet.now < begin + terms.window {
+    while fleet.now < begin + config.window {
         fleet.step(serving, per_step);
     }
-    let allowed = terms.slack + terms.ratio * fleet.requests.len() as f64;
+    let allowed = config.slack + config.ratio * fleet.requests.len() as f64;
     fleet.repeats.len() as f64 / allowed
 }
 
@@ -343,7 +343,7 @@
 #[gtest]
 fn few_serving_vms_can_spend_what_the_bound_allows_for_all() {
     for (count, serving) in [(9, 9), (78, 12), (200, 18)] {
-        let share = usable_share(count, serving);
-        expect_that!(share, ge(0.9), "{serving} of {count} VMs serve");
+        let fraction = usable_fraction(count, serving);
+        expect_that!(fraction, ge(0.9), "{serving} of {count} VMs serve");
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
@@ -61,7 +61,7 @@
 /// Token buckets of one process.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: RetryBudgetConfig,
+    config: RetryBudgetConfig,
     vm_count: usize,
     shares: usize,
     /// State of a bucket that was never used; new services start from it.
@@ -78,10 +78,10 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{RetryBudgetConfig, RetryBudget, UpstreamService};
+    /// use ebonyfork::gateway::{RetryBudget, RetryBudgetConfig, UpstreamService};
     ///
-    /// let terms = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
-    /// let mut budget = RetryBudget::new(terms);
+    /// let config = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+    /// let mut budget = RetryBudget::new(config);
     /// let service = UpstreamService::new("shard-3");
     /// let now = Duration::ZERO;
     /// assert!(!budget.spend(&service, now));
@@ -90,9 +90,9 @@
     /// }
     /// assert!(budget.spend(&service, now));
     /// ```
-    pub fn new(terms: RetryBudgetConfig) -> Self {
+    pub fn new(config: RetryBudgetConfig) -> Self {
         Self {
-            terms,
+            config,
             vm_count: 1,
             shares: 1,
             unused: TokenBucket::default(),
@@ -126,11 +126,11 @@
 
     fn parameters(&self) -> BucketParameters {
         let held_slack =
-            self.terms.slack * USABLE_FRACTION * self.shares as f64 / self.vm_count as f64;
+            self.config.slack * USABLE_FRACTION * self.shares as f64 / self.vm_count as f64;
         BucketParameters {
             capacity: held_slack * STORED_FRACTION,
             refill_per_second: held_slack * (1.0 - STORED_FRACTION)
-                / self.terms.window.as_secs_f64(),
+                / self.config.window.as_secs_f64(),
         }
     }
 
@@ -145,7 +145,7 @@
     /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
     /// request needs.
     pub fn record_request(&mut self, service: &UpstreamService, now: Duration) {
-        let earned = self.terms.ratio * USABLE_FRACTION;
+        let earned = self.config.ratio * USABLE_FRACTION;
         let capacity = self.parameters().capacity;
         let bucket = self.bucket(service, now);
         bucket.tokens = (bucket.tokens + earned).min(capacity);
@@ -172,7 +172,7 @@
     /// Removes services that were unused for a window. Their buckets hold at least as many tokens as one that was never
     /// used, so removing them adds no tokens.
     pub fn remove_idle(&mut self, now: Duration) {
-        let window = self.terms.window;
+        let window = self.config.window;
         self.services
             .retain(|_service, bucket| now.saturating_sub(bucket.last_used) < window);
     }
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-const TERMS: RetryBudgetConfig = RetryBudgetConfig {
+const CONFIG: RetryBudgetConfig = RetryBudgetConfig {
     ratio: 0.2,
     slack: 54.0,
     window: Duration::from_secs(10),
@@ -17,8 +17,8 @@
 /// The previous process may have spent the whole bound, so a new one only has what its own requests earn; it may spend
 /// that at once.
 #[gtest]
-fn a_new_process_begins_with_nothing_but_what_its_requests_earn() {
-    let mut budget = RetryBudget::new(TERMS);
+fn a_new_process_starts_with_an_empty_bucket() {
+    let mut budget = RetryBudget::new(CONFIG);
     budget.set_vm_count(9, Duration::ZERO);
     let now = Duration::from_millis(10);
     expect_that!(budget.spend(&service(), now), eq(false));
@@ -33,7 +33,7 @@
 /// more than its part of the slack in a window without requests. It can spend all of that part.
 #[gtest]
 fn the_slack_is_shared_among_all_vms() {
-    let mut budget = RetryBudget::new(TERMS);
+    let mut budget = RetryBudget::new(CONFIG);
     budget.set_vm_count(9, Duration::ZERO);
     let begin = Duration::from_secs(20);
     for _ in 0..1_000 {
@@ -41,7 +41,7 @@
     }
     let mut spent = 0;
     for step in 0..100 {
-        let now = begin + TERMS.window.mul_f64(f64::from(step) / 100.0);
+        let now = begin + CONFIG.window.mul_f64(f64::from(step) / 100.0);
         while budget.spend(&service(), now) {
             spent += 1;
         }
@@ -52,13 +52,13 @@
 /// Tokens of shares that a process gives up are lost; shares that it gains start without tokens.
 #[gtest]
 fn a_bucket_follows_the_shares_that_are_held() {
-    let mut budget = RetryBudget::new(TERMS);
+    let mut budget = RetryBudget::new(CONFIG);
     budget.set_vm_count(9, Duration::ZERO);
     let idle = Duration::from_secs(30);
     let single_share = budget.available(&service(), idle);
     budget.set_held_shares(4, idle);
     expect_that!(budget.available(&service(), idle), le(single_share));
-    let later = idle + TERMS.window * 2;
+    let later = idle + CONFIG.window * 2;
     expect_that!(
         budget.available(&service(), later),
         near(single_share * 4.0, 1e-9)
@@ -69,12 +69,12 @@
         near(single_share, 1e-9)
     );
     budget.set_held_shares(0, later);
-    expect_that!(budget.available(&service(), later + TERMS.window), eq(0.0));
+    expect_that!(budget.available(&service(), later + CONFIG.window), eq(0.0));
 }
 
 #[gtest]
 fn services_have_budgets_of_their_own() {
-    let mut budget = RetryBudget::new(TERMS);
+    let mut budget = RetryBudget::new(CONFIG);
     let now = Duration::ZERO;
     for _ in 0..100 {
         budget.record_request(&service(), now);
@@ -85,14 +85,14 @@
 
 /// Many VMs that restart at random spend all the tokens they have; no window may exceed the bound for all VMs together.
 #[gtest]
-fn no_span_exceeds_the_bound_over_all_vms() {
+fn no_window_exceeds_the_bound_over_all_vms() {
     const STEP: Duration = Duration::from_millis(50);
     for seed in 0..20 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let vms = rng.random_range(1..=12_usize);
         let mut budgets: Vec<(RetryBudget, Duration)> = Vec::new();
         for _ in 0..vms {
-            budgets.push((RetryBudget::new(TERMS), Duration::ZERO));
+            budgets.push((RetryBudget::new(CONFIG), Duration::ZERO));
         }
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
@@ -106,7 +106,7 @@
             };
             for (budget, started) in &mut budgets {
                 if rng.random_bool(0.002) {
-                    *budget = RetryBudget::new(TERMS);
+                    *budget = RetryBudget::new(CONFIG);
                     *started = now;
                 }
                 budget.set_vm_count(vms, now.checked_sub(*started).unwrap());
@@ -120,14 +120,14 @@
                 }
             }
         }
-        check_spans(TERMS, seed, &requests, &repeats);
+        check_windows(CONFIG, seed, &requests, &repeats);
     }
 }
 
 /// Checks the bound over every window. Requests are counted in the same window, the preceding one or the one starting
 /// half a window earlier, whichever has the most.
-pub(in crate::gateway::policy::budget) fn check_spans(
-    terms: RetryBudgetConfig,
+pub(in crate::gateway::policy::budget) fn check_windows(
+    config: RetryBudgetConfig,
     seed: u64,
     requests: &[Duration],
     repeats: &[Duration],
@@ -137,7 +137,7 @@
         let before = |moment: Duration| times.partition_point(|time| *time < moment);
         before(to) - before(from)
     };
-    let window = terms.window;
+    let window = config.window;
     for start in (0..500_u64).map(|step| Duration::from_millis(step * 100)) {
         let spent = count(repeats, start, start + window);
         let earlier = [Duration::ZERO, window / 2, window];
@@ -149,7 +149,7 @@
             })
             .max()
             .unwrap_or_default();
-        let bound = most as f64 * terms.ratio + terms.slack;
+        let bound = most as f64 * config.ratio + config.slack;
         expect_that!(spent as f64, le(bound), "seed {seed} from {start:?}");
     }
 }
@@ -169,7 +169,7 @@
 impl ModelVm {
     fn new(started: Duration, rate: f64) -> Self {
         Self {
-            budget: RetryBudget::new(TERMS),
+            budget: RetryBudget::new(CONFIG),
             started,
             rate,
             callers: 1.0,
@@ -186,7 +186,7 @@
 /// its tokens as soon as that begins. A request counts on the VM that accepted it and is repeated there or by a VM that
 /// gathers parts. Clocks are up to 1 % too fast or too slow.
 #[gtest]
-fn no_span_exceeds_the_bound_while_vms_join_and_start_again() {
+fn no_window_exceeds_the_bound_while_vms_join_and_restart() {
     const STEP: Duration = Duration::from_millis(50);
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -239,13 +239,13 @@
                 }
             }
         }
-        check_spans(TERMS, seed, &requests, &repeats);
+        check_windows(CONFIG, seed, &requests, &repeats);
     }
 }
 
 #[gtest]
-fn idle_services_are_forgotten() {
-    let mut budget = RetryBudget::new(TERMS);
+fn idle_services_are_removed() {
+    let mut budget = RetryBudget::new(CONFIG);
     budget.record_request(&service(), Duration::from_secs(1));
     budget.remove_idle(Duration::from_secs(5));
     expect_that!(budget.services.len(), eq(1));
--- a/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn an_own_share_is_not_used_before_an_earlier_life_can_hold_none() {
+fn an_own_share_is_not_used_until_earlier_leases_have_expired() {
     let mut leases = ShareLeases::new();
     let early = LEASE_TERM / 2;
     expect_that!(leases.shares(early), eq(0));
@@ -19,7 +19,7 @@
 }
 
 #[gtest]
-fn a_share_is_with_one_vm_at_a_time() {
+fn a_share_has_one_holder_at_a_time() {
     let mut owner = ShareLeases::new();
     let mut borrower = ShareLeases::new();
     let number = borrower.request(vm(1), START);
@@ -36,7 +36,7 @@
 
 /// A lease that is granted late is only valid for the rest of the term since the request.
 #[gtest]
-fn a_late_grant_brings_nothing() {
+fn a_lease_granted_after_its_term_is_not_used() {
     let mut borrower = ShareLeases::new();
     let number = borrower.request(vm(1), START);
     let late = START + LEASE_TERM;
@@ -45,7 +45,7 @@
 }
 
 #[gtest]
-fn a_grant_that_answers_no_open_question_is_not_taken() {
+fn a_grant_without_a_pending_request_is_ignored() {
     let mut borrower = ShareLeases::new();
     let first = borrower.request(vm(1), START);
     let second = borrower.request(vm(1), START + Duration::from_secs(1));
@@ -69,7 +69,7 @@
 }
 
 #[gtest]
-fn what_has_passed_is_forgotten() {
+fn expired_leases_and_requests_are_removed() {
     let mut borrower = ShareLeases::new();
     let number = borrower.request(vm(1), START);
     expect_that!(borrower.accept_grant(vm(1), number), eq(true));
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[gtest]
-fn the_near_one_goes_first_until_it_is_slow() {
+fn the_nearest_upstream_is_chosen_until_it_is_slow() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn an_avoided_near_one_is_probed() {
+fn an_avoided_nearby_upstream_is_probed() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn leaving_and_forbidden_ones_are_left_out() {
+fn leaving_and_disallowed_upstreams_are_skipped() {
     let now = Instant::now();
     let candidates = [upstream("a", "north-a", now), upstream("b", "north-a", now)];
     candidates[0].leave();
@@ -73,7 +73,7 @@
 }
 
 #[gtest]
-fn one_that_can_not_be_reached_is_the_last_resort() {
+fn an_unreachable_upstream_is_the_last_choice() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
@@ -102,7 +102,7 @@
 /// A nearby upstream that declines two of five requests is no slower than a distant one that accepts all, but each
 /// declined request uses up a repeat.
 #[gtest]
-fn one_that_declines_gives_way_to_one_further_away() {
+fn a_declining_upstream_is_replaced_by_a_more_distant_one() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
--- a/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
@@ -30,7 +30,7 @@
 
 /// The store was restored without the claim; its holder keeps sending until its term ends or it learns of the new era.
 #[gtest]
-fn a_claim_is_void_in_another_era_and_granted_anew_after_its_term() {
+fn a_claim_is_void_in_a_new_era_and_written_again_after_its_term() {
     let mut holder = ZoneClaim::new(session(1, 1));
     let write = holder.next_write(true, ms(0)).expect("nobody holds it");
     holder.record_write(write, StoreRevision::new(9), ms(0), ms(10));
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn a_write_that_was_done_in_another_era_counts_for_nothing() {
+fn a_write_applied_in_another_era_is_ignored() {
     let mut claim = ZoneClaim::new(session(1, 1));
     let write = claim.next_write(true, ms(0)).expect("nobody holds it");
     claim.record_write(write, in_era(9, 1), ms(0), ms(10));
@@ -62,7 +62,7 @@
 
 /// The condition held because a revision number was assigned twice, so the record has replaced a claim that is in use.
 #[gtest]
-fn a_record_of_another_eras_condition_is_waited_out() {
+fn a_record_with_a_condition_of_another_era_is_waited_out() {
     let stale = |holder| ClaimRecord {
         holder,
         era: StoreEra(1),
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn a_holder_that_hears_of_another_one_stops() {
+fn a_holder_that_observes_another_holder_stops() {
     let mut claim = ZoneClaim::new(session(1, 1));
     let write = claim.next_write(true, ms(0)).expect("nobody holds it");
     claim.record_write(write, StoreRevision::new(2), ms(0), ms(10));
@@ -412,7 +412,7 @@
 
 /// Makes the same check while the store is restored from older copies, also several times within one term. Without the
 /// wait in a new era, or if writes counted whatever the era of their reply, some second would have more requests.
-fn send_across_eras(seeds: impl IntoIterator<Item = u64>) {
+fn check_sends_across_eras(seeds: impl IntoIterator<Item = u64>) {
     const LENGTH: Duration = Duration::from_mins(4);
     let mut sent = 0;
     let mut histories = 0;
@@ -430,11 +430,11 @@
 #[gtest]
 fn no_second_has_more_requests_than_one_vm_may_send_across_eras() {
     // Seed 1368 fails without the wait in a new era; seed 7 fails if writes of any era count.
-    send_across_eras((0..40).chain([1_368]));
+    check_sends_across_eras((0..40).chain([1_368]));
 }
 
 #[gtest]
 #[ignore = "by hand: takes a minute"]
 fn many_histories_across_eras() {
-    send_across_eras(1_000..1_400);
+    check_sends_across_eras(1_000..1_400);
 }
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[gtest]
-fn a_query_that_can_not_have_enough_ends_at_once() {
+fn a_query_that_can_not_reach_its_coverage_ends_at_once() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
     query.fail(0);
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_query_with_enough_ends_when_nothing_is_out() {
+fn a_query_with_enough_parts_ends_when_none_is_expected() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
     take(&mut query, [0, 1, 2]);
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn too_few_parts_at_the_end_are_no_answer() {
+fn a_query_with_too_few_parts_fails_at_the_deadline() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
     take(&mut query, [0, 1]);
@@ -76,7 +76,7 @@
 }
 
 #[gtest]
-fn another_vms_parts_are_waited_for_to_the_end() {
+fn a_query_for_another_vm_waits_for_all_parts() {
     let start = Instant::now();
     let mut query = state(2, 0, start).waiting_for_all();
     take(&mut query, [0]);
@@ -86,7 +86,7 @@
 }
 
 #[gtest]
-fn postponed_shards_come_back_for_failed_ones() {
+fn postponed_shards_replace_failed_ones() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
     query.shard_mut(2).postponed = true;
@@ -100,7 +100,7 @@
 }
 
 #[gtest]
-fn a_second_part_of_a_shard_changes_nothing() {
+fn a_second_part_of_a_shard_is_ignored() {
     let start = Instant::now();
     let mut query = state(1, 1, start);
     query.add_part(0, signature("first"), Bytes::from_static(&[1; 16]));
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn a_merged_group_replaces_a_part_that_came_by_itself() {
+fn a_merged_group_replaces_a_separate_part() {
     let start = Instant::now();
     let mut query = state(3, 3, start);
     query.add_part(1, signature("own"), Bytes::from_static(&[9; 16]));
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -44,9 +44,13 @@
     slowness: f64,
     /// Moving average of the fraction of attempts that were answered.
     success: f64,
+    /// Time up to which the averages have decayed.
     last_update: Instant,
+    /// Time until which the upstream is assumed to be cold.
     cold_until: Instant,
+    /// Time until which the upstream gets no requests.
     ejected_until: Option<Instant>,
+    /// Number of consecutive failures to connect.
     connect_failures: u32,
     /// Time of the first late answer since the last answer in time.
     late_since: Option<Instant>,
@@ -96,7 +100,7 @@
     }
 
     /// Removes the attempt begun at `began` from those in flight.
-    fn end(&mut self, began: Instant) {
+    fn remove_in_flight(&mut self, began: Instant) {
         if let Some(place) = self.in_flight.iter().position(|start| *start == began) {
             self.in_flight.swap_remove(place);
         }
@@ -104,7 +108,7 @@
 
     /// Records an answer; `slowness` is the attempt's time divided by the usual one.
     pub fn record_answer(&mut self, began: Instant, now: Instant, slowness: f64) {
-        self.end(began);
+        self.remove_in_flight(began);
         self.decay(now);
         self.success += (1.0 - self.success) * SAMPLE_WEIGHT;
         self.connect_failures = 0;
@@ -112,6 +116,7 @@
         self.record_slowness(began, now, slowness);
     }
 
+    /// Updates the slowness, distinguishing pauses from a slow upstream as described for the module.
     fn record_slowness(&mut self, began: Instant, now: Instant, slowness: f64) {
         if slowness < LATE_FACTOR {
             self.slowness += (slowness - self.slowness) * SAMPLE_WEIGHT;
@@ -134,7 +139,7 @@
 
     /// Records that an attempt was declined, or failed after it was sent.
     pub fn record_failure(&mut self, began: Instant, now: Instant) {
-        self.end(began);
+        self.remove_in_flight(began);
         self.decay(now);
         self.success -= self.success * SAMPLE_WEIGHT;
     }
@@ -150,7 +155,7 @@
 
     /// Records that an attempt was abandoned; `slowness` is its time so far divided by the usual one.
     pub fn record_abandoned(&mut self, began: Instant, now: Instant, slowness: f64) {
-        self.end(began);
+        self.remove_in_flight(began);
         if slowness <= self.slowness.max(LATE_FACTOR) {
             return;
         }
@@ -170,7 +175,7 @@
 
     /// Records that an attempt was abandoned before it was sent.
     pub fn record_unsent(&mut self, began: Instant) {
-        self.end(began);
+        self.remove_in_flight(began);
     }
 
     /// Returns the age of the oldest attempt in flight, or zero if there is none.
@@ -189,8 +194,8 @@
 
     /// Returns whether one request should be sent to find out if an avoided upstream has recovered.
     pub fn is_probe_due(&self, now: Instant) -> bool {
-        let is_due = now.saturating_duration_since(self.last_request) >= PROBE_INTERVAL;
-        is_due && self.in_flight.is_empty() && !self.is_ejected(now)
+        let idle_long_enough = now.saturating_duration_since(self.last_request) >= PROBE_INTERVAL;
+        idle_long_enough && self.in_flight.is_empty() && !self.is_ejected(now)
     }
 
     /// Returns the fraction of attempts that were answered, after decay.
@@ -208,22 +213,22 @@
     pub fn expected_ms(&self, now: Instant, usual_ms: f64, slots: usize) -> f64 {
         /// Keeps an upstream that never answers from being excluded for good.
         const MIN_SUCCESS: f64 = 0.05;
-        let mut aged = self.clone();
-        aged.decay(now);
+        let mut decayed = self.clone();
+        decayed.decay(now);
         let cold = if now < self.cold_until {
             COLD_SLOWNESS
         } else {
             1.0
         };
         let mut queued = self.in_flight.len() as f64 / slots.max(1) as f64;
-        let mut slowness = aged.slowness.max(cold);
-        if let Some(aged) = &self.report {
-            let weight = aged.weight(now);
-            slowness += (aged.report.slowness() - slowness) * weight;
-            queued += (aged.report.queued() - queued).max(0.0) * weight;
+        let mut slowness = decayed.slowness.max(cold);
+        if let Some(received) = &self.report {
+            let weight = received.weight(now);
+            slowness += (received.report.slowness() - slowness) * weight;
+            queued += (received.report.queued() - queued).max(0.0) * weight;
         }
         let own = usual_ms * slowness;
-        let expected = own * (1.0 + queued) / aged.success.max(MIN_SUCCESS);
+        let expected = own * (1.0 + queued) / decayed.success.max(MIN_SUCCESS);
         let oldest = millis(self.oldest_age(now));
         if oldest > own * LATE_FACTOR {
             // A pause is likely to last as long again as it has lasted already.
--- a/crates/ebonyfork/src/gateway/policy/health_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/health_tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[gtest]
-fn slowness_is_forgotten_and_probed() {
+fn slowness_decays_and_is_probed() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
     let now = answer(&mut health, start, &[300, 300, 300]);
@@ -74,10 +74,10 @@
 }
 
 #[gtest]
-fn an_unreachable_upstream_rests_longer_each_time() {
+fn each_failure_to_connect_lengthens_the_ejection() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    let rests = |health: &UpstreamHealth, now: Instant| {
+    let ejected_steps = |health: &UpstreamHealth, now: Instant| {
         (0..40)
             .filter(|step| health.is_ejected(now + ms(step * 100)))
             .count()
@@ -86,7 +86,7 @@
     for _ in 0..5 {
         health.record_start(start);
         health.record_unreachable(start, start);
-        lengths.push(rests(&health, start));
+        lengths.push(ejected_steps(&health, start));
     }
     expect_that!(
         lengths,
@@ -98,7 +98,7 @@
 }
 
 #[gtest]
-fn a_shedding_upstream_looks_slower() {
+fn declined_attempts_raise_the_expected_time() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
     let before = health.expected_ms(start, USUAL_MS, 2);
--- a/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[gtest]
-fn a_hedge_goes_where_it_helps() {
+fn hedges_are_sent_where_they_help() {
     let near = pausing(0);
     let far = pausing(24);
     let cases = [
@@ -29,7 +29,7 @@
         (80.0, None, 1.0, true),         // target has passed: the first answer counts
     ];
     for (waited_ms, left_ms, other_slowness, expected) in cases {
-        let question = HedgeCandidate {
+        let candidate = HedgeCandidate {
             waited_ms,
             left_ms,
             original: &near,
@@ -37,12 +37,12 @@
             other_slowness,
             known_late: false,
         };
-        expect_that!(question.is_worthwhile(), eq(expected), "{question:?}");
+        expect_that!(candidate.is_worthwhile(), eq(expected), "{candidate:?}");
     }
 }
 
 #[gtest]
-fn looks_become_rarer() {
+fn checks_become_less_frequent() {
     let histogram = pausing(0);
     let first = HedgeCandidate::next_check_ms(&histogram, 0.0);
     expect_that!(first, all![ge(30.0), lt(60.0)]);
--- a/crates/ebonyfork/src/gateway/policy/homes.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes.rs
@@ -115,13 +115,13 @@
         self.limits.is_some()
     }
 
-    /// Returns how suitable a VM in `region` is for a caller in region `callers`: lower is better. `None` means that
-    /// the caller is only referred to the VM if there is no other.
-    pub fn rank(&self, region: &PlaceName, callers: &PlaceName) -> Option<usize> {
+    /// Returns how suitable a VM in `region` is for a caller in `caller_region`: lower is better. `None` means that the
+    /// caller is only referred to the VM if there is no other.
+    pub fn rank(&self, region: &PlaceName, caller_region: &PlaceName) -> Option<usize> {
         let Some(limits) = &self.limits else {
             return Some(0);
         };
-        if region == callers {
+        if region == caller_region {
             return Some(0);
         }
         if limits.all_routes.contains(region) {
--- a/crates/ebonyfork/src/gateway/policy/latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency.rs
@@ -122,9 +122,9 @@
         self.total *= retention;
     }
 
-    /// Returns the latency in milliseconds within which the fraction `share` of the attempts end.
-    pub fn quantile(&self, share: f64) -> f64 {
-        let wanted = self.total * share;
+    /// Returns the latency in milliseconds within which a `fraction` of the attempts end.
+    pub fn quantile(&self, fraction: f64) -> f64 {
+        let wanted = self.total * fraction;
         let mut cumulative = 0.0;
         for (number, weight) in self.weights.iter().enumerate() {
             cumulative += weight;
--- a/crates/ebonyfork/src/gateway/policy/latency_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn an_attempt_that_has_outlasted_the_usual_ones_is_likely_to_stay_out() {
+fn an_attempt_that_has_outlasted_the_usual_ones_is_unlikely_to_end_soon() {
     let histogram = filled(Instant::now(), &[(10, 950), (300, 50)]);
     expect_that!(histogram.ends_within(0.0, 20.0), gt(0.9));
     expect_that!(histogram.ends_within(60.0, 100.0), lt(0.2));
@@ -42,7 +42,7 @@
 }
 
 #[gtest]
-fn a_quiet_route_keeps_a_picture() {
+fn a_route_with_few_requests_keeps_its_estimate() {
     let start = Instant::now();
     let mut histogram = filled(start, &[(40, 100)]);
     histogram.record(Duration::from_millis(40), start + Duration::from_hours(1));
--- a/crates/ebonyfork/src/gateway/policy/retry.rs
+++ b/crates/ebonyfork/src/gateway/policy/retry.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryStep {
     /// Start another attempt. The pause only applies to an upstream that was tried before.
-    Again {
+    Retry {
         /// Delay before the attempt.
         pause: Duration,
     },
@@ -35,7 +35,7 @@
         return RetryStep::GiveUp;
     }
     let pause = DECLINED_PAUSE;
-    RetryStep::Again { pause }
+    RetryStep::Retry { pause }
 }
 
 /// Returns the action after an attempt that was not sent; `unsent` counts those of the shard.
@@ -44,11 +44,11 @@
         return RetryStep::GiveUp;
     }
     let pause = Duration::ZERO;
-    RetryStep::Again { pause }
+    RetryStep::Retry { pause }
 }
 
 /// Returns the maximum number of attempts of a shard that may run.
-pub fn sends_allowed(repeat: RepeatKind) -> usize {
+pub fn max_sends(repeat: RepeatKind) -> usize {
     match repeat {
         RepeatKind::Idempotent => SENT_LIMIT,
         RepeatKind::Once => 1,
--- a/crates/ebonyfork/src/gateway/policy/retry_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/retry_tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[gtest]
-fn what_may_run_once_is_sent_once() {
-    expect_that!(sends_allowed(RepeatKind::Once), eq(1));
-    expect_that!(sends_allowed(RepeatKind::Idempotent), gt(1));
+fn a_request_that_may_run_once_is_sent_once() {
+    expect_that!(max_sends(RepeatKind::Once), eq(1));
+    expect_that!(max_sends(RepeatKind::Idempotent), gt(1));
 }
--- a/crates/ebonyfork/src/gateway/policy/route_latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency.rs
@@ -31,7 +31,7 @@
 }
 
 impl RouteLatency {
-    /// The attempts of a kind.
+    /// Returns the latency histogram of a kind of attempt.
     pub fn histogram(&self, kind: impl Into<AttemptKind>) -> &LatencyHistogram {
         &self.histograms[kind.into() as usize]
     }
@@ -63,7 +63,7 @@
         AttemptKind::Delegated
     }
 
-    /// The attempts of a kind.
+    /// Returns the latency histogram of a kind of attempt for updates.
     pub fn histogram_mut(&mut self, kind: impl Into<AttemptKind>) -> &mut LatencyHistogram {
         &mut self.histograms[kind.into() as usize]
     }
--- a/crates/ebonyfork/src/gateway/policy/route_latency_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency_tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[gtest]
-fn slowness_leaves_out_the_way() {
+fn slowness_excludes_the_network_time() {
     let now = now();
     let mut latency = RouteLatency::default();
     for _ in 0..500 {
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -73,7 +73,7 @@
 
     fn try_start(&mut self, shard: usize, pause: Duration) -> bool {
         let state = &self.state.shards()[shard];
-        if state.ran >= self.sends_allowed() {
+        if state.ran >= self.max_sends() {
             return false;
         }
         let repeat = state.ran > 0 || state.declined > 0;
@@ -92,8 +92,8 @@
     }
 
     /// Returns the maximum number of attempts of a shard that may run, at the same or different upstreams.
-    pub(super) fn sends_allowed(&self) -> usize {
-        retry::sends_allowed(self.route.repeat)
+    pub(super) fn max_sends(&self) -> usize {
+        retry::max_sends(self.route.repeat)
     }
 
     /// Returns whether an upstream may have run the request, or may still run it. An attempt that waits for a
@@ -136,11 +136,11 @@
     pub(super) fn spend(&self, shard: usize) -> bool {
         let core = &self.context.core;
         let service = self.target.service(shard);
-        let funded = core
+        let result = core
             .repeats
             .borrow_mut()
             .spend(service, core.running_time());
-        match funded {
+        match result {
             Ok(()) => {
                 core.metrics.repeats.inc();
             }
@@ -151,7 +151,7 @@
                 self.denial.set(denial.word());
             }
         }
-        funded.is_ok()
+        result.is_ok()
     }
 
     /// Counts the request to a shard in the retry budget, once.
@@ -170,13 +170,13 @@
     /// Returns the upstreams that a shard may be sent to: those in the home regions of the route, except cold ones that
     /// may get no request from this VM now.
     pub(super) fn candidates(&self, shard: usize) -> UpstreamList {
-        let mut listed = self.at_home(shard);
+        let mut listed = self.home_upstreams(shard);
         listed.retain(|upstream| self.context.core.has_cold_room(upstream));
         listed
     }
 
     /// Returns the upstreams in the home regions of the route.
-    pub(super) fn at_home(&self, shard: usize) -> UpstreamList {
+    pub(super) fn home_upstreams(&self, shard: usize) -> UpstreamList {
         let service = self.target.service(shard);
         self.context.core.upstreams_at_home(&self.route, service)
     }
@@ -203,7 +203,7 @@
             return pick(&|_, _| true);
         }
         let run = self.upstreams_run(shard);
-        let more = run.len() < self.attempts_allowed();
+        let more = run.len() < self.max_upstreams();
         let fresh = |life: &UpstreamLife| {
             let mut attempts = self.attempts_of(shard);
             more && !attempts.any(|attempt| attempt.life == *life)
@@ -218,7 +218,7 @@
     }
 
     /// Records the start of an attempt; returns its index in the list.
-    pub(super) fn note_begun(
+    pub(super) fn record_begun(
         &mut self,
         shard: usize,
         choice: &UpstreamChoice,
@@ -259,7 +259,7 @@
         let began = now() + pause;
         let (abort, registration) = AbortHandle::new_pair();
         let kind = AttemptKind::from(choice.distance);
-        let number = self.note_begun(shard, &choice, kind, began, abort);
+        let number = self.record_begun(shard, &choice, kind, began, abort);
         let context = self.context.clone();
         let request = Rc::clone(&self.request);
         let cancelled = Rc::clone(&self.cancelled);
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -89,7 +89,7 @@
         shard: usize,
         choice: &UpstreamChoice,
     ) -> Option<UpstreamChoice> {
-        if self.attempts_allowed() < 2 || self.is_suspected() {
+        if self.max_upstreams() < 2 || self.is_suspected() {
             return None;
         }
         let core = &self.context.core;
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -123,7 +123,7 @@
             self.count_request(*shard);
             let (abort, _registration) = AbortHandle::new_pair();
             let kind = AttemptKind::Delegated;
-            attempts.push(self.note_begun(*shard, choice, kind, began, abort));
+            attempts.push(self.record_begun(*shard, choice, kind, began, abort));
         }
         self.groups.push(ShardGroup { number, attempts });
         true
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -40,7 +40,7 @@
 use self::group::{PartialDelivery, ShardGroup};
 use self::suspicion::{LOSS_CHECK_INTERVAL, RunSuspicion};
 
-/// Part of the deadline that is reserved for sending the answer.
+/// Time reserved before the deadline for sending the answer.
 const FINISH_MARGIN: Duration = Duration::from_millis(15);
 /// Time for which attempts that are no longer needed may continue so that their connections can be reused; a new
 /// connection occupies an upstream's slot for some milliseconds. Work for a caller that has disconnected must end
@@ -157,7 +157,7 @@
         target: RunTarget,
         request: Rc<ForwardRequest>,
     ) -> Self {
-        let (shards, least) = match &target {
+        let (shards, required) = match &target {
             RunTarget::One(_) => (1, 1),
             RunTarget::Gather(terms) => (terms.shards.len(), terms.least_shards()),
         };
@@ -178,7 +178,7 @@
             route: Rc::clone(route),
             target,
             request,
-            state: GatherState::new(shards, least, answer_by, finish_by),
+            state: GatherState::new(shards, required, answer_by, finish_by),
             attempts: Vec::with_capacity(shards + shards / 4),
             in_flight: FuturesUnordered::new(),
             cancelled: Rc::default(),
@@ -200,7 +200,7 @@
     }
 
     /// Returns the maximum number of upstreams on which a shard may run.
-    fn attempts_allowed(&self) -> usize {
+    fn max_upstreams(&self) -> usize {
         match self.route.repeat {
             RepeatKind::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
             // The VM that requested the parts may use the others.
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -94,7 +94,7 @@
         match step {
             RetryStep::GiveUp if alone => self.state.fail(shard),
             RetryStep::GiveUp => {}
-            RetryStep::Again { pause } => self.retry(shard, pause),
+            RetryStep::Retry { pause } => self.retry(shard, pause),
         }
     }
 
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -139,7 +139,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn each_shard_keeps_to_the_bound_by_itself() {
+async fn each_shard_keeps_to_the_limit_separately() {
     let test = async {
         let core = core();
         let mut all = Vec::new();
@@ -167,7 +167,7 @@
 /// Work for a caller that has disconnected ends within 500 ms, and none is started.
 #[gtest]
 #[tokio::test]
-async fn the_attempts_of_a_caller_that_has_left_end_soon() {
+async fn the_attempts_of_a_disconnected_caller_end_soon() {
     let test = async {
         // The caller disconnects early, while an answer may still come, or after the attempts are late.
         for leaves_after in [15, 150] {
@@ -202,7 +202,7 @@
 /// An attempt that waits for a connection when its caller disconnects is never sent.
 #[gtest]
 #[tokio::test]
-async fn nothing_is_sent_for_a_caller_that_has_left() {
+async fn nothing_is_sent_for_a_disconnected_caller() {
     let test = async {
         let core = core();
         let reply = ScriptedReply::Slow {
@@ -261,7 +261,7 @@
 /// An attempt that ran out of time before it was sent doesn't affect the upstream's health.
 #[gtest]
 #[tokio::test]
-async fn an_attempt_without_time_left_is_not_held_against_its_upstream() {
+async fn an_attempt_without_time_left_does_not_affect_its_upstream() {
     let test = async {
         let core = core();
         let _started = upstreams(&core, "s", 1, ScriptedReply::Answer(1)).await;
@@ -324,7 +324,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_that_breaks_off_never_looks_whole() {
+async fn a_truncated_answer_never_looks_complete() {
     let test = async {
         // A short answer isn't passed on at all; a long one ends with an error.
         for (whole, begun, status) in [(100_000, 50_000, 502), (2 << 20, 1 << 20, 200)] {
@@ -345,7 +345,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_caller_that_leaves_midway_ends_the_upstreams_work() {
+async fn a_caller_that_disconnects_ends_the_upstreams_work() {
     let test = async {
         let core = core();
         let reply = ScriptedReply::Slow {
@@ -428,7 +428,7 @@
 /// attempt. The request itself is only counted there; gathering parts adds no tokens.
 #[gtest]
 #[tokio::test]
-async fn a_gathering_vm_tells_that_upstreams_have_declined() {
+async fn a_gathering_vm_reports_declined_shards() {
     let test = async {
         let mut settings = settings();
         // The refill from the slack is negligible while the test runs.
@@ -510,7 +510,7 @@
 /// a probe; if its upstream is lost too, nothing more is sent.
 #[gtest]
 #[tokio::test]
-async fn a_request_that_crashes_upstreams_gets_no_further_ones() {
+async fn a_request_that_crashes_upstreams_is_not_sent_to_more() {
     let test = async {
         let core = core();
         let services = ["s0", "s1", "s2", "s3", "s4", "s5"];
@@ -582,7 +582,7 @@
     core.registry.put(&key, entry, known_since, 4);
 }
 
-fn at_home(route: &Rc<RouteEntry>, regions: &[&str]) -> Rc<RouteEntry> {
+fn with_home_regions(route: &Rc<RouteEntry>, regions: &[&str]) -> Rc<RouteEntry> {
     Rc::new(RouteEntry {
         homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
         ..RouteEntry::clone(route)
@@ -630,7 +630,7 @@
                 } else {
                     one(3)
                 };
-                let route = at_home(&route, &["south"]);
+                let route = with_home_regions(&route, &["south"]);
                 let request = request(Duration::from_millis(900));
                 run_request(&core, &route, target, request, RequestStanding::Clear).await;
                 expect_that!(arrivals(&other), eq(0), "{reply:?} gathered={gathered}");
@@ -657,7 +657,7 @@
             if evacuated {
                 core.registry.evacuate(&PlaceName::new("south-a"));
             }
-            let route = at_home(&route, &[home]);
+            let route = with_home_regions(&route, &[home]);
             let began = now();
             let report =
                 run_request(&core, &route, target, request(LONG), RequestStanding::Clear).await;
@@ -677,7 +677,7 @@
 /// completes.
 #[gtest]
 #[tokio::test]
-async fn what_waits_is_not_sent_to_an_evacuated_zone() {
+async fn waiting_attempts_are_not_sent_to_an_evacuated_zone() {
     let test = async {
         let core = core();
         let upstream = ScriptedUpstream::start(ScriptedReply::Slow {
@@ -822,7 +822,7 @@
 /// After an evacuation upstreams are treated as cold, because they may be cold again without having reported it yet.
 #[gtest]
 #[tokio::test]
-async fn an_evacuation_leaves_cold_upstreams() {
+async fn upstreams_are_cold_after_an_evacuation() {
     let test = async {
         for (tolerated, expected) in [(3.0, 503), (0.0, 200)] {
             let core = core_with_cold(tolerated);
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -30,7 +30,7 @@
     pub(super) fn warm_up_left(&self) -> Option<Duration> {
         let time = now();
         let shards = 0..self.state.shards().len();
-        let cold = shards.flat_map(|shard| self.at_home(shard));
+        let cold = shards.flat_map(|shard| self.home_upstreams(shard));
         let cold = cold.filter(|upstream| upstream.takes_requests() && upstream.is_cold(time));
         let until = cold.map(|upstream| upstream.cold_until()).min()?;
         Some(until.saturating_duration_since(time))
@@ -49,7 +49,7 @@
     fn has_enough_upstreams(&self) -> bool {
         let shards = 0..self.state.shards().len();
         let registered = |shard: &usize| {
-            let candidates = self.at_home(*shard);
+            let candidates = self.home_upstreams(*shard);
             candidates.iter().any(|upstream| !upstream.is_leaving())
         };
         let lacking = shards.filter(|shard| !registered(shard));
@@ -66,7 +66,7 @@
                 .registry
                 .upstreams(self.target.service(shard));
             let mut staying = listed.iter().filter(|upstream| !upstream.is_leaving());
-            let served = self.at_home(shard);
+            let served = self.home_upstreams(shard);
             let served = served.iter().any(|upstream| upstream.takes_requests());
             staying.next().is_some() && !served
         };
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -42,8 +42,8 @@
     fn hedge(&mut self, number: usize, time: Instant) {
         let shard = self.attempts[number].shard;
         let suspected = self.is_suspected();
-        let full = self.upstreams_run(shard).len() >= self.attempts_allowed();
-        if suspected || full || self.state.shards()[shard].ran >= self.sends_allowed() {
+        let full = self.upstreams_run(shard).len() >= self.max_upstreams();
+        if suspected || full || self.state.shards()[shard].ran >= self.max_sends() {
             return;
         }
         let Some(choice) = self.choose(shard, true) else {
@@ -54,10 +54,10 @@
             PlaceDistance::Zone => AttemptKind::Zone,
             PlaceDistance::Region | PlaceDistance::Far => AttemptKind::Delegated,
         };
-        let worth = {
+        let worthwhile = {
             let latency = self.context.latency.borrow();
             let left = self.state.useful_until(time);
-            let question = HedgeCandidate {
+            let candidate = HedgeCandidate {
                 waited_ms: millis(time.saturating_duration_since(attempt.began)),
                 left_ms: left.map(|until| millis(until.saturating_duration_since(time))),
                 original: latency.histogram(attempt.kind),
@@ -65,9 +65,9 @@
                 other_slowness: choice.slowness,
                 known_late: attempt.known_late,
             };
-            question.is_worthwhile()
+            candidate.is_worthwhile()
         };
-        if !worth || !self.spend(shard) {
+        if !worthwhile || !self.spend(shard) {
             return;
         }
         self.hedges += 1;
