--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -331,7 +331,7 @@
         let replica = replica(&choice.upstream);
         choice.upstream.health.borrow_mut().record_start(now);
         let state = self.queries[query].state.shard_mut(shard);
-        state.out += 1;
+        state.in_flight += 1;
         state.ran += 1;
         self.queries[query].sent[shard][replica] = true;
         let number = self.attempts.len();
@@ -395,7 +395,7 @@
             return None;
         }
         let (query, shard) = (attempt.query, attempt.shard);
-        self.queries[query].state.shard_mut(shard).out -= 1;
+        self.queries[query].state.shard_mut(shard).in_flight -= 1;
         Some((query, shard, self.queries[query].vm))
     }
 
@@ -433,7 +433,7 @@
 
     fn retry(&mut self, query: usize, shard: usize, now: Instant) {
         let state = &self.queries[query].state.shards()[shard];
-        if self.queries[query].done || !state.is_open() || state.out > 0 {
+        if self.queries[query].done || !state.is_open() || state.in_flight > 0 {
             return;
         }
         let choice = self.choose(query, shard, now);
@@ -450,7 +450,7 @@
         let attempt = &self.attempts[number];
         let (query, shard, kind) = (attempt.query, attempt.shard, attempt.kind);
         let state = &self.queries[query].state;
-        let open = state.shards()[shard].is_open() && state.shards()[shard].out == 1;
+        let open = state.shards()[shard].is_open() && state.shards()[shard].in_flight == 1;
         if attempt.ended || self.queries[query].done || !open {
             return;
         }
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -52,7 +52,7 @@
     /// Outcome so far.
     pub outcome: ShardOutcome,
     /// Number of attempts in flight.
-    pub out: usize,
+    pub in_flight: usize,
     /// Number of attempts that may have run at an upstream, including those in flight.
     pub ran: usize,
     /// Number of attempts that upstreams declined.
@@ -73,7 +73,7 @@
     fn new() -> Self {
         Self {
             outcome: ShardOutcome::Open,
-            out: 0,
+            in_flight: 0,
             ran: 0,
             declined: 0,
             unsent: 0,
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -65,7 +65,7 @@
     /// Starts an attempt of a shard after a pause. Marks the shard as failed if no attempt is possible and none is in
     /// flight.
     pub(super) fn start(&mut self, shard: usize, pause: Duration) {
-        if self.try_start(shard, pause) || self.state.shards()[shard].out > 0 {
+        if self.try_start(shard, pause) || self.state.shards()[shard].in_flight > 0 {
             return;
         }
         self.state.fail(shard);
@@ -209,7 +209,7 @@
             more && !attempts.any(|attempt| attempt.life == *life)
         };
         let reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
-        let alone = self.state.shards()[shard].out == 0;
+        let alone = self.state.shards()[shard].in_flight == 0;
         let known = |life: &UpstreamLife| run.contains(&(AttemptKind::Zone, life));
         let again = |life: &UpstreamLife| alone && (more || known(life));
         pick(&|upstream, life| reachable(upstream) && fresh(life))
@@ -248,7 +248,7 @@
             ended: false,
         });
         let state = self.state.shard_mut(shard);
-        state.out += 1;
+        state.in_flight += 1;
         state.ran += 1;
         self.attempts.len() - 1
     }
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -70,7 +70,7 @@
     /// Starts a shard's first attempt, unless the shard is postponed or delegated to another VM.
     fn begin_shard(&mut self, shard: usize, choice: Option<UpstreamChoice>) {
         let state = &self.state.shards()[shard];
-        if state.postponed || state.out > 0 {
+        if state.postponed || state.in_flight > 0 {
             return;
         }
         let Some(choice) = choice else { return };
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -235,7 +235,7 @@
         let mut health = attempt.upstream.health.borrow_mut();
         health.record_answer(attempt.began, time, slowness);
         drop(health);
-        self.state.shard_mut(attempt.shard).out -= 1;
+        self.state.shard_mut(attempt.shard).in_flight -= 1;
     }
 
     /// Records that another VM won't deliver a part, and retries the shard. If upstreams declined it, they have
@@ -256,7 +256,7 @@
         drop(health);
         let shard = attempt.shard;
         let state = self.state.shard_mut(shard);
-        state.out -= 1;
+        state.in_flight -= 1;
         match reach {
             ShardReach::Unsent => {
                 state.ran -= 1;
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -29,7 +29,7 @@
         let metrics = &self.context.core.metrics;
         metrics.attempts.get_or_create(&label).inc();
         let state = self.state.shard_mut(shard);
-        state.out -= 1;
+        state.in_flight -= 1;
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status.is_success() => {
                 self.store_answer(shard, answer);
@@ -90,7 +90,7 @@
     }
 
     fn apply_retry_step(&mut self, step: RetryStep, shard: usize) {
-        let alone = self.state.shards()[shard].out == 0;
+        let alone = self.state.shards()[shard].in_flight == 0;
         match step {
             RetryStep::GiveUp if alone => self.state.fail(shard),
             RetryStep::GiveUp => {}
@@ -101,7 +101,7 @@
     /// Retries a shard unless its part has arrived or another attempt is in flight.
     pub(super) fn retry(&mut self, shard: usize, pause: Duration) {
         let state = &self.state.shards()[shard];
-        if !state.is_open() || state.out > 0 {
+        if !state.is_open() || state.in_flight > 0 {
             return;
         }
         self.retries += 1;
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -21,7 +21,7 @@
                 continue;
             }
             let state = &self.state.shards()[shard];
-            if state.is_open() && state.out == 1 {
+            if state.is_open() && state.in_flight == 1 {
                 self.hedge(number, time);
             }
             self.schedule_check(number, time);
--- a/crates/ebonyfork/src/gateway/run/suspicion.rs
+++ b/crates/ebonyfork/src/gateway/run/suspicion.rs
@@ -94,7 +94,7 @@
             return;
         }
         let state = &self.state.shards()[shard];
-        if state.out == 0 && state.is_open() {
+        if state.in_flight == 0 && state.is_open() {
             self.suspicion.held.push(shard);
         }
         self.resume_held();
