--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -165,7 +165,7 @@
         Ok(report) => report,
         Err(reason) => RunReport {
             reply: refusal(reason),
-            word: reason.word(),
+            outcome: reason.word(),
             detail: CompactString::default(),
             decided: None,
         },
@@ -177,7 +177,7 @@
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(header::CONNECTION, close);
     }
-    story.end(report.word, &report.detail, reply.status().as_u16());
+    story.end(report.outcome, &report.detail, reply.status().as_u16());
     (reply, report.decided)
 }
 
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -31,7 +31,7 @@
             millis(self.request.caller_time),
             millis(self.lag)
         );
-        let (word, reply) = match end {
+        let (outcome, reply) = match end {
             GatherEnd::Whole | GatherEnd::Partial => self.answer(end),
             GatherEnd::InsufficientCoverage | GatherEnd::DeadlinePassed => self.fail(end),
         };
@@ -43,7 +43,7 @@
         let gathered = matches!(self.target, RunTarget::Gather(_)) && reply.status().is_success();
         RunReport {
             reply,
-            word,
+            outcome,
             detail,
             decided: gathered.then_some(decided),
         }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -53,7 +53,7 @@
     /// Reply to the caller.
     pub reply: CallerReply,
     /// Outcome as it appears in logs and metrics.
-    pub word: &'static str,
+    pub outcome: &'static str,
     /// Details of the outcome for the log.
     pub detail: CompactString,
     /// Time at which a gathered answer was decided; `None` for all other answers.
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -665,7 +665,7 @@
                 expect_that!(now() - began, lt(Duration::from_millis(100)));
             }
             expect_that!(report.reply.status().as_u16(), eq(503));
-            expect_that!(report.word, eq("not-at-home"));
+            expect_that!(report.outcome, eq("not-at-home"));
             expect_that!(report.reply.headers().contains_key("retry-after"), eq(true));
             expect_that!(upstream.log.borrow().requests.len(), eq(0));
         }
