--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -14,10 +14,10 @@
 
 use crate::gateway::fixture::{entry, place};
 use crate::gateway::ident::{PlaceName, UpstreamService};
-use crate::gateway::policy::budget::{BudgetTerms, RetryBudget};
+use crate::gateway::policy::budget::{RetryBudget, RetryBudgetConfig};
 use crate::gateway::policy::choice::{UpstreamChoice, choose_upstream};
 use crate::gateway::policy::gather::{GatherEnd, GatherState};
-use crate::gateway::policy::hedge::HedgeQuestion;
+use crate::gateway::policy::hedge::HedgeCandidate;
 use crate::gateway::policy::latency::{AttemptKind, millis};
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::settings::{NodePlace, PlaceDistance};
@@ -69,7 +69,7 @@
     target: Duration,
     /// Queries a second over the capacity of the upstreams.
     demand: f64,
-    budget: BudgetTerms,
+    budget: RetryBudgetConfig,
 }
 
 impl ModelDeployment {
@@ -84,7 +84,7 @@
             work,
             target: work * rng.random_range(9..=14) + FAR_WAY * 2,
             demand,
-            budget: BudgetTerms {
+            budget: RetryBudgetConfig {
                 ratio: 0.2,
                 slack: 40.0 + 2.0 * vms as f64,
                 window: Duration::from_secs(10),
@@ -229,7 +229,7 @@
     }
 
     /// The bound on repeats.
-    pub fn terms(&self) -> BudgetTerms {
+    pub fn terms(&self) -> RetryBudgetConfig {
         self.deployment.budget
     }
 
@@ -287,7 +287,7 @@
         for shard in 0..shards {
             let vm = self.queries[query].vm;
             let uptime = now.saturating_duration_since(self.start);
-            self.vms[vm].budget.note_request(&service(shard), uptime);
+            self.vms[vm].budget.record_request(&service(shard), uptime);
             if let Some(choice) = self.choose(query, shard, now) {
                 self.send(query, shard, &choice, now);
             }
@@ -329,9 +329,9 @@
             (FAR_WAY, AttemptKind::Delegated)
         };
         let replica = replica(&choice.upstream);
-        choice.upstream.health.borrow_mut().begin(now);
+        choice.upstream.health.borrow_mut().record_start(now);
         let state = self.queries[query].state.shard_mut(shard);
-        state.out += 1;
+        state.in_flight += 1;
         state.ran += 1;
         self.queries[query].sent[shard][replica] = true;
         let number = self.attempts.len();
@@ -351,7 +351,7 @@
         };
         self.push(done + way, event);
         let vm = &self.vms[self.queries[query].vm];
-        let first_look = HedgeQuestion::next_look(vm.latency.track(kind), 0.0);
+        let first_look = HedgeCandidate::next_check_ms(vm.latency.histogram(kind), 0.0);
         let look = now + Duration::from_secs_f64(first_look / 1_000.0);
         self.push(look, ModelEvent::Look(number));
     }
@@ -395,7 +395,7 @@
             return None;
         }
         let (query, shard) = (attempt.query, attempt.shard);
-        self.queries[query].state.shard_mut(shard).out -= 1;
+        self.queries[query].state.shard_mut(shard).in_flight -= 1;
         Some((query, shard, self.queries[query].vm))
     }
 
@@ -406,15 +406,15 @@
         let attempt = &self.attempts[number];
         let took = now.saturating_duration_since(attempt.began);
         let vm = &mut self.vms[vm];
-        vm.latency.track_mut(attempt.kind).record(took, now);
+        vm.latency.histogram_mut(attempt.kind).record(took, now);
         let slowness = vm.latency.slowness(attempt.kind, millis(took));
         let upstream = &vm.upstreams[shard][attempt.replica];
         let mut health = upstream.health.borrow_mut();
-        health.note_answer(attempt.began, now, slowness);
+        health.record_answer(attempt.began, now, slowness);
         drop(health);
         let signature = http::HeaderValue::from_static("s");
         let state = &mut self.queries[query].state;
-        state.take_part(shard, signature, bytes::Bytes::new());
+        state.add_part(shard, signature, bytes::Bytes::new());
         self.judge(query, now);
     }
 
@@ -425,7 +425,7 @@
         let attempt = &self.attempts[number];
         let upstream = &self.vms[vm].upstreams[shard][attempt.replica];
         let mut health = upstream.health.borrow_mut();
-        health.note_failure(attempt.began, now);
+        health.record_failure(attempt.began, now);
         drop(health);
         self.retry(query, shard, now);
         self.judge(query, now);
@@ -433,7 +433,7 @@
 
     fn retry(&mut self, query: usize, shard: usize, now: Instant) {
         let state = &self.queries[query].state.shards()[shard];
-        if self.queries[query].done || !state.is_open() || state.out > 0 {
+        if self.queries[query].done || !state.is_open() || state.in_flight > 0 {
             return;
         }
         let choice = self.choose(query, shard, now);
@@ -450,7 +450,7 @@
         let attempt = &self.attempts[number];
         let (query, shard, kind) = (attempt.query, attempt.shard, attempt.kind);
         let state = &self.queries[query].state;
-        let open = state.shards()[shard].is_open() && state.shards()[shard].out == 1;
+        let open = state.shards()[shard].is_open() && state.shards()[shard].in_flight == 1;
         if attempt.ended || self.queries[query].done || !open {
             return;
         }
@@ -458,7 +458,7 @@
         let left = state.useful_until(now);
         let left_ms = left.map(|until| millis(until.saturating_duration_since(now)));
         let latency = &self.vms[self.queries[query].vm].latency;
-        let next = HedgeQuestion::next_look(latency.track(kind), waited_ms);
+        let next = HedgeCandidate::next_check_ms(latency.histogram(kind), waited_ms);
         let look = attempt.began + Duration::from_secs_f64(next / 1_000.0);
         let Some(choice) = self.choose(query, shard, now) else {
             return;
@@ -467,15 +467,15 @@
             PlaceDistance::Zone => AttemptKind::Zone,
             PlaceDistance::Region | PlaceDistance::Far => AttemptKind::Delegated,
         };
-        let question = HedgeQuestion {
+        let question = HedgeCandidate {
             waited_ms,
             left_ms,
-            original: latency.track(kind),
-            other: latency.track(other),
+            original: latency.histogram(kind),
+            other: latency.histogram(other),
             other_slowness: choice.slowness,
             known_late: false,
         };
-        let worth = question.is_worth() && replica(&choice.upstream) != attempt.replica;
+        let worth = question.is_worthwhile() && replica(&choice.upstream) != attempt.replica;
         // Rounded to nanoseconds the next look may lie at this one.
         self.push(look.max(now + LEAST_STEP), ModelEvent::Look(number));
         if worth && self.spend(query, shard, now) {
@@ -488,7 +488,7 @@
         if query.done {
             return;
         }
-        let Some(end) = query.state.judge(now) else {
+        let Some(end) = query.state.check_end(now) else {
             return;
         };
         query.done = true;
@@ -532,7 +532,7 @@
         })
         .collect();
     let mut budget = RetryBudget::new(deployment.budget);
-    budget.share_among(deployment.vms, Duration::ZERO);
+    budget.set_vm_count(deployment.vms, Duration::ZERO);
     ModelVm {
         place,
         upstreams,
--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -1,27 +1,27 @@
-//! What requests spend repeats from: the buckets, as large as the shares that are held at that moment. Pure.
+//! Retry budget whose token buckets follow the shares of the slack that the process holds at each moment. Does no I/O.
 
 use std::time::Duration;
 
 use snafu::Snafu;
 
-use super::bucket::{BudgetTerms, RetryBudget};
+use super::bucket::{RetryBudget, RetryBudgetConfig};
 use super::lease::{LendRefusal, ShareLeases};
 use crate::gateway::ident::UpstreamService;
 use crate::ident::VmAddress;
 
-/// Why a repeat was denied.
+/// Reason why a repeat was denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum RepeatDenial {
-    /// The process holds no share: it has just started, or has leased its own out.
+    /// The process holds no share: it has just started, or has leased its own share to another VM.
     #[snafu(display("no_share"))]
     NoShare,
-    /// The service's bucket is empty.
+    /// The service's token bucket is empty.
     #[snafu(display("empty"))]
     Empty,
 }
 
 impl RepeatDenial {
-    /// One word for logs and metrics.
+    /// Returns the reason as it appears in logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
             Self::NoShare => "no_share",
@@ -30,34 +30,35 @@
     }
 }
 
-/// The repeats of one process; times are spans since its start on a clock that goes on while the VM is suspended.
+/// Retry budget of one process. Times are durations since its start, on a clock that keeps running while the VM is
+/// suspended.
 #[derive(Debug)]
-pub struct RepeatAccount {
+pub struct LeasedRetryBudget {
     budget: RetryBudget,
     leases: ShareLeases,
-    /// When the shares held may change next.
+    /// Next time at which the number of held shares may change without a message.
     next_change: Option<Duration>,
 }
 
-impl RepeatAccount {
-    /// Makes the account of a process that has just started.
+impl LeasedRetryBudget {
+    /// Creates the budget of a process that has just started.
     ///
     /// # Examples
     ///
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{BudgetTerms, RepeatAccount, UpstreamService};
+    /// use ebonyfork::gateway::{LeasedRetryBudget, RetryBudgetConfig, UpstreamService};
     ///
-    /// let terms = BudgetTerms { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
-    /// let mut account = RepeatAccount::new(terms);
+    /// let config = RetryBudgetConfig { ratio: 0.2, slack: 50.0, window: Duration::from_secs(10) };
+    /// let mut budget = LeasedRetryBudget::new(config);
     /// let service = UpstreamService::new("shard-3");
-    /// assert!(account.spend(&service, Duration::from_secs(1)).is_err());
-    /// assert!(account.spend(&service, Duration::from_secs(20)).is_ok());
+    /// assert!(budget.spend(&service, Duration::from_secs(1)).is_err());
+    /// assert!(budget.spend(&service, Duration::from_secs(20)).is_ok());
     /// ```
-    pub fn new(terms: BudgetTerms) -> Self {
-        let mut budget = RetryBudget::new(terms);
-        budget.hold_shares(0, Duration::ZERO);
+    pub fn new(config: RetryBudgetConfig) -> Self {
+        let mut budget = RetryBudget::new(config);
+        budget.set_held_shares(0, Duration::ZERO);
         Self {
             budget,
             leases: ShareLeases::new(),
@@ -65,36 +66,38 @@
         }
     }
 
-    /// Puts the shares held at this moment in force. Each change since the last call takes effect at its own time.
-    fn settle(&mut self, now: Duration) {
+    /// Applies all changes of the held shares that are due by `now`, each at its own time.
+    fn apply_due_changes(&mut self, now: Duration) {
         while let Some(change) = self.next_change.filter(|change| *change <= now) {
-            self.budget.hold_shares(self.leases.shares(change), change);
+            self.budget
+                .set_held_shares(self.leases.shares(change), change);
             self.next_change = self.leases.next_change(change);
         }
     }
 
-    /// Puts the shares held in force after a message.
-    fn note_change(&mut self, now: Duration) {
-        self.budget.hold_shares(self.leases.shares(now), now);
+    /// Updates the held shares after a lease was granted or accepted.
+    fn update_shares(&mut self, now: Duration) {
+        self.budget.set_held_shares(self.leases.shares(now), now);
         self.next_change = self.leases.next_change(now);
     }
 
-    /// States among how many VMs the slack is shared: all that may be running, known or not.
-    pub fn share_among(&mut self, vms: usize, now: Duration) {
-        self.settle(now);
-        self.budget.share_among(vms, now);
+    /// Sets the number of VMs that share the slack: all that may be running, whether known or not.
+    pub fn set_vm_count(&mut self, vms: usize, now: Duration) {
+        self.apply_due_changes(now);
+        self.budget.set_vm_count(vms, now);
     }
 
-    /// Counts a request that this VM has taken from a caller, once for each service that it needs.
-    pub fn note_request(&mut self, service: &UpstreamService, now: Duration) {
-        self.settle(now);
-        self.budget.note_request(service, now);
+    /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
+    /// request needs.
+    pub fn record_request(&mut self, service: &UpstreamService, now: Duration) {
+        self.apply_due_changes(now);
+        self.budget.record_request(service, now);
     }
 
-    /// Takes one repeat, or says why there is none.
+    /// Takes one token, or returns the reason why the repeat is denied.
     pub fn spend(&mut self, service: &UpstreamService, now: Duration) -> Result<(), RepeatDenial> {
-        self.settle(now);
-        self.leases.note_wanted(now);
+        self.apply_due_changes(now);
+        self.leases.record_repeat(now);
         if self.budget.spend(service, now) {
             return Ok(());
         }
@@ -104,50 +107,50 @@
         Err(RepeatDenial::Empty)
     }
 
-    /// Repeats of a service that may be sent at once.
-    pub fn left(&self, service: &UpstreamService, now: Duration) -> f64 {
-        self.budget.left(service, now)
+    /// Returns the number of repeats that could be sent to a service now.
+    pub fn available(&self, service: &UpstreamService, now: Duration) -> f64 {
+        self.budget.available(service, now)
     }
 
-    /// Forgets services that were not in use for a span, and leases that have ended.
-    pub fn forget_idle(&mut self, now: Duration) {
-        self.settle(now);
-        self.budget.forget_idle(now);
-        self.leases.forget_past(now);
+    /// Removes services that were unused for a window, and expired leases.
+    pub fn remove_idle(&mut self, now: Duration) {
+        self.apply_due_changes(now);
+        self.budget.remove_idle(now);
+        self.leases.remove_expired(now);
     }
 
-    /// Begins a question to the owner of a share; returns its number.
-    pub fn ask(&mut self, owner: VmAddress, now: Duration) -> u64 {
-        self.leases.ask(owner, now)
+    /// Records a lease request to the owner of a share and returns its number.
+    pub fn request(&mut self, owner: VmAddress, now: Duration) -> u64 {
+        self.leases.request(owner, now)
     }
 
-    /// Takes in a grant; false if it answers no open question.
-    pub fn take_grant(&mut self, owner: VmAddress, number: u64, now: Duration) -> bool {
-        self.settle(now);
-        let taken = self.leases.take_grant(owner, number);
-        self.note_change(now);
+    /// Accepts a granted lease; returns false if no pending request matches.
+    pub fn accept_grant(&mut self, owner: VmAddress, number: u64, now: Duration) -> bool {
+        self.apply_due_changes(now);
+        let taken = self.leases.accept_grant(owner, number);
+        self.update_shares(now);
         taken
     }
 
-    /// Leases this VM's own share, or says why not.
+    /// Leases this VM's own share to `borrower`, or returns the reason for refusing.
     pub fn lend(
         &mut self,
         borrower: VmAddress,
         serves: bool,
         now: Duration,
     ) -> Result<(), LendRefusal> {
-        self.settle(now);
+        self.apply_due_changes(now);
         let lent = self.leases.lend(borrower, serves, now);
-        self.note_change(now);
+        self.update_shares(now);
         lent
     }
 
-    /// Shares of other VMs that are held.
+    /// Returns the number of shares borrowed from other VMs.
     pub fn borrowed(&self, now: Duration) -> usize {
         self.leases.borrowed(now)
     }
 
-    /// Who has this VM's own share.
+    /// Returns the VM that this VM's own share is leased to.
     pub fn lent_to(&self, now: Duration) -> Option<VmAddress> {
         self.leases.lent_to(now)
     }
--- a/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[gtest]
-fn an_own_share_is_not_used_before_an_earlier_life_can_hold_none() {
+fn an_own_share_is_not_used_until_earlier_leases_have_expired() {
     let mut leases = ShareLeases::new();
     let early = LEASE_TERM / 2;
     expect_that!(leases.shares(early), eq(0));
@@ -19,40 +19,40 @@
 }
 
 #[gtest]
-fn a_share_is_with_one_vm_at_a_time() {
+fn a_share_has_one_holder_at_a_time() {
     let mut owner = ShareLeases::new();
     let mut borrower = ShareLeases::new();
-    let number = borrower.ask(vm(1), START);
+    let number = borrower.request(vm(1), START);
     expect_that!(owner.lend(vm(2), false, START), ok(anything()));
-    expect_that!(borrower.take_grant(vm(1), number), eq(true));
+    expect_that!(borrower.accept_grant(vm(1), number), eq(true));
     let held = |time: Duration| (owner.shares(time), borrower.borrowed(time));
     expect_that!(held(START), eq((0, 1)));
-    expect_that!(held(START + USED_TERM), eq((0, 0)));
+    expect_that!(held(START + BORROWER_TERM), eq((0, 0)));
     expect_that!(held(START + LEASE_TERM), eq((1, 0)));
     let refused = owner.lend(vm(3), false, START);
     let holder = LendRefusal::OnLease { borrower: vm(2) };
     expect_that!(refused, err(eq(holder)));
 }
 
-/// A grant that was long on its way is worth no more than what is left of the term since the question.
+/// A lease that is granted late is only valid for the rest of the term since the request.
 #[gtest]
-fn a_late_grant_brings_nothing() {
+fn a_lease_granted_after_its_term_is_not_used() {
     let mut borrower = ShareLeases::new();
-    let number = borrower.ask(vm(1), START);
+    let number = borrower.request(vm(1), START);
     let late = START + LEASE_TERM;
-    expect_that!(borrower.take_grant(vm(1), number), eq(true));
+    expect_that!(borrower.accept_grant(vm(1), number), eq(true));
     expect_that!(borrower.borrowed(late), eq(0));
 }
 
 #[gtest]
-fn a_grant_that_answers_no_open_question_is_not_taken() {
+fn a_grant_without_a_pending_request_is_ignored() {
     let mut borrower = ShareLeases::new();
-    let first = borrower.ask(vm(1), START);
-    let second = borrower.ask(vm(1), START + Duration::from_secs(1));
-    expect_that!(borrower.take_grant(vm(1), first), eq(false));
-    expect_that!(borrower.take_grant(vm(2), second), eq(false));
-    expect_that!(borrower.take_grant(vm(1), second), eq(true));
-    expect_that!(borrower.take_grant(vm(1), second), eq(false));
+    let first = borrower.request(vm(1), START);
+    let second = borrower.request(vm(1), START + Duration::from_secs(1));
+    expect_that!(borrower.accept_grant(vm(1), first), eq(false));
+    expect_that!(borrower.accept_grant(vm(2), second), eq(false));
+    expect_that!(borrower.accept_grant(vm(1), second), eq(true));
+    expect_that!(borrower.accept_grant(vm(1), second), eq(false));
 }
 
 #[gtest]
@@ -60,20 +60,20 @@
     let mut owner = ShareLeases::new();
     let refusal = err(eq(LendRefusal::NeededHere));
     expect_that!(owner.lend(vm(2), true, START), refusal);
-    owner.note_wanted(START);
+    owner.record_repeat(START);
     let soon = START + Duration::from_secs(1);
     let refusal = err(eq(LendRefusal::NeededHere));
     expect_that!(owner.lend(vm(2), false, soon), refusal);
-    let later = START + WANTED_TIME;
+    let later = START + RECENT_REPEAT_PERIOD;
     expect_that!(owner.lend(vm(2), false, later), ok(anything()));
 }
 
 #[gtest]
-fn what_has_passed_is_forgotten() {
+fn expired_leases_and_requests_are_removed() {
     let mut borrower = ShareLeases::new();
-    let number = borrower.ask(vm(1), START);
-    expect_that!(borrower.take_grant(vm(1), number), eq(true));
-    let _lost = borrower.ask(vm(3), START);
-    borrower.forget_past(START + LEASE_TERM);
-    expect_that!(borrower.borrowed.len() + borrower.open.len(), eq(0));
+    let number = borrower.request(vm(1), START);
+    expect_that!(borrower.accept_grant(vm(1), number), eq(true));
+    let _lost = borrower.request(vm(3), START);
+    borrower.remove_expired(START + LEASE_TERM);
+    expect_that!(borrower.borrowed.len() + borrower.pending.len(), eq(0));
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/message.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/message.rs
@@ -1,23 +1,23 @@
-//! What VMs tell one another about shares of the slack.
+//! Messages between VMs about leasing shares of the slack.
 
 use serde::{Deserialize, Serialize};
 
-/// One message about the sender's or the receiver's share.
+/// Message about the sender's or the receiver's share of the slack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShareMessage {
-    /// Asks for the receiver's share for a term, anew or again.
-    Ask {
-        /// Number of the question.
+    /// Requests the receiver's share for one lease term, or renews the lease.
+    Request {
+        /// Identifies the request; chosen by the sender.
         number: u64,
     },
-    /// The sender leaves its share to the receiver for a term.
+    /// The sender leases its share to the receiver for one term.
     Granted {
-        /// Number of the [`ShareMessage::Ask`].
+        /// Number of the [`ShareMessage::Request`].
         number: u64,
     },
-    /// The sender keeps its share, or has left it to another VM.
+    /// The sender needs its share itself, or has leased it to another VM.
     Refused {
-        /// Number of the [`ShareMessage::Ask`].
+        /// Number of the [`ShareMessage::Request`].
         number: u64,
     },
 }
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -20,13 +20,13 @@
     let mut health = upstream.health.borrow_mut();
     for step in 0..4_u32 {
         let began = now + Duration::from_millis(100) * step;
-        health.begin(began);
-        health.note_answer(began, began + Duration::from_millis(100), 10.0);
+        health.record_start(began);
+        health.record_answer(began, began + Duration::from_millis(100), 10.0);
     }
 }
 
 #[gtest]
-fn the_near_one_goes_first_until_it_is_slow() {
+fn the_nearest_upstream_is_chosen_until_it_is_slow() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn an_avoided_near_one_is_probed() {
+fn an_avoided_nearby_upstream_is_probed() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn leaving_and_forbidden_ones_are_left_out() {
+fn leaving_and_disallowed_upstreams_are_skipped() {
     let now = Instant::now();
     let candidates = [upstream("a", "north-a", now), upstream("b", "north-a", now)];
     candidates[0].leave();
@@ -73,13 +73,16 @@
 }
 
 #[gtest]
-fn one_that_can_not_be_reached_is_the_last_resort() {
+fn an_unreachable_upstream_is_the_last_choice() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
         upstream("far", "south-a", now),
     ];
-    candidates[0].health.borrow_mut().note_unreachable(now, now);
+    candidates[0]
+        .health
+        .borrow_mut()
+        .record_unreachable(now, now);
     expect_that!(chosen(&candidates, now), some(eq("far")));
     expect_that!(chosen(&candidates[..1], now), some(eq("near")));
 }
@@ -87,19 +90,19 @@
 fn decline_two_of_five(upstream: &Upstream, now: Instant) {
     for number in 0..20_u32 {
         let mut health = upstream.health.borrow_mut();
-        health.begin(now);
+        health.record_start(now);
         if number % 5 < 2 {
-            health.note_failure(now, now);
+            health.record_failure(now, now);
         } else {
-            health.note_answer(now, now, 1.0);
+            health.record_answer(now, now, 1.0);
         }
     }
 }
 
-/// A near upstream that declines two of five requests is no slower than a far one that runs all, but each decline takes a
-/// repeat.
+/// A nearby upstream that declines two of five requests is no slower than a distant one that accepts all, but each
+/// declined request uses up a repeat.
 #[gtest]
-fn one_that_declines_gives_way_to_one_further_away() {
+fn a_declining_upstream_is_replaced_by_a_more_distant_one() {
     let now = Instant::now();
     let candidates = [
         upstream("near", "north-a", now),
@@ -107,7 +110,7 @@
     ];
     decline_two_of_five(&candidates[0], now);
     expect_that!(chosen(&candidates, now), some(eq("far")));
-    // If both decline as often the near one is as good as ever.
+    // If both decline equally often, the nearby one is preferred again.
     decline_two_of_five(&candidates[1], now);
     expect_that!(chosen(&candidates, now), some(eq("near")));
 }
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -1,4 +1,4 @@
-//! The first attempts of a request: which shards go where, which wait.
+//! Starts a request: which shards are sent where, which are delegated and which are postponed.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::gateway::clock::now;
 use crate::gateway::policy::choice::{UpstreamChoice, probe_upstream};
 use crate::gateway::policy::latency::{AttemptKind, millis};
-use crate::gateway::policy::postpone::{ShardLikelihood, is_hopeless, postponed_shards};
+use crate::gateway::policy::postpone::{ShardLikelihood, is_unlikely, postponed_shards};
 use crate::gateway::settings::PlaceDistance;
 use crate::quarantine::RequestStanding;
 
@@ -17,20 +17,20 @@
     pub(super) fn begin(&mut self, standing: RequestStanding) {
         let shards = self.state.shards().len();
         if standing == RequestStanding::Suspect && shards > 1 {
-            // It may crash what runs it: one shard shows it before the others are put at risk.
+            // The request may crash its upstreams, so one shard is sent as a probe before the others are risked.
             let probe = rand::random_range(0..shards);
-            self.suspicion = RunSuspicion::of_suspect(shards, probe);
+            self.suspicion = RunSuspicion::for_suspect(shards, probe);
             self.request.after_loss.set(true);
             self.start(probe, Duration::ZERO);
             return;
         }
         let mut choices: Vec<_> = (0..shards).map(|shard| self.choose(shard, false)).collect();
         self.fail_unserved(&choices);
-        if self.state.judge(now()).is_some() {
-            // Too few shards have an upstream: nothing is sent, so that the caller can be told so.
+        if self.state.check_end(now()).is_some() {
+            // Too few shards have an upstream: nothing is sent, so the caller can be told that nothing ran.
             return;
         }
-        self.postpone_hopeless(&choices);
+        self.postpone_unlikely(&choices);
         if matches!(self.target, RunTarget::Gather(_)) {
             self.delegate(&mut choices);
         }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Gives up the shards that have no upstream.
+    /// Marks the shards without an upstream as failed.
     fn fail_unserved(&mut self, choices: &[Option<UpstreamChoice>]) {
         for (shard, choice) in choices.iter().enumerate() {
             if choice.is_none() {
@@ -48,29 +48,29 @@
         }
     }
 
-    /// Postpones the shards whose parts are unlikely to come in time, as far as the others suffice.
-    fn postpone_hopeless(&mut self, choices: &[Option<UpstreamChoice>]) {
-        if self.state.surplus() == 0 {
+    /// Postpones shards whose parts are unlikely to arrive in time, as long as the others suffice.
+    fn postpone_unlikely(&mut self, choices: &[Option<UpstreamChoice>]) {
+        if self.state.spare_shards() == 0 {
             return;
         }
         let mut likelihoods: SmallVec<[ShardLikelihood; 8]> = SmallVec::new();
         for (shard, choice) in choices.iter().enumerate() {
             let Some(choice) = choice else { continue };
             let likelihood = self.likelihood(choice);
-            if is_hopeless(likelihood) && self.find_probe(shard, choice).is_none() {
+            if is_unlikely(likelihood) && self.find_probe(shard, choice).is_none() {
                 likelihoods.push(ShardLikelihood { shard, likelihood });
             }
         }
-        for shard in postponed_shards(likelihoods, self.state.surplus()) {
+        for shard in postponed_shards(likelihoods, self.state.spare_shards()) {
             self.state.shard_mut(shard).postponed = true;
             self.postponed += 1;
         }
     }
 
-    /// Sends a shard for the first time, unless it is postponed or with another VM.
+    /// Starts a shard's first attempt, unless the shard is postponed or delegated to another VM.
     fn begin_shard(&mut self, shard: usize, choice: Option<UpstreamChoice>) {
         let state = &self.state.shards()[shard];
-        if state.postponed || state.out > 0 {
+        if state.postponed || state.in_flight > 0 {
             return;
         }
         let Some(choice) = choice else { return };
@@ -83,13 +83,13 @@
         }
     }
 
-    /// An upstream that is avoided and could be tried beside the chosen one.
+    /// Returns an avoided upstream that should be probed in addition to the chosen one.
     pub(super) fn find_probe(
         &self,
         shard: usize,
         choice: &UpstreamChoice,
     ) -> Option<UpstreamChoice> {
-        if self.attempts_allowed() < 2 || self.is_suspected() {
+        if self.max_upstreams() < 2 || self.is_suspected() {
             return None;
         }
         let core = &self.context.core;
@@ -97,7 +97,7 @@
         probe_upstream(&candidates, choice, &core.settings.place, now())
     }
 
-    /// How likely a part comes while it is of use.
+    /// Returns the probability that a part arrives while it is useful.
     fn likelihood(&self, choice: &UpstreamChoice) -> f64 {
         let time = now();
         let Some(until) = self.state.useful_until(time) else {
@@ -105,11 +105,11 @@
         };
         let left = millis(until.saturating_duration_since(time));
         let latency = self.context.latency.borrow();
-        let track = match choice.distance {
-            PlaceDistance::Zone => latency.track(choice.distance),
-            // A VM beside the upstream gathers it.
-            PlaceDistance::Region | PlaceDistance::Far => latency.track(AttemptKind::Delegated),
+        let histogram = match choice.distance {
+            PlaceDistance::Zone => latency.histogram(choice.distance),
+            // The shard is delegated to a VM in the upstream's zone.
+            PlaceDistance::Region | PlaceDistance::Far => latency.histogram(AttemptKind::Delegated),
         };
-        1.0 - track.survival(left / choice.slowness)
+        1.0 - histogram.survival(left / choice.slowness)
     }
 }
