--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -1,4 +1,4 @@
-//! Gathering parts for other VMs: runs the asked shards on the upstreams beside this VM and replies with merged parts.
+//! Gathers shards for other VMs: runs them on the upstreams near this VM and replies with merged partial answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::gateway::run::run_partial;
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Begins to gather the shards of another VM's query.
+/// Starts gathering the shards of another VM's query.
 pub fn take_query(core: &Rc<GatewayCore>, from: LinkSender, query: PartialQuery) {
     let Some((route, terms)) = find_terms(core, &query) else {
         refuse(&from, &query);
@@ -29,13 +29,14 @@
     core.aggregates.begin(key, abort);
     tokio::task::spawn_local(async move {
         let gathering = gather_parts(&core, route, terms, query, &from);
-        // Aborted when the asking VM has ended the query.
+        // Fails if the asking VM has cancelled the query.
         let _aborted = Abortable::new(gathering, registration).await;
         core.aggregates.end(key);
     });
 }
 
-/// The route of a query and the shards that are asked for; none unless this process knows the same shards.
+/// Returns the route of a query and the terms for the requested shards; `None` if this process does not know the same
+/// shards or is about to stop.
 fn find_terms(core: &GatewayCore, query: &PartialQuery) -> Option<(Rc<RouteEntry>, GatherTerms)> {
     if core.state() == ServiceState::Finishing {
         return None;
@@ -57,7 +58,7 @@
     Some((Rc::clone(route), terms))
 }
 
-/// Tells that none of the asked shards was sent anywhere.
+/// Replies that none of the requested shards was sent to an upstream.
 fn refuse(from: &LinkSender, query: &PartialQuery) {
     let failed = query.shards.iter().map(|shard| FailedShard {
         shard: *shard,
@@ -75,7 +76,7 @@
 fn send_reply(from: &LinkSender, reply: PartialReply) {
     let message = PeerMessage::Partial(PartialMessage::Reply(reply));
     if let Err(error) = from.send(message) {
-        // The asking VM hears of the broken link itself.
+        // The asking VM detects the broken link itself.
         log::debug!("partial reply: {error}");
     }
 }
--- a/crates/ebonyfork/src/gateway/caller_time.rs
+++ b/crates/ebonyfork/src/gateway/caller_time.rs
@@ -1,55 +1,58 @@
-//! What of a target is the caller's: the time before its request was sent, and the way here and back.
+//! Estimates how much of a request's latency target passes on the caller's side: the time before the request was sent,
+//! and the network round trip.
 //!
-//! A target counts from the moment at which the caller began. Before it sends its request it may have looked up which
-//! VMs to use, which takes a connection of its own, and opened one to this VM: none, one or both, 0 to 23 ms at a
-//! distance of 3 ms. A caller states how long it will still wait. On a route that callers wait for equally long the
-//! difference from the longest wait stated is the time that has passed ([`WaitTrack`]); the kernel knows the way.
+//! A target counts from the moment at which the caller started. Before it sends its request, the caller may have looked
+//! up which VMs to use, over a separate connection, and may have opened a connection to this VM. With a one-way latency
+//! of 3 ms this takes 0 to 23 ms. A caller states how long it will still wait. If all callers of a route wait equally
+//! long, the time that has passed is the difference from the longest stated wait ([`WaitTrack`]). The kernel measures
+//! the round trip.
 //!
-//! A VM that sees few requests of a route may never meet a whole wait, so VMs tell one another the longest stated to them.
+//! A VM that sees few requests of a route may never see a full wait, so VMs exchange the longest wait stated to them.
 
 use std::os::fd::AsRawFd;
 use std::time::{Duration, Instant};
 
 use tokio::net::TcpStream;
 
-/// Round-trip time that is assumed where the kernel does not tell: 1 ms each way and some for the hosts.
+/// Round-trip time assumed if the kernel provides none: 1 ms each way, plus processing on both hosts.
 const ASSUMED: Duration = Duration::from_micros(2_400);
-/// Longest round-trip time that is believed: it is measured once, and a lost packet makes it seconds.
+/// Upper bound on the measured round-trip time. It is measured only once, and a lost packet raises it to seconds.
 const LONGEST: Duration = Duration::from_millis(60);
-/// Round trips of a request on a new connection while it can't be told: handshake and request of the look-up, both again
-/// here, and one for the work of the hosts.
+/// Round trips assumed for the first request on a connection if the time before it is unknown: handshake and request of
+/// the look-up, handshake and request of this connection, and one for processing on the hosts.
 const NEW_ROUND_TRIPS: u32 = 5;
-/// Round trips on a connection that is kept while it can't be told: one in two callers has looked up before.
+/// Round trips assumed for a later request on a connection if the time before it is unknown: one in two callers has
+/// done a look-up before.
 const KEPT_ROUND_TRIPS: u32 = 2;
-/// Longest time before a request that is believed. What seems longer is a repeated request, which has a target of its
-/// own, or one of a caller that waits less long than others.
+/// Longest plausible time before a request. A larger difference comes from a retried request, which has a target of its
+/// own, or from a caller that waits less long than others.
 const LONGEST_BEFORE: Duration = Duration::from_millis(80);
-/// Stated waits before the longest of them is believed to be a whole one: one in two to five is.
+/// Number of stated waits from which the longest is taken for a full wait. One in two to five is.
 const WAITS_LEAST: u32 = 10;
-/// How long a stated wait is remembered at least; twice as long at most.
+/// Shortest time for which a stated wait is remembered; the longest is twice that.
 const WAIT_MEMORY: Duration = Duration::from_secs(30);
 
-/// How far away a caller is: the round-trip time that the kernel measured when the connection was opened.
+/// Network distance of a caller: the round-trip time that the kernel measured when the connection was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerDistance {
     round_trip: Duration,
 }
 
 impl CallerDistance {
-    /// The distance with a given round-trip time.
+    /// Creates a distance from a round-trip time.
     pub fn new(round_trip: Duration) -> Self {
         Self {
             round_trip: round_trip.min(LONGEST),
         }
     }
 
-    /// Asks the kernel.
+    /// Measures the distance of the caller on a connection.
     pub fn measure(stream: &TcpStream) -> Self {
         let measured = kernel_round_trip(stream).filter(|trip| !trip.is_zero());
         Self::new(measured.unwrap_or(ASSUMED))
     }
 
-    /// What the caller's side takes of a request's time, as the first on its connection or a later one.
+    /// Returns the caller's share of a request's time. `first` tells whether it is the first request on its connection.
     pub fn request(self, first: bool) -> CallerTime {
         CallerTime {
             distance: self,
@@ -58,7 +61,7 @@
     }
 }
 
-/// What the caller's side takes of one request's time.
+/// Caller's share of one request's time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerTime {
     distance: CallerDistance,
@@ -66,7 +69,7 @@
 }
 
 impl CallerTime {
-    /// All of it: what passed before the request was sent, if that is known, and the way here and back.
+    /// Returns the total: the time before the request was sent, assumed if `before` is `None`, plus the round trip.
     pub fn total(self, before: Option<Duration>) -> Duration {
         let round_trip = self.distance.round_trip;
         let Some(before) = before else {
@@ -77,7 +80,7 @@
             };
             return round_trip * trips;
         };
-        // The first request on a connection has had its handshake.
+        // The first request on a connection was preceded by the handshake.
         let handshake = if self.first {
             round_trip
         } else {
@@ -87,10 +90,10 @@
     }
 }
 
-/// The longest wait of the last while.
+/// Longest wait of the recent past.
 #[derive(Debug, Default)]
 struct LongestWait {
-    /// The longest lately, and in the time before that.
+    /// Longest waits of the current and of the previous period.
     longest: [Duration; 2],
     since: Option<Instant>,
 }
@@ -110,7 +113,7 @@
     }
 }
 
-/// How long the callers of a route wait in all, from what they state when they send, here or to other VMs.
+/// Tracks how long the callers of a route wait in total, from the waits that they state to this VM and to others.
 #[derive(Debug, Default)]
 pub struct WaitTrack {
     own: LongestWait,
@@ -119,7 +122,7 @@
 }
 
 impl WaitTrack {
-    /// Takes in the wait that a caller states, and returns how long before that it began, if that can be told.
+    /// Records the wait that a caller states. Returns how much time had passed before, if it can be determined.
     pub fn note(&mut self, stated: Duration, now: Instant) -> Option<Duration> {
         self.own.note(stated, now);
         self.stated = self.stated.saturating_add(1);
@@ -130,14 +133,14 @@
         (known && before <= LONGEST_BEFORE).then_some(before)
     }
 
-    /// The longest wait that callers have stated to this VM; zero if there was none.
+    /// Returns the longest wait that callers have stated to this VM; zero if there was none.
     pub fn own_longest(&self) -> Duration {
         self.own.get()
     }
 
-    /// Takes in the longest wait that callers have stated to another VM. Each VM tells what it was told by callers only, so
-    /// that a wait that nobody states any more is forgotten everywhere. One far longer than any stated here is of a caller
-    /// that waits longer than others.
+    /// Records the longest wait that callers have stated to another VM. VMs report only what callers have stated to
+    /// them directly, so a wait that no caller states any more expires on all VMs. A wait far longer than any stated to
+    /// this VM comes from a caller that waits longer than others and is ignored.
     pub fn hear(&mut self, wait: Duration, now: Instant) {
         let own = self.own.get();
         let usual = own.is_zero() || wait.saturating_sub(own) <= LONGEST_BEFORE;
@@ -146,7 +149,7 @@
         }
     }
 
-    /// The longest wait stated to other VMs, unless it is far beyond those stated here.
+    /// Returns the longest wait stated to other VMs, unless it far exceeds those stated to this VM.
     fn heard_longest(&self) -> Option<Duration> {
         let heard = self.heard.get();
         let usual = heard.saturating_sub(self.own.get()) <= LONGEST_BEFORE;
@@ -157,8 +160,8 @@
 fn kernel_round_trip(stream: &TcpStream) -> Option<Duration> {
     let mut info = std::mem::MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the descriptor is open for as long as `stream` is borrowed; the kernel writes at most `length` bytes to
-    // `info`, which is that long and all of whose bit patterns are valid, zeros included.
+    // SAFETY: the descriptor is open for as long as `stream` is borrowed. The kernel writes at most `length` bytes to
+    // `info`, which is that long and all of whose bit patterns are valid, including zeros.
     let (status, info) = unsafe {
         let status = libc::getsockopt(
             stream.as_raw_fd(),
--- a/crates/ebonyfork/src/gateway/caller_time_tests.rs
+++ b/crates/ebonyfork/src/gateway/caller_time_tests.rs
@@ -19,7 +19,8 @@
 #[gtest]
 fn what_passed_before_a_request_replaces_what_is_assumed() {
     let distance = CallerDistance::new(ms(6));
-    // A kept connection and nothing looked up; a look-up first; a handshake that took no longer than usual.
+    // Reused connection without a look-up; reused connection after a look-up; new connection with its handshake only;
+    // new connection after a look-up.
     expect_that!(distance.request(false).total(Some(ms(0))), eq(ms(6)));
     expect_that!(distance.request(false).total(Some(ms(15))), eq(ms(21)));
     expect_that!(distance.request(true).total(Some(ms(0))), eq(ms(12)));
@@ -36,12 +37,12 @@
     }
     expect_that!(track.note(ms(800), now), some(eq(ms(0))));
     expect_that!(track.note(ms(777), now), some(eq(ms(23))));
-    // A request that is sent again, or a caller that waits less long, has a target of its own.
+    // A retried request, or a caller that waits less long, has a target of its own.
     expect_that!(track.note(ms(500), now), none());
 }
 
-/// A VM that sees few of a route's requests hears from others how long its callers wait. What it only heard it does not
-/// pass on, and it does not believe what is far beyond all that is stated to itself.
+/// Guards against ignoring the time before a request on a VM that sees few requests of a route. It learns the longest
+/// wait from other VMs, does not pass on what it learnt from them, and ignores values far above those stated to it.
 #[gtest]
 fn the_longest_wait_is_heard_from_other_vms() {
     let now = Instant::now();
@@ -54,7 +55,8 @@
     expect_that!(track.note(ms(1_187), now), some(eq(ms(13))));
 }
 
-/// What was heard before any caller has stated a wait gives way to what callers state.
+/// Guards against a wait reported by another VM before any caller stated one: it must not override what callers state
+/// later.
 #[gtest]
 fn a_wait_that_was_heard_does_not_spoil_the_callers_own() {
     let now = Instant::now();
@@ -63,7 +65,7 @@
     expect_that!(track.note(ms(1_187), now), none());
 }
 
-/// Callers may come to wait for a shorter time: what the earlier ones stated is forgotten.
+/// Guards against comparing with waits that callers no longer state, after they have come to wait less long.
 #[gtest]
 fn waits_are_forgotten() {
     let now = Instant::now();
--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -1,4 +1,5 @@
-//! Carries out which VM sends to the cold upstreams of an availability zone ([`crate::gateway::policy::cold`] decides).
+//! Maintains the claims that decide which VM sends to the cold upstreams of an availability zone. The rules are in
+//! [`crate::gateway::policy::cold`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,22 +18,22 @@
 use crate::ident::{SessionId, VmAddress};
 use crate::store::{StoreEra, StoreError, StorePort, StoreWrite, answer_within};
 
-/// Time between two looks at what is claimed.
+/// Time between two checks of the claims.
 const LOOK_PERIOD: Duration = Duration::from_millis(100);
-/// Longest wait for the store's answer.
+/// Longest wait for an answer of the store.
 const ANSWER_TIME: Duration = Duration::from_secs(1);
 
-/// The claims on all availability zones as this process knows them.
+/// Claims on all availability zones, as known to this process.
 #[derive(Debug)]
 pub struct ColdClaims {
     own: SessionId,
-    /// The store's era, and when this process learnt of it.
+    /// Era of the store, and the time at which this process learnt of it.
     era: Cell<(StoreEra, Duration)>,
     zones: RefCell<FxHashMap<PlaceName, ZoneClaim>>,
 }
 
 impl ColdClaims {
-    /// Knows of no claim; `own` is this process.
+    /// Creates an empty set of claims; `own` is the session of this process.
     pub fn new(own: SessionId) -> Self {
         Self {
             own,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Uses the claim on a zone.
+    /// Calls a function with the claim on a zone.
     pub fn with_zone<T>(&self, zone: &PlaceName, use_claim: impl FnOnce(&mut ZoneClaim) -> T) -> T {
         let mut zones = self.zones.borrow_mut();
         let claim = zones.entry(zone.clone()).or_insert_with(|| {
@@ -53,7 +54,7 @@
         use_claim(claim)
     }
 
-    /// Takes in that the store is in an era: what was claimed in the one before is void.
+    /// Records that the store has entered an era. Claims of earlier eras become void.
     pub fn enter_era(&self, era: StoreEra, now: Duration) {
         let (known, _since) = self.era.get();
         if era <= known {
@@ -65,13 +66,13 @@
         }
     }
 
-    /// Whether this process may send to cold upstreams of a zone.
+    /// Returns whether this process may send to cold upstreams of a zone.
     pub fn may_send(&self, zone: &PlaceName, now: Duration) -> bool {
         let zones = self.zones.borrow();
         zones.get(zone).is_some_and(|claim| claim.may_send(now))
     }
 
-    /// Whether some process may be sending to cold upstreams of a zone.
+    /// Returns whether any process may be sending to cold upstreams of a zone.
     pub fn is_held(&self, zone: &PlaceName, now: Duration) -> bool {
         let zones = self.zones.borrow();
         zones.get(zone).is_some_and(|claim| claim.is_held(now))
@@ -79,8 +80,8 @@
 }
 
 impl GatewayCore {
-    /// Requests that an upstream may get from this VM in a second while it is cold, none without the claim on its zone;
-    /// `None` if it is warm or states no rate.
+    /// Returns how many requests per second this VM may send to an upstream while that is cold: 0 if it does not hold
+    /// the claim on the zone, `None` if the upstream is warm or states no rate.
     fn cold_pace(&self, upstream: &Upstream, time: Duration) -> Option<usize> {
         let bound = self.settings.cold_bound?;
         if !upstream.is_cold(now()) {
@@ -93,21 +94,23 @@
         Some(if claimed { pace } else { 0 })
     }
 
-    /// Whether a request may be sent to an upstream for all that is known of its being cold.
+    /// Returns whether the limit for cold upstreams allows another request to an upstream.
     pub fn has_cold_room(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
         let pace = self.cold_pace(upstream, time);
         pace.is_none_or(|pace| upstream.cold_sends.borrow().room(pace, time) > 0)
     }
 
-    /// Counts a request that is about to be sent to an upstream; false if it must not be sent because that is cold.
+    /// Counts a request that is about to be sent to an upstream. Returns false if the limit for cold upstreams forbids
+    /// sending it.
     pub fn take_cold_room(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
         let pace = self.cold_pace(upstream, time);
         pace.is_none_or(|pace| upstream.cold_sends.borrow_mut().take(pace, time))
     }
 
-    /// The upstreams of a zone may have become cold unnoticed: they count as cold for as long as it usually takes.
+    /// Treats the upstreams of a zone as cold for their usual warm-up time, because they may have become cold
+    /// unnoticed.
     pub fn assume_cold(&self, zone: &PlaceName) {
         let Some(table) = self.table() else {
             return;
@@ -124,14 +127,14 @@
         });
     }
 
-    /// The upstreams of an evacuated zone may get requests again; they may have become cold.
+    /// Ends the evacuation of a zone. Its upstreams may have become cold in the meantime.
     pub fn readmit(&self, zone: &PlaceName) {
-        // First, so that nothing is sent meanwhile as to warm ones.
+        // Must come first, so that no request is sent to the upstreams as if they were warm.
         self.assume_cold(zone);
         self.registry.readmit(zone);
     }
 
-    /// Takes out what the store has lost and nobody has written again in time.
+    /// Removes entries and evacuations that the store has lost and nobody has written again in time.
     pub fn expire_missing(&self, time: Instant) {
         self.registry.expire(time);
         for zone in self.registry.ended_evacuations(time) {
@@ -139,8 +142,8 @@
         }
     }
 
-    /// This process has just read the store for the first time. Where somebody sends to cold upstreams, others may have
-    /// become cold while no process of this VM ran, and not have said so yet.
+    /// Treats upstreams as cold after the first read of the store, in zones where a process holds a claim. Other
+    /// upstreams there may have become cold while no process was running on this VM, without having stated it yet.
     pub fn assume_cold_where_claimed(&self) {
         let time = self.running_time();
         for zone in self.settings.place.zones.keys() {
@@ -150,7 +153,8 @@
         }
     }
 
-    /// Zones for whose cold upstreams somebody should send, or soon should: an evacuation usually ends cold.
+    /// Returns the zones whose cold upstreams need a sender now or soon. An evacuated zone is included because its
+    /// upstreams are usually cold when the evacuation ends.
     fn cold_zones(&self) -> FxHashSet<PlaceName> {
         let Some((bound, table)) = self.settings.cold_bound.zip(self.table()) else {
             return FxHashSet::default();
@@ -171,7 +175,7 @@
     }
 }
 
-/// Claims zones, renews claims and gives them back until the future is dropped.
+/// Acquires, renews and releases claims until the future is dropped.
 pub async fn run_claims(core: Rc<GatewayCore>, port: impl StorePort) {
     if core.settings.cold_bound.is_none() {
         return;
@@ -197,7 +201,8 @@
     }
 }
 
-/// Whether this VM is the one that should send to cold upstreams of a zone: it takes requests beside them.
+/// Returns whether this VM should send to the cold upstreams of a zone: it is the one chosen among the VMs that serve
+/// the zone.
 fn is_sender(core: &GatewayCore, zone: &PlaceName) -> bool {
     let vms = core.vms.serving_for(zone, &core.settings.place);
     rendezvous(&vms, zone) == Some(VmAddress(core.settings.place.address))
--- a/crates/ebonyfork/src/gateway/control.rs
+++ b/crates/ebonyfork/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! The control addresses: readiness, and which VMs a caller should use.
+//! Control addresses: readiness checks, and look-ups of the VMs that a caller should use.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,10 +18,10 @@
 use crate::gateway::settings::NodePlace;
 use crate::gateway::vms::{HostNeeds, ZoneShares, zone_shares};
 
-/// How long a caller may keep a locate answer. Some keep it three times as long, so callers have left a stopping VM
-/// after 3 s, half of the stated grace time.
+/// How long a caller may cache a locate answer. Some callers keep it three times as long, so callers have left a
+/// stopping VM after 3 s, half of the stated grace time.
 pub const LOCATE_TTL: Duration = Duration::from_secs(1);
-/// How long it is kept what a host needs.
+/// How long the computed requirements of a host are cached.
 const NEEDS_KEPT: Duration = Duration::from_secs(1);
 
 /// Serves the control calls on a listener until the future is dropped.
@@ -57,7 +57,7 @@
     let own = core.is_ready().then_some(place);
     let addresses = core.vms.locate(&asker, &host_needs(core, query), own);
     if addresses.is_empty() {
-        // Nobody is known to serve; the caller keeps what it has or asks elsewhere.
+        // No VM is known to serve. The caller keeps its previous answer or asks elsewhere.
         return plain(StatusCode::SERVICE_UNAVAILABLE);
     }
     log::debug!(
@@ -77,7 +77,8 @@
     reply
 }
 
-/// What a host's routes need. Reckoning it takes a look at every upstream of the host, so it is kept for a moment.
+/// Returns the requirements of a host's routes. Computing them visits every upstream of the host, so they are cached
+/// briefly.
 fn host_needs(core: &GatewayCore, query: &LocateQuery) -> Rc<HostNeeds> {
     let time = now();
     if let Some((reckoned, needs)) = core.needs.borrow().get(&query.host)
@@ -103,9 +104,9 @@
     }
 }
 
-/// Where the upstreams are that a host's queries over many shards need.
+/// Returns the zones of the upstreams that a host's queries over many shards need.
 fn upstream_zones(core: &GatewayCore, table: &RouteTable, query: &LocateQuery) -> ZoneShares {
-    // All routes over many shards of a host usually name the same shards.
+    // All routes over many shards of a host usually have the same shards.
     for route in table.routes_of(&query.host) {
         if let RouteTarget::Gather(terms) = &route.destination {
             return zone_shares(&core.registry, &terms.shards);
--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of one process share. One thread runs them all, so nothing here needs a lock.
+//! State shared by all requests of one process. A single thread runs them all, so nothing here needs a lock.
 
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -33,73 +33,75 @@
 use crate::quarantine::QuarantineHandle;
 use crate::store::StoreEra;
 
-/// Share of an upstream's connections that all VMs together use: the rest is for VMs that have just come or gone.
+/// Fraction of an upstream's connections that all VMs together use. The rest is headroom for VMs that have just joined
+/// or left.
 const CONNECTION_SHARE: f64 = 0.9;
-/// Connections that one upstream is assumed to accept while no configuration states it.
+/// Connections that one upstream is assumed to accept until a configuration states the number.
 const CONNECTIONS_ASSUMED: usize = 16;
 
-/// Whether the process takes new requests.
+/// Whether the process accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It takes requests and is named to callers.
+    /// The process accepts requests and is listed in locate answers.
     Serving,
-    /// It takes requests, but callers are told to go elsewhere.
+    /// The process accepts requests, but callers are directed to other VMs.
     Leaving,
-    /// It refuses new requests and ends those it has.
+    /// The process refuses new requests and completes those in flight.
     Finishing,
 }
 
-/// State that all requests of a process share.
+/// State shared by all requests of a process.
 #[derive(Debug)]
 pub struct GatewayCore {
-    /// The settings.
+    /// Settings of the process.
     pub settings: GatewaySettings,
-    /// This life of this VM's process.
+    /// Identifies this run of the process on this VM.
     pub session: SessionId,
-    /// The deployment's protocols.
+    /// Protocols of the deployment.
     pub dialect: GatewayDialect,
-    /// The upstreams.
+    /// Registered upstreams.
     pub registry: UpstreamRegistry,
     /// Our own VMs.
     pub vms: VmDirectory,
-    /// Repeats that may still be sent.
+    /// Budget of retries and hedges that may still be sent.
     pub repeats: RefCell<RepeatAccount>,
-    /// How late this process's answers are after the decision on them.
+    /// Delay between deciding on an answer and writing it.
     pub lag: Rc<RefCell<AnswerLag>>,
-    /// What each service of a weighted route is owed.
+    /// Distributes the requests of weighted routes among their services.
     pub shares: WeightShares,
-    /// Parts of queries that other VMs gather for this one.
+    /// Shards of queries that other VMs gather for this one.
     pub delegates: DelegateTable,
-    /// Parts of queries that this VM gathers for others.
+    /// Shards of queries that this VM gathers for others.
     pub aggregates: AggregateTable,
-    /// What each host's routes need, with the time at which that was reckoned.
+    /// Placement requirements of each host's routes, with the time at which they were computed.
     pub needs: RefCell<FxHashMap<CompactString, (Instant, Rc<HostNeeds>)>>,
-    /// The store's changes, for VMs that hear of them from this one.
+    /// Passes the store's changes on to VMs that follow this one.
     pub relay: MirrorRelay,
-    /// What other VMs' configurations say of this one's routes.
+    /// Compares the routes of this VM's configuration with those of other VMs.
     pub route_checks: RouteChecks,
-    /// Which VMs send to cold upstreams.
+    /// Claims that decide which VM sends to cold upstreams.
     pub cold_claims: ColdClaims,
-    /// The store's era, as far as this VM has heard.
+    /// Latest era of the store that this VM knows of.
     era: watch::Sender<StoreEra>,
-    /// Requests that crash upstreams.
+    /// Quarantine of requests that crash upstreams.
     pub quarantine: QuarantineHandle,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
-    /// When the process started.
+    /// Time at which the process started, on the monotonic clock.
     pub started: Instant,
-    /// The same on the clock that counts suspensions.
+    /// Time at which the process started, on the clock that includes suspensions.
     booted: Duration,
     state: Cell<ServiceState>,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub flights: FlightCount,
     table: RefCell<Option<Rc<RouteTable>>>,
     latencies: RefCell<FxHashMap<RouteName, Rc<RefCell<RouteLatency>>>>,
 }
 
-/// This life of this VM's process.
+/// Returns the session of this process.
 fn own_session(settings: &GatewaySettings) -> SessionId {
-    // The wall clock only tells lives apart; if it steps back, peers learn the newer life by refutation.
+    // The wall clock only distinguishes sessions. If it has stepped back, peers learn of the newer session through
+    // refutation.
     let life = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64);
@@ -108,7 +110,7 @@
 }
 
 impl GatewayCore {
-    /// Makes the state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
         let repeats = RepeatAccount::new(settings.budget);
         let metrics = GatewayMetrics::default();
@@ -141,12 +143,12 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Puts a configuration in force unless a newer one is; tells whether it did.
+    /// Puts a configuration in force unless the current one is the same or newer. Returns whether it did.
     pub fn adopt_table(&self, table: RouteTable) -> bool {
         let current = self.table.borrow().as_ref().map(|table| table.version());
         if current.is_some_and(|current| current >= table.version()) {
@@ -164,7 +166,7 @@
         true
     }
 
-    /// Compares the version in force with those of other VMs.
+    /// Compares the configuration version in force with those of other VMs.
     pub fn note_own_version(&self) {
         let own = self
             .table()
@@ -172,8 +174,8 @@
         self.route_checks.note_own(own, now());
     }
 
-    /// Whether the configuration in force may be an old one: changes may not have reached this VM, or the store has lost a
-    /// version that others have in force.
+    /// Returns whether the configuration in force may be stale: changes may not have reached this VM, or the store has
+    /// lost a version that other VMs have in force.
     pub fn has_old_config(&self) -> bool {
         let own = self
             .table()
@@ -182,8 +184,8 @@
         self.relay.is_old() || self.route_checks.is_overdue(own, now(), bound)
     }
 
-    /// Why a request is refused that no route matches. A VM whose configuration may be an old one does not know that there
-    /// is none: the caller is to ask another VM, which may have a route that this one has not heard of.
+    /// Returns the reason for refusing a request that no route matches. A VM whose configuration may be stale can't
+    /// tell that the route does not exist, so the caller is asked to try another VM, which may know it.
     pub fn no_route(&self) -> RefusalReason {
         if self.has_old_config() {
             RefusalReason::OldConfig
@@ -192,7 +194,7 @@
         }
     }
 
-    /// The upstreams of a service in the home regions of a route.
+    /// Returns the upstreams of a service that are in the home regions of a route.
     pub fn upstreams_at_home(&self, route: &RouteEntry, service: &UpstreamService) -> UpstreamList {
         let mut listed = self.registry.upstreams(service);
         if route.homes.is_limited() {
@@ -205,8 +207,8 @@
         listed
     }
 
-    /// Those of a route's weighted services that have an upstream in its home regions: their weights hold among them. An
-    /// evacuation moves nothing from one service to another.
+    /// Returns those of a route's weighted services that have an upstream in its home regions. The weights apply among
+    /// these services. Evacuating a zone does not shift requests from one service to another.
     pub fn parts_at_home<'a>(
         &self,
         route: &RouteEntry,
@@ -222,7 +224,7 @@
         Cow::Owned(parts.iter().filter(at_home).cloned().collect())
     }
 
-    /// The attempt times of a route.
+    /// Returns the attempt latencies of a route.
     pub fn latency(&self, route: &RouteEntry) -> Rc<RefCell<RouteLatency>> {
         if let Some(latency) = self.latencies.borrow().get(&route.name) {
             return Rc::clone(latency);
@@ -233,7 +235,7 @@
         latency
     }
 
-    /// How many connections this process may hold to one upstream of a service.
+    /// Returns how many connections this process may hold to one upstream of a service.
     pub fn connection_share(&self, service: &UpstreamService) -> usize {
         let table = self.table.borrow();
         let stated = table.as_ref().and_then(|table| table.service(service));
@@ -242,7 +244,7 @@
         (share as usize).max(1)
     }
 
-    /// Shares connections and repeats anew among the VMs that are known.
+    /// Redistributes connections and the retry budget among the known VMs.
     pub fn share_connections(&self) {
         let vms = self.vms.most_count();
         let time = self.running_time();
@@ -253,7 +255,7 @@
         });
     }
 
-    /// Takes in that the store is in an era: what rests on a write in the one before is void.
+    /// Records that the store has entered an era. Claims that rest on a write in an earlier era become void.
     pub fn enter_era(&self, era: StoreEra) {
         self.cold_claims.enter_era(era, self.running_time());
         self.era.send_if_modified(|known| {
@@ -263,32 +265,32 @@
         });
     }
 
-    /// The store's era, as it rises.
+    /// Subscribes to increases of the store's era.
     pub fn eras(&self) -> watch::Receiver<StoreEra> {
         self.era.subscribe()
     }
 
-    /// Whether new requests are taken.
+    /// Returns whether new requests are accepted.
     pub fn state(&self) -> ServiceState {
         self.state.get()
     }
 
-    /// Changes whether new requests are taken.
+    /// Sets whether new requests are accepted.
     pub fn set_state(&self, state: ServiceState) {
         self.state.set(state);
     }
 
-    /// Whether callers should be sent here: there is a configuration and no stop has begun.
+    /// Returns whether callers should be sent here: a configuration is in force and no shutdown has begun.
     pub fn is_ready(&self) -> bool {
         self.state.get() == ServiceState::Serving && self.table.borrow().is_some()
     }
 
-    /// Time since the start that the process could run.
+    /// Returns the time since the start without suspensions of the VM.
     pub fn uptime(&self) -> Duration {
         now().saturating_duration_since(self.started)
     }
 
-    /// Time since the start, with what the VM was suspended for: leases between VMs end by it.
+    /// Returns the time since the start including suspensions of the VM. Leases between VMs expire by this clock.
     pub fn running_time(&self) -> Duration {
         boot_time().saturating_sub(self.booted).max(self.uptime())
     }
--- a/crates/ebonyfork/src/gateway/core_tests.rs
+++ b/crates/ebonyfork/src/gateway/core_tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 use crate::gateway::fixture::{dialect, settings};
 
-/// Only a VM that knows what the store held lately can say that there is no route.
+/// Guards against answering 404 from a stale copy of the store: the route may have been added since the copy was
+/// current.
 #[gtest]
 fn a_vm_whose_copy_is_old_does_not_deny_a_route() {
     let core = GatewayCore::new(settings(), dialect());
--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -1,4 +1,4 @@
-//! Asking other VMs for parts: which VM, what it was asked, what comes back.
+//! Delegates shards of a query to other VMs: chooses the VM, tracks the pending queries and dispatches the replies.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::VecDeque;
@@ -16,32 +16,33 @@
 use crate::ident::VmAddress;
 use crate::wire::{PeerMessage, PeerPool};
 
-/// Queries that a VM is assumed to gather side by side without becoming slower.
+/// Queries that a VM is assumed to gather concurrently without slowing down.
 const VM_SLOTS: usize = 16;
-/// Share of its replies that must show that it knows upstreams for a VM to be asked: one that does not, because the store
-/// turns it away, hands everything back and costs a way there and back.
+/// Lowest fraction of a VM's replies that must show that it knows upstreams for it to be asked. A VM that knows none,
+/// because the store refuses it, returns every shard and costs a round trip.
 const USEFUL_SHARE: f64 = 0.5;
-/// A VM whose oldest answer is overdue by this factor over the usual time is not asked: it is frozen, cut off or gone.
+/// A VM whose oldest pending query has taken more than this multiple of the usual time is not asked: it is frozen,
+/// partitioned or gone.
 const OVERDUE: f64 = 3.0;
 
-/// What a query hears of a group of shards that another VM gathers.
+/// Event about a group of shards that another VM gathers.
 #[derive(Debug)]
 pub enum GroupNews {
-    /// Parts came in, or won't.
+    /// Shards were answered or have failed.
     Reply(PartialReply),
-    /// The VM can't be reached; `sent` tells whether it may have got the query.
+    /// The VM can't be reached.
     Down {
-        /// Whether the query was handed to the socket.
+        /// Whether the query was handed to the socket, so that the VM may have received it.
         sent: bool,
     },
 }
 
-/// News of one group.
+/// Event of one group of shards.
 #[derive(Debug)]
 pub struct GroupEvent {
-    /// The group's number in its query.
+    /// Index of the group within its query.
     pub group: usize,
-    /// What happened.
+    /// What happened to the group.
     pub news: GroupNews,
 }
 
@@ -52,18 +53,19 @@
     vm: VmAddress,
     began: Instant,
     usual_ms: f64,
-    /// Whether the VM has shown that it works on it.
+    /// Whether a reply has arrived, which shows that the VM works on the query.
     heard: bool,
 }
 
-/// Whether a reply shows that the VM knows upstreams to ask. That they decline or lose what they are asked is no fault of
-/// the VM: without it their requests come directly from all VMs, and nobody sees the queue at the upstream.
+/// Returns whether a reply shows that the VM knows upstreams to ask. Requests that these upstreams decline or lose
+/// don't count against the VM: if it were avoided for them, all VMs would send to these upstreams directly, and none
+/// would see the length of their queues.
 fn shows_upstreams(reply: &PartialReply) -> bool {
     let unknown = |failed: &FailedShard| failed.reach == ShardReach::Unsent && !failed.avoid;
     !reply.parts.is_empty() || !reply.failed.iter().all(unknown)
 }
 
-/// Queries that other VMs gather parts for.
+/// Pending queries whose shards other VMs gather.
 #[derive(Debug, Default)]
 pub struct DelegateTable {
     pool: OnceCell<PeerPool>,
@@ -73,13 +75,13 @@
 }
 
 impl DelegateTable {
-    /// Sets the links; done once at the start.
+    /// Sets the links to other VMs. Must be called once, at startup.
     pub fn set_pool(&self, pool: PeerPool) {
         let first = self.pool.set(pool);
         debug_assert!(first.is_ok(), "the links are set once");
     }
 
-    /// Sends a message to a VM; false if it was not sent.
+    /// Sends a message to a VM. Returns false if it was not sent.
     pub fn tell(&self, vm: VmAddress, message: PeerMessage) -> bool {
         let Some(pool) = self.pool.get() else {
             return false;
@@ -93,13 +95,13 @@
         }
     }
 
-    /// Bytes that have come in on the link to a VM, whole messages or not.
+    /// Returns the number of bytes received on the link to a VM, including incomplete messages.
     pub fn received_bytes(&self, vm: VmAddress) -> u64 {
         let traffic = self.pool.get().and_then(|pool| pool.traffic(vm));
         traffic.map_or(0, |traffic| traffic.received())
     }
 
-    /// Chooses the VM that is expected to answer soonest; none if all are overdue.
+    /// Chooses the VM with the shortest expected latency; `None` if all of them are overdue or unhealthy.
     pub fn choose_vm(&self, vms: &[VmAddress], usual_ms: f64) -> Option<VmAddress> {
         self.pool.get()?;
         let time = now();
@@ -123,7 +125,7 @@
         best.map(|(_expected, vm)| vm)
     }
 
-    /// Sends a query to a VM; returns its number, or nothing if it was not sent.
+    /// Sends a query to a VM. Returns its number, or `None` if it was not sent.
     pub fn send(
         &self,
         vm: VmAddress,
@@ -154,7 +156,7 @@
         Some(number)
     }
 
-    /// Hands a reply to its query. A reply to a query that has ended is of no use any more.
+    /// Dispatches a reply to its query. A reply to a query that has ended is ignored.
     pub fn take_reply(&self, reply: PartialReply) {
         let mut pending = self.pending.borrow_mut();
         let Some(query) = pending.get_mut(&reply.number) else {
@@ -168,7 +170,7 @@
             group: query.group,
             news: GroupNews::Reply(reply),
         };
-        // The query may have ended just now.
+        // Sending fails if the query has just ended.
         let _ended = query.events.send(event);
     }
 
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Ends a query at the VM that gathers parts for it.
+    /// Ends a query and, unless it has finished, cancels it at the VM that gathers its shards.
     pub fn end(&self, number: u64, finished: bool) {
         let Some(query) = self.pending.borrow_mut().remove(&number) else {
             return;
@@ -199,14 +201,14 @@
         if finished {
             return;
         }
-        // A VM that can't be reached ends the query at its own time.
+        // If the VM can't be reached, its part of the query ends at the deadline.
         let _told = self.tell(
             query.vm,
             PeerMessage::Partial(PartialMessage::Cancel(number)),
         );
     }
 
-    /// The link to a VM has broken: all its queries are told.
+    /// Fails all pending queries of a VM whose link has broken.
     pub fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
         let mut left = Vec::new();
         for message in unsent {
@@ -227,7 +229,7 @@
                     sent: !left.contains(number),
                 },
             };
-            // The query may have ended just now.
+            // Sending fails if the query has just ended.
             let _ended = query.events.send(event);
             false
         });
--- a/crates/ebonyfork/src/gateway/delegate_tests.rs
+++ b/crates/ebonyfork/src/gateway/delegate_tests.rs
@@ -11,8 +11,8 @@
     }
 }
 
-/// Upstreams of a zone decline or lose all that they are asked: the VM that asks them for others goes on being asked, since
-/// it alone sees how many requests wait there.
+/// Guards against avoiding a VM whose upstreams decline or lose every request. It must still be asked, since it alone
+/// sees how many requests are queued at these upstreams.
 #[gtest]
 fn a_vm_is_not_blamed_for_its_upstreams() {
     let part = ShardSignature {
--- a/crates/ebonyfork/src/gateway/dialect.rs
+++ b/crates/ebonyfork/src/gateway/dialect.rs
@@ -1,6 +1,6 @@
-//! What the gateway needs to know of the deployment's protocols: names of headers, keys of the store, forms of values.
+//! Describes a deployment's protocols to the gateway: names of headers, keys of the store, encodings of values.
 //!
-//! An adapter fills in a [`GatewayDialect`]; it holds names and conversions and decides nothing.
+//! An adapter fills in a [`GatewayDialect`]. It contains names and conversions only and makes no decisions.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,100 +14,100 @@
 use crate::gateway::route::RouteTable;
 use crate::gateway::upstream::UpstreamEntry;
 
-/// Headers that the gateway reads or sets itself.
+/// Names of the headers that the gateway reads or sets itself.
 #[derive(Debug, Clone)]
 pub struct WireNames {
-    /// The caller's id of one attempt; upstreams echo it.
+    /// Identifies one attempt of the caller; upstreams echo it.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// Time that the sender will wait, in milliseconds.
     pub deadline: HeaderName,
-    /// The upstream's signature under its answer.
+    /// Signature of the upstream over its answer.
     pub signature: HeaderName,
-    /// The life of the upstream for which a request is meant; any other refuses it.
+    /// Incarnation of the upstream for which a request is meant; any other one refuses it.
     pub expected_instance: HeaderName,
-    /// Present in an answer: the request did not run.
+    /// Present in an answer if the request did not run.
     pub not_run: HeaderName,
-    /// How busy an upstream is, in its answers, where upstreams tell.
+    /// Load of the upstream, present in answers on deployments whose upstreams report it.
     pub load: HeaderName,
-    /// Signatures of the parts that are in a gathered answer.
+    /// Signatures of the partial answers that a gathered answer contains.
     pub part_signatures: HeaderName,
-    /// Number of shards that are not in a gathered answer.
+    /// Number of shards that a gathered answer lacks.
     pub missing_parts: HeaderName,
 }
 
-/// What a key of the store stands for.
+/// Meaning of a store key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoredKind {
-    /// The operators' configuration.
+    /// Configuration written by the operators.
     Config,
-    /// The entry of an upstream.
+    /// Entry of an upstream.
     Upstream,
-    /// The entry of one of our VMs.
+    /// Entry of one of our VMs.
     Vm,
-    /// The operators want no new requests at the upstreams of an availability zone, as long as the key is there.
+    /// Evacuation of an availability zone: its upstreams get no new requests while the key exists.
     Evacuation(PlaceName),
-    /// Which VM sends to the cold upstreams of an availability zone.
+    /// Claim on the cold upstreams of an availability zone.
     ZoneClaim(PlaceName),
-    /// Nothing of ours.
+    /// A key that the gateway does not use.
     Other,
 }
 
-/// A value that is not what its key promises.
+/// Error: a stored value can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{key}: {reason}"))]
 pub struct DecodeError {
-    /// The key.
+    /// Key of the value.
     pub key: CompactString,
-    /// What is wrong, with its place in the value.
+    /// Description of the error, with its position in the value.
     pub reason: CompactString,
 }
 
-/// Who asks which VMs to use.
+/// Look-up of the VMs that a caller should use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateQuery {
-    /// The host that the caller wants to reach.
+    /// Host that the caller wants to reach.
     pub host: CompactString,
-    /// The caller's region.
+    /// Region of the caller.
     pub region: PlaceName,
-    /// The caller's availability zone.
+    /// Availability zone of the caller.
     pub zone: PlaceName,
 }
 
-/// A call to a VM that is not a caller's request.
+/// Call to a VM that is not a caller's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ControlCall {
-    /// Whether the VM is ready to be used.
+    /// Readiness check.
     Ready,
-    /// Which VMs to use.
+    /// Look-up of the VMs to use.
     Locate(LocateQuery),
 }
 
-/// The VMs that a caller may use, and for how long it may keep the answer.
+/// Answer to a look-up of the VMs to use.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateReply {
-    /// Caller addresses.
+    /// Addresses on which these VMs accept callers' requests.
     pub addresses: Vec<SocketAddr>,
-    /// How long to keep them.
+    /// How long the caller may keep the answer.
     pub ttl: Duration,
 }
 
 /// Names and conversions of one deployment's protocols.
 #[derive(Debug, Clone)]
 pub struct GatewayDialect {
-    /// Headers.
+    /// Names of headers.
     pub names: WireNames,
-    /// What a key stands for.
+    /// Returns the meaning of a store key.
     pub classify: fn(key: &str) -> StoredKind,
-    /// Reads a version of the configuration.
+    /// Decodes a version of the configuration.
     pub read_config: fn(key: &str, value: &[u8]) -> Result<RouteTable, DecodeError>,
-    /// Reads the entry of an upstream.
+    /// Decodes the entry of an upstream.
     pub read_upstream: fn(key: &str, value: &[u8]) -> Result<UpstreamEntry, DecodeError>,
-    /// The key of the entry of one of our VMs.
+    /// Returns the key of the entry of one of our VMs.
     pub vm_key: fn(caller: SocketAddr) -> CompactString,
-    /// The key of the claim on the cold upstreams of an availability zone.
+    /// Returns the key of the claim on the cold upstreams of an availability zone.
     pub claim_key: fn(zone: &PlaceName) -> CompactString,
-    /// Reads a call to the control addresses.
+    /// Parses a call to the control addresses.
     pub read_call: fn(uri: &Uri) -> Option<ControlCall>,
-    /// Writes a locate answer.
+    /// Encodes a locate answer as content type and body.
     pub write_locate: fn(reply: &LocateReply) -> (HeaderValue, Bytes),
 }
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one upstream, and what became of it.
+//! A single attempt: sends a request to one upstream and classifies the outcome.
 
 use std::fmt;
 use std::rc::Rc;
@@ -23,54 +23,54 @@
 use crate::http_link::{LinkBody, LinkError};
 use crate::quarantine::LostRequest;
 
-/// Longest wait for a new connection in the same region: a handshake takes 1 to 6 ms there, more on a busy upstream.
+/// Longest time for opening a connection. In the same region a handshake takes 1 to 6 ms, more on a busy upstream.
 const CONNECT_TIME: Duration = Duration::from_millis(300);
-/// How old a kept connection may be for a request that runs at most once: one that breaks leaves the outcome unknown,
-/// and a new connection costs about 1 ms.
+/// Longest idle time of a pooled connection that is used for a request that must run at most once. If such a connection
+/// breaks, the outcome is unknown, while a new connection costs only about 1 ms.
 const ONCE_FRESH: Duration = Duration::from_millis(500);
-/// The same for requests that can be sent again.
+/// Longest idle time of a pooled connection that is used for a request that can be sent again.
 const REPEAT_FRESH: Duration = Duration::from_mins(1);
-/// Longest part of a query over many shards, in bytes: it has to be merged, so it has to be here whole.
+/// Longest answer of a shard, in bytes. It is merged with others and therefore buffered whole.
 const PART_LIMIT: usize = 8 * 1024 * 1024;
-/// Longest answer that is read whole before it is passed on, in bytes. One that breaks off up to here can be sent again;
-/// a longer one is passed on as it comes, so that it takes no more of a VM's memory (160 MB on the smallest).
+/// Longest answer that is buffered whole before it is passed on, in bytes. If an answer up to this length breaks off,
+/// the request can be sent again. A longer one is streamed to limit the memory it takes (the smallest VM has 160 MB).
 const WHOLE_LIMIT: usize = 256 * 1024;
 
-/// An upstream's answer.
+/// Answer of an upstream.
 #[derive(Debug)]
 pub struct UpstreamAnswer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers, those of the connection included.
+    /// Headers, including hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its body, which may still be coming in.
+    /// Body, which may still be arriving.
     pub body: ReplyBody,
 }
 
-/// What became of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The upstream ran the request and answered.
     Answered(UpstreamAnswer),
-    /// The upstream says that it has not run the request.
+    /// The upstream states that it has not run the request.
     Declined(StatusCode),
-    /// Nothing of the request was sent.
+    /// No part of the request was sent.
     Unsent(CompactString),
-    /// It was sent and may have run.
+    /// The request was sent and may have run, but no valid answer came.
     Lost(AttemptLoss),
 }
 
-/// An attempt that was sent and brought no answer.
+/// A request that was sent and may have run, but brought no valid answer.
 #[derive(Debug)]
 pub struct AttemptLoss {
-    /// What has happened.
+    /// Cause of the loss, for logs.
     pub reason: CompactString,
-    /// Whether the upstream was lost with it, where the connection broke.
+    /// Check whether the upstream itself was lost, if the connection broke.
     pub check: Option<Rc<LossCheck>>,
 }
 
 impl From<CompactString> for AttemptLoss {
-    /// What the upstream has sent is no answer: it lives.
+    /// Creates a loss without an upstream check: the upstream sent something, so it is alive.
     fn from(reason: CompactString) -> Self {
         Self {
             reason,
@@ -80,12 +80,12 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Answered(_) | Self::Lost(_))
     }
 
-    /// One word for logs.
+    /// Returns the outcome as one word for logs.
     pub fn word(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -108,20 +108,21 @@
     }
 }
 
-/// What an attempt needs beside the request.
+/// Context of an attempt besides the request itself.
 #[derive(Debug, Clone)]
 pub struct AttemptContext {
-    /// The process.
+    /// Shared state of the process.
     pub core: Rc<GatewayCore>,
-    /// Attempt times of the route.
+    /// Attempt latencies of the route.
     pub latency: Rc<std::cell::RefCell<RouteLatency>>,
-    /// Whether the request may run again.
+    /// Whether the request may run more than once.
     pub repeat: RepeatKind,
-    /// Longest silence in the midst of an answer that is passed on as it comes; `None` where answers must be whole.
+    /// Longest silence within a streamed answer; `None` if answers must be buffered whole.
     pub stream_patience: Option<Duration>,
 }
 
-/// Notes how an attempt ended, also when it is dropped midway.
+/// Records the outcome of an attempt with the health of its upstream, also if the attempt is dropped before it
+/// completes.
 struct AttemptRecord<'a> {
     context: &'a AttemptContext,
     upstream: &'a Upstream,
@@ -136,13 +137,13 @@
         place.distance(&self.upstream.entry().zone)
     }
 
-    /// How long such an attempt usually takes.
+    /// Returns how long an attempt at this distance usually takes.
     fn usual_time(&self) -> Duration {
         let latency = self.context.latency.borrow();
         Duration::from_secs_f64(latency.usual_ms(self.distance()) / 1_000.0)
     }
 
-    /// The time so far over the usual one.
+    /// Returns the ratio of the elapsed time to the usual one.
     fn slowness(&self, now: Instant) -> f64 {
         let took = millis(now.saturating_duration_since(self.began));
         let latency = self.context.latency.borrow();
@@ -188,8 +189,8 @@
     }
 }
 
-/// Sends a request to one upstream. `before_send` is asked once the connection is there and may still forbid the
-/// sending. Dropping the future ends the connection, and with it the upstream's work.
+/// Sends a request to one upstream. `before_send` is called once a connection is available and may still prevent
+/// sending. Dropping the future closes the connection, which also cancels the work at the upstream.
 pub async fn run_attempt(
     context: &AttemptContext,
     upstream: &Rc<Upstream>,
@@ -224,7 +225,7 @@
             let left_ms = left.as_millis() as u64;
             let open = upstream.takes_requests() && core.take_cold_room(upstream);
             if !open || left_ms == 0 || !before_send() {
-                // Nothing of this is the upstream's fault.
+                // The upstream is not at fault.
                 upstream.keep(held, None);
                 record.noted = true;
                 upstream.health.borrow_mut().note_unsent(began);
@@ -258,10 +259,10 @@
         Ok(response) => response,
         Err(error) => {
             if !held.reused {
-                // A new connection that breaks at once was one too many.
+                // If a new connection breaks at once, the upstream does not accept that many.
                 upstream.narrow(now());
             }
-            // What was kept beside it is likely to have ended as well.
+            // Other pooled connections have probably been closed as well.
             upstream.drop_idle();
             if matches!(error, LinkError::Unsent { .. }) {
                 return AttemptOutcome::Unsent(reason(&error));
@@ -285,7 +286,7 @@
     outcome
 }
 
-/// Tells an answer to this request from anything else that may stand on the connection.
+/// Verifies that a response is an answer to this request and classifies it.
 fn read_response(
     context: &AttemptContext,
     request: &ForwardRequest,
@@ -297,7 +298,7 @@
     let (head, body) = response.into_parts();
     let echoed = head.headers.get(&names.request_id);
     if echoed.is_some_and(|echoed| *echoed != request.id) {
-        // A late second answer to an earlier request: this connection is out of step for good.
+        // A late duplicate answer to an earlier request: request and answers on this connection no longer match up.
         let reason = CompactString::const_new("the answer is to another request");
         return AttemptOutcome::Lost(reason.into());
     }
@@ -350,7 +351,7 @@
     })
 }
 
-/// Takes in what an upstream says of its load. A report that can't be read is told of once.
+/// Records the load that an upstream reports. An unreadable report is logged once per upstream.
 fn note_load(names: &WireNames, headers: &HeaderMap, upstream: &Upstream) {
     let Some(stated) = headers.get(&names.load) else {
         return;
@@ -376,7 +377,7 @@
     !headers.get_all(header::CONNECTION).iter().any(closes)
 }
 
-/// The idle time that an upstream states.
+/// Returns the idle timeout that an upstream states in its `Keep-Alive` header.
 fn idle_time(headers: &HeaderMap) -> Option<Duration> {
     let stated = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = stated
--- a/crates/ebonyfork/src/gateway/fixture.rs
+++ b/crates/ebonyfork/src/gateway/fixture.rs
@@ -1,4 +1,4 @@
-//! Values that the gateway's tests share.
+//! Values shared by the gateway's tests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::settings::LogSettings;
 use crate::store::{StoreItem, StoreRevision};
 
-/// Header names that no platform uses.
+/// Returns header names that no platform uses.
 pub fn wire_names() -> WireNames {
     WireNames {
         request_id: HeaderName::from_static("x-request-id"),
@@ -30,7 +30,7 @@
     }
 }
 
-/// A dialect that knows no store and no control calls.
+/// Returns a dialect without store keys and control calls.
 pub fn dialect() -> GatewayDialect {
     GatewayDialect {
         names: wire_names(),
@@ -44,7 +44,7 @@
     }
 }
 
-/// A VM in zone `north-a` of a deployment with two regions.
+/// Returns the place of a VM in zone `north-a` of a deployment with two regions.
 pub fn place() -> NodePlace {
     let zones = [
         ("north-a", "north"),
@@ -64,7 +64,7 @@
     }
 }
 
-/// Settings whose addresses are never bound.
+/// Returns settings whose addresses are never bound.
 pub fn settings() -> GatewaySettings {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     GatewaySettings {
@@ -89,7 +89,7 @@
     }
 }
 
-/// The entry of an upstream.
+/// Returns the entry of an upstream.
 pub fn entry(instance: &str, service: &str, zone: &str, address: SocketAddr) -> UpstreamEntry {
     UpstreamEntry {
         instance: InstanceName::new(instance),
@@ -104,7 +104,7 @@
     }
 }
 
-/// A signed answer.
+/// Returns a signed answer.
 pub fn signed(signature: &str, body: &'static [u8]) -> UpstreamAnswer {
     let mut headers = http::HeaderMap::new();
     let value = HeaderValue::from_str(signature).expect("a valid signature");
@@ -116,7 +116,7 @@
     }
 }
 
-/// An item whose value is a text.
+/// Returns a store item with a text value.
 pub fn item(key: &str, value: &str, revision: u64) -> StoreItem {
     StoreItem {
         key: key.into(),
--- a/crates/ebonyfork/src/gateway/fixture_upstream.rs
+++ b/crates/ebonyfork/src/gateway/fixture_upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream on a socket that does as a test says, for what shows only on connections.
+//! Scripted upstream on a real socket, for behaviour that depends on connections.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -11,54 +11,54 @@
 
 use crate::gateway::clock::now;
 
-/// What an upstream does with each request.
+/// Reaction of the upstream to each request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ScriptedReply {
     /// Answers with a signature and a body of this many bytes.
     Answer(usize),
-    /// Begins an answer of `whole` bytes, sends `begun` of them, and the rest after a while.
+    /// Starts an answer of `whole` bytes, sends `begun` of them at once, and the rest after a delay.
     Slow {
-        /// Its whole length.
+        /// Length of the whole body, in bytes.
         whole: usize,
-        /// What is sent at once.
+        /// Bytes that are sent at once.
         begun: usize,
-        /// When the rest follows.
+        /// Delay before the rest is sent.
         rest_after: Duration,
     },
-    /// Begins an answer of `whole` bytes, sends `begun` of them and ends the connection.
+    /// Starts an answer of `whole` bytes, sends `begun` of them and closes the connection.
     Truncated {
-        /// Its whole length.
+        /// Stated length of the body, in bytes.
         whole: usize,
-        /// What is sent.
+        /// Bytes that are sent.
         begun: usize,
     },
-    /// Answers that it has not run the request.
+    /// Answers that the request was not run.
     Decline,
-    /// Ends the connection without an answer and takes no more.
+    /// Closes the connection without an answer and accepts no more connections.
     Crash,
-    /// Ends the connection without an answer.
+    /// Closes the connection without an answer.
     Break,
     /// Never answers.
     Hold,
 }
 
-/// What has happened at the upstream.
+/// Events recorded by a scripted upstream.
 #[derive(Debug, Default)]
 pub struct UpstreamLog {
-    /// When each request came, with its id.
+    /// Time at which each request was received, with its id.
     pub requests: Vec<(Instant, String)>,
-    /// When each connection ended that had carried a request.
+    /// Time at which each connection that had carried a request ended.
     pub ended: Vec<Instant>,
-    /// Connections that were accepted.
+    /// Number of accepted connections.
     pub connections: usize,
 }
 
-/// A running upstream. It ends when it is dropped.
+/// A running scripted upstream. Dropping it stops it.
 #[derive(Debug)]
 pub struct ScriptedUpstream {
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// What has happened.
+    /// Events recorded so far.
     pub log: Rc<RefCell<UpstreamLog>>,
     serving: AbortHandle,
 }
@@ -70,7 +70,7 @@
 }
 
 impl ScriptedUpstream {
-    /// Starts one on a free port of loopback.
+    /// Starts an upstream on a free loopback port.
     pub async fn start(reply: ScriptedReply) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
@@ -82,7 +82,7 @@
                 noted.borrow_mut().connections += 1;
                 let served = tokio::task::spawn_local(serve(stream, reply, Rc::clone(&noted)));
                 if reply == ScriptedReply::Crash {
-                    // The first request ends the whole upstream.
+                    // The first request stops the whole upstream.
                     drop(listener);
                     let _ended = served.await;
                     return;
@@ -111,7 +111,7 @@
     }
 }
 
-/// Reads one request's head and returns its id; `None` when the connection has ended.
+/// Reads one request head and returns its id; `None` if the connection has ended.
 async fn read_request(stream: &mut TcpStream) -> Option<String> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -123,7 +123,7 @@
     Some(id.unwrap_or_default().to_owned())
 }
 
-/// Sends what the script says; false if the connection is to end.
+/// Sends the scripted answer. Returns false if the connection is to be closed.
 async fn play(stream: &mut TcpStream, reply: ScriptedReply, id: &str) -> bool {
     let (whole, begun) = match reply {
         ScriptedReply::Answer(whole) => (whole, whole),
@@ -138,7 +138,7 @@
         }
         ScriptedReply::Break | ScriptedReply::Crash => return false,
         ScriptedReply::Hold => {
-            // Only the other side's close ends this.
+            // Ends only when the other side closes the connection.
             let _closed = stream.read_u8().await;
             return false;
         }
--- a/crates/ebonyfork/src/gateway/flight.rs
+++ b/crates/ebonyfork/src/gateway/flight.rs
@@ -1,26 +1,26 @@
-//! How many requests a process has in flight: a planned stop waits for them.
+//! Counts the requests that a process has in flight. A planned shutdown waits for them.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The number of requests in flight.
+/// Number of requests in flight. Clones share the count.
 #[derive(Debug, Clone, Default)]
 pub struct FlightCount(Rc<Cell<usize>>);
 
 impl FlightCount {
-    /// The number now.
+    /// Returns the current number.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more request for as long as the guard is held.
+    /// Counts one more request for as long as the returned guard lives.
     pub fn hold(&self) -> FlightGuard {
         self.0.set(self.0.get() + 1);
         FlightGuard(self.clone())
     }
 }
 
-/// Counts a request as in flight for as long as it is held.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct FlightGuard(FlightCount);
 
--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -1,4 +1,4 @@
-//! Joins the gateway to gossip: who lives, and news about requests that crash upstreams.
+//! Connects the gateway to gossip: membership, load, and notices about requests that crash upstreams.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::membership::{MemberDigest, MemberHandle};
 use crate::quarantine::{hear_notices, tell_notices};
 
-/// Time between two looks at how busy this VM is.
+/// Time between two updates of the published load.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
-/// Lag of a VM's answers at which it counts as fully busy.
+/// Lag of a VM's answers at which it counts as fully loaded.
 const FULL_LAG: Duration = Duration::from_millis(40);
-/// Steps in which the load is told.
+/// Number of steps to which the load is rounded.
 const LOAD_STEPS: f64 = 8.0;
 
-/// Starts what carries news between the gateway and gossip.
+/// Starts the tasks that exchange information between the gateway and gossip.
 pub(super) fn join_gossip(
     tasks: &mut JoinSet<()>,
     core: &Rc<GatewayCore>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Tells the other VMs which configuration is in force here, as this VM has read it from the store, and how busy it is.
+/// Publishes the version of the configuration in force, as this VM has read it from the store, and the load of this VM.
 async fn publish_digest(core: Rc<GatewayCore>, members: MemberHandle) {
     let mut told = core.route_checks.told_version();
     let mut published = MemberDigest::default();
@@ -68,7 +68,8 @@
     }
 }
 
-/// How busy a VM is whose answers lag so much, in steps, so that a change of no meaning is not told.
+/// Returns the load of a VM whose answers lag by `lag`, in per mille, rounded down to a step so that insignificant
+/// changes are not published.
 fn vm_load(lag: Duration) -> u16 {
     let steps = (millis(lag) / millis(FULL_LAG) * LOAD_STEPS).floor();
     (steps * 1_000.0 / LOAD_STEPS).min(1_000.0) as u16
--- a/crates/ebonyfork/src/gateway/http_server.rs
+++ b/crates/ebonyfork/src/gateway/http_server.rs
@@ -1,4 +1,4 @@
-//! The small HTTP servers beside the callers' one: control calls and metrics.
+//! HTTP server for control calls and metrics.
 
 use std::convert::Infallible;
 use std::io;
@@ -14,19 +14,19 @@
 
 use crate::gateway::reply::CallerReply;
 
-/// How long a connection may lie idle.
+/// Idle timeout of a connection.
 const IDLE_TIME: Duration = Duration::from_secs(10);
 
-/// Pause after a failed accept, such as for want of descriptors.
+/// Pause after a failed accept, for example because file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Logs a failed accept and waits a little.
+/// Logs a failed accept and pauses.
 pub(super) async fn note_accept_error(error: &io::Error) {
     log::warn!("accept: {error}");
     tokio::time::sleep(ACCEPT_PAUSE).await;
 }
 
-/// Answers requests on a listener until the future is dropped.
+/// Serves requests on a listener until the future is dropped.
 pub async fn serve_http(
     listener: TcpListener,
     answer: impl Fn(&Request<Incoming>) -> CallerReply + 'static,
--- a/crates/ebonyfork/src/gateway/ident.rs
+++ b/crates/ebonyfork/src/gateway/ident.rs
@@ -1,7 +1,7 @@
 //! Names that the deployment's operators and upstreams choose freely.
 //!
-//! They are texts of any characters and go back onto the wire as they came, so they are not held to the form of the
-//! product's own names.
+//! They may contain any characters and are written back to the wire unchanged, so the rules for the product's own names
+//! don't apply to them.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -16,7 +16,7 @@
         pub struct $name(CompactString);
 
         impl $name {
-            /// Takes a text as it came.
+            /// Wraps a text without changes.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(CompactString::new(text))
             }
@@ -44,11 +44,11 @@
 }
 
 text_type!(
-    /// Name of a group of interchangeable upstreams. On a route over many shards each shard is one such group.
+    /// Name of a group of interchangeable upstreams. On a route over many shards, each shard is such a group.
     UpstreamService
 );
 text_type!(
-    /// Name of an upstream. One that starts again may have the same name: see [`UpstreamLife`].
+    /// Name of an upstream. It may be reused after a restart: see [`UpstreamLife`].
     InstanceName
 );
 text_type!(
@@ -60,7 +60,7 @@
     PlaceName
 );
 
-/// When an upstream was started, in milliseconds of Unix time by its own clock. It only tells lives apart.
+/// Start time of an upstream, in milliseconds of Unix time by its own clock. It only distinguishes incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BirthTime(pub u64);
 
@@ -78,7 +78,8 @@
     }
 }
 
-/// One life of one upstream, from its start to its end. Nothing that was learnt of one life holds for the next.
+/// Incarnation of an upstream: one run from its start to its end. Nothing learnt about one incarnation applies to the
+/// next.
 ///
 /// # Examples
 ///
@@ -91,14 +92,15 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct UpstreamLife {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub instance: InstanceName,
-    /// When this life began; `None` on deployments whose upstreams have a new name at each start and don't tell.
+    /// Start of this incarnation; `None` on deployments whose upstreams take a new name at each start and state no
+    /// start time.
     pub born: Option<BirthTime>,
 }
 
 impl UpstreamLife {
-    /// The life of an upstream that began at a time.
+    /// Creates the incarnation of an upstream that started at the given time.
     pub fn new(instance: InstanceName, born: Option<BirthTime>) -> Self {
         Self { instance, born }
     }
@@ -114,7 +116,7 @@
     }
 }
 
-/// Version of the operators' configuration. Newer versions have higher numbers, not always by one.
+/// Version of the operators' configuration. Newer versions have higher numbers, not necessarily consecutive ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConfigVersion(pub u64);
 
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! The callers' connections: bounds on what they send, the route of each request, its answer.
+//! Callers' connections: enforces limits, routes each request and answers it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -31,17 +31,18 @@
 use crate::gateway::stream_activity::{ActivityStream, StreamActivity};
 use crate::quarantine::RequestStanding;
 
-/// Idle and header time of connections while no configuration states them.
+/// Idle and header timeout of connections until a configuration states them.
 const TIME_ASSUMED: Duration = Duration::from_secs(15);
-/// Least buffer that the HTTP library takes for a request's head, in bytes.
+/// Smallest buffer that the HTTP library accepts for a request head, in bytes.
 const HEAD_BUFFER_LEAST: usize = 8_192;
-/// Buffer for a request's head while no configuration states its limit, in bytes.
+/// Buffer for a request head until a configuration states its limit, in bytes.
 const HEAD_BUFFER_ASSUMED: usize = 64 * 1024;
 
-/// Longest wait of a caller that is counted, in milliseconds: a longer one is a mistake that must not overflow a time.
+/// Upper bound on the wait that a caller states, in milliseconds. A longer wait is a mistake and could overflow a
+/// timestamp.
 const LONGEST_WAIT_MS: f64 = 86_400_000.0;
 
-/// Takes callers' connections until the future is dropped.
+/// Accepts callers' connections until the future is dropped.
 pub async fn serve_callers(core: Rc<GatewayCore>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -53,12 +54,12 @@
     }
 }
 
-/// Why a connection is ended from this side.
+/// Reason for closing a connection from this side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StreamEnd {
-    /// It has been idle for too long.
+    /// The connection was idle for too long.
     Idle,
-    /// A request's head has been coming in for too long.
+    /// Receiving a request head took too long.
     SlowHead,
 }
 
@@ -123,10 +124,9 @@
     }
 }
 
-/// Returns when a connection has been idle, or a request's head has been coming in, for longer than the configuration in
-/// force allows.
+/// Waits until a connection exceeds the idle or header timeout of the configuration in force. Returns which.
 async fn wait_end(core: &GatewayCore, activity: &StreamActivity) -> StreamEnd {
-    /// Time between two looks at a connection.
+    /// Time between two checks of a connection.
     const LOOK: Duration = Duration::from_secs(1);
     loop {
         tokio::time::sleep(LOOK).await;
@@ -151,7 +151,7 @@
     }
 }
 
-/// Answers one request and writes its log line; also returns when a gathered answer was decided on.
+/// Answers one request and logs it. Also returns when a gathered answer was decided on.
 async fn answer(
     core: &Rc<GatewayCore>,
     request: Request<Incoming>,
@@ -173,7 +173,7 @@
     let mut reply = report.reply;
     reply.body_mut().hold(flight);
     if core.state() != ServiceState::Serving {
-        // The caller is to ask anew which VMs to use.
+        // Makes the caller look up again which VMs to use.
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(header::CONNECTION, close);
     }
@@ -181,7 +181,7 @@
     (reply, report.decided)
 }
 
-/// What is logged of a request, also when its caller leaves before the answer.
+/// Logs a request once, also if its caller disconnects before the answer.
 struct RequestStory {
     core: Rc<GatewayCore>,
     id: CompactString,
@@ -274,11 +274,11 @@
     Ok(run_request(core, &route, target, Rc::new(request), standing).await)
 }
 
-/// Length of a request's head on the wire, in bytes.
+/// Returns the length of a request head on the wire, in bytes.
 fn head_bytes(parts: &Parts) -> usize {
-    /// The spaces, the version and the line ends around method and target, and the empty line.
+    /// Spaces, HTTP version and line end of the request line, and the empty line that ends the head.
     const LINE: usize = " ".len() + " HTTP/1.1\r\n".len() + "\r\n".len();
-    /// What stands around the name and the value of a header.
+    /// Separator and line end of a header.
     const HEADER: usize = ": ".len() + "\r\n".len();
     let target = parts
         .uri
@@ -289,19 +289,19 @@
     parts.method.as_str().len() + target + LINE + headers.sum::<usize>()
 }
 
-/// The host that a request is for.
+/// Returns the host of a request; `None` if it is missing or ambiguous.
 fn request_host(parts: &Parts) -> Option<CompactString> {
     if let Some(host) = parts.uri.host() {
         return Some(CompactString::new(host));
     }
     let mut stated = parts.headers.get_all(header::HOST).iter();
     let host = stated.next()?.to_str().ok()?;
-    // Two hosts could mean two routes.
+    // Two hosts could select two different routes.
     let single = stated.next().is_none() && parts.version <= Version::HTTP_11;
     single.then(|| CompactString::new(host))
 }
 
-/// How long the caller will wait, if it says so.
+/// Returns how long the caller will wait, if it states so.
 fn caller_wait(core: &GatewayCore, parts: &Parts) -> Result<Option<Duration>, RefusalReason> {
     let Some(stated) = parts.headers.get(&core.dialect.names.deadline) else {
         return Ok(None);
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -1,8 +1,8 @@
-//! A small model of upstreams and VMs in virtual time that drives the decisions of the gateway under load: which upstream
-//! gets a shard, what is sent again, what is hedged, when a query ends. No sockets, no tasks; one seed gives one course.
+//! A small discrete-event model of upstreams and VMs in virtual time. It exercises the gateway's decisions under load:
+//! which upstream gets a shard, what is retried or hedged, and when a query ends. It uses no sockets and no tasks; a
+//! run is determined by its seed.
 //!
-//! It replays what was seen to go wrong, over deployments drawn at random, so that a limit that suits one deployment only
-//! shows here.
+//! It replays observed failures over randomly drawn deployments, to reveal limits that only suit one deployment.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,57 +23,57 @@
 use crate::gateway::settings::{NodePlace, PlaceDistance};
 use crate::gateway::upstream::Upstream;
 
-/// One way between two regions.
+/// One-way latency between two regions.
 const FAR_WAY: Duration = Duration::from_millis(12);
-/// One way inside a zone.
+/// One-way latency within a zone.
 const NEAR_WAY: Duration = Duration::from_micros(100);
-/// Requests that wait at an upstream before it declines further ones.
+/// Number of requests queued at an upstream from which it declines further ones.
 const QUEUE: usize = 12;
-/// Requests that an upstream runs side by side.
+/// Number of requests that an upstream runs concurrently.
 const SLOTS: usize = 2;
-/// Least time between two looks at an attempt.
+/// Shortest time between two hedging checks of an attempt.
 const LEAST_STEP: Duration = Duration::from_millis(1);
-/// Sends of one shard.
+/// Largest number of attempts per shard.
 const SENDS: usize = 4;
 
-/// What is wrong with an upstream.
+/// Fault of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ModelFault {
-    /// It declines this share of its requests.
+    /// Declines this fraction of the requests.
     Declines(f64),
-    /// Its requests take this many times as long.
+    /// Takes this many times as long for a request.
     Slow(f64),
-    /// It answers this share of its requests with a break of the connection, after running them.
+    /// Closes the connection instead of answering this fraction of the requests, after running them.
     Breaks(f64),
 }
 
-/// A fault of some of the upstreams for some seconds.
+/// Fault of some of the upstreams for a period of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultPhase {
-    /// From which second on.
+    /// First second of the fault.
     pub from: u64,
-    /// Until which second.
+    /// Second at which the fault has ended.
     pub until: u64,
-    /// Of each shard's upstreams, the one with this number has the fault; `None` for a drawn eighth of all.
+    /// Index of the faulty upstream within each shard; `None` for a randomly drawn eighth of all upstreams.
     pub replica: Option<usize>,
-    /// What it is.
+    /// The fault.
     pub fault: ModelFault,
 }
 
-/// A deployment.
+/// Parameters of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct ModelDeployment {
     shards: usize,
     vms: usize,
     work: Duration,
     target: Duration,
-    /// Queries a second over the capacity of the upstreams.
+    /// Query rate as a fraction of the upstreams' capacity.
     demand: f64,
     budget: BudgetTerms,
 }
 
 impl ModelDeployment {
-    /// Draws one; `demand` is the share of the upstreams' capacity that is asked for.
+    /// Draws a deployment; `demand` is the query rate as a fraction of the upstreams' capacity.
     pub fn draw(seed: u64, demand: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let vms = rng.random_range(4..=12_usize);
@@ -92,35 +92,36 @@
         }
     }
 
-    /// Fewest shards in an answer.
+    /// Returns the smallest number of shards in an answer.
     fn least(&self) -> usize {
         (self.shards as f64 * 0.89).ceil() as usize
     }
 
-    /// Queries a second.
+    /// Returns the query rate, in queries per second.
     fn rate(&self) -> f64 {
         self.demand * (2 * SLOTS) as f64 / self.work.as_secs_f64()
     }
 }
 
-/// What became of the queries of a span.
+/// Value of the queries that began in a period of time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ReplayReport {
-    /// Queries that began.
+    /// Number of queries that began.
     pub queries: f64,
-    /// Worth earned: the square of the coverage of answers in time, a tenth of it for late ones.
+    /// Sum of the values of the answers. An answer in time is worth the square of its coverage, a late one a tenth of
+    /// that.
     pub earned: f64,
 }
 
 impl ReplayReport {
-    /// Worth earned of what was owed.
+    /// Returns the mean value of a query.
     pub fn worth(&self) -> f64 {
         self.earned / self.queries
     }
 }
 
 struct ModelServer {
-    /// When each slot is free.
+    /// Time at which each slot becomes free.
     free: [Instant; SLOTS],
     waiting: Vec<Instant>,
 }
@@ -145,7 +146,7 @@
     vm: usize,
     began: Instant,
     state: GatherState,
-    /// Which upstreams of each shard got an attempt.
+    /// Whether an attempt was sent to each upstream of each shard.
     sent: Vec<[bool; 2]>,
     done: bool,
 }
@@ -159,7 +160,7 @@
     Decide(usize),
 }
 
-/// One course of a pattern on a deployment.
+/// Replay of a fault pattern on a deployment.
 pub struct LoadReplay {
     deployment: ModelDeployment,
     phases: Vec<FaultPhase>,
@@ -172,14 +173,14 @@
     vms: Vec<ModelVm>,
     queries: Vec<ModelQuery>,
     attempts: Vec<ModelAttempt>,
-    /// Times of repeats of each shard.
+    /// Times of the retries and hedges of each shard.
     pub repeats: Vec<Vec<Instant>>,
-    /// What each second's queries earned.
+    /// Value of the queries that began in each second.
     pub seconds: Vec<ReplayReport>,
 }
 
 impl LoadReplay {
-    /// Plays a pattern for some seconds.
+    /// Replays a pattern for some seconds.
     pub fn play(
         deployment: ModelDeployment,
         phases: impl Into<Vec<FaultPhase>>,
@@ -228,17 +229,17 @@
         replay
     }
 
-    /// The bound on repeats.
+    /// Returns the terms of the retry budget.
     pub fn terms(&self) -> BudgetTerms {
         self.deployment.budget
     }
 
-    /// When it began.
+    /// Returns the time at which the replay began.
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Worth earned in a span of seconds.
+    /// Returns the mean value of the queries that began in a range of seconds.
     pub fn worth(&self, seconds: std::ops::Range<usize>) -> f64 {
         let mut sum = ReplayReport::default();
         for second in &self.seconds[seconds] {
@@ -320,7 +321,7 @@
         funded
     }
 
-    /// Sends an attempt: what the upstream makes of it is reckoned at once.
+    /// Sends an attempt. Its outcome at the upstream is computed immediately.
     fn send(&mut self, query: usize, shard: usize, choice: &UpstreamChoice, now: Instant) {
         let near = choice.distance == PlaceDistance::Zone;
         let (way, kind) = if near {
@@ -356,7 +357,7 @@
         self.push(look, ModelEvent::Look(number));
     }
 
-    /// When an upstream has done with a request that arrives, and whether it answers.
+    /// Returns when an upstream completes a request that arrives at `at`, and whether it answers it.
     fn serve(&mut self, shard: usize, replica: usize, at: Instant) -> (Instant, bool) {
         let second = at.saturating_duration_since(self.start).as_secs();
         let struck = self.struck[shard][replica];
@@ -388,7 +389,7 @@
         (ends, !breaks)
     }
 
-    /// The attempt, if its query still waits for it; notes it as ended.
+    /// Marks an attempt as ended. Returns its query, shard and VM unless it had already ended.
     fn end(&mut self, number: usize) -> Option<(usize, usize, usize)> {
         let attempt = &mut self.attempts[number];
         if std::mem::replace(&mut attempt.ended, true) {
@@ -476,7 +477,7 @@
             known_late: false,
         };
         let worth = question.is_worth() && replica(&choice.upstream) != attempt.replica;
-        // Rounded to nanoseconds the next look may lie at this one.
+        // When rounded to nanoseconds, the next check may coincide with this one.
         self.push(look.max(now + LEAST_STEP), ModelEvent::Look(number));
         if worth && self.spend(query, shard, now) {
             self.send(query, shard, &choice, now);
@@ -506,12 +507,12 @@
     UpstreamService::new(format!("s{shard}"))
 }
 
-/// Which of its shard's upstreams one is.
+/// Returns the index of an upstream within its shard.
 fn replica(upstream: &Upstream) -> usize {
     usize::from(upstream.entry().instance.as_str() == "b")
 }
 
-/// A VM in one of two regions; each shard has an upstream in both.
+/// Creates a VM in one of two regions. Each shard has an upstream in both.
 fn model_vm(deployment: &ModelDeployment, number: usize, now: Instant) -> ModelVm {
     let mut place = place();
     if number % 2 == 1 {
--- a/crates/ebonyfork/src/gateway/load_tests.rs
+++ b/crates/ebonyfork/src/gateway/load_tests.rs
@@ -1,4 +1,4 @@
-//! Load that was seen to break something, replayed over random deployments.
+//! Replays load patterns that caused failures, over randomly drawn deployments.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 
 use crate::gateway::load_model::{FaultPhase, LoadReplay, ModelDeployment, ModelFault};
 
-/// Deployments that each pattern is played on.
+/// Number of deployments on which each pattern is replayed.
 const DEPLOYMENTS: u64 = 24;
 
-/// Plays a pattern on all deployments; returns the mean worth of some seconds. No span of any deployment holds more
-/// repeats than the bound, which is checked by the way.
+/// Replays a pattern on all deployments and returns the mean value of the queries in a range of seconds. Also checks
+/// that no deployment exceeds its retry budget in any period.
 fn mean_worth(demand: f64, phases: &[FaultPhase], seconds: std::ops::Range<usize>) -> f64 {
     let mut sum = 0.0;
     for seed in 0..DEPLOYMENTS {
@@ -23,8 +23,8 @@
 }
 
 impl LoadReplay {
-    /// No span of 10 s holds more repeats of a shard than a fifth of its requests there, before, or half before, and the
-    /// slack.
+    /// Checks that in no period of 10 s the retries of a shard exceed the slack plus a fifth of its requests, counted
+    /// in that period, in the one before, or in the one that begins 5 s earlier.
     fn check_budget(&self, seed: u64) {
         let terms = self.terms();
         let requests = |from: usize, until: usize| {
@@ -64,8 +64,9 @@
     expect_that!(worth, ge(0.98));
 }
 
-/// Of each shard's two upstreams one declines 6 of 10 requests; the other alone carries the load. Without the price of a
-/// failed attempt in the choice 0.75 are earned, with it 0.99.
+/// Guards against sending on to upstreams that decline. Of the two upstreams of each shard, one declines 6 of 10
+/// requests and the other has to carry the load. The mean value is 0.75 if the choice of the upstream ignores the cost
+/// of a failed attempt, and 0.99 if it includes it.
 #[gtest]
 fn upstreams_that_decline_cost_little_while_others_have_room() {
     let declines = phase(ModelFault::Declines(0.6), Some(0), 4, 14);
@@ -73,7 +74,8 @@
     expect_that!(worth, ge(0.9));
 }
 
-/// An eighth of the upstreams turns 8 to 12 times slower, twice overlapping.
+/// Guards against waiting for slow upstreams. An eighth of the upstreams becomes 8 to 12 times slower in two
+/// overlapping phases.
 #[gtest]
 fn slow_upstreams_are_left_for_others() {
     let first = phase(ModelFault::Slow(8.0), None, 4, 12);
@@ -82,7 +84,9 @@
     expect_that!(worth, ge(0.9));
 }
 
-/// Half of the upstreams break two of five answers off for a few seconds. Without that price 0.86, with it 0.99.
+/// Guards against losing answers that another upstream can give. Half of the upstreams break off two of five answers
+/// for a few seconds. The mean value is 0.86 if the choice of the upstream ignores the cost of a failed attempt, and
+/// 0.99 if it includes it.
 #[gtest]
 fn lost_answers_are_asked_for_elsewhere() {
     let breaks = phase(ModelFault::Breaks(0.4), Some(1), 4, 9);
--- a/crates/ebonyfork/src/gateway/loss.rs
+++ b/crates/ebonyfork/src/gateway/loss.rs
@@ -1,38 +1,39 @@
-//! What the break of a connection has turned out to be: of the connection alone, or of the upstream.
+//! Result of checking whether a broken connection means that the upstream was lost.
 
 use std::cell::Cell;
 
-/// What a break of a connection has turned out to be.
+/// Verdict on a broken connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossFinding {
-    /// It is being looked at.
+    /// The check is still running.
     Open,
-    /// The upstream takes connections: the request is not to blame.
+    /// The upstream accepts connections, so the request is not to blame.
     Harmless,
-    /// The upstream is lost, and the request may be why.
+    /// The upstream is lost, possibly because of the request.
     Lost,
 }
 
-/// A break that is looked at; all requests under whose connections to the upstream broke meanwhile share one.
+/// Check of an upstream after a connection broke, shared by all requests whose connections to it break while the check
+/// runs.
 #[derive(Debug)]
 pub struct LossCheck {
     finding: Cell<LossFinding>,
 }
 
 impl LossCheck {
-    /// A check with a finding.
+    /// Creates a check with the given verdict.
     pub fn new(finding: LossFinding) -> Self {
         Self {
             finding: Cell::new(finding),
         }
     }
 
-    /// What it has found so far.
+    /// Returns the current verdict.
     pub fn finding(&self) -> LossFinding {
         self.finding.get()
     }
 
-    /// Notes what it has found.
+    /// Sets the verdict.
     pub fn note(&self, finding: LossFinding) {
         self.finding.set(finding);
     }
--- a/crates/ebonyfork/src/gateway/loss_check.rs
+++ b/crates/ebonyfork/src/gateway/loss_check.rs
@@ -1,7 +1,7 @@
-//! Tells a connection that broke from an upstream that was lost, and reports what was in flight at a lost one.
+//! Distinguishes a broken connection from a lost upstream and reports the requests that were in flight at a lost one.
 //!
-//! A request that crashes upstreams shows only by this. An upstream that merely resets one connection still accepts
-//! another, so after a break a new connection is tried; only if that fails counts the upstream as lost.
+//! This is the only way to detect a request that crashes upstreams. An upstream that merely resets one connection
+//! accepts another, so a new connection is tried after a break. Only if that fails does the upstream count as lost.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,12 +14,12 @@
 use crate::ident::UpstreamAddress;
 use crate::quarantine::LostRequest;
 
-/// How long after a break the upstream is looked at: by then a crashed one no longer accepts.
+/// Delay between a break and the check of the upstream. By then a crashed upstream no longer accepts connections.
 const CHECK_DELAY: Duration = Duration::from_millis(20);
-/// Longest wait for a connection that shows the upstream alive.
+/// Longest time for opening the connection that shows the upstream to be alive.
 const CHECK_TIME: Duration = Duration::from_millis(250);
 
-/// Notes that a connection broke under a request.
+/// Records that a connection broke under a request, and starts a check of the upstream unless one is running.
 pub fn note_loss(
     core: &Rc<GatewayCore>,
     upstream: &Rc<Upstream>,
--- a/crates/ebonyfork/src/gateway/merge.rs
+++ b/crates/ebonyfork/src/gateway/merge.rs
@@ -1,13 +1,13 @@
-//! Puts the parts of a query together: the greatest records of all of them, greatest first.
+//! Merges the partial answers of a query into the greatest records of all of them, in descending order.
 
 use bytes::{Bytes, BytesMut};
 
-/// Length of one record, in bytes. What is left over at the end of a part is not a record.
+/// Length of a record, in bytes. An incomplete record at the end of a partial answer is ignored.
 pub const RECORD_BYTES: usize = 16;
 
 type Record = [u8; RECORD_BYTES];
 
-/// Returns the `top` greatest records of the parts, greatest first, compared byte by byte. Equal records all count.
+/// Returns the `top` greatest records of the parts in descending order, compared byte by byte. Duplicates are kept.
 ///
 /// # Examples
 ///
--- a/crates/ebonyfork/src/gateway/merge_tests.rs
+++ b/crates/ebonyfork/src/gateway/merge_tests.rs
@@ -24,7 +24,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever the parts hold, the result is that of sorting everything.
+    /// The result equals that of sorting all records.
     #[test]
     fn the_result_is_that_of_a_whole_sort(
         parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 0..12),
@@ -44,7 +44,7 @@
         prop_assert_eq!(merged.to_vec(), all.concat());
     }
 
-    /// Merging a group of parts first changes nothing: the greatest of the whole are the greatest of the groups.
+    /// Merging a group of parts first does not change the result.
     #[test]
     fn merging_in_two_levels_changes_nothing(
         near in proptest::collection::vec(any::<u8>(), 0..320),
--- a/crates/ebonyfork/src/gateway/metrics.rs
+++ b/crates/ebonyfork/src/gateway/metrics.rs
@@ -12,12 +12,12 @@
 
 use crate::store::StoreRevision;
 
-/// Bounds of the latency histogram in seconds: finer around the targets, which lie between 0.1 and 1 s.
+/// Bucket bounds of the latency histogram, in seconds: finer around the targets, which lie between 0.1 and 1 s.
 const LATENCY_BOUNDS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.6, 1.2, 5.0,
 ];
 
-/// One word that tells how something ended.
+/// Label that states an outcome in one word.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct OutcomeLabel(pub &'static str);
 
@@ -27,30 +27,30 @@
     }
 }
 
-/// What the gateway counts.
+/// Metrics of the gateway.
 #[derive(Debug, Clone)]
 pub struct GatewayMetrics {
-    /// Callers' requests, by how they ended.
+    /// Callers' requests, by outcome.
     pub requests: Family<OutcomeLabel, Counter>,
-    /// Attempts at upstreams, by what became of them.
+    /// Attempts at upstreams, by outcome.
     pub attempts: Family<OutcomeLabel, Counter>,
-    /// Hedges and retries that were sent.
+    /// Hedges and retries sent.
     pub repeats: Counter,
-    /// Hedges and retries that were denied, by reason.
+    /// Hedges and retries denied, by reason.
     pub unfunded: Family<OutcomeLabel, Counter>,
-    /// Shares of the slack that are on lease from other VMs.
+    /// Shares of the retry budget's slack that this VM has on lease from others.
     pub borrowed_shares: Gauge<u64, AtomicU64>,
-    /// Requests whose caller left before the answer.
+    /// Requests whose caller disconnected before the answer.
     pub abandoned: Counter,
-    /// Time from a request's head to its answer, in seconds.
+    /// Time from receiving a request head to answering it, in seconds.
     pub latency: Histogram,
     /// Time since this VM's copy of the store was known to be up to date, in seconds.
     pub copy_age: Gauge<f64, AtomicU64>,
-    /// The store's revision up to which the copy is whole: its number within the era.
+    /// Revision of the store up to which the copy is complete: its number within the era.
     pub copy_revision: Gauge<u64, AtomicU64>,
-    /// The era of that revision.
+    /// Era of the store up to which the copy is complete.
     pub copy_era: Gauge<u64, AtomicU64>,
-    /// Bytes of what VMs that follow this one have been told about the store.
+    /// Bytes of the store's changes sent to VMs that follow this one.
     pub told_bytes: Counter,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl GatewayMetrics {
-    /// Notes the state of the copy of the store; `age` is none before it was ever up to date.
+    /// Records the state of the copy of the store; `age` is `None` before the copy was first up to date.
     pub fn note_copy(&self, age: Option<Duration>, revision: StoreRevision) {
         self.copy_age
             .set(age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
@@ -81,7 +81,7 @@
         self.copy_era.set(revision.era().0);
     }
 
-    /// Registers all of them.
+    /// Registers all metrics.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("ebonyfork_gateway");
         registry.register("requests", "Callers' requests", self.requests.clone());
--- a/crates/ebonyfork/src/gateway/mod.rs
+++ b/crates/ebonyfork/src/gateway/mod.rs
@@ -1,14 +1,15 @@
-//! The gateway: requests of any service, over one upstream or over many shards, for deployments whose protocols an
-//! adapter describes.
+//! The gateway: proxies requests of any service to a single upstream or to many shards. An adapter describes the
+//! protocols of a deployment.
 //!
 //! Every VM runs the same process. It mirrors the store (configuration, upstreams, our own VMs), tells callers which
-//! VMs to use, and sends each request to the upstreams of its route: to one, or to one of each shard, merging the
-//! parts. What it learns about upstreams it learns from its own requests.
+//! VMs to use, and forwards each request to the upstreams of its route: to one upstream, or to one per shard, in which
+//! case it merges the partial answers. It learns about the health of upstreams from its own requests only.
 //!
-//! Read first: [`RouteTable`] (where a request goes), `run` (its attempts), [`RetryBudget`] (how many repeats),
-//! [`GatherState`] (when a query over many shards is answered).
+//! Start reading at [`RouteTable`] (selects the route of a request), `run` (sends the attempts of a request),
+//! [`RetryBudget`] (bounds the number of retries and hedges) and [`GatherState`] (decides when a query over many shards
+//! is answered).
 //!
-//! One thread runs a process: a VM has a fraction of one core. The shared state needs no locks.
+//! A process runs on a single thread because a VM has a fraction of one core, so the shared state needs no locks.
 
 mod aggregate;
 mod aggregate_table;
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -1,4 +1,4 @@
-//! One gateway process put together: listeners, the store's mirror, registration, gossip, planned stop.
+//! Assembles a gateway process: listeners, store mirror, registration, gossip and planned shutdown.
 
 use std::fmt;
 use std::io;
@@ -30,38 +30,38 @@
 use crate::membership::{MemberHandle, MemberSettings};
 use crate::store::{LeaseId, StorePort};
 
-/// Callers keep a locate answer for up to three times its time to live.
+/// Callers keep a locate answer for up to this multiple of its time to live.
 const TTL_FACTOR: u32 = 3;
 /// Time for a caller's last look-up and its answer.
 const LOOKUP_TIME: Duration = Duration::from_millis(300);
-/// What is kept of the grace time: the process must have ended before it is killed.
+/// Part of the grace time that is left unused, so that the process has exited before it is killed.
 const KILL_MARGIN: Duration = Duration::from_millis(500);
-/// How long before the end of the grace time new requests are refused, so that those in flight can end: a few times
-/// the usual time of the slowest requests.
+/// How long before the end of the grace time new requests are refused so that those in flight can complete: a few times
+/// the usual duration of the slowest requests.
 const FINISH_TIME: Duration = Duration::from_millis(1_500);
-/// Time between two looks at idle connections and missing entries.
+/// Time between two sweeps of idle connections and missing entries.
 const SWEEP_PERIOD: Duration = Duration::from_millis(250);
-/// Rounds of the sweep between two looks at the budgets: they hold 10 s.
+/// Number of sweeps between two clean-ups of the retry budgets, which cover 10 s.
 const BUDGET_ROUNDS: u32 = 40;
-/// Time between two looks at the requests in flight while the process ends.
+/// Time between two checks of the requests in flight during shutdown.
 const FLIGHT_PERIOD: Duration = Duration::from_millis(20);
 
-/// Why a gateway can't start.
+/// Error: a gateway can't start.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// An address can't be listened on.
+    /// Can't listen on an address.
     #[snafu(display("{role} address {address}: {source}"))]
     Bind {
-        /// What the address is for.
+        /// Purpose of the address.
         role: &'static str,
         /// The address.
         address: SocketAddr,
-        /// The cause.
+        /// Underlying I/O error.
         source: io::Error,
     },
 }
 
-/// A gateway as it runs. It must live inside a `LocalSet`.
+/// A running gateway. It must live inside a `LocalSet`.
 pub struct GatewayNode<P> {
     core: Rc<GatewayCore>,
     port: P,
@@ -78,7 +78,7 @@
 }
 
 impl<P: StorePort> GatewayNode<P> {
-    /// Binds the addresses and starts all duties.
+    /// Binds the addresses and starts all tasks.
     pub async fn start(
         settings: GatewaySettings,
         dialect: GatewayDialect,
@@ -139,7 +139,7 @@
         })
     }
 
-    /// Stops as planned: callers are sent elsewhere while requests are still served, then what is in flight ends.
+    /// Shuts down as planned: directs callers to other VMs while still serving, then completes the requests in flight.
     pub async fn stop(mut self) {
         let began = now();
         let grace = self.core.settings.grace;
@@ -168,9 +168,10 @@
         self.tasks.abort_all();
     }
 
-    /// Takes this VM's entry out of the store. Without an answer the lease ends by itself.
+    /// Removes this VM's entry from the store by ending its lease. If the store does not answer, the lease expires on
+    /// its own.
     async fn end_lease(&self) {
-        /// Callers ask every second; a store that is slower than this is not waited for.
+        /// Callers look up every second, so it is not worth waiting longer for a slow store.
         const ANSWER_TIME: Duration = Duration::from_millis(300);
         let Some(lease) = self.lease.take() else {
             return;
@@ -192,7 +193,7 @@
     bound.context(BindSnafu { role, address })
 }
 
-/// The zone as gossip names it.
+/// Returns the name of the own zone in gossip.
 fn own_zone(core: &GatewayCore) -> ZoneName {
     let zone = core.settings.place.zone.as_str().parse::<ZoneName>();
     zone.unwrap_or_else(|error| {
@@ -221,7 +222,7 @@
     );
 }
 
-/// Takes out what has passed: idle connections, entries that have not come back, budgets of idle services.
+/// Removes expired state periodically: idle connections, entries that have not reappeared, budgets of idle services.
 async fn sweep(core: Rc<GatewayCore>) {
     let mut rounds = 0_u32;
     loop {
--- a/crates/ebonyfork/src/gateway/partial.rs
+++ b/crates/ebonyfork/src/gateway/partial.rs
@@ -1,101 +1,102 @@
-//! What VMs say to one another about parts of a query over many shards.
+//! Messages between VMs about shards of a query over many shards.
 //!
-//! A VM that answers a caller asks a VM beside far upstreams to gather those shards. What comes back is one merged
-//! list of records with the signatures of the parts, instead of one HTTP answer a shard: about 400 bytes for seven
-//! shards instead of 4,500.
+//! A VM that answers a caller delegates distant shards to a VM next to their upstreams. That VM returns one merged list
+//! of records with the signatures of the partial answers instead of one HTTP answer per shard: about 400 bytes instead
+//! of 4,500 for seven shards.
 
 use bytes::Bytes;
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// Asks a VM to gather some shards of a query.
+/// Query that asks a VM to gather some shards.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialQuery {
-    /// Names the query between the two VMs.
+    /// Identifies the query between the two VMs.
     pub number: u64,
-    /// Names the route and its shards.
+    /// Digest of the route and its shards.
     pub mark: u64,
-    /// Shards to gather, by their place in the route's list.
+    /// Shards to gather, as indices into the route's list.
     pub shards: SmallVec<[u16; 16]>,
-    /// Microseconds for which an answer is of full use; 0 if that has passed.
+    /// Microseconds for which an answer is of full value; 0 if that time has passed.
     pub answer_left_us: u32,
     /// Microseconds until the query ends.
     pub finish_left_us: u32,
-    /// The longest wait that callers of the route have stated to the asking VM, in microseconds; 0 if there was none.
+    /// Longest wait that callers of the route have stated to the asking VM, in microseconds; 0 if there was none.
     pub longest_wait_us: u32,
-    /// The caller's request.
+    /// Request of the caller.
     pub request: PartialRequest,
 }
 
-/// A caller's request between our VMs.
+/// Caller's request as passed between our VMs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialRequest {
-    /// Method.
+    /// HTTP method.
     pub method: CompactString,
     /// Path and query.
     pub target: CompactString,
-    /// Headers that are passed on.
+    /// Headers to forward.
     pub headers: Vec<(CompactString, Bytes)>,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// A part that is in.
+/// Metadata of a shard's partial answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardSignature {
-    /// The shard, by its place in the route's list.
+    /// Shard, as an index into the route's list.
     pub shard: u16,
-    /// The upstream's signature.
+    /// Signature of the upstream.
     pub signature: Bytes,
     /// Microseconds that the upstream took.
     pub took_us: u32,
 }
 
-/// How far a request got with a shard that could not be gathered.
+/// Progress of a request at a shard that could not be gathered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ShardReach {
-    /// It has reached no upstream: another attempt is a first one.
+    /// No upstream has received the request: another attempt is a first one.
     Unsent,
-    /// Upstreams have declined it: another attempt is a repeat.
+    /// Upstreams have declined the request: another attempt is a retry.
     Declined,
-    /// An upstream may have run it.
+    /// An upstream may have run the request.
     Run,
-    /// An upstream may have run it, and a connection broke under it.
+    /// An upstream may have run the request, and its connection broke.
     Broken,
 }
 
 /// A shard that could not be gathered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FailedShard {
-    /// The shard, by its place in the route's list.
+    /// Shard, as an index into the route's list.
     pub shard: u16,
-    /// How far the request got.
+    /// Progress of the request at the shard.
     pub reach: ShardReach,
-    /// Whether the upstream here can't be reached or pauses: another one should be taken for a moment.
+    /// Whether the upstream is unreachable or paused for the replying VM, so that another one should be used for a
+    /// moment.
     pub avoid: bool,
 }
 
-/// Parts that have come in since the last reply to the same query.
+/// Partial answers that have arrived since the previous reply to the same query.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartialReply {
-    /// The query.
+    /// Number of the query.
     pub number: u64,
-    /// The parts whose records are merged in this reply.
+    /// Shards whose records are merged in this reply.
     pub parts: Vec<ShardSignature>,
-    /// The greatest records of these parts.
+    /// Greatest records of these shards, merged.
     pub records: Bytes,
-    /// Shards that won't come.
+    /// Shards that can't be gathered.
     pub failed: Vec<FailedShard>,
 }
 
-/// One message between gateways.
+/// Message between gateways about shards of a query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PartialMessage {
-    /// Asks for parts.
+    /// Asks to gather shards.
     Query(PartialQuery),
-    /// Parts.
+    /// Reply with partial answers.
     Reply(PartialReply),
-    /// The query with this number has ended.
+    /// Ends the query with this number.
     Cancel(u64),
 }
--- a/crates/ebonyfork/src/gateway/peers.rs
+++ b/crates/ebonyfork/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! The links to the gateways of other VMs, and who hears of what happens on them.
+//! Links to the gateways of other VMs, and the dispatch of the messages received on them.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 use crate::ident::SessionId;
 use crate::wire::{EventFuture, LinkEvent, LinkSender, PeerMessage, PeerPool, PoolSettings};
 
-/// Events that may wait to be taken in; beyond that the links wait.
+/// Number of queued events from which links apply backpressure.
 const EVENT_QUEUE: usize = 1_024;
 
-/// Makes the links of a process. What happens on them comes out of the receiver.
+/// Creates the links of a process. Their events are sent to the returned receiver.
 pub fn open_links(
     session: SessionId,
     peer_port: u16,
@@ -29,7 +29,7 @@
     let handler = move |event: LinkEvent| -> EventFuture {
         let events = Arc::clone(&events);
         Box::pin(async move {
-            // After the receiver is gone the process is ending.
+            // Sending fails only while the process is shutting down.
             let _ending = events.send(event).await;
         })
     };
@@ -37,7 +37,7 @@
     (pool, received)
 }
 
-/// Takes in what happens on the links until the future is dropped.
+/// Dispatches events of the links until the future is dropped.
 pub async fn follow_links(core: Rc<GatewayCore>, mut events: mpsc::Receiver<LinkEvent>) {
     while let Some(event) = events.recv().await {
         match event {
--- a/crates/ebonyfork/src/gateway/refusal.rs
+++ b/crates/ebonyfork/src/gateway/refusal.rs
@@ -1,42 +1,44 @@
-//! Why requests are refused or fail without an upstream's answer, and what that promises to the caller.
+//! Reasons for answering a request without an upstream's answer, and what each guarantees to the caller.
 
 use std::time::Duration;
 
 use http::StatusCode;
 
-/// Why a request is refused or has failed without an upstream's answer.
+/// Reason for which a request is refused or has failed without an upstream's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The request lacks something or is malformed.
+    /// The request is malformed or incomplete.
     Malformed,
     /// No route matches.
     NoRoute,
-    /// The body is longer than callers may send.
+    /// The body exceeds the limit.
     TooLarge,
-    /// The head is longer than callers may send.
+    /// The head exceeds the limit.
     HeadTooLarge,
     /// No configuration is known yet.
     NoConfig,
-    /// No route matches, but the configuration may be an old one.
+    /// No route matches, but the configuration may be stale.
     OldConfig,
-    /// This process is about to end.
+    /// This process is about to stop.
     Stopping,
-    /// The request crashes upstreams.
+    /// The request is quarantined because it crashes upstreams.
     Quarantined,
-    /// No upstream took it.
+    /// No upstream accepted the request.
     NoUpstream,
-    /// The upstreams that could take it are outside the route's home regions, or their availability zones are evacuated.
+    /// The upstreams that could serve the request are outside the route's home regions, or their availability zones are
+    /// evacuated.
     NotAtHome,
-    /// It may have run, and no answer came.
+    /// The request may have run, and no answer came.
     Unknown,
-    /// It may have run, and time ran out.
+    /// The request may have run, and its deadline has passed.
     Late,
-    /// It has not run, and time ran out.
+    /// The request has not run, and its deadline has passed.
     LateUnsent,
 }
 
 impl RefusalReason {
-    /// The status. 503 promises that the request has not run and won't; 502 and 504 promise nothing.
+    /// Returns the status code. 503 guarantees that the request has not run and will not run; 502 and 504 guarantee
+    /// nothing.
     pub fn status(self) -> StatusCode {
         match self {
             Self::Malformed => StatusCode::BAD_REQUEST,
@@ -55,7 +57,7 @@
         }
     }
 
-    /// One word for logs.
+    /// Returns the reason as one word, for logs and the answer's body.
     pub fn word(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -74,16 +76,16 @@
         }
     }
 
-    /// When the caller should come back.
+    /// Returns the wait after which the caller should retry, if it should.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
-            // Another VM takes it at once.
+            // Another VM accepts the request at once.
             Self::Stopping => Some(Duration::ZERO),
-            // The store answers within milliseconds when it is up.
+            // The store answers within milliseconds while it is available.
             Self::NoConfig | Self::OldConfig => Some(Duration::from_millis(300)),
-            // A queue at an upstream drains within some service times.
+            // An upstream's queue drains within a few service times.
             Self::NoUpstream | Self::LateUnsent => Some(Duration::from_millis(100)),
-            // Operators take an evacuation back, or upstreams start, within seconds at best.
+            // Operators end an evacuation, or upstreams start, within seconds at best.
             Self::NotAtHome => Some(Duration::from_secs(1)),
             Self::Quarantined => Some(Duration::from_mins(1)),
             Self::Malformed
--- a/crates/ebonyfork/src/gateway/register.rs
+++ b/crates/ebonyfork/src/gateway/register.rs
@@ -1,7 +1,8 @@
-//! Keeps this VM's own entry in the store: under a lease, so that it vanishes with the process.
+//! Keeps this VM's entry in the store under a lease, so that the entry disappears with the process.
 //!
-//! A store that comes back from an older copy may hold neither, and may have given the lease's number to somebody else. So
-//! an entry counts for the era in which it was written, and is written again under a new lease in the next.
+//! A store that was restored from an older copy may lack both, and may have assigned the lease's number to another
+//! process. The entry is therefore only valid in the era in which it was written, and is written again under a new
+//! lease in the next era.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,34 +16,36 @@
 use crate::gateway::vms::VmRecord;
 use crate::store::{Backoff, LeaseId, StoreEra, StoreError, StorePort, StoreWrite, answer_within};
 
-/// How long the entry outlives the process. Gossip notices a dead VM within about 2 s; the lease only cleans up.
+/// How long the entry outlives the process. Gossip detects a dead VM within about 2 s; the lease only cleans up.
 const LEASE_TTL: Duration = Duration::from_secs(12);
-/// Time between two renewals: two may fail before the lease ends.
+/// Time between two renewals. Two renewals may fail before the lease expires.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(4);
-/// Longest wait for one answer.
+/// Longest wait for an answer of the store.
 const ANSWER_TIME: Duration = Duration::from_secs(1);
 /// Shortest and longest wait after a failure while there is no entry.
 const RETRY_FIRST: Duration = Duration::from_millis(200);
 const RETRY_LONGEST: Duration = Duration::from_secs(2);
-/// The same while there is one: the lease outlasts some failures, and each call to a store that is away has its price.
+/// Shortest and longest wait after a failure while there is an entry. The lease survives some failures, and each call
+/// to an unavailable store has a cost.
 const RENEWAL_RETRY_FIRST: Duration = Duration::from_secs(2);
 const RENEWAL_RETRY_LONGEST: Duration = RENEWAL_PERIOD;
 
-/// Longest wait before the entry is written again in a new era: all VMs hear of it within moments.
+/// Longest wait before the entry is written again in a new era. Spreads the writes, since all VMs learn of the era at
+/// about the same time.
 const NEW_ERA_SPREAD: Duration = Duration::from_secs(1);
 
-/// Keeps the entry of this process.
+/// Maintains the entry of this process.
 #[derive(Debug)]
 pub struct VmRegistration<P> {
     core: Rc<GatewayCore>,
     port: P,
     lease: Rc<Cell<Option<LeaseId>>>,
-    /// The store's era in which the entry was written.
+    /// Era of the store in which the entry was written.
     written_in: Cell<StoreEra>,
 }
 
 impl<P: StorePort> VmRegistration<P> {
-    /// Makes a registration that has not been written.
+    /// Creates a registration that has not been written yet.
     pub fn new(core: Rc<GatewayCore>, port: P) -> Self {
         Self {
             core,
@@ -52,12 +55,12 @@
         }
     }
 
-    /// The lease in force, for ending it at a planned stop.
+    /// Returns the current lease, so that a planned shutdown can end it.
     pub fn lease(&self) -> Rc<Cell<Option<LeaseId>>> {
         Rc::clone(&self.lease)
     }
 
-    /// Registers and renews until the future is dropped or a stop begins.
+    /// Registers and renews until the future is dropped or a shutdown begins.
     pub async fn run(self) {
         let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LONGEST);
         let mut eras = self.core.eras();
@@ -82,7 +85,7 @@
         }
     }
 
-    /// Waits until the lease has to be renewed, or the entry written again because the store is in a new era.
+    /// Waits until the lease must be renewed, or the entry must be written again because the store is in a new era.
     async fn wait_due(&self, eras: &mut watch::Receiver<StoreEra>) {
         let lost = eras.wait_for(|era| *era > self.written_in.get());
         let Ok(Ok(_era)) = tokio::time::timeout(RENEWAL_PERIOD, lost).await else {
@@ -92,13 +95,13 @@
         tokio::time::sleep(spread).await;
     }
 
-    /// Whether the entry is in the store for all that is known.
+    /// Returns whether the entry is in the store as far as this VM knows.
     fn is_written(&self, key: &CompactString) -> bool {
         let lost = *self.core.eras().borrow() > self.written_in.get();
         !lost && !self.core.vms.is_missing(key)
     }
 
-    /// Renews the lease, or opens one and writes the entry under it.
+    /// Renews the lease, or opens a new one and writes the entry under it.
     async fn keep(&self) -> Result<(), StoreError> {
         let key = (self.core.dialect.vm_key)(self.core.settings.listen.callers);
         if let Some(lease) = self.lease.get()
@@ -119,7 +122,7 @@
         };
         let revision = answer_within(ANSWER_TIME, self.port.write(write)).await?;
         self.lease.set(Some(grant.lease));
-        // One that states a lower era than it did counts as of the known one.
+        // If the store reports an era lower than the known one, the entry counts as written in the known one.
         self.written_in.set(revision.era().max(known));
         self.core.enter_era(revision.era());
         log::info!("registered lease={} revision={revision}", grant.lease);
--- a/crates/ebonyfork/src/gateway/register_tests.rs
+++ b/crates/ebonyfork/src/gateway/register_tests.rs
@@ -7,7 +7,7 @@
 use crate::gateway::fixture::{dialect, settings};
 use crate::store::{LeaseGrant, StoreItem, StorePage, StoreRevision, StoreWatch};
 
-/// A store that counts what is done to leases, and knows those of its era only.
+/// Store that records the operations on leases and reports a configurable era.
 #[derive(Debug, Default)]
 struct LeaseBook {
     era: u64,
@@ -70,8 +70,8 @@
     }
 }
 
-/// The store came back without the entry. Its lease's number was given out again, so renewing it succeeded and kept somebody
-/// else's keys alive.
+/// Guards against relying on an entry from an earlier era. The store had been restored without the entry and had
+/// reassigned the number of its lease, so renewing succeeded and kept another process's keys alive.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn the_entry_is_written_again_in_a_new_era() {
@@ -95,7 +95,7 @@
             elements_are![eq(&LeaseId(1)), eq(&LeaseId(2))]
         );
         expect_that!(lease.get(), some(eq(LeaseId(2))));
-        // Whoever hears of an era again, or of an earlier one, has lost nothing.
+        // Learning of the current era again, or of an earlier one, does not invalidate the entry.
         core.enter_era(StoreEra(2));
         core.enter_era(StoreEra(1));
         tokio::time::sleep(Duration::from_secs(5)).await;
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -1,9 +1,10 @@
-//! All upstreams that are registered, by service.
+//! Registered upstreams, indexed by service.
 //!
-//! Entries come from the store's mirror. While the store is away nothing is known about who lives; the last picture is
-//! kept, and an upstream that is gone is found out by its connections. When the store is back, entries that lapsed
-//! meanwhile return within about two seconds, so an entry that is missing is kept for that long. A store that comes back
-//! from an older copy may lack an evacuation that it had acknowledged: that stays in force until it has been written again.
+//! Entries come from the store's mirror. While the store is unavailable, nothing is known about which upstreams are
+//! alive: the last known entries are kept, and connections reveal the upstreams that are gone. Once the store is back,
+//! entries that expired in the meantime reappear within about two seconds, so a missing entry is kept for that long. A
+//! store that was restored from an older copy may lack an evacuation that it had acknowledged. The evacuation stays in
+//! force until it has been written again.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,42 +18,43 @@
 use crate::gateway::ident::{PlaceName, UpstreamLife, UpstreamService};
 use crate::gateway::upstream::{Upstream, UpstreamEntry};
 
-/// How long after the store's return a missing entry is kept. Upstreams that live are back after about 2 s.
+/// How long after the store's return a missing entry is kept. Upstreams that are alive have registered again after
+/// about 2 s.
 const RETURN_TIME: Duration = Duration::from_millis(2_300);
-/// How long after the first read most upstreams are likely to be there: they come back evenly, and with two or three of
-/// each shard half of the time brings three quarters of the shards.
+/// Time after the first read by which most upstreams are likely to have registered. They return evenly, so with two or
+/// three replicas per shard half of [`RETURN_TIME`] brings back three quarters of the shards.
 const LIKELY_TIME: Duration = Duration::from_millis(1_150);
 
-/// How long an evacuation stays in force that a store lacks which came back from an older copy. The operators write it
-/// again within seconds; one that they had taken back just before ends with this time.
+/// How long an evacuation stays in force after a store restored from an older copy has lost it. The operators write it
+/// again within seconds. An evacuation that they had ended just before the loss ends after this time.
 const EVACUATION_KEPT: Duration = Duration::from_secs(10);
 
-/// How long it is remembered which lives have left: longer than a copy from which the store comes back is old.
+/// How long departed incarnations are remembered. Must exceed the age of any copy from which the store is restored.
 const DEPARTED_REMEMBERED: Duration = Duration::from_mins(1);
-/// How long an entry is withheld that came back with an older copy though its upstream had left: the store lets an entry
-/// lapse after three heartbeats of silence, 3.6 s where they are stated.
+/// How long an entry is withheld that an older copy of the store brought back after its upstream had left. The store
+/// expires an entry after three missed heartbeats, 3.6 s where the heartbeat interval is stated.
 const WITHHELD_TIME: Duration = Duration::from_secs(5);
 
-/// While upstreams may still come that the first read of the store lacked.
+/// Period after the first read of the store during which upstreams that it lacked may still register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettlingTime {
-    /// When most of them are likely to be there.
+    /// Time by which most of them are likely to have registered.
     pub likely: Instant,
-    /// When those that are missing count as gone.
+    /// Time from which missing upstreams count as gone.
     pub until: Instant,
 }
 
-/// Some upstreams.
+/// List of upstreams, usually those of one service.
 pub type UpstreamList = SmallVec<[Rc<Upstream>; 4]>;
 
-/// A life of an upstream whose entry was removed.
+/// Incarnation of an upstream whose entry was removed.
 #[derive(Debug)]
 struct DepartedLife {
     life: UpstreamLife,
     at: Instant,
 }
 
-/// An entry that is not believed yet.
+/// Entry that is not used yet because its upstream had left before the store was restored.
 #[derive(Debug)]
 struct WithheldEntry {
     entry: UpstreamEntry,
@@ -60,35 +62,35 @@
     until: Instant,
 }
 
-/// The upstreams by the key of their entry and by service.
+/// Registered upstreams, by the store key of their entry and by service.
 #[derive(Debug, Default)]
 pub struct UpstreamRegistry {
     entries: RefCell<FxHashMap<CompactString, Rc<Upstream>>>,
     services: RefCell<FxHashMap<UpstreamService, UpstreamList>>,
     /// Entries that are missing since the store came back, with the time at which they count as gone.
     missing: RefCell<FxHashMap<CompactString, Instant>>,
-    /// Until when a missing entry may still come back.
+    /// Time until which a missing entry may still reappear.
     returning_until: Cell<Option<Instant>>,
-    /// When the store was first read.
+    /// Time at which the store was first read whole.
     first_read: Cell<Option<Instant>>,
-    /// Availability zones whose upstreams get no new requests; with the time at which that ends if the store has lost the
-    /// evacuation.
+    /// Evacuated availability zones, whose upstreams get no new requests. If the store has lost an evacuation, the
+    /// value is the time at which it ends.
     evacuated: RefCell<FxHashMap<PlaceName, Option<Instant>>>,
-    /// Lives that have left lately.
+    /// Incarnations that have left recently, by the store key of their entry.
     departed: RefCell<FxHashMap<CompactString, DepartedLife>>,
-    /// Entries of such lives that came back with an older copy of the store.
+    /// Entries of departed incarnations that an older copy of the store brought back.
     withheld: RefCell<FxHashMap<CompactString, WithheldEntry>>,
-    /// Told of each entry that is new.
+    /// Notified when an entry is added.
     changed: Notify,
 }
 
 impl UpstreamRegistry {
-    /// Starts without upstreams.
+    /// Creates a registry without upstreams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The upstreams of a service.
+    /// Returns the upstreams of a service.
     pub fn upstreams(&self, service: &UpstreamService) -> UpstreamList {
         let services = self.services.borrow();
         services.get(service).cloned().unwrap_or_default()
@@ -101,13 +103,14 @@
         }
     }
 
-    /// The operators want no new requests in an availability zone. Requests that run there are left to end.
+    /// Evacuates an availability zone on behalf of the operators: its upstreams get no new requests. Requests in flight
+    /// there are allowed to finish.
     pub fn evacuate(&self, zone: &PlaceName) {
         self.evacuated.borrow_mut().insert(zone.clone(), None);
         self.set_evacuated(zone, true);
     }
 
-    /// The store came back from an older copy that lacks an evacuation.
+    /// Keeps an evacuation in force for a limited time because a store restored from an older copy lacks it.
     pub fn keep_evacuated(&self, zone: &PlaceName, now: Instant) {
         let mut evacuated = self.evacuated.borrow_mut();
         let Some(ends) = evacuated.get_mut(zone) else {
@@ -120,7 +123,7 @@
         *ends = Some(now + EVACUATION_KEPT);
     }
 
-    /// The zones whose evacuation the store has lost and nobody has written again in time.
+    /// Returns the zones whose evacuation the store has lost and nobody has written again in time.
     pub fn ended_evacuations(&self, now: Instant) -> Vec<PlaceName> {
         let evacuated = self.evacuated.borrow();
         let ended = evacuated
@@ -129,7 +132,7 @@
         ended.map(|(zone, _ends)| zone.clone()).collect()
     }
 
-    /// The upstreams of an evacuated availability zone may get requests again.
+    /// Ends an evacuation: the upstreams of the zone may get requests again.
     pub fn readmit(&self, zone: &PlaceName) {
         self.evacuated.borrow_mut().remove(zone);
         self.set_evacuated(zone, false);
@@ -149,7 +152,7 @@
         );
     }
 
-    /// The zones whose upstreams get no new requests.
+    /// Returns the zones whose upstreams get no new requests.
     #[cfg(test)]
     pub fn evacuated_zones(&self) -> rustc_hash::FxHashSet<PlaceName> {
         self.evacuated.borrow().keys().cloned().collect()
@@ -159,20 +162,20 @@
         self.evacuated.borrow().contains_key(zone)
     }
 
-    /// Notes that the whole store has been read.
+    /// Records that the whole store has been read.
     pub fn note_read(&self, now: Instant) {
         if self.first_read.get().is_none() {
             self.first_read.set(Some(now));
         }
     }
 
-    /// Whether the store has not been read whole yet.
+    /// Returns whether the store has not been read whole yet.
     pub fn is_first_read(&self) -> bool {
         self.first_read.get().is_none()
     }
 
-    /// Whether upstreams that the first read lacked may still come: the store may have returned from an outage just
-    /// before this process started.
+    /// Returns the settling period if upstreams that the first read lacked may still register: the store may have
+    /// returned from an outage just before this process started.
     pub fn settling(&self, now: Instant) -> Option<SettlingTime> {
         let first = self.first_read.get()?;
         let settling = SettlingTime {
@@ -182,17 +185,17 @@
         (now < settling.until).then_some(settling)
     }
 
-    /// Returns when an entry has been added.
+    /// Waits until an entry is added.
     pub async fn wait_change(&self) {
         self.changed.notified().await;
     }
 
-    /// Notes that the store answers again after an outage.
+    /// Records that the store answers again after an outage.
     pub fn note_return(&self, now: Instant) {
         self.returning_until.set(Some(now + RETURN_TIME));
     }
 
-    /// Takes in an entry. `share` is the number of connections that this process may hold to the upstream.
+    /// Adds or updates an entry. `share` is the number of connections that this process may hold to the upstream.
     pub fn put(&self, key: &CompactString, entry: UpstreamEntry, now: Instant, share: usize) {
         self.missing.borrow_mut().remove(key);
         self.withheld.borrow_mut().remove(key);
@@ -202,8 +205,8 @@
         if let Some(known) = known {
             let same = {
                 let before = known.entry();
-                // A crash and a start within one heartbeat show only here: connections, samples and lost requests
-                // of the life before would be taken for those of the new one.
+                // Detects a crash and restart within one heartbeat interval, which nothing else reveals: connections,
+                // latency samples and lost requests of the previous incarnation must not be attributed to the new one.
                 before.life() == entry.life()
                     && before.address == entry.address
                     && before.service == entry.service
@@ -233,8 +236,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in an entry of a store that has come back from an older copy. What this process has heard of the same life
-    /// since that copy holds: that it leaves, and for a while that it has left.
+    /// Adds or updates an entry from a store restored from an older copy. What this process has since learnt about the
+    /// same incarnation takes precedence: that it is leaving, and for a limited time that it has left.
     pub fn put_restored(
         &self,
         key: &CompactString,
@@ -268,8 +271,8 @@
         self.withheld.borrow_mut().insert(key.clone(), withheld);
     }
 
-    /// Whether the same life has stated something since. Between two statements with the same count of heartbeats the one that
-    /// it leaves holds, since nobody takes that back.
+    /// Returns whether the same incarnation has written a newer entry. If both have the same number of heartbeats, the
+    /// one that is leaving is newer, since no upstream revokes that.
     fn is_older(&self, key: &CompactString, entry: &UpstreamEntry) -> bool {
         let entries = self.entries.borrow();
         let known = entries.get(key).map(|upstream| upstream.entry());
@@ -288,12 +291,12 @@
         })
     }
 
-    /// Takes out an entry that names no upstream any more, whatever the store has been through.
+    /// Removes an entry that no longer names an upstream, even if missing entries are currently kept.
     pub fn disown(&self, key: &CompactString) {
         self.take_out(key, "its entry names no upstream");
     }
 
-    /// Takes in that an entry was removed.
+    /// Handles the removal of an entry from the store.
     pub fn remove(&self, key: &CompactString, now: Instant) {
         self.withheld.borrow_mut().remove(key);
         let returning = self.returning_until.get().filter(|until| now < *until);
@@ -328,7 +331,7 @@
         self.missing.borrow_mut().insert(key.clone(), until);
     }
 
-    /// Takes out the entries that have not come back in time, and takes in those that were withheld for long enough.
+    /// Removes the entries that have not reappeared in time and admits those that were withheld for long enough.
     pub fn expire(&self, now: Instant) {
         self.admit_withheld(now);
         let remembered = |departed: &mut DepartedLife| now < departed.at + DEPARTED_REMEMBERED;
@@ -380,7 +383,7 @@
         }
     }
 
-    /// The number of upstreams.
+    /// Returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -28,7 +28,7 @@
     let kept = registry.upstreams(&service());
     registry.remove(&KEY, now);
     expect_that!(registry.upstreams(&service()).len(), eq(0));
-    // A request that has chosen it already sees that it leaves.
+    // A request that has already chosen the upstream sees that it is leaving.
     expect_that!(kept[0].is_leaving(), eq(true));
 }
 
@@ -88,7 +88,8 @@
     expect_that!(reused[0].entry().instance.as_str(), eq("i-2"));
 }
 
-/// The same name with another start is another life: nothing that was learnt of the one before holds for it.
+/// Guards against attributing health and connections of a previous incarnation to an upstream that restarted under its
+/// name.
 #[gtest]
 fn an_upstream_that_starts_again_under_its_name_is_another_one() {
     let now = Instant::now();
@@ -98,7 +99,7 @@
     registry.put(&KEY, first.clone(), now, 1);
     let before = Rc::clone(&registry.upstreams(&service())[0]);
     before.health.borrow_mut().note_failure(now, now);
-    // A heartbeat of the same life changes nothing.
+    // A heartbeat of the same incarnation changes nothing.
     registry.put(&KEY, first.clone(), now, 1);
     expect_that!(
         Rc::ptr_eq(&before, &registry.upstreams(&service())[0]),
@@ -123,7 +124,8 @@
     expect_that!(registry.upstreams(&service()).len(), eq(0));
 }
 
-/// An evacuation holds for upstreams that register before and after it, and for those that change their entry.
+/// Guards against evacuations that miss upstreams: one must apply to upstreams that register before and after it, and
+/// to those that change their entry.
 #[gtest]
 fn an_evacuated_zone_gets_no_requests_until_it_is_taken_back() {
     let registry = UpstreamRegistry::new();
@@ -155,7 +157,8 @@
     expect_that!(takers(), eq(&["a", "b", "c"]));
 }
 
-/// A store that came back from an older copy held an upstream for ready that had said that it leaves.
+/// Guards against a leaving upstream becoming ready again when the store is restored from a copy older than its
+/// announcement.
 #[gtest]
 fn a_leaving_upstream_does_not_return_with_an_older_copy() {
     let now = Instant::now();
@@ -172,7 +175,7 @@
     registry.put(&KEY, leaving.clone(), now, 1);
     registry.put_restored(&KEY, older.clone(), now, 1);
     expect_that!(listed[0].is_leaving(), eq(true), "between two heartbeats");
-    // What it writes itself from then on counts, and so does another life.
+    // Later entries that it writes itself apply, and so do those of another incarnation.
     leaving.leaving = false;
     registry.put(&KEY, leaving, now, 1);
     expect_that!(listed[0].is_leaving(), eq(false));
@@ -184,7 +187,8 @@
     expect_that!(listed[0].entry().born, some(eq(BirthTime(7))));
 }
 
-/// The older copy holds the entries of upstreams that have left since; the store lets them lapse in a few seconds.
+/// Guards against sending to upstreams that have left but whose entries reappear when the store is restored from an
+/// older copy. The store expires these entries within a few seconds.
 #[gtest]
 fn an_upstream_that_has_left_does_not_return_with_an_older_copy() {
     let now = Instant::now();
@@ -209,8 +213,8 @@
     expect_that!(listed(), eq(1), "it has written its entry again");
 }
 
-/// An upstream that fell silent for a while and wrote its entry again has not left: a store that lacks it in one drill and
-/// holds it in the next takes nothing away.
+/// Guards against treating an upstream as departed that was silent for a while and registered again by itself. It must
+/// stay listed when one restored copy of the store lacks its entry and the next one has it.
 #[gtest]
 fn an_upstream_that_came_back_by_itself_is_not_withheld() {
     let now = Instant::now();
--- a/crates/ebonyfork/src/gateway/reply.rs
+++ b/crates/ebonyfork/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: an upstream's own, a gathered one, or a refusal of ours with what it promises.
+//! Answers to callers: forwarded from an upstream, gathered from shards, or refusals.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 use crate::gateway::reply_body::ReplyBody;
 use crate::gateway::request::strip_hop_headers;
 
-/// An answer to a caller.
+/// Answer to a caller.
 pub type CallerReply = Response<ReplyBody>;
 
-/// Makes the answer for a refusal.
+/// Builds the answer for a refusal.
 pub fn refusal(reason: RefusalReason) -> CallerReply {
     let mut reply = Response::new(Bytes::from_static(reason.word().as_bytes()).into());
     *reply.status_mut() = reason.status();
@@ -33,7 +33,7 @@
     reply
 }
 
-/// States when the caller should come back.
+/// Sets the `Retry-After` header, in seconds.
 pub fn set_retry_after(reply: &mut CallerReply, wait: Duration) {
     match HeaderValue::from_str(&format!("{:.3}", wait.as_secs_f64())) {
         Ok(value) => {
@@ -43,13 +43,13 @@
     }
 }
 
-/// Passes an upstream's answer on as it is, less what concerns its connection.
+/// Forwards an upstream's answer without its hop-by-hop headers.
 pub fn forwarded(answer: UpstreamAnswer) -> CallerReply {
     let mut headers = answer.headers;
     strip_hop_headers(&mut headers);
     let body = answer.body;
     if !body.is_end_stream() {
-        // The body states its length itself. An answer without one, as to HEAD, keeps what it says.
+        // The body determines the length. An answer without a body, as to HEAD, keeps its header.
         headers.remove(header::CONTENT_LENGTH);
     }
     let mut reply = Response::new(body);
@@ -58,7 +58,7 @@
     reply
 }
 
-/// Makes the answer of a query over many shards from the parts that are in.
+/// Builds the answer of a query over many shards from the partial answers received so far.
 pub fn gathered(names: &WireNames, state: &GatherState, top: usize) -> CallerReply {
     let body = merge_records(state.records(), top);
     let mut reply = Response::new(body.into());
--- a/crates/ebonyfork/src/gateway/reply_body.rs
+++ b/crates/ebonyfork/src/gateway/reply_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or passed on while it still comes in.
+//! Body of an answer to a caller, either buffered whole or streamed while it arrives.
 
 use std::error::Error;
 use std::fmt;
@@ -14,15 +14,16 @@
 use crate::gateway::flight::FlightGuard;
 use crate::gateway::upstream::{HeldLink, Upstream};
 
-/// Why the rest of an answer does not come. The caller's connection ends with it, so that what it has can't look whole.
+/// Error that ends an answer early. It also closes the caller's connection, so that the caller can't take the answer
+/// for complete.
 type BodyError = Box<dyn Error + Send + Sync>;
 
-/// The body of an answer to a caller.
+/// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// All of it is here.
+    /// The complete body.
     Whole(Bytes),
-    /// Its beginning is here.
+    /// The beginning of the body, and the stream of the rest.
     Stream(Box<AnswerStream>),
 }
 
@@ -33,14 +34,14 @@
 }
 
 impl ReplyBody {
-    /// Counts the request as in flight until the body has been passed on.
+    /// Counts the request as in flight until a streamed body has been passed on.
     pub fn hold(&mut self, flight: FlightGuard) {
         if let Self::Stream(stream) = self {
             stream.flight = Some(flight);
         }
     }
 
-    /// What is here already.
+    /// Returns the part of the body that has been buffered.
     pub fn begun(&self) -> &Bytes {
         match self {
             Self::Whole(bytes) => bytes,
@@ -49,15 +50,16 @@
     }
 }
 
-/// An upstream's answer whose rest is still to come. Dropping it ends the upstream's connection, and its work.
+/// Answer of an upstream whose rest is still arriving. Dropping it closes the upstream's connection, which also cancels
+/// the work at the upstream.
 pub struct AnswerStream {
     begun: Bytes,
     rest: Incoming,
-    /// The connection that carries it; `None` once it was given back.
+    /// Connection that carries the answer; `None` once it has been returned to the pool.
     link: Option<HeldLink>,
-    /// Whether the connection takes other requests afterwards.
+    /// Whether the connection can be reused afterwards.
     keeps: bool,
-    /// The idle time that the upstream has stated.
+    /// Idle timeout of the connection that the upstream has stated.
     idle: Option<Duration>,
     upstream: Rc<Upstream>,
     /// Longest silence before the answer is given up.
@@ -75,7 +77,8 @@
 }
 
 impl AnswerStream {
-    /// Passes on what has `begun`, then the rest as it comes. A silence of `patience` ends it.
+    /// Creates a stream that passes on `begun`, then the rest as it arrives. A silence of `idle_timeout` ends it with
+    /// an error.
     pub fn new(
         (begun, rest): (Bytes, Incoming),
         held: HeldLink,
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Keeps the connection for other requests afterwards; `idle` is the idle time that the upstream has stated.
+    /// Returns the connection to the pool afterwards; `keep_alive` is the idle timeout that the upstream has stated.
     #[must_use]
     pub fn with_kept_link(mut self, idle: Option<Duration>) -> Self {
         self.keeps = true;
@@ -133,7 +136,7 @@
         }
     }
 
-    /// The whole answer has come: its connection takes other requests.
+    /// Returns the connection to the pool, since the answer is complete.
     fn give_back(&mut self) {
         if let Some(held) = self.link.take()
             && self.keeps
--- a/crates/ebonyfork/src/gateway/reply_tests.rs
+++ b/crates/ebonyfork/src/gateway/reply_tests.rs
@@ -21,7 +21,7 @@
     RefusalReason::LateUnsent,
 ];
 
-/// 503 promises that the request has not run and never will.
+/// Guards against status 503 for a request that may have run: 503 guarantees that it has not run and will not run.
 #[gtest]
 fn only_refusals_of_requests_that_have_not_run_promise_it() {
     for reason in REASONS {
--- a/crates/ebonyfork/src/gateway/request.rs
+++ b/crates/ebonyfork/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request on its way to upstreams, and what must not travel with it.
+//! A caller's request as it is forwarded to upstreams, without hop-by-hop headers.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::gateway::partial::PartialRequest;
 use crate::ident::RequestFingerprint;
 
-/// Headers that concern one connection only, beside those that `Connection` names.
+/// Hop-by-hop headers, in addition to those that `Connection` lists.
 const HOP_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
@@ -26,7 +26,7 @@
     "upgrade",
 ];
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 ///
 /// # Examples
 ///
@@ -56,20 +56,20 @@
     }
 }
 
-/// A request that is ready to be sent to upstreams.
+/// Request that is ready to be sent to upstreams.
 #[derive(Debug)]
 pub struct ForwardRequest {
-    /// The caller's id of this attempt.
+    /// Identifies this attempt of the caller.
     pub id: HeaderValue,
-    /// When its head had been read.
+    /// Time at which the request head was received.
     pub received: Instant,
-    /// What the caller's side takes of the request's time.
+    /// Caller's share of the request's time.
     pub caller_time: Duration,
-    /// When the caller gives up, or the route does.
+    /// Time at which the caller gives up or the route's timeout ends.
     pub finish_by: Instant,
-    /// Names the request across attempts: the same request sent again has the same one.
+    /// Identifies the request across attempts: it is the same when the request is sent again.
     pub fingerprint: RequestFingerprint,
-    /// Whether an upstream was lost under an earlier attempt.
+    /// Whether an upstream was lost during an earlier attempt.
     pub after_loss: Cell<bool>,
     method: Method,
     target: Uri,
@@ -78,8 +78,8 @@
 }
 
 impl ForwardRequest {
-    /// Takes a caller's request with its whole body. Deadline and expected instance are left out: they are set for each
-    /// upstream.
+    /// Creates a request from a caller's head and complete body. Removes the deadline and the expected instance, which
+    /// are set for each upstream.
     pub fn new(
         names: &WireNames,
         parts: http::request::Parts,
@@ -109,14 +109,14 @@
         }
     }
 
-    /// States what the caller's side takes of the request's time.
+    /// Sets the caller's share of the request's time.
     #[must_use]
     pub fn with_caller_time(mut self, time: Duration) -> Self {
         self.caller_time = time;
         self
     }
 
-    /// Takes a request that another VM has passed on.
+    /// Creates a request from one that another VM has passed on.
     pub fn from_partial(
         names: &WireNames,
         partial: PartialRequest,
@@ -146,7 +146,7 @@
         })
     }
 
-    /// The request as it is passed on to another VM.
+    /// Returns the request in the form in which it is passed on to another VM.
     pub fn to_partial(&self) -> PartialRequest {
         let header = |(name, value): (&HeaderName, &HeaderValue)| {
             let value = Bytes::copy_from_slice(value.as_bytes());
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The request for one upstream, which may work on it for the stated milliseconds.
+    /// Builds the request for one upstream, which may work on it for `left_ms` milliseconds.
     pub fn build(
         &self,
         names: &WireNames,
@@ -177,8 +177,8 @@
                 headers.insert(names.expected_instance.clone(), value);
             }
             Err(error) => {
-                // Without the header a reused address would run the request; the name can't be one that the upstream
-                // itself would send.
+                // Without the header, another upstream at a reused address would run the request. The name can't be one
+                // that the upstream itself would send.
                 log::warn!("instance `{instance}` is not a header value: {error}");
             }
         }
@@ -187,7 +187,7 @@
     }
 }
 
-/// The target of a request without scheme and authority.
+/// Returns the target of a request without scheme and authority.
 fn origin_form(uri: Uri) -> Uri {
     if uri.authority().is_none() {
         return uri;
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which upstreams a request goes to, what may be repeated, and its target.
+//! Routes: which upstreams serve a request, whether it may be retried, and its latency target.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,34 +15,34 @@
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RepeatKind {
-    /// It may run on several upstreams, one after the other or side by side.
+    /// The request may run on several upstreams, sequentially or concurrently.
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     Once,
 }
 
 /// One of several services that share a route's requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: UpstreamService,
-    /// Its share, in proportion to the sum of all weights of the route.
+    /// Weight of the service, relative to the sum of all weights of the route.
     pub weight: f64,
 }
 
-/// What a query over many shards asks of its answer.
+/// Requirements for the answer to a query over many shards.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatherTerms {
-    /// The shards; each is a service all of whose upstreams answer alike.
+    /// Shards of the query. Each is a service whose upstreams are interchangeable.
     pub shards: Vec<UpstreamService>,
-    /// Most records in the answer.
+    /// Largest number of records in the answer.
     pub top: usize,
-    /// Least share of the shards for which there is an answer at all, 0 to 1.
+    /// Smallest fraction of the shards, 0 to 1, that must have answered for the query to be answered at all.
     pub least_coverage: f64,
 }
 
 impl GatherTerms {
-    /// The fewest shards that make an answer: at least one.
+    /// Returns the smallest number of shards that make an answer, at least one.
     ///
     /// # Examples
     ///
@@ -54,75 +54,75 @@
     /// assert_eq!(terms.least_shards(), 18);
     /// ```
     pub fn least_shards(&self) -> usize {
-        /// Absorbs the rounding of a share such as 0.95 times 20.
+        /// Absorbs floating-point error in products such as 0.95 times 20.
         const ROUNDING: f64 = 1e-9;
         let least = (self.least_coverage * self.shards.len() as f64 - ROUNDING).ceil();
         (least as usize).clamp(1, self.shards.len().max(1))
     }
 }
 
-/// Where the requests of a route go.
+/// Destination of the requests of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RouteTarget {
-    /// To one upstream of a service.
+    /// One upstream of a service.
     One(UpstreamService),
-    /// To one upstream of one of these services.
+    /// One upstream of one of several weighted services.
     Weighted(SmallVec<[WeightedService; 2]>),
-    /// To one upstream of each shard.
+    /// One upstream of each shard.
     Gather(GatherTerms),
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteEntry {
-    /// Its name.
+    /// Name of the route.
     pub name: RouteName,
-    /// The host it is for, in lower case.
+    /// Host that the route matches, in lower case.
     pub host: CompactString,
-    /// The beginning of the paths it is for.
+    /// Path prefix that the route matches.
     pub prefix: CompactString,
-    /// Whether its requests may be repeated.
+    /// Whether its requests may run more than once.
     pub repeat: RepeatKind,
-    /// Longest time that a request may be kept waiting.
+    /// Longest time until a request must be answered.
     pub timeout: Duration,
-    /// Latency target: an answer that comes later is worth little.
+    /// Latency target: a later answer is worth little to the caller.
     pub target: Duration,
-    /// Most upstreams (of each shard) on which one request may run.
+    /// Largest number of upstreams (per shard) on which one request may run.
     pub attempts: usize,
-    /// Rank, 0 the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where its requests go.
+    /// Where its requests are sent.
     pub destination: RouteTarget,
-    /// In which regions its requests may be served.
+    /// Regions in which its requests may be served.
     pub homes: HomeRegions,
 }
 
-/// What is stated about a service.
+/// Properties that the configuration states for a service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceTerms {
     /// Connections that one upstream accepts from all VMs together.
     pub connections: usize,
-    /// Requests a second that one upstream tolerates while it is cold; 0 if that is not stated.
+    /// Requests per second that a cold upstream tolerates; 0 if not stated.
     pub cold_rate: RequestRate,
-    /// How long an upstream is cold after a start.
+    /// How long an upstream stays cold after a start.
     pub cold_time: Duration,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on what callers may send and how long they may take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
     /// Longest request head, in bytes.
     pub header_bytes: usize,
     /// Longest request body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for sending a request head.
+    /// Longest time for receiving a request head.
     pub header_time: Duration,
-    /// How long a connection may lie idle.
+    /// Longest idle time of a caller's connection.
     pub idle_time: Duration,
 }
 
-/// One version of the operators' configuration, indexed for look-ups. It is immutable: a request keeps the version it
-/// began with.
+/// A version of the operators' configuration, indexed for look-ups. It is immutable: a request keeps using the version
+/// with which it started.
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     version: ConfigVersion,
@@ -133,8 +133,8 @@
 }
 
 impl RouteEntry {
-    /// Names the route with its shards: two versions of the configuration that leave both as they are have the same
-    /// mark, so VMs that learn of a version at different moments still understand one another.
+    /// Returns a digest of the route's name and shards. It is the same in two versions of the configuration that change
+    /// neither, so VMs that receive a new version at different times can still refer to the same route.
     ///
     /// # Examples
     ///
@@ -177,7 +177,7 @@
 }
 
 impl RouteEntry {
-    /// Marks everything that is stated about the route.
+    /// Returns a digest of all stated properties of the route.
     fn terms_mark(&self) -> u64 {
         let mut hash = Xxh3::new();
         hash.update(&self.shard_mark().to_be_bytes());
@@ -209,7 +209,7 @@
 }
 
 impl RouteTable {
-    /// Indexes a version.
+    /// Indexes a version of the configuration.
     ///
     /// # Examples
     ///
@@ -244,7 +244,7 @@
             }
         }
         for routes in hosts.values_mut() {
-            // The longest prefix goes first, so that the first match is the right one.
+            // Sorts the longest prefix first, so that the first match is the most specific.
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         Self {
@@ -256,17 +256,17 @@
         }
     }
 
-    /// The version that this table holds.
+    /// Returns the version of the configuration.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// What callers may send.
+    /// Returns the limits on callers.
     pub fn limits(&self) -> CallerLimits {
         self.limits
     }
 
-    /// Finds the route with the longest prefix of a path among those of a host (any case, with or without a port).
+    /// Finds the route of a host (in any case, with or without a port) with the longest prefix that matches a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteEntry>> {
         let host = host_name(host);
         let routes = match self.hosts.get(host) {
@@ -278,13 +278,14 @@
             .find(|route| path.starts_with(route.prefix.as_str()))
     }
 
-    /// Finds a route over many shards by its mark.
+    /// Finds a route over many shards by its [shard digest](RouteEntry::shard_digest).
     pub fn find_marked(&self, mark: u64) -> Option<&Rc<RouteEntry>> {
         self.marks.get(&mark)
     }
 
-    /// Marks the route of a host with a prefix and all its other routes whose prefixes begin so: while the mark is the same in
-    /// two versions, both do the same with every path that begins so. None if there is no such route.
+    /// Returns a digest of the route with this host and prefix and of all routes of the host whose prefixes extend it.
+    /// While the digest is the same in two versions, both treat every path with this prefix alike. Returns `None` if no
+    /// such route exists.
     pub fn scope_mark(&self, host: &str, prefix: &str) -> Option<u64> {
         let below = |route: &&Rc<RouteEntry>| route.prefix.starts_with(prefix);
         let mut below: Vec<_> = self.routes_of(host).iter().filter(below).collect();
@@ -299,34 +300,34 @@
         Some(hash.digest())
     }
 
-    /// The routes of a host.
+    /// Returns the routes of a host.
     pub fn routes_of(&self, host: &str) -> &[Rc<RouteEntry>] {
         let routes = self.hosts.get(host_name(host));
         routes.map_or(&[], Vec::as_slice)
     }
 
-    /// What is stated about a service.
+    /// Returns the stated properties of a service.
     pub fn service(&self, service: &UpstreamService) -> Option<ServiceTerms> {
         self.services.get(service).copied()
     }
 
-    /// All routes.
+    /// Iterates over all routes.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<RouteEntry>> {
         self.hosts.values().flatten()
     }
 
-    /// Names of all routes.
+    /// Iterates over the names of all routes.
     pub fn route_names(&self) -> impl Iterator<Item = &RouteName> {
         self.routes().map(|route| &route.name)
     }
 
-    /// The number of routes.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 }
 
-/// A host without its port.
+/// Returns a host without its port.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name,
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -81,7 +81,8 @@
     }
 }
 
-/// A VM that has an older version must see that a route's homes are others in the newer one.
+/// Guards against treating a route as unchanged when only its home regions differ: a VM with an older version must
+/// notice it.
 #[gtest]
 fn other_homes_are_another_scope() {
     let mark = |regions: &[&str]| {
--- a/crates/ebonyfork/src/gateway/settings.rs
+++ b/crates/ebonyfork/src/gateway/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway process, read from INI and frozen.
+//! Settings of a gateway process, read from an INI file and immutable afterwards.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::ini::{IniDocument, IniSection, SectionReader};
 use crate::settings::LogSettings;
 
-/// How far apart two places are.
+/// Distance between two places.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PlaceDistance {
     /// In the same availability zone.
@@ -24,30 +24,30 @@
     Far,
 }
 
-/// Where a process runs.
+/// Location and capacity of the VM on which a process runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePlace {
     /// Name of the VM, for logs.
     pub name: CompactString,
-    /// Its address.
+    /// Address of the VM.
     pub address: IpAddr,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: PlaceName,
-    /// Its region.
+    /// Region of the VM.
     pub region: PlaceName,
-    /// Processor that the VM has, in whole cores.
+    /// Processor capacity of the VM, in cores.
     pub cores: f64,
-    /// The region of each availability zone.
+    /// Region of each availability zone.
     pub zones: FxHashMap<PlaceName, PlaceName>,
 }
 
 impl NodePlace {
-    /// The region of an availability zone, if the settings name it.
+    /// Returns the region of an availability zone, if the settings list it.
     pub fn region_of(&self, zone: &PlaceName) -> Option<&PlaceName> {
         self.zones.get(zone)
     }
 
-    /// How far away an availability zone is.
+    /// Returns the distance to an availability zone.
     pub fn distance(&self, zone: &PlaceName) -> PlaceDistance {
         if *zone == self.zone {
             return PlaceDistance::Zone;
@@ -59,51 +59,52 @@
     }
 }
 
-/// Where a process listens.
+/// Addresses on which a process listens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For callers' requests.
+    /// Address for callers' requests.
     pub callers: SocketAddr,
-    /// For readiness checks.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// For callers that ask which VMs to use.
+    /// Address for look-ups of the VMs to use.
     pub directory: SocketAddr,
-    /// For metrics.
+    /// Address for metrics.
     pub metrics: SocketAddr,
-    /// UDP port for our own processes.
+    /// UDP and TCP port for our own processes.
     pub peer_port: u16,
 }
 
-/// Checked settings of one gateway process.
+/// Validated settings of one gateway process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySettings {
-    /// Where it runs.
+    /// Location and capacity of the VM.
     pub place: NodePlace,
-    /// Where it listens.
+    /// Addresses on which the process listens.
     pub listen: ListenAddresses,
     /// Address of the store.
     pub store: SocketAddr,
     /// Time between SIGTERM and SIGKILL.
     pub grace: Duration,
-    /// How soon a change in the store must be in force: a configuration, that an upstream leaves, or an evacuation.
+    /// Longest time until a change in the store must be in force: a configuration, a leaving upstream, or an
+    /// evacuation.
     pub change_bound: Duration,
-    /// The bound on repeats, for all VMs together.
+    /// Terms of the retry budget, shared by all VMs.
     pub budget: BudgetTerms,
-    /// The bound on requests to a cold upstream, for all VMs together; `None` where none holds.
+    /// Bound on requests to a cold upstream, shared by all VMs; `None` if there is none.
     pub cold_bound: Option<ColdBound>,
-    /// Logging.
+    /// Settings of the log.
     pub log: LogSettings,
 }
 
-/// How soon a change must be in force if that is not stated: the shortest that any user asks for.
+/// Default for how soon a change must be in force: the shortest time that any user requires.
 const CHANGE_BOUND: Duration = Duration::from_secs(3);
-/// Shortest bound that can be met: a VM that loses its source has to notice, and to ask another one, within it.
+/// Shortest bound that can be met: within it, a VM that loses its source must notice and ask another one.
 const LEAST_CHANGE_BOUND: Duration = Duration::from_secs(1);
 
 const SECTIONS: [&str; 6] = ["node", "listen", "zones", "store", "bounds", "log"];
 
 impl GatewaySettings {
-    /// Reads settings from INI text and reports every finding at once.
+    /// Parses settings from INI text. On failure, reports all findings together.
     ///
     /// # Examples
     ///
@@ -209,7 +210,7 @@
     address
 }
 
-/// What the section of bounds states.
+/// Values of the `bounds` section.
 struct StatedBounds {
     grace: Duration,
     change: Duration,
@@ -245,7 +246,7 @@
     })
 }
 
-/// Reads the bound on requests to cold upstreams; both of its figures or neither are stated.
+/// Reads the bound on requests to cold upstreams. Both values or neither must be stated.
 fn read_cold_bound(reader: &mut SectionReader<'_>) -> Option<ColdBound> {
     let (overage_key, slack_key) = ("cold-overage", "cold-slack");
     let overage = reader.optional::<f64>(overage_key);
@@ -264,7 +265,7 @@
     })
 }
 
-/// Reads a finite number that is not negative.
+/// Reads a finite, non-negative number.
 fn read_amount(reader: &mut SectionReader<'_>, key: &'static str) -> Option<f64> {
     let amount: f64 = reader.required(key)?;
     if amount.is_finite() && amount >= 0.0 {
@@ -284,7 +285,7 @@
     None
 }
 
-/// Reads how soon a change must be in force, in whole milliseconds; `None` if that is not stated.
+/// Reads how soon a change must be in force, in whole milliseconds; `None` if not stated.
 fn read_change_bound(reader: &mut SectionReader<'_>, key: &'static str) -> Option<Duration> {
     let bound = Duration::from_millis(reader.optional::<u64>(key)?);
     if bound < LEAST_CHANGE_BOUND {
--- a/crates/ebonyfork/src/gateway/settings_tests.rs
+++ b/crates/ebonyfork/src/gateway/settings_tests.rs
@@ -62,7 +62,7 @@
     expect_that!(findings.to_string(), contains_substring("[bounds]"));
 }
 
-/// Deployments that bound neither evacuations nor cold upstreams state nothing of them.
+/// Guards against requiring bounds on evacuations or cold upstreams from deployments that have none.
 #[gtest]
 fn bounds_of_places_are_optional() {
     let plain = GatewaySettings::parse("g.ini", WHOLE).expect("no findings");
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -1,4 +1,4 @@
-//! Leases shares of the repeats' slack between the VMs of a zone: each VM that stands by is asked by one that serves.
+//! Leases shares of the retry budget's slack between the VMs of a zone: each standby VM is asked by one serving VM.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use crate::ident::VmAddress;
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Time between two questions to the same VM: two may be lost before the lease ends.
+/// Time between two requests for a VM's share. Two of them may be lost before the lease ends.
 const ASK_PERIOD: Duration = Duration::from_secs(1);
 
-/// The shares that are on lease, as they were last logged.
+/// Shares on lease as last logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ShareHolding {
     borrowed: usize,
     lent: Option<VmAddress>,
 }
 
-/// Asks for shares until the future is dropped.
+/// Requests shares until the future is dropped.
 pub async fn run_leases(core: Rc<GatewayCore>, own: VmAddress) {
     let mut logged = None;
     loop {
@@ -44,7 +44,7 @@
     let _sent = core.delegates.tell(owner, message);
 }
 
-/// Puts the shares that are on lease into the metrics, and into the log if they have changed.
+/// Updates the metrics with the shares on lease, and logs them if they have changed.
 fn note_shares(core: &GatewayCore, logged: &mut Option<ShareHolding>) {
     let time = core.running_time();
     let account = core.repeats.borrow();
@@ -67,7 +67,7 @@
     );
 }
 
-/// Takes in what another VM asks or answers about a share.
+/// Handles a request for a share, or the answer to one, from another VM.
 pub fn take_message(core: &GatewayCore, from: &LinkSender, message: ShareMessage) {
     let Some(peer) = from.peer().map(|session| session.vm) else {
         log::debug!("share message from an unknown VM: {message:?}");
@@ -78,7 +78,7 @@
         ShareMessage::Ask { number } => {
             let answer = answer_ask(core, peer, number, time);
             if let Err(error) = from.send(PeerMessage::Share(answer)) {
-                // The share stays unused until its term has passed.
+                // The share stays unused until the lease ends.
                 log::debug!("share answer for {peer}: {error}");
             }
         }
--- a/crates/ebonyfork/src/gateway/slots.rs
+++ b/crates/ebonyfork/src/gateway/slots.rs
@@ -1,8 +1,8 @@
-//! Who may use the connections to one upstream: a bounded number at a time, the others wait in order of use.
+//! Limits the number of connections to one upstream that are in use, and queues requests by deadline.
 //!
-//! In order of arrival an overload makes every request late: each waits behind others that are late already. Here those
-//! come first that can still be in time, the most pressing of them before the rest; those that can't wait for what is
-//! left over, and use half of the connections at most.
+//! With a first-come, first-served queue an overload makes every request late, because each waits behind requests that
+//! are late already. Here requests that can still meet their deadline go first, the most urgent of them before the
+//! others. Those that can't use only what is left over, and at most half of the connections.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,23 +10,23 @@
 
 use tokio::sync::oneshot;
 
-/// Of the connections, one in this many is left to requests that can no longer be in time, and one at least. What is sent
-/// waits in the upstream's own queue, where nothing overtakes it.
+/// Divisor that yields the number of connections available to requests that can no longer meet their deadline, at least
+/// one. More would fill the upstream's own queue, in which nothing can overtake.
 const LATE_PART: usize = 2;
 
-/// What a request that waits for a connection is worth, by time.
+/// Properties by which a request that waits for a connection is ranked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotOrder {
-    /// Until when an answer is of full use; `None` if that has passed.
+    /// Time until which an answer is of full value; `None` if that time has passed.
     pub useful_until: Option<Instant>,
-    /// How long the upstream usually takes.
+    /// Usual service time of the upstream.
     pub need: Duration,
-    /// When the request was received.
+    /// Time at which the request was received.
     pub received: Instant,
 }
 
 impl SlotOrder {
-    /// Its rank at a moment: the lowest goes first.
+    /// Returns the rank at a given time; the lowest goes first.
     fn rank(&self, now: Instant) -> (bool, Instant) {
         match self.useful_until {
             Some(until) if now + self.need <= until => (false, until),
@@ -48,13 +48,13 @@
     waiters: Vec<SlotWaiter>,
 }
 
-/// The connections to one upstream that may be used at a time. Clones share them.
+/// Queue for the connections to one upstream. Clones share it.
 #[derive(Debug, Clone)]
 pub struct SlotQueue {
     state: Rc<RefCell<SlotState>>,
 }
 
-/// The right to use one connection; it goes to the next waiter when it is dropped.
+/// Permit to use one connection. Dropping it passes it on to the next waiter.
 #[derive(Debug)]
 pub struct SlotPermit {
     queue: SlotQueue,
@@ -68,7 +68,7 @@
 }
 
 impl SlotQueue {
-    /// Allows `granted` connections at a time.
+    /// Creates a queue that allows `limit` connections at a time.
     pub fn new(granted: usize) -> Self {
         let state = SlotState {
             granted,
@@ -80,35 +80,35 @@
         }
     }
 
-    /// Connections that may be used at a time.
+    /// Returns how many connections may be in use at a time.
     pub fn granted(&self) -> usize {
         self.state.borrow().granted
     }
 
-    /// Changes how many connections may be used at a time; those in use stay until they are given back.
+    /// Sets how many connections may be in use at a time. Permits already handed out stay valid until they are dropped.
     pub fn grant(&self, granted: usize) {
         self.state.borrow_mut().granted = granted;
         self.dispatch();
     }
 
-    /// Waits for the right to use a connection. Dropping the future gives up the place.
+    /// Waits for a permit to use a connection. Dropping the future leaves the queue.
     pub async fn acquire(&self, order: SlotOrder) -> Option<SlotPermit> {
         let (wake, woken) = oneshot::channel();
         let waiter = SlotWaiter { order, wake };
         self.state.borrow_mut().waiters.push(waiter);
         self.dispatch();
-        // The sender lives in the queue until it is used, so the wait ends with a permit.
+        // The queue keeps the sender until it sends a permit, so the wait ends with one.
         woken.await.ok()
     }
 
-    /// Hands free connections to the waiters that come first.
+    /// Hands free permits to the first waiters.
     fn dispatch(&self) {
         while let Some(waiter) = self.next_waiter() {
             self.state.borrow_mut().used += 1;
             let permit = SlotPermit {
                 queue: self.clone(),
             };
-            // A waiter that has given up drops the permit, which looks for the next one.
+            // A waiter that has given up drops the permit, which dispatches it to the next one.
             let _given_up = waiter.wake.send(permit);
         }
     }
--- a/crates/ebonyfork/src/gateway/slots_tests.rs
+++ b/crates/ebonyfork/src/gateway/slots_tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Lets waiters queue up behind one permit and returns the order in which they get it.
+/// Queues waiters behind one permit and returns the order in which they obtain it.
 async fn served(queue: &SlotQueue, orders: Vec<(char, SlotOrder)>) -> String {
     let held = queue.acquire(orders[0].1).await;
     let finished = Rc::new(RefCell::new(String::new()));
@@ -44,10 +44,10 @@
     let start = TokioInstant::now().into_std();
     let queue = SlotQueue::new(1);
     let orders = vec![
-        ('l', order(0, None, start)),     // late already
-        ('h', order(1, Some(20), start)), // can't make it any more
+        ('l', order(0, None, start)),     // already late
+        ('h', order(1, Some(20), start)), // can't meet its deadline any more
         ('b', order(2, Some(200), start)),
-        ('a', order(3, Some(100), start)), // the most pressing that can
+        ('a', order(3, Some(100), start)), // the most urgent one that can
     ];
     expect_that!(served(&queue, orders).await, eq("ablh"));
 }
@@ -85,7 +85,7 @@
     expect_that!(fourth.is_ok(), eq(true));
 }
 
-/// The upstream's own queue is in order of arrival, so what is late already must not fill it.
+/// Guards against late requests filling the upstream's own queue, which is first-come, first-served.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn late_requests_leave_half_of_the_connections_free() {
@@ -102,7 +102,7 @@
     drop((second, in_time));
     let fourth = tokio::time::timeout(ms(10), queue.acquire(late)).await;
     expect_that!(fourth.is_ok(), eq(true));
-    // One is always left to them.
+    // Late requests always get at least one.
     let narrow = SlotQueue::new(1);
     let only = tokio::time::timeout(ms(10), narrow.acquire(late)).await;
     expect_that!(only.is_ok(), eq(true));
--- a/crates/ebonyfork/src/gateway/status.rs
+++ b/crates/ebonyfork/src/gateway/status.rs
@@ -1,4 +1,4 @@
-//! Serves the metrics as text.
+//! Serves the metrics in OpenMetrics text format.
 
 use bytes::Bytes;
 use http::{Response, StatusCode, header};
@@ -10,7 +10,7 @@
 
 const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Serves the metrics until the future is dropped.
+/// Serves the metrics on a listener until the future is dropped.
 pub async fn serve_metrics(registry: Registry, listener: TcpListener) {
     serve_http(listener, move |_request| encode(&registry)).await;
 }
--- a/crates/ebonyfork/src/gateway/stream_activity.rs
+++ b/crates/ebonyfork/src/gateway/stream_activity.rs
@@ -1,5 +1,5 @@
-//! A caller's connection whose bytes are noticed: the HTTP library tells of a request only once its head is whole, and
-//! nothing of when an answer is written.
+//! Observes the bytes on a caller's connection. The HTTP library reports a request only once its head is complete, and
+//! does not report when an answer is written.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,34 +15,34 @@
 use crate::gateway::clock::now;
 use crate::gateway::policy::answer_lag::AnswerLag;
 
-/// What a caller's connection is doing: whether it is in use, since when not, how far its request and answer have come.
+/// State of a caller's connection: whether it is idle, and the progress of its current request and answer.
 #[derive(Debug)]
 pub(super) struct StreamActivity {
-    /// How far away the caller is.
+    /// Network distance of the caller.
     pub(super) distance: CallerDistance,
-    /// Whether no request has come yet.
+    /// Whether no request has been received yet.
     pub(super) new: Cell<bool>,
     /// Whether a request is being answered.
     pub(super) busy: Cell<bool>,
-    /// Since when none is.
+    /// Time since which no request is being answered.
     pub(super) since: Cell<Instant>,
-    /// Since when a request's head has been coming in.
+    /// Time at which the first bytes of a request head were received, while it is incomplete.
     pub(super) head_since: Cell<Option<Instant>>,
-    /// When the gathered answer was decided on that is about to be written.
+    /// Time at which the gathered answer that is about to be written was decided on.
     pub(super) decided: Cell<Option<Instant>>,
-    /// How late answers are after the decision on them.
+    /// Delay between deciding on an answer and writing it.
     pub(super) lag: Rc<RefCell<AnswerLag>>,
 }
 
 impl StreamActivity {
-    /// Notes that bytes have come in.
+    /// Records that bytes have been received.
     pub(super) fn note_bytes(&self) {
         if !self.busy.get() && self.head_since.get().is_none() {
             self.head_since.set(Some(now()));
         }
     }
 
-    /// Notes that an answer has been given to the kernel.
+    /// Records that an answer has been passed to the kernel.
     pub(super) fn note_written(&self) {
         let Some(decided) = self.decided.take() else {
             return;
@@ -53,7 +53,7 @@
     }
 }
 
-/// A connection that notes when bytes come in and go out.
+/// Connection that records when bytes are received and sent.
 #[derive(Debug)]
 pub(super) struct ActivityStream {
     stream: TcpStream,
@@ -61,7 +61,7 @@
 }
 
 impl ActivityStream {
-    /// Watches a connection.
+    /// Wraps a connection.
     pub(super) fn new(stream: TcpStream, activity: Rc<StreamActivity>) -> Self {
         Self { stream, activity }
     }
--- a/crates/ebonyfork/src/gateway/upstream.rs
+++ b/crates/ebonyfork/src/gateway/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream as this process knows it: what it registered, its connections, what was learnt about it.
+//! An upstream as seen by this process: its registered entry, its connections and its health.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,48 +13,49 @@
 use crate::http_link::{HttpLink, LinkError};
 use crate::quarantine::LostRequest;
 
-/// What an upstream has registered about itself.
+/// Entry that an upstream has registered about itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamEntry {
-    /// The upstream's name.
+    /// Name of the upstream.
     pub instance: InstanceName,
-    /// When it was started, where upstreams tell.
+    /// Start time of the upstream; `None` on deployments whose upstreams don't state it.
     pub born: Option<BirthTime>,
-    /// The service it belongs to.
+    /// Service that the upstream belongs to.
     pub service: UpstreamService,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// The availability zone it is in.
+    /// Availability zone of the upstream.
     pub zone: PlaceName,
-    /// Requests that it runs side by side.
+    /// Number of requests that the upstream runs concurrently.
     pub slots: usize,
-    /// Heartbeats of this life when it wrote the entry.
+    /// Number of heartbeats of this incarnation when it wrote the entry.
     pub heartbeats: u64,
-    /// Whether it is about to leave.
+    /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining time for which the upstream is slow after its start.
     pub cold: Duration,
 }
 
 impl UpstreamEntry {
-    /// The life that has written the entry.
+    /// Returns the incarnation that wrote the entry.
     pub fn life(&self) -> UpstreamLife {
         UpstreamLife::new(self.instance.clone(), self.born)
     }
 }
 
-/// Margin by which a kept connection is given up before the upstream's own idle time ends: a request that crosses the
-/// upstream's close is lost.
+/// How long before the upstream's own idle timeout a pooled connection is given up. A request that is sent while the
+/// upstream closes the connection is lost.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Time without a refusal after which one more connection is tried.
+/// Time without a refusal after which one more connection is allowed.
 const WIDEN_PERIOD: Duration = Duration::from_secs(1);
-/// How long connections beyond the first are kept. An upstream counts the connections of a VM that has lost power until
-/// its own idle time ends; with every spare one kept, VMs that all came back at once found no room for some 8 s.
+/// How long spare connections are kept, that is all pooled ones but the most recently used. An upstream counts the
+/// connections of a VM that has lost power until its own idle timeout. When all spare ones were kept, VMs that
+/// restarted together were refused connections for some 8 s.
 const SPARE_KEPT: Duration = Duration::from_millis(400);
-/// How long a connection is kept whose upstream states no idle time.
+/// Idle timeout of a pooled connection whose upstream states none.
 const IDLE_ASSUMED: Duration = Duration::from_secs(4);
 
-/// A kept connection.
+/// Pooled connection.
 #[derive(Debug)]
 struct IdleLink {
     link: HttpLink,
@@ -62,49 +63,50 @@
     keep: Duration,
 }
 
-/// One upstream.
+/// An upstream, its connections and its health.
 #[derive(Debug)]
 pub struct Upstream {
-    /// What it registered last.
+    /// Entry that the upstream registered last.
     entry: RefCell<Rc<UpstreamEntry>>,
-    /// What was learnt about it.
+    /// Health of the upstream as learnt from requests.
     pub health: RefCell<UpstreamHealth>,
     idle: RefCell<Vec<IdleLink>>,
     slots: SlotQueue,
-    /// Connections that this process may hold.
+    /// Number of connections that this process may hold.
     share: Cell<usize>,
-    /// When the upstream last turned a connection away, or a permit was given back since.
+    /// Time at which the upstream last refused a connection or a connection was last restored; `None` if the whole
+    /// share is allowed.
     narrowed: Cell<Option<Instant>>,
     leaving: Cell<bool>,
-    /// Whether its availability zone is evacuated.
+    /// Whether the upstream's availability zone is evacuated.
     evacuated: Cell<bool>,
-    /// Until when it is cold by what it has registered.
+    /// Time until which the upstream is cold according to its entry.
     stated_cold: Cell<Instant>,
-    /// Until when it may be cold although it has not said so.
+    /// Time until which the upstream may be cold without having stated it.
     assumed_cold: Cell<Instant>,
-    /// Whether the log tells that its load can't be read.
+    /// Whether an unreadable load report has been logged.
     pub load_warned: Cell<bool>,
-    /// Requests that it got from this process while it was cold.
+    /// Requests that this process sent to the upstream while it was cold.
     pub cold_sends: RefCell<SendWindow>,
-    /// Requests under which a connection broke, until it is known whether the upstream was lost.
+    /// Requests whose connection broke, until it is known whether the upstream was lost.
     lost: RefCell<Vec<LostRequest>>,
-    /// How that is looked at.
+    /// Check whether the upstream was lost, while it runs.
     loss_check: RefCell<Option<Rc<LossCheck>>>,
 }
 
-/// A connection that is in use, with the right to hold it.
+/// Connection in use, together with the permit to hold it.
 #[derive(Debug)]
 pub struct HeldLink {
     /// The connection.
     pub link: HttpLink,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried an earlier request.
     pub reused: bool,
     permit: SlotPermit,
 }
 
 impl Upstream {
-    /// An upstream that may be given `share` connections by this process, and never more than it has slots: what goes
-    /// beyond them waits in its own queue, where a pressing request can't overtake.
+    /// Creates an upstream to which this process may hold `share` connections, but never more than it has slots. Excess
+    /// requests would wait in the upstream's own queue, where urgent ones can't overtake.
     pub fn new(entry: UpstreamEntry, now: Instant, share: usize) -> Self {
         let share = share.min(entry.slots).max(1);
         Self {
@@ -125,60 +127,61 @@
         }
     }
 
-    /// What it registered last.
+    /// Returns the entry that the upstream registered last.
     pub fn entry(&self) -> Rc<UpstreamEntry> {
         Rc::clone(&self.entry.borrow())
     }
 
-    /// Takes in what the same life of the upstream has registered anew.
+    /// Updates the entry with a newer one of the same incarnation.
     pub fn update(&self, entry: UpstreamEntry, now: Instant) {
         self.leaving.set(entry.leaving);
         self.stated_cold.set(now + entry.cold);
         *self.entry.borrow_mut() = Rc::new(entry);
     }
 
-    /// Marks it as leaving: it gets no new requests and no connection is kept.
+    /// Marks the upstream as leaving: it gets no new requests, and its pooled connections are closed.
     pub fn leave(&self) {
         self.leaving.set(true);
         self.drop_idle();
     }
 
-    /// Whether it gets no new requests.
+    /// Returns whether the upstream is leaving and gets no new requests.
     pub fn is_leaving(&self) -> bool {
         self.leaving.get()
     }
 
-    /// States whether its availability zone is evacuated.
+    /// Sets whether the upstream's availability zone is evacuated.
     pub fn set_evacuated(&self, evacuated: bool) {
         self.evacuated.set(evacuated);
     }
 
-    /// Whether its availability zone is evacuated.
+    /// Returns whether the upstream's availability zone is evacuated.
     pub fn is_evacuated(&self) -> bool {
         self.evacuated.get()
     }
 
-    /// It may have become cold and not have said so yet.
+    /// Treats the upstream as cold until the given time, because it may have become cold without having stated it yet.
     pub fn assume_cold(&self, until: Instant) {
         self.assumed_cold.set(until.max(self.assumed_cold.get()));
     }
 
-    /// Whether it is cold, as far as is known.
+    /// Returns whether the upstream is cold or assumed to be.
     pub fn is_cold(&self, now: Instant) -> bool {
         now < self.cold_until()
     }
 
-    /// Until when it is cold, as far as is known.
+    /// Returns the time until which the upstream is cold or assumed to be.
     pub fn cold_until(&self) -> Instant {
         self.stated_cold.get().max(self.assumed_cold.get())
     }
 
-    /// Whether it may get new requests: it does not leave and its availability zone is not evacuated.
+    /// Returns whether the upstream may get new requests: it is not leaving, and its availability zone is not
+    /// evacuated.
     pub fn takes_requests(&self) -> bool {
         !self.leaving.get() && !self.evacuated.get()
     }
 
-    /// Changes how many connections this process may hold.
+    /// Sets how many connections this process may hold.
     pub fn set_share(&self, share: usize) {
         let share = share.min(self.entry().slots).max(1);
         self.share.set(share);
@@ -190,20 +193,20 @@
         });
     }
 
-    /// Changes how many connections may be used at a time, within the share.
+    /// Sets how many connections may be in use at a time, within the share.
     fn grant(&self, wanted: usize) {
         let wanted = wanted.clamp(1, self.share.get());
         self.slots.grant(wanted);
         self.idle.borrow_mut().truncate(wanted);
     }
 
-    /// The upstream has turned a connection or a request away: fewer are tried at a time.
+    /// Allows one connection less because the upstream has refused a connection or a request.
     pub fn narrow(&self, now: Instant) {
         self.narrowed.set(Some(now));
         self.grant(self.slots.granted().saturating_sub(1));
     }
 
-    /// Gives back a permit when the upstream has turned nothing away for a while.
+    /// Allows one connection more if the upstream has refused nothing for a while.
     pub fn widen(&self, now: Instant) {
         let Some(narrowed) = self.narrowed.get() else {
             return;
@@ -216,13 +219,13 @@
         self.narrowed.set((!whole).then_some(now));
     }
 
-    /// Closes the kept connections.
+    /// Closes the pooled connections.
     pub fn drop_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Notes a request under which a connection broke. Returns how that is looked at, and whether it is the first since
-    /// [`Self::take_lost`].
+    /// Adds a request whose connection broke. Returns the check of the upstream and whether it is a new one, that is
+    /// the first since [`Self::take_lost_requests`].
     pub fn add_lost(&self, request: LostRequest) -> (Rc<LossCheck>, bool) {
         self.lost.borrow_mut().push(request);
         let mut current = self.loss_check.borrow_mut();
@@ -231,14 +234,14 @@
         (Rc::clone(check), first)
     }
 
-    /// Takes the requests under which connections broke.
+    /// Ends the check and returns the requests whose connections broke.
     pub fn take_lost(&self) -> Vec<LostRequest> {
         self.loss_check.take();
         self.lost.take()
     }
 
-    /// Waits for the right to use a connection and takes a kept one that has lain idle for less than `fresh`, or opens
-    /// one within a bound.
+    /// Waits for a permit, then returns a pooled connection that has been idle for at most `max_idle`, or opens a new
+    /// one within `connect_timeout`.
     pub async fn connect(
         &self,
         order: SlotOrder,
@@ -278,7 +281,7 @@
         None
     }
 
-    /// Keeps a connection for later requests; `stated` is the idle time that the upstream has named.
+    /// Returns a connection to the pool. `stated` is the idle timeout that the upstream has stated.
     pub fn keep(&self, held: HeldLink, stated: Option<Duration>) {
         let keep = stated.map_or(IDLE_ASSUMED, |stated| stated.saturating_sub(IDLE_MARGIN));
         let now = tokio::time::Instant::now().into_std();
@@ -295,10 +298,10 @@
         drop(held.permit);
     }
 
-    /// Closes kept connections that nobody has used in time.
+    /// Closes pooled connections whose idle timeout has passed.
     pub fn drop_stale(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
-        // The last one was used last, so the ones before it are spare.
+        // The last connection is the most recently used one, so those before it are spare.
         let last = idle.len().saturating_sub(1);
         let mut number = 0;
         idle.retain(|kept| {
--- a/crates/ebonyfork/src/gateway/upstream_tests.rs
+++ b/crates/ebonyfork/src/gateway/upstream_tests.rs
@@ -3,11 +3,11 @@
 use super::*;
 use crate::gateway::fixture::entry;
 
-/// More connections than slots only lengthen the upstream's own queue.
+/// Guards against opening more connections than the upstream has slots, which would only lengthen its own queue.
 #[gtest]
 fn connections_never_exceed_the_slots() {
     let address = ([127, 0, 0, 1], 1).into();
-    // Connections that this process may hold, those it uses of an upstream with two slots.
+    // Share of this process, and connections in use at an upstream with two slots.
     for (share, used) in [(0, 1), (1, 1), (2, 2), (9, 2)] {
         let entry = entry("i-1", "s", "north-a", address);
         let upstream = Upstream::new(entry, Instant::now(), share);
@@ -19,7 +19,7 @@
     }
 }
 
-/// An upstream that turns connections away gets fewer, and all of them again once it has taken what it got.
+/// Guards against insisting on connections that an upstream refuses, and against never restoring them afterwards.
 #[gtest]
 fn a_share_shrinks_with_each_refusal_and_grows_back() {
     let address = ([127, 0, 0, 1], 1).into();
