--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -1,4 +1,4 @@
-//! Our own VMs: what each has registered, and which of them a caller is told to use.
+//! Our own VMs: their registrations, and the selection of the VMs that callers are told to use.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -18,41 +18,41 @@
 use crate::ident::VmAddress;
 use crate::membership::{MemberSnapshot, MemberState};
 
-/// Most addresses in one locate answer.
+/// Largest number of addresses in one locate answer.
 const ADDRESS_LIMIT: usize = 64;
-/// Fewest VMs that a caller is told of, if there are as many: one that fails must leave another to go to.
+/// Smallest number of VMs in a locate answer, if that many exist: when one fails, the caller needs another.
 const ADDRESS_LEAST: usize = 2;
-/// Most VMs that a registration is believed to know: twice the largest fleet that is planned for.
+/// Upper bound on the number of VMs that a registration may report: twice the largest planned fleet.
 const KNOWN_LIMIT: usize = 10_000;
-/// Share of a host's shards that must have an upstream in a zone for that zone's VMs to serve the host's callers. A VM
-/// without upstreams beside it fetches each part across zones; a caller that goes to a VM beside them fetches one merged
-/// answer, a twentieth of the bytes at 20 shards.
+/// Fraction of a host's shards that must have an upstream in a zone for that zone's VMs to serve the host's callers. A
+/// VM without local upstreams fetches every partial answer across zones. A caller that uses a VM next to the upstreams
+/// fetches one merged answer, a twentieth of the bytes with 20 shards.
 const LOCAL_SHARE: f64 = 0.5;
 
-/// What a VM registers about itself.
+/// Record that a VM registers about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmRecord {
-    /// Where it takes callers' requests.
+    /// Address on which the VM accepts callers' requests.
     pub caller: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: CompactString,
-    /// Its region.
+    /// Region of the VM.
     pub region: CompactString,
-    /// Processor that it has, in whole cores.
+    /// Processor capacity of the VM, in cores.
     pub cores: f32,
-    /// VMs that it knew when it registered. A process that starts while others are cut off, and their entries have lapsed,
-    /// learns from this that they may still run.
+    /// Number of VMs that this one knew when it registered. A process that starts while other VMs are partitioned and
+    /// their entries have expired learns from this that they may still be running.
     pub vms: u32,
 }
 
-/// A VM that takes requests.
+/// A VM that callers can be told to use.
 #[derive(Debug, Clone)]
 struct UsableVm {
     caller: SocketAddr,
     zone: CompactString,
     region: PlaceName,
     cores: f32,
-    /// How busy it is, in per mille of what it can take.
+    /// Load, in per mille of the capacity.
     load: u16,
 }
 
@@ -62,29 +62,29 @@
     }
 }
 
-/// The VMs of one zone by the work that they take.
+/// VMs of one zone by role.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ZoneRoles {
-    /// VMs that callers are told of, and that gather shards for VMs of other zones.
+    /// VMs that callers are told of and that gather shards for VMs of other zones.
     pub serving: Vec<VmAddress>,
-    /// VMs that only stand by.
+    /// VMs on standby.
     pub idle: Vec<VmAddress>,
 }
 
-/// The VMs that have registered.
+/// Registered VMs.
 #[derive(Debug)]
 pub struct VmDirectory {
     own: SocketAddr,
     records: RefCell<FxHashMap<CompactString, VmRecord>>,
     members: RefCell<Arc<MemberSnapshot>>,
     most: Cell<usize>,
-    /// Registrations that the store no longer holds.
+    /// Registrations that the store no longer contains.
     missing: RefCell<FxHashSet<CompactString>>,
     own_load: Cell<u16>,
 }
 
 impl VmDirectory {
-    /// Knows only this process's own address.
+    /// Creates a directory that knows only this process's own address.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes in a registration.
+    /// Adds or updates a registration.
     pub fn put(&self, key: &CompactString, record: VmRecord) {
         self.missing.borrow_mut().remove(key);
         let known = (record.vms as usize).min(KNOWN_LIMIT);
@@ -105,8 +105,8 @@
         self.most.set(most);
     }
 
-    /// Takes in that a registration has ended. A VM that gossip still hears stays: its lease may have lapsed while
-    /// the store was away.
+    /// Handles the end of a registration. A VM that gossip reports alive or suspect is kept: its lease may have expired
+    /// while the store was unavailable.
     pub fn remove(&self, key: &CompactString) {
         let record = self.records.borrow().get(key).cloned();
         let Some(record) = record else { return };
@@ -117,9 +117,9 @@
         self.records.borrow_mut().remove(key);
     }
 
-    /// Takes in what gossip believes. VMs that it holds for gone are forgotten, and so is a registration that the store no
-    /// longer holds once gossip does not hear the VM any more. One that gossip hears runs, also if the store has come back
-    /// from a copy that is older than its registration.
+    /// Applies a snapshot of the gossip membership. Removes failed VMs, as well as registrations that the store no
+    /// longer contains and that gossip does not report alive or suspect. A VM that gossip reports alive is running,
+    /// even if the store was restored from a copy older than its registration.
     pub fn take_members(&self, members: Arc<MemberSnapshot>) {
         let others = members
             .members()
@@ -142,7 +142,7 @@
             .retain(|key, record| !failed(record) && !lapsed(key, record));
     }
 
-    /// Whether the store has told that a registration is no longer there.
+    /// Returns whether the store no longer contains a registration.
     pub fn is_missing(&self, key: &CompactString) -> bool {
         self.missing.borrow().contains(key)
     }
@@ -154,27 +154,27 @@
             .is_some_and(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// The number of VMs, this one included.
+    /// Returns the number of VMs, including this one.
     pub fn count(&self) -> usize {
         let records = self.records.borrow();
         let own = records.values().any(|record| record.caller == self.own);
         (records.len() + usize::from(!own)).max(1)
     }
 
-    /// Most VMs that were ever known to run at a time. One that nobody has told of yet has no callers yet, and nothing
-    /// saved that could be spent beside what the others have.
+    /// Returns the largest number of VMs known to have run at the same time. A VM that nobody has reported yet has no
+    /// callers and therefore no accumulated budget to spend in addition to that of the others.
     pub fn most_count(&self) -> usize {
         self.most.get().max(self.count())
     }
 
-    /// Addresses of all other VMs, for gossip to begin with.
+    /// Returns the addresses of all other VMs, as seeds for gossip.
     pub fn seeds(&self) -> Vec<VmAddress> {
         let records = self.records.borrow();
         let others = records.values().filter(|record| record.caller != self.own);
         others.map(|record| VmAddress(record.caller.ip())).collect()
     }
 
-    /// The other VMs of a zone that are believed to work.
+    /// Returns the other serving VMs of a zone.
     pub fn working_in(&self, zone: &PlaceName) -> Vec<VmAddress> {
         let mut usable = self.usable(None);
         usable.retain(|vm| vm.zone == zone.as_str());
@@ -182,7 +182,8 @@
         serving.iter().map(|vm| vm.address()).collect()
     }
 
-    /// The VMs that take requests beside the upstreams of a zone, this process among them; of all zones if it has none.
+    /// Returns the serving VMs in the zone of some upstreams, including this process; those of all zones if that zone
+    /// has none.
     pub fn serving_for(&self, zone: &PlaceName, own: &NodePlace) -> Vec<VmAddress> {
         let usable = self.usable(Some(own));
         let beside = serving_vms(usable.iter().filter(|vm| vm.zone == zone.as_str()));
@@ -194,7 +195,7 @@
         serving.iter().map(|vm| vm.address()).collect()
     }
 
-    /// The VMs of a zone by the work that they take, this process among them.
+    /// Returns the VMs of the own zone by role, including this process.
     pub fn zone_roles(&self, own: &NodePlace) -> ZoneRoles {
         let mut usable = self.usable(Some(own));
         usable.retain(|vm| vm.zone == own.zone.as_str());
@@ -207,7 +208,7 @@
         ZoneRoles { serving, idle }
     }
 
-    /// The VMs that callers can be told to use, with their zone and region.
+    /// Returns the VMs that callers can be told to use; this process is included if its place is given.
     fn usable(&self, own: Option<&NodePlace>) -> Vec<UsableVm> {
         let members = self.members.borrow();
         let records = self.records.borrow();
@@ -238,14 +239,14 @@
         usable
     }
 
-    /// States how busy this process is, in per mille of what it can take.
+    /// Sets the load of this process, in per mille of its capacity.
     pub fn set_own_load(&self, load: u16) {
         self.own_load.set(load);
     }
 
-    /// The addresses that a caller is told: VMs beside the upstreams that its host needs, the caller's own zone first, and
-    /// of those the ones that the homes of the host's routes allow. `own` is this process's place unless it is about to
-    /// stop.
+    /// Returns the addresses for a caller: VMs next to the upstreams that its host needs, starting with the caller's
+    /// own zone, and restricted to the home regions of the host's routes. `own` is the place of this process, or `None`
+    /// if it is about to stop.
     pub fn locate(
         &self,
         asker: &NodePlace,
@@ -274,8 +275,8 @@
     }
 }
 
-/// Those VMs that suit a caller best by the homes of a host's routes: two regions' worth of them only where the better one
-/// has too few.
+/// Returns the VMs that suit a caller best according to the home regions of a host's routes. VMs of the second-best
+/// rank are included only if the best one has too few.
 fn allowed_vms(vms: Vec<UsableVm>, asker: &NodePlace, regions: &HostRegions) -> Vec<UsableVm> {
     if !regions.is_limited() {
         return vms;
@@ -284,14 +285,15 @@
     let mut ranks: Vec<_> = vms.iter().filter_map(rank).collect();
     ranks.sort_unstable();
     let Some(last) = ranks.get(ADDRESS_LEAST - 1).or(ranks.last()).copied() else {
-        // Any VM can send a request home; without one there is no answer at all.
+        // Any VM can forward a request to its home region, while an empty list would leave the caller without an
+        // answer.
         return vms;
     };
     let fits = |vm: &UsableVm| rank(vm).is_some_and(|rank| rank <= last);
     vms.into_iter().filter(fits).collect()
 }
 
-/// Chooses one of some VMs for a purpose, by rendezvous hashing: a VM more or less changes the choice for few purposes.
+/// Chooses a VM for a purpose by rendezvous hashing: adding or removing a VM changes the choice for few purposes only.
 pub fn rendezvous(vms: &[VmAddress], purpose: impl fmt::Display) -> Option<VmAddress> {
     let score = |vm: &VmAddress| {
         let pair = format!("{vm} {purpose}");
@@ -300,7 +302,7 @@
     vms.iter().copied().max_by_key(score)
 }
 
-/// Those of some VMs that take requests.
+/// Returns the serving ones of the given VMs.
 fn serving_vms<'a>(vms: impl Iterator<Item = &'a UsableVm>) -> Vec<&'a UsableVm> {
     let mut vms: Vec<_> = vms.collect();
     let least = least_cores(vms.iter().map(|vm| VmCapacity {
@@ -311,7 +313,7 @@
     vms
 }
 
-/// Cuts a long list down to a part that differs from answer to answer.
+/// Truncates a long list to a random part of it.
 fn spread(addresses: &mut Vec<SocketAddr>) {
     if addresses.len() <= ADDRESS_LIMIT {
         return;
@@ -321,19 +323,19 @@
     addresses.truncate(ADDRESS_LIMIT);
 }
 
-/// Share of a host's shards that have an upstream in each zone.
+/// Fraction of a host's shards that have an upstream in each zone.
 pub type ZoneShares = FxHashMap<PlaceName, f64>;
 
-/// What a host's routes need of the VMs that its callers are told of.
+/// Requirements of a host's routes on the VMs that its callers are told of.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HostNeeds {
-    /// Where its upstreams are.
+    /// Zones of the host's upstreams.
     pub zones: ZoneShares,
-    /// Which regions its routes allow.
+    /// Regions that the host's routes allow.
     pub regions: HostRegions,
 }
 
-/// Computes the share of the shards that have an upstream in each zone.
+/// Computes the fraction of the shards that have an upstream in each zone.
 pub fn zone_shares<'a>(
     registry: &UpstreamRegistry,
     shards: impl IntoIterator<Item = &'a UpstreamService>,
@@ -358,12 +360,13 @@
     counts
 }
 
-/// Groups of zones in the order in which their VMs are taken: the caller's own, its region's, all that hold upstreams.
+/// Returns groups of zones in order of preference: the caller's own zone, the zones of its region, all zones that hold
+/// enough upstreams.
 fn preferred_zones(asker: &NodePlace, homes: &ZoneShares) -> Vec<Vec<PlaceName>> {
     let local = |zone: &PlaceName| homes.get(zone).copied().unwrap_or_default() >= LOCAL_SHARE;
     let same_region = |zone: &&PlaceName| asker.zones.get(*zone) == Some(&asker.region);
     if !homes.keys().any(local) {
-        // No zone stands out: the caller's own place is as good as any.
+        // No zone holds enough upstreams, so the caller's own zone and region are preferred.
         let region = asker.zones.keys().filter(same_region).cloned().collect();
         return vec![vec![asker.zone.clone()], region];
     }
--- a/crates/ebonyfork/src/gateway/vms_tests.rs
+++ b/crates/ebonyfork/src/gateway/vms_tests.rs
@@ -20,7 +20,8 @@
     }
 }
 
-/// This VM is 10.0.0.1 in north-a; another one beside it, two in north-b, two in south-a.
+/// Creates the directory of VM 10.0.0.1 in north-a, with another VM in the same zone, two in north-b and two in
+/// south-a.
 fn directory() -> VmDirectory {
     let directory = VmDirectory::new(caller(1));
     let records = [
@@ -77,7 +78,7 @@
     addresses.iter().map(last).collect()
 }
 
-/// Shares of the zones, and the VMs that are named.
+/// Shares of the zones, and the VMs that the answer is expected to contain.
 type LocateCase<'a> = (&'a [(&'a str, f64)], &'a [u8]);
 
 #[gtest]
@@ -99,8 +100,9 @@
     }
 }
 
-/// A caller of a host with homes is told of its own region's VMs, wherever the upstreams are; of a home's where its region
-/// has too few; of others only where there are no such VMs.
+/// Guards against sending callers of a host with home regions to other regions. They are told of VMs in their own
+/// region, wherever the upstreams are; of VMs in a home region if their own has too few; of others only if there are
+/// none in either.
 #[gtest]
 fn callers_of_limited_routes_go_to_their_own_region_or_a_home() {
     let directory = directory();
@@ -128,8 +130,8 @@
     expect_that!(found(&needs(&[], "west")), eq(&[1, 2, 3, 4, 5, 6]));
 }
 
-/// Two of the VMs that a registration knew are cut off and their entries have lapsed; they may still run and repeat. What
-/// no fleet can be is not believed.
+/// Guards against underestimating the fleet: two VMs that a registration reports are partitioned and their entries have
+/// expired, but they may still run and send retries. Implausible numbers are capped.
 #[gtest]
 fn vms_that_another_one_knew_are_counted_among_those_that_may_run() {
     let directory = directory();
@@ -152,7 +154,7 @@
 fn failed_and_leaving_vms_are_left_out() {
     let directory = directory();
     directory.take_members(members(&[(2, MemberState::Leaving)]));
-    // One VM is left in the zone, so the region's are named as well.
+    // One VM is left in the zone, so those of the region are included.
     expect_that!(
         located(&directory, &homes(&[]), true),
         elements_are![eq(&1), eq(&3), eq(&4)]
@@ -191,7 +193,8 @@
     expect_that!(directory.is_missing(&"vm/10.0.0.1:80".into()), eq(true));
 }
 
-/// What is kept against the store's word ends when gossip does not hear the VM any more, however it puts that.
+/// Guards against keeping an expired registration forever: it ends once gossip reports the VM failed or leaving, or no
+/// longer lists it.
 #[gtest]
 fn a_lapsed_registration_ends_with_the_gossip_that_kept_it() {
     for gone in [
@@ -235,8 +238,8 @@
     expect_that!(shares[&PlaceName::new("south-a")], eq(0.5));
 }
 
-/// A store that came back older held one registration only, and a VM that started just then took the whole slack of repeats
-/// for its share of two.
+/// Guards against a VM claiming too much of the retry budget. A store restored from an older copy contained a single
+/// registration, so a VM that started just then used the whole slack as its share of two VMs.
 #[gtest]
 fn vms_that_gossip_hears_count_although_the_store_has_lost_them() {
     let directory = VmDirectory::new(caller(1));
--- a/crates/ebonyfork/src/gateway/weights.rs
+++ b/crates/ebonyfork/src/gateway/weights.rs
@@ -1,4 +1,4 @@
-//! Shares a route's requests among weighted services, evenly over any short run of requests.
+//! Distributes a route's requests among weighted services, evenly over short runs of requests.
 
 use std::cell::RefCell;
 
@@ -8,23 +8,23 @@
 use crate::gateway::ident::{RouteName, UpstreamService};
 use crate::gateway::route::WeightedService;
 
-/// What each service of a route is still owed.
+/// Current credit of each service of a route, in requests.
 type OwedList = SmallVec<[(UpstreamService, f64); 2]>;
 
-/// Smooth weighted round robin: each request adds to every service what its weight owes it, and goes to the one that
-/// is owed most.
+/// Smooth weighted round robin: each request credits every service with its fraction of the weights and goes to the
+/// service with the highest credit.
 #[derive(Debug, Default)]
 pub struct WeightShares {
     owed: RefCell<FxHashMap<RouteName, OwedList>>,
 }
 
 impl WeightShares {
-    /// Starts with nothing owed.
+    /// Creates a scheduler without credits.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Picks the service for the next request of a route; `None` if no service has a weight.
+    /// Picks the service for the next request of a route; `None` if no service has a positive weight.
     ///
     /// # Examples
     ///
