--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -22,7 +22,10 @@
         return;
     };
     let longest = Duration::from_micros(u64::from(query.longest_wait_us));
-    core.latency(&route).borrow_mut().waits.hear(longest, now());
+    core.latency(&route)
+        .borrow_mut()
+        .waits
+        .record_peer_wait(longest, now());
     let key = (from.peer(), query.number);
     let core = Rc::clone(core);
     let (abort, registration) = AbortHandle::new_pair();
@@ -42,7 +45,7 @@
         return None;
     }
     let table = core.table()?;
-    let route = table.find_marked(query.mark)?;
+    let route = table.find_by_digest(query.mark)?;
     let RouteTarget::Gather(terms) = &route.destination else {
         return None;
     };
@@ -77,7 +80,7 @@
     let message = PeerMessage::Partial(PartialMessage::Reply(reply));
     if let Err(error) = from.send(message) {
         // The asking VM detects the broken link itself.
-        log::debug!("partial reply: {error}");
+        log::debug!("partial reply not sent: {error}");
     }
 }
 
@@ -95,7 +98,7 @@
     let request = match ForwardRequest::from_partial(names, query.request, received, finish_by) {
         Ok(request) => Rc::new(request),
         Err(error) => {
-            log::warn!("partial query {}: {error}", query.number);
+            log::warn!("partial query {} is malformed: {error}", query.number);
             return;
         }
     };
--- a/crates/ebonyfork/src/gateway/caller_time.rs
+++ b/crates/ebonyfork/src/gateway/caller_time.rs
@@ -15,22 +15,22 @@
 use tokio::net::TcpStream;
 
 /// Round-trip time assumed if the kernel provides none: 1 ms each way, plus processing on both hosts.
-const ASSUMED: Duration = Duration::from_micros(2_400);
+const DEFAULT_ROUND_TRIP: Duration = Duration::from_micros(2_400);
 /// Upper bound on the measured round-trip time. It is measured only once, and a lost packet raises it to seconds.
-const LONGEST: Duration = Duration::from_millis(60);
+const MAX_ROUND_TRIP: Duration = Duration::from_millis(60);
 /// Round trips assumed for the first request on a connection if the time before it is unknown: handshake and request of
 /// the look-up, handshake and request of this connection, and one for processing on the hosts.
-const NEW_ROUND_TRIPS: u32 = 5;
+const FIRST_REQUEST_ROUND_TRIPS: u32 = 5;
 /// Round trips assumed for a later request on a connection if the time before it is unknown: one in two callers has
 /// done a look-up before.
-const KEPT_ROUND_TRIPS: u32 = 2;
+const LATER_REQUEST_ROUND_TRIPS: u32 = 2;
 /// Longest plausible time before a request. A larger difference comes from a retried request, which has a target of its
 /// own, or from a caller that waits less long than others.
-const LONGEST_BEFORE: Duration = Duration::from_millis(80);
+const MAX_TIME_BEFORE: Duration = Duration::from_millis(80);
 /// Number of stated waits from which the longest is taken for a full wait. One in two to five is.
-const WAITS_LEAST: u32 = 10;
+const MIN_WAIT_SAMPLES: u32 = 10;
 /// Shortest time for which a stated wait is remembered; the longest is twice that.
-const WAIT_MEMORY: Duration = Duration::from_secs(30);
+const WAIT_RETENTION: Duration = Duration::from_secs(30);
 
 /// Network distance of a caller: the round-trip time that the kernel measured when the connection was opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,18 +42,18 @@
     /// Creates a distance from a round-trip time.
     pub fn new(round_trip: Duration) -> Self {
         Self {
-            round_trip: round_trip.min(LONGEST),
+            round_trip: round_trip.min(MAX_ROUND_TRIP),
         }
     }
 
     /// Measures the distance of the caller on a connection.
     pub fn measure(stream: &TcpStream) -> Self {
         let measured = kernel_round_trip(stream).filter(|trip| !trip.is_zero());
-        Self::new(measured.unwrap_or(ASSUMED))
+        Self::new(measured.unwrap_or(DEFAULT_ROUND_TRIP))
     }
 
     /// Returns the caller's share of a request's time. `first` tells whether it is the first request on its connection.
-    pub fn request(self, first: bool) -> CallerTime {
+    pub fn for_request(self, first: bool) -> CallerTime {
         CallerTime {
             distance: self,
             first,
@@ -74,9 +74,9 @@
         let round_trip = self.distance.round_trip;
         let Some(before) = before else {
             let trips = if self.first {
-                NEW_ROUND_TRIPS
+                FIRST_REQUEST_ROUND_TRIPS
             } else {
-                KEPT_ROUND_TRIPS
+                LATER_REQUEST_ROUND_TRIPS
             };
             return round_trip * trips;
         };
@@ -103,9 +103,9 @@
         self.longest[0].max(self.longest[1])
     }
 
-    fn note(&mut self, wait: Duration, now: Instant) {
+    fn record(&mut self, wait: Duration, now: Instant) {
         let since = *self.since.get_or_insert(now);
-        if now.saturating_duration_since(since) >= WAIT_MEMORY {
+        if now.saturating_duration_since(since) >= WAIT_RETENTION {
             self.longest = [Duration::ZERO, self.longest[0]];
             self.since = Some(now);
         }
@@ -117,20 +117,20 @@
 #[derive(Debug, Default)]
 pub struct WaitTrack {
     own: LongestWait,
-    heard: LongestWait,
-    stated: u32,
+    from_peers: LongestWait,
+    samples: u32,
 }
 
 impl WaitTrack {
     /// Records the wait that a caller states. Returns how much time had passed before, if it can be determined.
-    pub fn note(&mut self, stated: Duration, now: Instant) -> Option<Duration> {
-        self.own.note(stated, now);
-        self.stated = self.stated.saturating_add(1);
+    pub fn record(&mut self, stated: Duration, now: Instant) -> Option<Duration> {
+        self.own.record(stated, now);
+        self.samples = self.samples.saturating_add(1);
         let own = self.own.get();
-        let heard = self.heard_longest();
-        let before = heard.unwrap_or(own).max(own).saturating_sub(stated);
-        let known = self.stated >= WAITS_LEAST || heard.is_some();
-        (known && before <= LONGEST_BEFORE).then_some(before)
+        let from_peers = self.peer_longest();
+        let before = from_peers.unwrap_or(own).max(own).saturating_sub(stated);
+        let known = self.samples >= MIN_WAIT_SAMPLES || from_peers.is_some();
+        (known && before <= MAX_TIME_BEFORE).then_some(before)
     }
 
     /// Returns the longest wait that callers have stated to this VM; zero if there was none.
@@ -141,19 +141,19 @@
     /// Records the longest wait that callers have stated to another VM. VMs report only what callers have stated to
     /// them directly, so a wait that no caller states any more expires on all VMs. A wait far longer than any stated to
     /// this VM comes from a caller that waits longer than others and is ignored.
-    pub fn hear(&mut self, wait: Duration, now: Instant) {
+    pub fn record_peer_wait(&mut self, wait: Duration, now: Instant) {
         let own = self.own.get();
-        let usual = own.is_zero() || wait.saturating_sub(own) <= LONGEST_BEFORE;
+        let usual = own.is_zero() || wait.saturating_sub(own) <= MAX_TIME_BEFORE;
         if usual && !wait.is_zero() {
-            self.heard.note(wait, now);
+            self.from_peers.record(wait, now);
         }
     }
 
     /// Returns the longest wait stated to other VMs, unless it far exceeds those stated to this VM.
-    fn heard_longest(&self) -> Option<Duration> {
-        let heard = self.heard.get();
-        let usual = heard.saturating_sub(self.own.get()) <= LONGEST_BEFORE;
-        (usual && !heard.is_zero()).then_some(heard)
+    fn peer_longest(&self) -> Option<Duration> {
+        let from_peers = self.from_peers.get();
+        let usual = from_peers.saturating_sub(self.own.get()) <= MAX_TIME_BEFORE;
+        (usual && !from_peers.is_zero()).then_some(from_peers)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -19,9 +19,9 @@
 use crate::store::{StoreEra, StoreError, StorePort, StoreWrite, answer_within};
 
 /// Time between two checks of the claims.
-const LOOK_PERIOD: Duration = Duration::from_millis(100);
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 /// Longest wait for an answer of the store.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Claims on all availability zones, as known to this process.
 #[derive(Debug)]
@@ -81,32 +81,32 @@
 
 impl GatewayCore {
     /// Returns how many requests per second this VM may send to an upstream while that is cold: 0 if it does not hold
-    /// the claim on the zone, `None` if the upstream is warm or states no rate.
-    fn cold_pace(&self, upstream: &Upstream, time: Duration) -> Option<usize> {
+    /// the claim on the zone, `None` if the upstream is warm, or if no bound or rate is stated.
+    fn cold_rate_limit(&self, upstream: &Upstream, time: Duration) -> Option<usize> {
         let bound = self.settings.cold_bound?;
         if !upstream.is_cold(now()) {
             return None;
         }
         let entry = upstream.entry();
         let terms = self.table()?.service(&entry.service)?;
-        let pace = bound.pace(terms.cold_rate)?;
+        let limit = bound.pace(terms.cold_rate)?;
         let claimed = self.cold_claims.may_send(&entry.zone, time);
-        Some(if claimed { pace } else { 0 })
+        Some(if claimed { limit } else { 0 })
     }
 
     /// Returns whether the limit for cold upstreams allows another request to an upstream.
     pub fn has_cold_room(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
-        let pace = self.cold_pace(upstream, time);
-        pace.is_none_or(|pace| upstream.cold_sends.borrow().room(pace, time) > 0)
+        let limit = self.cold_rate_limit(upstream, time);
+        limit.is_none_or(|limit| upstream.cold_sends.borrow().room(limit, time) > 0)
     }
 
     /// Counts a request that is about to be sent to an upstream. Returns false if the limit for cold upstreams forbids
     /// sending it.
-    pub fn take_cold_room(&self, upstream: &Upstream) -> bool {
+    pub fn reserve_cold_send(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
-        let pace = self.cold_pace(upstream, time);
-        pace.is_none_or(|pace| upstream.cold_sends.borrow_mut().take(pace, time))
+        let limit = self.cold_rate_limit(upstream, time);
+        limit.is_none_or(|limit| upstream.cold_sends.borrow_mut().take(limit, time))
     }
 
     /// Treats the upstreams of a zone as cold for their usual warm-up time, because they may have become cold
@@ -137,7 +137,7 @@
     /// Removes entries and evacuations that the store has lost and nobody has written again in time.
     pub fn expire_missing(&self, time: Instant) {
         self.registry.expire(time);
-        for zone in self.registry.ended_evacuations(time) {
+        for zone in self.registry.lapsed_evacuations(time) {
             self.readmit(&zone);
         }
     }
@@ -181,7 +181,7 @@
         return;
     }
     loop {
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
         let serving = core.state() == ServiceState::Serving;
         let cold = core.cold_zones();
         let known: FxHashSet<PlaceName> = {
@@ -204,16 +204,16 @@
 /// Returns whether this VM should send to the cold upstreams of a zone: it is the one chosen among the VMs that serve
 /// the zone.
 fn is_sender(core: &GatewayCore, zone: &PlaceName) -> bool {
-    let vms = core.vms.serving_for(zone, &core.settings.place);
+    let vms = core.vms.serving_near(zone, &core.settings.place);
     rendezvous(&vms, zone) == Some(VmAddress(core.settings.place.address))
 }
 
 async fn do_write(core: Rc<GatewayCore>, port: impl StorePort, zone: PlaceName, write: ClaimWrite) {
-    let begun = core.running_time();
+    let started_at = core.running_time();
     let value = match postcard::to_stdvec(&write.record) {
         Ok(value) => Bytes::from(value),
         Err(error) => {
-            log::error!("claim of zone {zone}: {error}");
+            log::error!("claim of zone {zone} can't be encoded: {error}");
             return;
         }
     };
@@ -223,20 +223,20 @@
         expected: Some(write.expected),
         lease: None,
     };
-    let written = answer_within(ANSWER_TIME, port.write(stored)).await;
+    let written = answer_within(STORE_TIMEOUT, port.write(stored)).await;
     let outcome = match &written {
         Ok(revision) => {
             let time = core.running_time();
             core.enter_era(revision.era());
             core.cold_claims.with_zone(&zone, |claim| {
-                claim.note_written(write, *revision, begun, time);
+                claim.note_written(write, *revision, started_at, time);
             });
             let void = write.expected.era() != revision.era();
             format_compact!("revision={revision} void={void}")
         }
         Err(StoreError::Conflict { current }) => {
             core.enter_era(current.era());
-            format_compact!("another VM was first, {current}")
+            format_compact!("another VM wrote first, current revision {current}")
         }
         Err(error) => format_compact!("failed: {error}"),
     };
--- a/crates/ebonyfork/src/gateway/control.rs
+++ b/crates/ebonyfork/src/gateway/control.rs
@@ -22,26 +22,26 @@
 /// stopping VM after 3 s, half of the stated grace time.
 pub const LOCATE_TTL: Duration = Duration::from_secs(1);
 /// How long the computed requirements of a host are cached.
-const NEEDS_KEPT: Duration = Duration::from_secs(1);
+const HOST_NEEDS_TTL: Duration = Duration::from_secs(1);
 
 /// Serves the control calls on a listener until the future is dropped.
 pub async fn serve_control(core: Rc<GatewayCore>, listener: TcpListener) {
-    serve_http(listener, move |request| answer(&core, request)).await;
+    serve_http(listener, move |request| handle_call(&core, request)).await;
 }
 
-fn answer(core: &GatewayCore, request: &Request<Incoming>) -> CallerReply {
+fn handle_call(core: &GatewayCore, request: &Request<Incoming>) -> CallerReply {
     if request.method() != Method::GET {
-        return plain(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_reply(StatusCode::METHOD_NOT_ALLOWED);
     }
     match (core.dialect.read_call)(request.uri()) {
-        None => plain(StatusCode::NOT_FOUND),
-        Some(ControlCall::Ready) if core.is_ready() => plain(StatusCode::OK),
-        Some(ControlCall::Ready) => plain(StatusCode::SERVICE_UNAVAILABLE),
+        None => empty_reply(StatusCode::NOT_FOUND),
+        Some(ControlCall::Ready) if core.is_ready() => empty_reply(StatusCode::OK),
+        Some(ControlCall::Ready) => empty_reply(StatusCode::SERVICE_UNAVAILABLE),
         Some(ControlCall::Locate(query)) => locate(core, &query),
     }
 }
 
-fn plain(status: StatusCode) -> CallerReply {
+fn empty_reply(status: StatusCode) -> CallerReply {
     let mut reply = Response::new(Bytes::new().into());
     *reply.status_mut() = status;
     reply
@@ -49,16 +49,18 @@
 
 fn locate(core: &GatewayCore, query: &LocateQuery) -> CallerReply {
     let place = &core.settings.place;
-    let asker = NodePlace {
+    let caller_place = NodePlace {
         zone: query.zone.clone(),
         region: query.region.clone(),
         ..place.clone()
     };
     let own = core.is_ready().then_some(place);
-    let addresses = core.vms.locate(&asker, &host_needs(core, query), own);
+    let addresses = core
+        .vms
+        .locate(&caller_place, &host_needs(core, query), own);
     if addresses.is_empty() {
         // No VM is known to serve. The caller keeps its previous answer or asks elsewhere.
-        return plain(StatusCode::SERVICE_UNAVAILABLE);
+        return empty_reply(StatusCode::SERVICE_UNAVAILABLE);
     }
     log::debug!(
         target: "ebonyfork::decision",
@@ -81,19 +83,21 @@
 /// briefly.
 fn host_needs(core: &GatewayCore, query: &LocateQuery) -> Rc<HostNeeds> {
     let time = now();
-    if let Some((reckoned, needs)) = core.needs.borrow().get(&query.host)
-        && time.saturating_duration_since(*reckoned) < NEEDS_KEPT
+    if let Some((computed_at, needs)) = core.host_needs.borrow().get(&query.host)
+        && time.saturating_duration_since(*computed_at) < HOST_NEEDS_TTL
     {
         return Rc::clone(needs);
     }
-    let needs = Rc::new(reckon_needs(core, query));
-    let mut kept = core.needs.borrow_mut();
-    kept.retain(|_host, (reckoned, _needs)| time.saturating_duration_since(*reckoned) < NEEDS_KEPT);
+    let needs = Rc::new(compute_host_needs(core, query));
+    let mut kept = core.host_needs.borrow_mut();
+    kept.retain(|_host, (computed_at, _needs)| {
+        time.saturating_duration_since(*computed_at) < HOST_NEEDS_TTL
+    });
     kept.insert(query.host.clone(), (time, Rc::clone(&needs)));
     needs
 }
 
-fn reckon_needs(core: &GatewayCore, query: &LocateQuery) -> HostNeeds {
+fn compute_host_needs(core: &GatewayCore, query: &LocateQuery) -> HostNeeds {
     let Some(table) = core.table() else {
         return HostNeeds::default();
     };
--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -14,7 +14,7 @@
 use crate::gateway::cold_claims::ColdClaims;
 use crate::gateway::delegate::DelegateTable;
 use crate::gateway::dialect::GatewayDialect;
-use crate::gateway::flight::FlightCount;
+use crate::gateway::flight::InFlightCount;
 use crate::gateway::ident::{ConfigVersion, RouteName, UpstreamService};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::{FreshnessTerms, MirrorRelay};
@@ -28,16 +28,16 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::upstream::Upstream;
 use crate::gateway::vms::{HostNeeds, VmDirectory};
-use crate::gateway::weights::WeightShares;
+use crate::gateway::weights::WeightedRoundRobin;
 use crate::ident::{IncarnationNumber, SessionId, VmAddress};
 use crate::quarantine::QuarantineHandle;
 use crate::store::StoreEra;
 
 /// Fraction of an upstream's connections that all VMs together use. The rest is headroom for VMs that have just joined
 /// or left.
-const CONNECTION_SHARE: f64 = 0.9;
+const CONNECTION_UTILIZATION: f64 = 0.9;
 /// Connections that one upstream is assumed to accept until a configuration states the number.
-const CONNECTIONS_ASSUMED: usize = 16;
+const DEFAULT_CONNECTIONS: usize = 16;
 
 /// Whether the process accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,13 +68,13 @@
     /// Delay between deciding on an answer and writing it.
     pub lag: Rc<RefCell<AnswerLag>>,
     /// Distributes the requests of weighted routes among their services.
-    pub shares: WeightShares,
+    pub round_robin: WeightedRoundRobin,
     /// Shards of queries that other VMs gather for this one.
     pub delegates: DelegateTable,
     /// Shards of queries that this VM gathers for others.
     pub aggregates: AggregateTable,
     /// Placement requirements of each host's routes, with the time at which they were computed.
-    pub needs: RefCell<FxHashMap<CompactString, (Instant, Rc<HostNeeds>)>>,
+    pub host_needs: RefCell<FxHashMap<CompactString, (Instant, Rc<HostNeeds>)>>,
     /// Passes the store's changes on to VMs that follow this one.
     pub relay: MirrorRelay,
     /// Compares the routes of this VM's configuration with those of other VMs.
@@ -90,10 +90,10 @@
     /// Time at which the process started, on the monotonic clock.
     pub started: Instant,
     /// Time at which the process started, on the clock that includes suspensions.
-    booted: Duration,
+    started_since_boot: Duration,
     state: Cell<ServiceState>,
     /// Number of requests in flight.
-    pub flights: FlightCount,
+    pub in_flight: InFlightCount,
     table: RefCell<Option<Rc<RouteTable>>>,
     latencies: RefCell<FxHashMap<RouteName, Rc<RefCell<RouteLatency>>>>,
 }
@@ -102,11 +102,11 @@
 fn own_session(settings: &GatewaySettings) -> SessionId {
     // The wall clock only distinguishes sessions. If it has stepped back, peers learn of the newer session through
     // refutation.
-    let life = std::time::SystemTime::now()
+    let incarnation = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64);
     let vm = VmAddress(settings.place.address);
-    SessionId::new(vm, IncarnationNumber(life))
+    SessionId::new(vm, IncarnationNumber(incarnation))
 }
 
 impl GatewayCore {
@@ -123,8 +123,8 @@
             vms: VmDirectory::new(settings.listen.callers),
             repeats: RefCell::new(repeats),
             lag: Rc::new(RefCell::new(AnswerLag::new(settings.place.cores))),
-            shares: WeightShares::new(),
-            needs: RefCell::default(),
+            round_robin: WeightedRoundRobin::new(),
+            host_needs: RefCell::default(),
             relay: MirrorRelay::new(limit, metrics.told_bytes.clone()),
             route_checks: RouteChecks::default(),
             delegates: DelegateTable::default(),
@@ -134,9 +134,9 @@
             quarantine: QuarantineHandle::new(),
             metrics,
             started: now(),
-            booted: boot_time(),
+            started_since_boot: boot_time(),
             state: Cell::new(ServiceState::Serving),
-            flights: FlightCount::default(),
+            in_flight: InFlightCount::default(),
             table: RefCell::default(),
             latencies: RefCell::default(),
             settings,
@@ -159,7 +159,7 @@
             .borrow_mut()
             .retain(|name, _latency| known(name));
         self.route_checks.forget_same();
-        self.needs.borrow_mut().clear();
+        self.host_needs.borrow_mut().clear();
         *self.table.borrow_mut() = Some(Rc::new(table));
         self.share_connections();
         self.note_own_version();
@@ -209,7 +209,7 @@
 
     /// Returns those of a route's weighted services that have an upstream in its home regions. The weights apply among
     /// these services. Evacuating a zone does not shift requests from one service to another.
-    pub fn parts_at_home<'a>(
+    pub fn home_services<'a>(
         &self,
         route: &RouteEntry,
         parts: &'a [WeightedService],
@@ -217,11 +217,11 @@
         if !route.homes.is_limited() {
             return Cow::Borrowed(parts);
         }
-        let at_home = |part: &&WeightedService| {
+        let has_home_upstream = |part: &&WeightedService| {
             let upstreams = self.upstreams_at_home(route, &part.service);
             upstreams.iter().any(|upstream| !upstream.is_leaving())
         };
-        Cow::Owned(parts.iter().filter(at_home).cloned().collect())
+        Cow::Owned(parts.iter().filter(has_home_upstream).cloned().collect())
     }
 
     /// Returns the attempt latencies of a route.
@@ -238,15 +238,15 @@
     /// Returns how many connections this process may hold to one upstream of a service.
     pub fn connection_share(&self, service: &UpstreamService) -> usize {
         let table = self.table.borrow();
-        let stated = table.as_ref().and_then(|table| table.service(service));
-        let all = stated.map_or(CONNECTIONS_ASSUMED, |terms| terms.connections);
-        let share = all as f64 * CONNECTION_SHARE / self.vms.count() as f64;
+        let terms = table.as_ref().and_then(|table| table.service(service));
+        let total = terms.map_or(DEFAULT_CONNECTIONS, |terms| terms.connections);
+        let share = total as f64 * CONNECTION_UTILIZATION / self.vms.count() as f64;
         (share as usize).max(1)
     }
 
     /// Redistributes connections and the retry budget among the known VMs.
     pub fn share_connections(&self) {
-        let vms = self.vms.most_count();
+        let vms = self.vms.peak_count();
         let time = self.running_time();
         self.repeats.borrow_mut().share_among(vms, time);
         self.registry.for_each(|upstream| {
@@ -259,9 +259,9 @@
     pub fn enter_era(&self, era: StoreEra) {
         self.cold_claims.enter_era(era, self.running_time());
         self.era.send_if_modified(|known| {
-            let rises = era > *known;
+            let increases = era > *known;
             *known = era.max(*known);
-            rises
+            increases
         });
     }
 
@@ -292,7 +292,9 @@
 
     /// Returns the time since the start including suspensions of the VM. Leases between VMs expire by this clock.
     pub fn running_time(&self) -> Duration {
-        boot_time().saturating_sub(self.booted).max(self.uptime())
+        boot_time()
+            .saturating_sub(self.started_since_boot)
+            .max(self.uptime())
     }
 }
 
--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -17,13 +17,13 @@
 use crate::wire::{PeerMessage, PeerPool};
 
 /// Queries that a VM is assumed to gather concurrently without slowing down.
-const VM_SLOTS: usize = 16;
+const ASSUMED_VM_CONCURRENCY: usize = 16;
 /// Lowest fraction of a VM's replies that must show that it knows upstreams for it to be asked. A VM that knows none,
 /// because the store refuses it, returns every shard and costs a round trip.
-const USEFUL_SHARE: f64 = 0.5;
+const MIN_USEFUL_REPLIES: f64 = 0.5;
 /// A VM whose oldest pending query has taken more than this multiple of the usual time is not asked: it is frozen,
 /// partitioned or gone.
-const OVERDUE: f64 = 3.0;
+const OVERDUE_FACTOR: f64 = 3.0;
 
 /// Event about a group of shards that another VM gathers.
 #[derive(Debug)]
@@ -54,13 +54,13 @@
     began: Instant,
     usual_ms: f64,
     /// Whether a reply has arrived, which shows that the VM works on the query.
-    heard: bool,
+    replied: bool,
 }
 
 /// Returns whether a reply shows that the VM knows upstreams to ask. Requests that these upstreams decline or lose
 /// don't count against the VM: if it were avoided for them, all VMs would send to these upstreams directly, and none
 /// would see the length of their queues.
-fn shows_upstreams(reply: &PartialReply) -> bool {
+fn knows_upstreams(reply: &PartialReply) -> bool {
     let unknown = |failed: &FailedShard| failed.reach == ShardReach::Unsent && !failed.avoid;
     !reply.parts.is_empty() || !reply.failed.iter().all(unknown)
 }
@@ -78,7 +78,7 @@
     /// Sets the links to other VMs. Must be called once, at startup.
     pub fn set_pool(&self, pool: PeerPool) {
         let first = self.pool.set(pool);
-        debug_assert!(first.is_ok(), "the links are set once");
+        debug_assert!(first.is_ok(), "the links must be set only once");
     }
 
     /// Sends a message to a VM. Returns false if it was not sent.
@@ -89,7 +89,7 @@
         match pool.send(vm, message) {
             Ok(()) => true,
             Err(error) => {
-                log::debug!("message to {vm}: {error}");
+                log::debug!("message to {vm} not sent: {error}");
                 false
             }
         }
@@ -113,11 +113,11 @@
             let health = known
                 .entry(vm)
                 .or_insert_with(|| UpstreamHealth::new(time, Duration::ZERO));
-            let overdue = millis(health.oldest(time)) > usual_ms * OVERDUE;
-            if overdue || health.is_ejected(time) || health.success(time) < USEFUL_SHARE {
+            let overdue = millis(health.oldest(time)) > usual_ms * OVERDUE_FACTOR;
+            if overdue || health.is_ejected(time) || health.success(time) < MIN_USEFUL_REPLIES {
                 continue;
             }
-            let expected = health.expected_ms(time, usual_ms, VM_SLOTS);
+            let expected = health.expected_ms(time, usual_ms, ASSUMED_VM_CONCURRENCY);
             if best.is_none_or(|(least, _vm)| expected < least) {
                 best = Some((expected, vm));
             }
@@ -150,7 +150,7 @@
             vm,
             began,
             usual_ms,
-            heard: false,
+            replied: false,
         };
         self.pending.borrow_mut().insert(number, pending);
         Some(number)
@@ -162,9 +162,9 @@
         let Some(query) = pending.get_mut(&reply.number) else {
             return;
         };
-        if !query.heard {
-            query.heard = true;
-            self.note_heard(query, shows_upstreams(&reply));
+        if !query.replied {
+            query.replied = true;
+            self.record_first_reply(query, knows_upstreams(&reply));
         }
         let event = GroupEvent {
             group: query.group,
@@ -174,7 +174,7 @@
         let _ended = query.events.send(event);
     }
 
-    fn note_heard(&self, query: &PendingPartial, useful: bool) {
+    fn record_first_reply(&self, query: &PendingPartial, useful: bool) {
         let time = now();
         let took = millis(time.saturating_duration_since(query.began));
         if let Some(health) = self.vms.borrow_mut().get_mut(&query.vm) {
@@ -191,7 +191,7 @@
         let Some(query) = self.pending.borrow_mut().remove(&number) else {
             return;
         };
-        if !query.heard
+        if !query.replied
             && let Some(health) = self.vms.borrow_mut().get_mut(&query.vm)
         {
             let time = now();
@@ -210,23 +210,23 @@
 
     /// Fails all pending queries of a VM whose link has broken.
     pub fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
-        let mut left = Vec::new();
+        let mut unsent_numbers = Vec::new();
         for message in unsent {
             if let PeerMessage::Partial(PartialMessage::Query(query)) = message {
-                left.push(query.number);
+                unsent_numbers.push(query.number);
             }
         }
         let time = now();
-        let mut down = Vec::new();
+        let mut failed_queries = Vec::new();
         self.pending.borrow_mut().retain(|number, query| {
             if query.vm != vm {
                 return true;
             }
-            down.push((query.began, query.heard));
+            failed_queries.push((query.began, query.replied));
             let event = GroupEvent {
                 group: query.group,
                 news: GroupNews::Down {
-                    sent: !left.contains(number),
+                    sent: !unsent_numbers.contains(number),
                 },
             };
             // Sending fails if the query has just ended.
@@ -236,14 +236,14 @@
         log::info!(
             target: "ebonyfork::decision",
             "link down vm={vm} queries={} unsent={}",
-            down.len(), left.len()
+            failed_queries.len(), unsent_numbers.len()
         );
         let mut known = self.vms.borrow_mut();
         let Some(health) = known.get_mut(&vm) else {
             return;
         };
-        for (began, heard) in down {
-            if !heard {
+        for (began, replied) in failed_queries {
+            if !replied {
                 health.note_unreachable(began, time);
             }
         }
--- a/crates/ebonyfork/src/gateway/delegate_tests.rs
+++ b/crates/ebonyfork/src/gateway/delegate_tests.rs
@@ -35,6 +35,6 @@
             failed,
             ..PartialReply::default()
         };
-        expect_that!(shows_upstreams(&reply), eq(expected), "{reply:?}");
+        expect_that!(knows_upstreams(&reply), eq(expected), "{reply:?}");
     }
 }
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -11,30 +11,30 @@
 use crate::gateway::core::GatewayCore;
 use crate::gateway::dialect::WireNames;
 use crate::gateway::loss::LossCheck;
-use crate::gateway::loss_check::note_loss;
+use crate::gateway::loss_check::record_loss;
 use crate::gateway::policy::latency::millis;
 use crate::gateway::policy::load_report::LoadReport;
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::reply_body::{AnswerStream, ReplyBody};
 use crate::gateway::request::ForwardRequest;
 use crate::gateway::route::RepeatKind;
-use crate::gateway::slots::SlotOrder;
-use crate::gateway::upstream::{HeldLink, Upstream};
+use crate::gateway::slots::SlotPriority;
+use crate::gateway::upstream::{ActiveLink, Upstream};
 use crate::http_link::{LinkBody, LinkError};
 use crate::quarantine::LostRequest;
 
 /// Longest time for opening a connection. In the same region a handshake takes 1 to 6 ms, more on a busy upstream.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest idle time of a pooled connection that is used for a request that must run at most once. If such a connection
 /// breaks, the outcome is unknown, while a new connection costs only about 1 ms.
-const ONCE_FRESH: Duration = Duration::from_millis(500);
+const MAX_IDLE_ONCE: Duration = Duration::from_millis(500);
 /// Longest idle time of a pooled connection that is used for a request that can be sent again.
-const REPEAT_FRESH: Duration = Duration::from_mins(1);
+const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_mins(1);
 /// Longest answer of a shard, in bytes. It is merged with others and therefore buffered whole.
-const PART_LIMIT: usize = 8 * 1024 * 1024;
+const MAX_SHARD_ANSWER_BYTES: usize = 8 * 1024 * 1024;
 /// Longest answer that is buffered whole before it is passed on, in bytes. If an answer up to this length breaks off,
 /// the request can be sent again. A longer one is streamed to limit the memory it takes (the smallest VM has 160 MB).
-const WHOLE_LIMIT: usize = 256 * 1024;
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
 /// Answer of an upstream.
 #[derive(Debug)]
@@ -126,9 +126,9 @@
 struct AttemptRecord<'a> {
     context: &'a AttemptContext,
     upstream: &'a Upstream,
-    began: Instant,
+    started: Instant,
     sent: Option<Instant>,
-    noted: bool,
+    recorded: bool,
 }
 
 impl AttemptRecord<'_> {
@@ -145,25 +145,25 @@
 
     /// Returns the ratio of the elapsed time to the usual one.
     fn slowness(&self, now: Instant) -> f64 {
-        let took = millis(now.saturating_duration_since(self.began));
+        let took = millis(now.saturating_duration_since(self.started));
         let latency = self.context.latency.borrow();
         latency.slowness(self.distance(), took)
     }
 
-    fn note(&mut self, outcome: &AttemptOutcome) {
-        self.noted = true;
+    fn record_outcome(&mut self, outcome: &AttemptOutcome) {
+        self.recorded = true;
         let now = now();
         let mut health = self.upstream.health.borrow_mut();
         match outcome {
             AttemptOutcome::Answered(answer) if !answer.status.is_server_error() => {
-                health.note_answer(self.began, now, self.slowness(now));
-                let took = now.saturating_duration_since(self.began);
+                health.note_answer(self.started, now, self.slowness(now));
+                let took = now.saturating_duration_since(self.started);
                 let mut latency = self.context.latency.borrow_mut();
                 latency.track_mut(self.distance()).record(took, now);
             }
-            AttemptOutcome::Unsent(_) => health.note_unreachable(self.began, now),
+            AttemptOutcome::Unsent(_) => health.note_unreachable(self.started, now),
             AttemptOutcome::Answered(_) | AttemptOutcome::Declined(_) | AttemptOutcome::Lost(_) => {
-                health.note_failure(self.began, now);
+                health.note_failure(self.started, now);
             }
         }
     }
@@ -171,20 +171,20 @@
 
 impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
-        if self.noted {
+        if self.recorded {
             return;
         }
         let mut health = self.upstream.health.borrow_mut();
         match self.sent {
             Some(_) => {
                 let now = now();
-                health.note_abandoned(self.began, now, self.slowness(now));
-                let waited = now.saturating_duration_since(self.began);
+                health.note_abandoned(self.started, now, self.slowness(now));
+                let waited = now.saturating_duration_since(self.started);
                 let mut latency = self.context.latency.borrow_mut();
                 let track = latency.track_mut(self.distance());
                 track.record_abandoned(waited, now);
             }
-            None => health.note_unsent(self.began),
+            None => health.note_unsent(self.started),
         }
     }
 }
@@ -198,44 +198,44 @@
     useful_until: Option<Instant>,
     before_send: impl FnOnce() -> bool,
 ) -> AttemptOutcome {
-    let began = now();
-    upstream.health.borrow_mut().begin(began);
+    let started = now();
+    upstream.health.borrow_mut().begin(started);
     let mut record = AttemptRecord {
         context,
         upstream,
-        began,
+        started,
         sent: None,
-        noted: false,
+        recorded: false,
     };
-    let fresh = match context.repeat {
-        RepeatKind::Idempotent => REPEAT_FRESH,
-        RepeatKind::Once => ONCE_FRESH,
+    let max_idle = match context.repeat {
+        RepeatKind::Idempotent => MAX_IDLE_IDEMPOTENT,
+        RepeatKind::Once => MAX_IDLE_ONCE,
     };
-    let order = SlotOrder {
+    let priority = SlotPriority {
         useful_until,
-        need: record.usual_time(),
+        service_time: record.usual_time(),
         received: request.received,
     };
-    let outcome = match upstream.connect(order, fresh, CONNECT_TIME).await {
-        Err(error) => AttemptOutcome::Unsent(reason(&error)),
-        Ok(held) => {
+    let outcome = match upstream.connect(priority, max_idle, CONNECT_TIMEOUT).await {
+        Err(error) => AttemptOutcome::Unsent(error_text(&error)),
+        Ok(active) => {
             let core = &context.core;
             let sent = now();
-            let left = request.finish_by.saturating_duration_since(sent);
-            let left_ms = left.as_millis() as u64;
-            let open = upstream.takes_requests() && core.take_cold_room(upstream);
-            if !open || left_ms == 0 || !before_send() {
+            let remaining = request.finish_by.saturating_duration_since(sent);
+            let remaining_ms = remaining.as_millis() as u64;
+            let may_send = upstream.takes_requests() && core.reserve_cold_send(upstream);
+            if !may_send || remaining_ms == 0 || !before_send() {
                 // The upstream is not at fault.
-                upstream.keep(held, None);
-                record.noted = true;
-                upstream.health.borrow_mut().note_unsent(began);
-                return AttemptOutcome::Unsent("given up before it was sent".into());
+                upstream.release(active, None);
+                record.recorded = true;
+                upstream.health.borrow_mut().note_unsent(started);
+                return AttemptOutcome::Unsent("cancelled before it was sent".into());
             }
             record.sent = Some(sent);
-            send(context, upstream, request, (held, left_ms)).await
+            send(context, upstream, request, (active, remaining_ms)).await
         }
     };
-    record.note(&outcome);
+    record.record_outcome(&outcome);
     outcome
 }
 
@@ -243,42 +243,42 @@
     context: &AttemptContext,
     upstream: &Rc<Upstream>,
     request: &ForwardRequest,
-    (mut held, left_ms): (HeldLink, u64),
+    (mut active, remaining_ms): (ActiveLink, u64),
 ) -> AttemptOutcome {
     let core = &context.core;
     let names = &core.dialect.names;
     let sent = now();
     let instance = upstream.entry().instance.clone();
-    let message = request.build(names, &instance, left_ms);
+    let message = request.build(names, &instance, remaining_ms);
     let after_loss = request.after_loss.get();
-    let whole = match context.stream_patience {
-        Some(_) => WHOLE_LIMIT,
-        None => PART_LIMIT,
+    let max_buffered = match context.stream_patience {
+        Some(_) => MAX_BUFFERED_ANSWER_BYTES,
+        None => MAX_SHARD_ANSWER_BYTES,
     };
-    let response = match held.link.begin_exchange(message, whole).await {
+    let response = match active.link.begin_exchange(message, max_buffered).await {
         Ok(response) => response,
         Err(error) => {
-            if !held.reused {
+            if !active.reused {
                 // If a new connection breaks at once, the upstream does not accept that many.
-                upstream.narrow(now());
+                upstream.reduce_limit(now());
             }
             // Other pooled connections have probably been closed as well.
-            upstream.drop_idle();
+            upstream.close_idle();
             if matches!(error, LinkError::Unsent { .. }) {
-                return AttemptOutcome::Unsent(reason(&error));
+                return AttemptOutcome::Unsent(error_text(&error));
             }
             let lost = LostRequest {
                 after_loss,
                 ..LostRequest::new(request.fingerprint, now().saturating_duration_since(sent))
             };
-            let check = note_loss(core, upstream, lost);
+            let check = record_loss(core, upstream, lost);
             return AttemptOutcome::Lost(AttemptLoss {
-                reason: reason(&error),
+                reason: error_text(&error),
                 check: Some(check),
             });
         }
     };
-    let outcome = read_response(context, request, response, held, upstream);
+    let outcome = read_response(context, request, response, active, upstream);
     if let AttemptOutcome::Answered(_) = &outcome {
         let flight = now().saturating_duration_since(sent);
         core.quarantine.report_answer(request.fingerprint, flight);
@@ -291,7 +291,7 @@
     context: &AttemptContext,
     request: &ForwardRequest,
     response: Response<LinkBody>,
-    held: HeldLink,
+    active: ActiveLink,
     upstream: &Rc<Upstream>,
 ) -> AttemptOutcome {
     let names = &context.core.dialect.names;
@@ -299,13 +299,13 @@
     let echoed = head.headers.get(&names.request_id);
     if echoed.is_some_and(|echoed| *echoed != request.id) {
         // A late duplicate answer to an earlier request: request and answers on this connection no longer match up.
-        let reason = CompactString::const_new("the answer is to another request");
+        let reason = CompactString::const_new("the response is for another request");
         return AttemptOutcome::Lost(reason.into());
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         log::info!(
             target: "ebonyfork::decision",
-            "upstream gone instance={} address={}: another one answers there",
+            "upstream gone instance={} address={}: another upstream answers at this address",
             upstream.entry().instance, upstream.entry().address
         );
         upstream.leave();
@@ -315,33 +315,33 @@
     let signed = head.headers.contains_key(&names.signature);
     if !declined && !signed {
         let status = head.status.as_u16();
-        let reason = compact_str::format_compact!("an unsigned answer with status {status}");
+        let reason = compact_str::format_compact!("unsigned response with status {status}");
         return AttemptOutcome::Lost(reason.into());
     }
-    note_load(names, &head.headers, upstream);
-    let keeps = keeps_connection(&head.headers);
-    let idle = idle_time(&head.headers);
+    record_load(names, &head.headers, upstream);
+    let reusable = allows_reuse(&head.headers);
+    let keep_alive = keep_alive_timeout(&head.headers);
     let body = match (body.rest, context.stream_patience) {
         (None, _) => {
-            if keeps {
-                upstream.keep(held, idle);
+            if reusable {
+                upstream.release(active, keep_alive);
             }
             ReplyBody::Whole(body.begun)
         }
-        (Some(rest), Some(patience)) if !declined => {
-            let mut stream = AnswerStream::new((body.begun, rest), held, upstream, patience);
-            if keeps {
-                stream = stream.with_kept_link(idle);
+        (Some(rest), Some(idle_timeout)) if !declined => {
+            let mut stream = AnswerStream::new((body.begun, rest), active, upstream, idle_timeout);
+            if reusable {
+                stream = stream.with_reuse(keep_alive);
             }
             ReplyBody::Stream(Box::new(stream))
         }
         (Some(_), _) => {
-            let reason = CompactString::const_new("the answer is too long");
+            let reason = CompactString::const_new("the response exceeds the size limit");
             return AttemptOutcome::Lost(reason.into());
         }
     };
     if declined {
-        upstream.narrow(now());
+        upstream.reduce_limit(now());
         return AttemptOutcome::Declined(head.status);
     }
     AttemptOutcome::Answered(UpstreamAnswer {
@@ -352,7 +352,7 @@
 }
 
 /// Records the load that an upstream reports. An unreadable report is logged once per upstream.
-fn note_load(names: &WireNames, headers: &HeaderMap, upstream: &Upstream) {
+fn record_load(names: &WireNames, headers: &HeaderMap, upstream: &Upstream) {
     let Some(stated) = headers.get(&names.load) else {
         return;
     };
@@ -361,14 +361,14 @@
         Ok(report) => upstream.health.borrow_mut().note_load(report, now()),
         Err(error) if !upstream.load_warned.replace(true) => log::warn!(
             target: "ebonyfork::decision",
-            "upstream instance={}: {error}; its load is not used",
+            "upstream instance={}: {error}; load report ignored",
             upstream.entry().instance
         ),
         Err(_known) => {}
     }
 }
 
-fn keeps_connection(headers: &HeaderMap) -> bool {
+fn allows_reuse(headers: &HeaderMap) -> bool {
     let closes = |value: &header::HeaderValue| {
         value
             .to_str()
@@ -378,7 +378,7 @@
 }
 
 /// Returns the idle timeout that an upstream states in its `Keep-Alive` header.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let stated = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = stated
         .split(',')
@@ -386,6 +386,6 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn reason(error: &LinkError) -> CompactString {
+fn error_text(error: &LinkError) -> CompactString {
     compact_str::format_compact!("{error}")
 }
--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -19,7 +19,7 @@
 const LOAD_STEPS: f64 = 8.0;
 
 /// Starts the tasks that exchange information between the gateway and gossip.
-pub(super) fn join_gossip(
+pub(super) fn connect_gossip(
     tasks: &mut JoinSet<()>,
     core: &Rc<GatewayCore>,
     members: &MemberHandle,
@@ -41,7 +41,7 @@
         let seen = snapshot.borrow_and_update().clone();
         core.route_checks.note_members(&seen, vm, &zone);
         core.note_own_version();
-        core.vms.take_members(seen);
+        core.vms.apply_members(seen);
         if snapshot.changed().await.is_err() {
             return;
         }
@@ -50,11 +50,11 @@
 
 /// Publishes the version of the configuration in force, as this VM has read it from the store, and the load of this VM.
 async fn publish_digest(core: Rc<GatewayCore>, members: MemberHandle) {
-    let mut told = core.route_checks.told_version();
+    let mut version = core.route_checks.told_version();
     let mut published = MemberDigest::default();
     loop {
         let digest = MemberDigest {
-            revision: RevisionNumber(told.borrow_and_update().0),
+            revision: RevisionNumber(version.borrow_and_update().0),
             load: vm_load(core.lag.borrow().margin()),
         };
         core.vms.set_own_load(digest.load);
@@ -62,7 +62,7 @@
             members.set_digest(digest);
             published = digest;
         }
-        if let Ok(Err(_closed)) = tokio::time::timeout(LOAD_PERIOD, told.changed()).await {
+        if let Ok(Err(_closed)) = tokio::time::timeout(LOAD_PERIOD, version.changed()).await {
             return;
         }
     }
--- a/crates/ebonyfork/src/gateway/http_server.rs
+++ b/crates/ebonyfork/src/gateway/http_server.rs
@@ -21,8 +21,8 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Logs a failed accept and pauses.
-pub(super) async fn note_accept_error(error: &io::Error) {
-    log::warn!("accept: {error}");
+pub(super) async fn log_accept_error(error: &io::Error) {
+    log::warn!("accept failed: {error}");
     tokio::time::sleep(ACCEPT_PAUSE).await;
 }
 
@@ -37,7 +37,7 @@
             Ok((stream, _peer)) => {
                 tokio::task::spawn_local(serve_stream(stream, Rc::clone(&answer)));
             }
-            Err(error) => note_accept_error(&error).await,
+            Err(error) => log_accept_error(&error).await,
         }
     }
 }
@@ -56,6 +56,6 @@
         .header_read_timeout(IDLE_TIME);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
-        log::debug!("side connection: {error}");
+        log::debug!("control connection: {error}");
     }
 }
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -20,7 +20,7 @@
 use crate::gateway::caller_time::{CallerDistance, CallerTime};
 use crate::gateway::clock::now;
 use crate::gateway::core::{GatewayCore, ServiceState};
-use crate::gateway::http_server::note_accept_error;
+use crate::gateway::http_server::log_accept_error;
 use crate::gateway::metrics::OutcomeLabel;
 use crate::gateway::refusal::RefusalReason;
 use crate::gateway::reply::{CallerReply, refusal};
@@ -32,15 +32,15 @@
 use crate::quarantine::RequestStanding;
 
 /// Idle and header timeout of connections until a configuration states them.
-const TIME_ASSUMED: Duration = Duration::from_secs(15);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 /// Smallest buffer that the HTTP library accepts for a request head, in bytes.
-const HEAD_BUFFER_LEAST: usize = 8_192;
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
 /// Buffer for a request head until a configuration states its limit, in bytes.
-const HEAD_BUFFER_ASSUMED: usize = 64 * 1024;
+const DEFAULT_HEAD_BUFFER_BYTES: usize = 64 * 1024;
 
 /// Upper bound on the wait that a caller states, in milliseconds. A longer wait is a mistake and could overflow a
 /// timestamp.
-const LONGEST_WAIT_MS: f64 = 86_400_000.0;
+const MAX_WAIT_MS: f64 = 86_400_000.0;
 
 /// Accepts callers' connections until the future is dropped.
 pub async fn serve_callers(core: Rc<GatewayCore>, listener: TcpListener) {
@@ -49,14 +49,14 @@
             Ok((stream, _peer)) => {
                 tokio::task::spawn_local(serve_stream(Rc::clone(&core), stream));
             }
-            Err(error) => note_accept_error(&error).await,
+            Err(error) => log_accept_error(&error).await,
         }
     }
 }
 
 /// Reason for closing a connection from this side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StreamEnd {
+enum CloseReason {
     /// The connection was idle for too long.
     Idle,
     /// Receiving a request head took too long.
@@ -69,13 +69,13 @@
         return;
     }
     let limits = core.table().map(|table| table.limits());
-    let head = limits.map_or(HEAD_BUFFER_ASSUMED, |limits| limits.header_bytes);
+    let head = limits.map_or(DEFAULT_HEAD_BUFFER_BYTES, |limits| limits.header_bytes);
     let activity = Rc::new(StreamActivity {
         distance: CallerDistance::measure(&stream),
-        new: Cell::new(true),
+        awaiting_first: Cell::new(true),
         busy: Cell::new(false),
-        since: Cell::new(now()),
-        head_since: Cell::new(None),
+        idle_since: Cell::new(now()),
+        head_started: Cell::new(None),
         decided: Cell::new(None),
         lag: Rc::clone(&core.lag),
     });
@@ -87,12 +87,14 @@
             let activity = Rc::clone(&activity);
             async move {
                 activity.busy.set(true);
-                activity.head_since.set(None);
-                let time = activity.distance.request(activity.new.replace(false));
+                activity.head_started.set(None);
+                let time = activity
+                    .distance
+                    .for_request(activity.awaiting_first.replace(false));
                 let (reply, decided) = answer(&core, request, time).await;
                 activity.decided.set(decided);
                 activity.busy.set(false);
-                activity.since.set(now());
+                activity.idle_since.set(now());
                 Ok::<_, Infallible>(reply)
             }
         }
@@ -101,7 +103,7 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(head.max(HEAD_BUFFER_LEAST));
+        .max_buf_size(head.max(MIN_HEAD_BUFFER_BYTES));
     let stream = ActivityStream::new(stream, Rc::clone(&activity));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
@@ -113,10 +115,10 @@
                 }
                 return;
             }
-            end = wait_end(&core, &activity) => match end {
-                StreamEnd::Idle => connection.as_mut().graceful_shutdown(),
-                StreamEnd::SlowHead => {
-                    log::info!(target: "ebonyfork::decision", "caller connection ended: its request's head took too long");
+            end = wait_close_reason(&core, &activity) => match end {
+                CloseReason::Idle => connection.as_mut().graceful_shutdown(),
+                CloseReason::SlowHead => {
+                    log::info!(target: "ebonyfork::decision", "caller connection closed: timeout while receiving a request head");
                     return;
                 }
             }
@@ -125,28 +127,28 @@
 }
 
 /// Waits until a connection exceeds the idle or header timeout of the configuration in force. Returns which.
-async fn wait_end(core: &GatewayCore, activity: &StreamActivity) -> StreamEnd {
+async fn wait_close_reason(core: &GatewayCore, activity: &StreamActivity) -> CloseReason {
     /// Time between two checks of a connection.
-    const LOOK: Duration = Duration::from_secs(1);
+    const CHECK_PERIOD: Duration = Duration::from_secs(1);
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
         if activity.busy.get() {
             continue;
         }
         let limits = core.table().map(|table| table.limits());
-        let (head_time, idle_time) = limits.map_or((TIME_ASSUMED, TIME_ASSUMED), |limits| {
+        let (head_time, idle_time) = limits.map_or((DEFAULT_TIMEOUT, DEFAULT_TIMEOUT), |limits| {
             (limits.header_time, limits.idle_time)
         });
-        let passed = |since: Instant| now().saturating_duration_since(since);
+        let elapsed = |since: Instant| now().saturating_duration_since(since);
         if activity
-            .head_since
+            .head_started
             .get()
-            .is_some_and(|since| passed(since) > head_time)
+            .is_some_and(|since| elapsed(since) > head_time)
         {
-            return StreamEnd::SlowHead;
+            return CloseReason::SlowHead;
         }
-        if passed(activity.since.get()) > idle_time {
-            return StreamEnd::Idle;
+        if elapsed(activity.idle_since.get()) > idle_time {
+            return CloseReason::Idle;
         }
     }
 }
@@ -159,9 +161,9 @@
 ) -> (CallerReply, Option<Instant>) {
     let received = now();
     let (parts, body) = request.into_parts();
-    let flight = core.flights.hold();
-    let mut story = RequestStory::new(core, &parts, received);
-    let report = match handle(core, parts, body, (received, time), &mut story).await {
+    let in_flight = core.in_flight.enter();
+    let mut request_log = RequestLog::new(core, &parts, received);
+    let report = match handle(core, parts, body, (received, time), &mut request_log).await {
         Ok(report) => report,
         Err(reason) => RunReport {
             reply: refusal(reason),
@@ -171,26 +173,26 @@
         },
     };
     let mut reply = report.reply;
-    reply.body_mut().hold(flight);
+    reply.body_mut().hold_in_flight(in_flight);
     if core.state() != ServiceState::Serving {
         // Makes the caller look up again which VMs to use.
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(header::CONNECTION, close);
     }
-    story.end(report.word, &report.detail, reply.status().as_u16());
+    request_log.finish(report.word, &report.detail, reply.status().as_u16());
     (reply, report.decided)
 }
 
 /// Logs a request once, also if its caller disconnects before the answer.
-struct RequestStory {
+struct RequestLog {
     core: Rc<GatewayCore>,
     id: CompactString,
     route: CompactString,
     received: Instant,
-    ended: bool,
+    logged: bool,
 }
 
-impl RequestStory {
+impl RequestLog {
     fn new(core: &Rc<GatewayCore>, parts: &Parts, received: Instant) -> Self {
         let id = parts.headers.get(&core.dialect.names.request_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
@@ -199,16 +201,16 @@
             id: CompactString::new(id),
             route: CompactString::const_new("-"),
             received,
-            ended: false,
+            logged: false,
         }
     }
 
-    fn note_route(&mut self, route: &RouteEntry, table: &RouteTable) {
+    fn set_route(&mut self, route: &RouteEntry, table: &RouteTable) {
         self.route = format_compact!("{} version={}", route.name, table.version());
     }
 
-    fn end(mut self, word: &'static str, detail: &str, status: u16) {
-        self.ended = true;
+    fn finish(mut self, word: &'static str, detail: &str, status: u16) {
+        self.logged = true;
         let took = now().saturating_duration_since(self.received);
         let metrics = &self.core.metrics;
         metrics.requests.get_or_create(&OutcomeLabel(word)).inc();
@@ -221,9 +223,9 @@
     }
 }
 
-impl Drop for RequestStory {
+impl Drop for RequestLog {
     fn drop(&mut self) {
-        if self.ended {
+        if self.logged {
             return;
         }
         self.core.metrics.abandoned.inc();
@@ -241,7 +243,7 @@
     parts: Parts,
     body: Incoming,
     (received, time): (Instant, CallerTime),
-    story: &mut RequestStory,
+    request_log: &mut RequestLog,
 ) -> Result<RunReport, RefusalReason> {
     let table = core.table().ok_or(RefusalReason::NoConfig)?;
     if head_bytes(&parts) > table.limits().header_bytes {
@@ -250,7 +252,7 @@
     let host = request_host(&parts).ok_or(RefusalReason::Malformed)?;
     let route = table.find(&host, parts.uri.path()).map(Rc::clone);
     let route = route.ok_or_else(|| core.no_route())?;
-    story.note_route(&route, &table);
+    request_log.set_route(&route, &table);
     if core.state() == ServiceState::Finishing {
         return Err(RefusalReason::Stopping);
     }
@@ -260,7 +262,7 @@
     let id = id.ok_or(RefusalReason::Malformed)?;
     let stated = caller_wait(core, &parts)?;
     let latency = core.latency(&route);
-    let before = stated.and_then(|wait| latency.borrow_mut().waits.note(wait, received));
+    let before = stated.and_then(|wait| latency.borrow_mut().waits.record(wait, received));
     let wait = stated.map_or(route.timeout, |wait| wait.min(route.timeout));
     let finish_by = received + wait;
     let body = read_body(body, table.limits().body_bytes, finish_by).await?;
@@ -270,7 +272,7 @@
     if standing == RequestStanding::Quarantined {
         return Err(RefusalReason::Quarantined);
     }
-    let target = run_target(core, &route)?;
+    let target = select_target(core, &route)?;
     Ok(run_request(core, &route, target, Rc::new(request), standing).await)
 }
 
@@ -313,7 +315,7 @@
     let millis = stated.filter(|millis| millis.is_finite() && *millis >= 0.0);
     let millis = millis.ok_or(RefusalReason::Malformed)?;
     Ok(Some(Duration::from_secs_f64(
-        millis.min(LONGEST_WAIT_MS) / 1_000.0,
+        millis.min(MAX_WAIT_MS) / 1_000.0,
     )))
 }
 
@@ -333,22 +335,22 @@
             Err(RefusalReason::TooLarge)
         }
         Err(error) => {
-            log::debug!("caller body: {error}");
+            log::debug!("caller body not received: {error}");
             Err(RefusalReason::Malformed)
         }
     }
 }
 
-fn run_target(core: &GatewayCore, route: &RouteEntry) -> Result<RunTarget, RefusalReason> {
+fn select_target(core: &GatewayCore, route: &RouteEntry) -> Result<RunTarget, RefusalReason> {
     match &route.destination {
         RouteTarget::One(service) => Ok(RunTarget::One(service.clone())),
         RouteTarget::Gather(terms) => Ok(RunTarget::Gather(terms.clone())),
         RouteTarget::Weighted(parts) => {
-            let at_home = core.parts_at_home(route, parts);
-            if at_home.is_empty() {
+            let home_services = core.home_services(route, parts);
+            if home_services.is_empty() {
                 return Err(RefusalReason::NotAtHome);
             }
-            let picked = core.shares.pick(&route.name, &at_home);
+            let picked = core.round_robin.pick(&route.name, &home_services);
             picked.map(RunTarget::One).ok_or(RefusalReason::NoUpstream)
         }
     }
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -24,17 +24,17 @@
 use crate::gateway::upstream::Upstream;
 
 /// One-way latency between two regions.
-const FAR_WAY: Duration = Duration::from_millis(12);
+const INTER_REGION_LATENCY: Duration = Duration::from_millis(12);
 /// One-way latency within a zone.
-const NEAR_WAY: Duration = Duration::from_micros(100);
+const INTRA_ZONE_LATENCY: Duration = Duration::from_micros(100);
 /// Number of requests queued at an upstream from which it declines further ones.
-const QUEUE: usize = 12;
+const MAX_QUEUED: usize = 12;
 /// Number of requests that an upstream runs concurrently.
 const SLOTS: usize = 2;
 /// Shortest time between two hedging checks of an attempt.
-const LEAST_STEP: Duration = Duration::from_millis(1);
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// Largest number of attempts per shard.
-const SENDS: usize = 4;
+const MAX_ATTEMPTS: usize = 4;
 
 /// Fault of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -65,7 +65,7 @@
 pub struct ModelDeployment {
     shards: usize,
     vms: usize,
-    work: Duration,
+    service_time: Duration,
     target: Duration,
     /// Query rate as a fraction of the upstreams' capacity.
     demand: f64,
@@ -77,12 +77,12 @@
     pub fn draw(seed: u64, demand: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let vms = rng.random_range(4..=12_usize);
-        let work = Duration::from_millis(rng.random_range(4..=14));
+        let service_time = Duration::from_millis(rng.random_range(4..=14));
         Self {
             shards: rng.random_range(10..=30),
             vms,
-            work,
-            target: work * rng.random_range(9..=14) + FAR_WAY * 2,
+            service_time,
+            target: service_time * rng.random_range(9..=14) + INTER_REGION_LATENCY * 2,
             demand,
             budget: BudgetTerms {
                 ratio: 0.2,
@@ -93,13 +93,13 @@
     }
 
     /// Returns the smallest number of shards in an answer.
-    fn least(&self) -> usize {
+    fn min_shards(&self) -> usize {
         (self.shards as f64 * 0.89).ceil() as usize
     }
 
     /// Returns the query rate, in queries per second.
     fn rate(&self) -> f64 {
-        self.demand * (2 * SLOTS) as f64 / self.work.as_secs_f64()
+        self.demand * (2 * SLOTS) as f64 / self.service_time.as_secs_f64()
     }
 }
 
@@ -110,13 +110,13 @@
     pub queries: f64,
     /// Sum of the values of the answers. An answer in time is worth the square of its coverage, a late one a tenth of
     /// that.
-    pub earned: f64,
+    pub value: f64,
 }
 
 impl ReplayReport {
     /// Returns the mean value of a query.
-    pub fn worth(&self) -> f64 {
-        self.earned / self.queries
+    pub fn mean_value(&self) -> f64 {
+        self.value / self.queries
     }
 }
 
@@ -156,7 +156,7 @@
     Begin,
     Answer(usize),
     Fail(usize),
-    Look(usize),
+    CheckHedge(usize),
     Decide(usize),
 }
 
@@ -167,9 +167,9 @@
     rng: ChaCha8Rng,
     start: Instant,
     events: BinaryHeap<Reverse<(Instant, u64, ModelEvent)>>,
-    numbers: u64,
+    event_count: u64,
     servers: Vec<[ModelServer; 2]>,
-    struck: Vec<[bool; 2]>,
+    drawn_faulty: Vec<[bool; 2]>,
     vms: Vec<ModelVm>,
     queries: Vec<ModelQuery>,
     attempts: Vec<ModelAttempt>,
@@ -181,7 +181,7 @@
 
 impl LoadReplay {
     /// Replays a pattern for some seconds.
-    pub fn play(
+    pub fn run(
         deployment: ModelDeployment,
         phases: impl Into<Vec<FaultPhase>>,
         seconds: usize,
@@ -197,7 +197,7 @@
             .map(|_| [server(), server()])
             .collect();
         let drawn = |rng: &mut ChaCha8Rng| rng.random_bool(0.125);
-        let struck = (0..deployment.shards)
+        let drawn_faulty = (0..deployment.shards)
             .map(|_| [drawn(&mut rng), drawn(&mut rng)])
             .collect();
         let vms = (0..deployment.vms)
@@ -209,9 +209,9 @@
             rng,
             start,
             events: BinaryHeap::new(),
-            numbers: 0,
+            event_count: 0,
             servers,
-            struck,
+            drawn_faulty,
             vms,
             queries: Vec::new(),
             attempts: Vec::new(),
@@ -240,18 +240,18 @@
     }
 
     /// Returns the mean value of the queries that began in a range of seconds.
-    pub fn worth(&self, seconds: std::ops::Range<usize>) -> f64 {
+    pub fn mean_value(&self, seconds: std::ops::Range<usize>) -> f64 {
         let mut sum = ReplayReport::default();
         for second in &self.seconds[seconds] {
             sum.queries += second.queries;
-            sum.earned += second.earned;
+            sum.value += second.value;
         }
-        sum.worth()
+        sum.mean_value()
     }
 
     fn push(&mut self, at: Instant, event: ModelEvent) {
-        self.numbers += 1;
-        self.events.push(Reverse((at, self.numbers, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn second(&self, at: Instant) -> usize {
@@ -264,8 +264,8 @@
             ModelEvent::Begin => self.begin(now),
             ModelEvent::Answer(attempt) => self.answer(attempt, now),
             ModelEvent::Fail(attempt) => self.fail(attempt, now),
-            ModelEvent::Look(attempt) => self.look(attempt, now),
-            ModelEvent::Decide(query) => self.judge(query, now),
+            ModelEvent::CheckHedge(attempt) => self.check_hedge(attempt, now),
+            ModelEvent::Decide(query) => self.decide(query, now),
         }
     }
 
@@ -274,14 +274,14 @@
         self.push(now + Duration::from_secs_f64(gap), ModelEvent::Begin);
         let second = self.second(now);
         self.seconds[second].queries += 1.0;
-        let (shards, least) = (self.deployment.shards, self.deployment.least());
+        let (shards, min_shards) = (self.deployment.shards, self.deployment.min_shards());
         let answer_by = now + self.deployment.target;
         let finish_by = now + self.deployment.target * 4;
         let query = self.queries.len();
         self.queries.push(ModelQuery {
             vm: self.rng.random_range(0..self.vms.len()),
             began: now,
-            state: GatherState::new(shards, least, answer_by, finish_by),
+            state: GatherState::new(shards, min_shards, answer_by, finish_by),
             sent: vec![[false; 2]; shards],
             done: false,
         });
@@ -324,10 +324,10 @@
     /// Sends an attempt. Its outcome at the upstream is computed immediately.
     fn send(&mut self, query: usize, shard: usize, choice: &UpstreamChoice, now: Instant) {
         let near = choice.distance == PlaceDistance::Zone;
-        let (way, kind) = if near {
-            (NEAR_WAY, AttemptKind::Zone)
+        let (one_way, kind) = if near {
+            (INTRA_ZONE_LATENCY, AttemptKind::Zone)
         } else {
-            (FAR_WAY, AttemptKind::Delegated)
+            (INTER_REGION_LATENCY, AttemptKind::Delegated)
         };
         let replica = replica(&choice.upstream);
         choice.upstream.health.borrow_mut().begin(now);
@@ -344,26 +344,28 @@
             began: now,
             ended: false,
         });
-        let (done, answered) = self.serve(shard, replica, now + way);
+        let (done, answered) = self.serve(shard, replica, now + one_way);
         let event = if answered {
             ModelEvent::Answer(number)
         } else {
             ModelEvent::Fail(number)
         };
-        self.push(done + way, event);
+        self.push(done + one_way, event);
         let vm = &self.vms[self.queries[query].vm];
-        let first_look = HedgeQuestion::next_look(vm.latency.track(kind), 0.0);
-        let look = now + Duration::from_secs_f64(first_look / 1_000.0);
-        self.push(look, ModelEvent::Look(number));
+        let first_check_ms = HedgeQuestion::next_look(vm.latency.track(kind), 0.0);
+        let check_at = now + Duration::from_secs_f64(first_check_ms / 1_000.0);
+        self.push(check_at, ModelEvent::CheckHedge(number));
     }
 
     /// Returns when an upstream completes a request that arrives at `at`, and whether it answers it.
     fn serve(&mut self, shard: usize, replica: usize, at: Instant) -> (Instant, bool) {
         let second = at.saturating_duration_since(self.start).as_secs();
-        let struck = self.struck[shard][replica];
+        let drawn_faulty = self.drawn_faulty[shard][replica];
         let in_force = self.phases.iter().filter(|phase| {
             let now = (phase.from..phase.until).contains(&second);
-            now && phase.replica.map_or(struck, |number| number == replica)
+            now && phase
+                .replica
+                .map_or(drawn_faulty, |number| number == replica)
         });
         let faults: Vec<ModelFault> = in_force.map(|phase| phase.fault).collect();
         let (mut factor, mut breaks) = (1.0, false);
@@ -377,16 +379,16 @@
         }
         let spread = self.rng.random_range(0.5..1.5);
         let server = &mut self.servers[shard][replica];
-        server.waiting.retain(|begins| *begins > at);
-        if server.waiting.len() >= QUEUE {
+        server.waiting.retain(|starts_at| *starts_at > at);
+        if server.waiting.len() >= MAX_QUEUED {
             return (at, false);
         }
         let slot = usize::from(server.free[1] < server.free[0]);
-        let begins = server.free[slot].max(at);
-        let ends = begins + self.deployment.work.mul_f64(factor * spread);
-        server.free[slot] = ends;
-        server.waiting.push(begins);
-        (ends, !breaks)
+        let starts_at = server.free[slot].max(at);
+        let ends_at = starts_at + self.deployment.service_time.mul_f64(factor * spread);
+        server.free[slot] = ends_at;
+        server.waiting.push(starts_at);
+        (ends_at, !breaks)
     }
 
     /// Marks an attempt as ended. Returns its query, shard and VM unless it had already ended.
@@ -416,7 +418,7 @@
         let signature = http::HeaderValue::from_static("s");
         let state = &mut self.queries[query].state;
         state.take_part(shard, signature, bytes::Bytes::new());
-        self.judge(query, now);
+        self.decide(query, now);
     }
 
     fn fail(&mut self, number: usize, now: Instant) {
@@ -429,7 +431,7 @@
         health.note_failure(attempt.began, now);
         drop(health);
         self.retry(query, shard, now);
-        self.judge(query, now);
+        self.decide(query, now);
     }
 
     fn retry(&mut self, query: usize, shard: usize, now: Instant) {
@@ -438,16 +440,16 @@
             return;
         }
         let choice = self.choose(query, shard, now);
-        let may = state.ran < SENDS;
+        let attempts_left = state.ran < MAX_ATTEMPTS;
         match choice {
-            Some(choice) if may && self.spend(query, shard, now) => {
+            Some(choice) if attempts_left && self.spend(query, shard, now) => {
                 self.send(query, shard, &choice, now);
             }
             _ => self.queries[query].state.fail(shard),
         }
     }
 
-    fn look(&mut self, number: usize, now: Instant) {
+    fn check_hedge(&mut self, number: usize, now: Instant) {
         let attempt = &self.attempts[number];
         let (query, shard, kind) = (attempt.query, attempt.shard, attempt.kind);
         let state = &self.queries[query].state;
@@ -460,7 +462,7 @@
         let left_ms = left.map(|until| millis(until.saturating_duration_since(now)));
         let latency = &self.vms[self.queries[query].vm].latency;
         let next = HedgeQuestion::next_look(latency.track(kind), waited_ms);
-        let look = attempt.began + Duration::from_secs_f64(next / 1_000.0);
+        let check_at = attempt.began + Duration::from_secs_f64(next / 1_000.0);
         let Some(choice) = self.choose(query, shard, now) else {
             return;
         };
@@ -476,15 +478,18 @@
             other_slowness: choice.slowness,
             known_late: false,
         };
-        let worth = question.is_worth() && replica(&choice.upstream) != attempt.replica;
+        let hedge = question.is_worth() && replica(&choice.upstream) != attempt.replica;
         // When rounded to nanoseconds, the next check may coincide with this one.
-        self.push(look.max(now + LEAST_STEP), ModelEvent::Look(number));
-        if worth && self.spend(query, shard, now) {
+        self.push(
+            check_at.max(now + MIN_CHECK_INTERVAL),
+            ModelEvent::CheckHedge(number),
+        );
+        if hedge && self.spend(query, shard, now) {
             self.send(query, shard, &choice, now);
         }
     }
 
-    fn judge(&mut self, number: usize, now: Instant) {
+    fn decide(&mut self, number: usize, now: Instant) {
         let query = &mut self.queries[number];
         if query.done {
             return;
@@ -495,10 +500,10 @@
         query.done = true;
         let coverage = query.state.answered() as f64 / query.state.shards().len() as f64;
         let late = now > query.began + self.deployment.target;
-        let full = if late { 0.1 } else { 1.0 };
+        let timeliness = if late { 0.1 } else { 1.0 };
         if matches!(end, GatherEnd::Whole | GatherEnd::Partial) {
             let second = self.second(self.queries[number].began);
-            self.seconds[second].earned += coverage * coverage * full;
+            self.seconds[second].value += coverage * coverage * timeliness;
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/load_tests.rs
+++ b/crates/ebonyfork/src/gateway/load_tests.rs
@@ -11,13 +11,13 @@
 
 /// Replays a pattern on all deployments and returns the mean value of the queries in a range of seconds. Also checks
 /// that no deployment exceeds its retry budget in any period.
-fn mean_worth(demand: f64, phases: &[FaultPhase], seconds: std::ops::Range<usize>) -> f64 {
+fn mean_value_of(demand: f64, phases: &[FaultPhase], seconds: std::ops::Range<usize>) -> f64 {
     let mut sum = 0.0;
     for seed in 0..DEPLOYMENTS {
         let deployment = ModelDeployment::draw(seed, demand);
-        let replay = LoadReplay::play(deployment, phases, seconds.end + 1, seed);
+        let replay = LoadReplay::run(deployment, phases, seconds.end + 1, seed);
         replay.check_budget(seed);
-        sum += replay.worth(seconds.clone());
+        sum += replay.mean_value(seconds.clone());
     }
     sum / DEPLOYMENTS as f64
 }
@@ -37,12 +37,12 @@
                 let begin = self.start() + Duration::from_secs(from as u64);
                 let end = begin + terms.window;
                 let spent = repeats.iter().filter(|at| **at >= begin && **at < end);
-                let most = [0, 5, 10].map(|back| {
+                let max_requests = [0, 5, 10].map(|back| {
                     let first = from.saturating_sub(back);
                     requests(first, first + 10)
                 });
-                let most = most.into_iter().fold(0.0, f64::max);
-                let bound = most * terms.ratio + terms.slack;
+                let max_requests = max_requests.into_iter().fold(0.0, f64::max);
+                let bound = max_requests * terms.ratio + terms.slack;
                 expect_that!(spent.count() as f64, le(bound), "seed {seed} from {from}");
             }
         }
@@ -59,9 +59,9 @@
 }
 
 #[gtest]
-fn nothing_is_lost_in_calm() {
-    let worth = mean_worth(0.3, &[], 2..8);
-    expect_that!(worth, ge(0.98));
+fn queries_keep_their_full_value_without_faults() {
+    let mean_value = mean_value_of(0.3, &[], 2..8);
+    expect_that!(mean_value, ge(0.98));
 }
 
 /// Guards against sending on to upstreams that decline. Of the two upstreams of each shard, one declines 6 of 10
@@ -70,26 +70,26 @@
 #[gtest]
 fn upstreams_that_decline_cost_little_while_others_have_room() {
     let declines = phase(ModelFault::Declines(0.6), Some(0), 4, 14);
-    let worth = mean_worth(0.2, &[declines], 5..14);
-    expect_that!(worth, ge(0.9));
+    let mean_value = mean_value_of(0.2, &[declines], 5..14);
+    expect_that!(mean_value, ge(0.9));
 }
 
 /// Guards against waiting for slow upstreams. An eighth of the upstreams becomes 8 to 12 times slower in two
 /// overlapping phases.
 #[gtest]
-fn slow_upstreams_are_left_for_others() {
+fn slow_upstreams_are_avoided() {
     let first = phase(ModelFault::Slow(8.0), None, 4, 12);
     let second = phase(ModelFault::Slow(1.5), None, 8, 14);
-    let worth = mean_worth(0.2, &[first, second], 5..14);
-    expect_that!(worth, ge(0.9));
+    let mean_value = mean_value_of(0.2, &[first, second], 5..14);
+    expect_that!(mean_value, ge(0.9));
 }
 
 /// Guards against losing answers that another upstream can give. Half of the upstreams break off two of five answers
 /// for a few seconds. The mean value is 0.86 if the choice of the upstream ignores the cost of a failed attempt, and
 /// 0.99 if it includes it.
 #[gtest]
-fn lost_answers_are_asked_for_elsewhere() {
+fn lost_answers_are_requested_from_other_upstreams() {
     let breaks = phase(ModelFault::Breaks(0.4), Some(1), 4, 9);
-    let worth = mean_worth(0.2, &[breaks], 4..9);
-    expect_that!(worth, ge(0.9));
+    let mean_value = mean_value_of(0.2, &[breaks], 4..9);
+    expect_that!(mean_value, ge(0.9));
 }
--- a/crates/ebonyfork/src/gateway/loss.rs
+++ b/crates/ebonyfork/src/gateway/loss.rs
@@ -34,7 +34,7 @@
     }
 
     /// Sets the verdict.
-    pub fn note(&self, finding: LossFinding) {
+    pub fn set(&self, finding: LossFinding) {
         self.finding.set(finding);
     }
 }
--- a/crates/ebonyfork/src/gateway/loss_check.rs
+++ b/crates/ebonyfork/src/gateway/loss_check.rs
@@ -17,15 +17,15 @@
 /// Delay between a break and the check of the upstream. By then a crashed upstream no longer accepts connections.
 const CHECK_DELAY: Duration = Duration::from_millis(20);
 /// Longest time for opening the connection that shows the upstream to be alive.
-const CHECK_TIME: Duration = Duration::from_millis(250);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Records that a connection broke under a request, and starts a check of the upstream unless one is running.
-pub fn note_loss(
+pub fn record_loss(
     core: &Rc<GatewayCore>,
     upstream: &Rc<Upstream>,
     lost: LostRequest,
 ) -> Rc<LossCheck> {
-    let (check, first) = upstream.add_lost(lost);
+    let (check, first) = upstream.add_lost_request(lost);
     if first {
         let core = Rc::clone(core);
         let upstream = Rc::clone(upstream);
@@ -39,13 +39,13 @@
     let broken = now();
     tokio::time::sleep(CHECK_DELAY).await;
     let entry = upstream.entry();
-    let opened = HttpLink::open(entry.address, CHECK_TIME).await;
-    let lost = upstream.take_lost();
+    let opened = HttpLink::open(entry.address, CHECK_TIMEOUT).await;
+    let lost = upstream.take_lost_requests();
     let Err(error) = opened else {
-        check.note(LossFinding::Harmless);
+        check.set(LossFinding::Harmless);
         return;
     };
-    check.note(LossFinding::Lost);
+    check.set(LossFinding::Lost);
     log::info!(
         target: "ebonyfork::decision",
         "upstream lost instance={} address={} in_flight={}: {error}",
--- a/crates/ebonyfork/src/gateway/metrics.rs
+++ b/crates/ebonyfork/src/gateway/metrics.rs
@@ -89,18 +89,22 @@
         registry.register("repeats", "Hedges and retries sent", self.repeats.clone());
         registry.register(
             "unfunded_repeats",
-            "Hedges and retries not sent for want of budget",
+            "Hedges and retries denied for lack of budget",
             self.unfunded.clone(),
         );
         registry.register(
             "borrowed_repeat_shares",
-            "Shares of the repeats' slack on lease from other VMs",
+            "Shares of the retry budget's slack on lease from other VMs",
             self.borrowed_shares.clone(),
         );
-        registry.register("abandoned", "Callers that left", self.abandoned.clone());
+        registry.register(
+            "abandoned",
+            "Requests whose caller disconnected",
+            self.abandoned.clone(),
+        );
         registry.register(
             "request_seconds",
-            "Time from a request's head to its answer",
+            "Time from receiving a request head to answering it",
             self.latency.clone(),
         );
         registry.register(
@@ -110,17 +114,17 @@
         );
         registry.register(
             "store_copy_revision",
-            "The store's revision up to which the copy is whole",
+            "Revision of the store up to which the copy is complete",
             self.copy_revision.clone(),
         );
         registry.register(
             "store_copy_era",
-            "The store's era up to which the copy is whole",
+            "Era of the store up to which the copy is complete",
             self.copy_era.clone(),
         );
         registry.register(
             "store_told_bytes",
-            "Bytes told to the VMs that follow this one",
+            "Bytes sent to the VMs that follow this one",
             self.told_bytes.clone(),
         );
     }
--- a/crates/ebonyfork/src/gateway/mod.rs
+++ b/crates/ebonyfork/src/gateway/mod.rs
@@ -88,4 +88,4 @@
 pub use route_check::RouteCheckMessage;
 pub use settings::{GatewaySettings, ListenAddresses, NodePlace, PlaceDistance};
 pub use upstream::UpstreamEntry;
-pub use weights::WeightShares;
+pub use weights::WeightedRoundRobin;
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -19,7 +19,7 @@
 use crate::gateway::core::{GatewayCore, ServiceState};
 use crate::gateway::dialect::GatewayDialect;
 use crate::gateway::follow::follow_store;
-use crate::gateway::gossip::join_gossip;
+use crate::gateway::gossip::connect_gossip;
 use crate::gateway::ingress::serve_callers;
 use crate::gateway::peers::{accept_links, follow_links, open_links};
 use crate::gateway::register::VmRegistration;
@@ -38,13 +38,13 @@
 const KILL_MARGIN: Duration = Duration::from_millis(500);
 /// How long before the end of the grace time new requests are refused so that those in flight can complete: a few times
 /// the usual duration of the slowest requests.
-const FINISH_TIME: Duration = Duration::from_millis(1_500);
+const DRAIN_TIME: Duration = Duration::from_millis(1_500);
 /// Time between two sweeps of idle connections and missing entries.
 const SWEEP_PERIOD: Duration = Duration::from_millis(250);
 /// Number of sweeps between two clean-ups of the retry budgets, which cover 10 s.
-const BUDGET_ROUNDS: u32 = 40;
+const SWEEPS_PER_BUDGET_CLEANUP: u32 = 40;
 /// Time between two checks of the requests in flight during shutdown.
-const FLIGHT_PERIOD: Duration = Duration::from_millis(20);
+const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
 /// Error: a gateway can't start.
 #[derive(Debug, Snafu)]
@@ -127,7 +127,7 @@
         tasks.spawn_local(sweep(Rc::clone(&core)));
         tasks.spawn_local(run_leases(Rc::clone(&core), own.0));
         tasks.spawn_local(run_claims(Rc::clone(&core), port.clone()));
-        join_gossip(&mut tasks, &core, &members, own);
+        connect_gossip(&mut tasks, &core, &members, own);
         log_start(&core);
         Ok(Self {
             core,
@@ -141,28 +141,28 @@
 
     /// Shuts down as planned: directs callers to other VMs while still serving, then completes the requests in flight.
     pub async fn stop(mut self) {
-        let began = now();
+        let started_at = now();
         let grace = self.core.settings.grace;
-        let last = began + grace.saturating_sub(KILL_MARGIN);
-        let finish = began + grace.saturating_sub(FINISH_TIME);
+        let exit_by = started_at + grace.saturating_sub(KILL_MARGIN);
+        let refuse_at = started_at + grace.saturating_sub(DRAIN_TIME);
         log::info!(
             "planned stop begins: in_flight={} grace_ms={}",
-            self.core.flights.get(),
+            self.core.in_flight.get(),
             grace.as_millis()
         );
         self.core.set_state(ServiceState::Leaving);
         self.members.announce_leaving();
         self.end_lease().await;
-        let forgotten = began + LOCATE_TTL * TTL_FACTOR + LOOKUP_TIME;
-        sleep_until(forgotten.min(finish)).await;
+        let callers_moved_at = started_at + LOCATE_TTL * TTL_FACTOR + LOOKUP_TIME;
+        sleep_until(callers_moved_at.min(refuse_at)).await;
         self.core.set_state(ServiceState::Finishing);
-        while self.core.flights.get() > 0 && now() < last {
-            tokio::time::sleep(FLIGHT_PERIOD).await;
+        while self.core.in_flight.get() > 0 && now() < exit_by {
+            tokio::time::sleep(DRAIN_CHECK_PERIOD).await;
         }
         log::info!(
             "planned stop ends: in_flight={} took_ms={}",
-            self.core.flights.get(),
-            now().saturating_duration_since(began).as_millis()
+            self.core.in_flight.get(),
+            now().saturating_duration_since(started_at).as_millis()
         );
         self.closing.cancel();
         self.tasks.abort_all();
@@ -172,11 +172,11 @@
     /// its own.
     async fn end_lease(&self) {
         /// Callers look up every second, so it is not worth waiting longer for a slow store.
-        const ANSWER_TIME: Duration = Duration::from_millis(300);
+        const STORE_TIMEOUT: Duration = Duration::from_millis(300);
         let Some(lease) = self.lease.take() else {
             return;
         };
-        match tokio::time::timeout(ANSWER_TIME, self.port.end_lease(lease)).await {
+        match tokio::time::timeout(STORE_TIMEOUT, self.port.end_lease(lease)).await {
             Ok(Ok(())) => log::info!("registration ended lease={lease}"),
             Ok(Err(error)) => log::info!("registration lease={lease} not ended: {error}"),
             Err(_elapsed) => log::info!("registration lease={lease} not ended: no answer"),
@@ -197,7 +197,7 @@
 fn own_zone(core: &GatewayCore) -> ZoneName {
     let zone = core.settings.place.zone.as_str().parse::<ZoneName>();
     zone.unwrap_or_else(|error| {
-        log::warn!("gossip names this zone `other`: {error}");
+        log::warn!("zone name not valid in gossip, using `other`: {error}");
         "other".parse().expect("a constant name is valid")
     })
 }
@@ -224,17 +224,17 @@
 
 /// Removes expired state periodically: idle connections, entries that have not reappeared, budgets of idle services.
 async fn sweep(core: Rc<GatewayCore>) {
-    let mut rounds = 0_u32;
+    let mut sweeps = 0_u32;
     loop {
         tokio::time::sleep(SWEEP_PERIOD).await;
         let time = now();
         core.expire_missing(time);
         core.registry.for_each(|upstream| {
-            upstream.drop_stale(time);
-            upstream.widen(time);
+            upstream.close_expired(time);
+            upstream.raise_limit(time);
         });
-        rounds = rounds.wrapping_add(1);
-        if rounds.is_multiple_of(BUDGET_ROUNDS) {
+        sweeps = sweeps.wrapping_add(1);
+        if sweeps.is_multiple_of(SWEEPS_PER_BUDGET_CLEANUP) {
             let time = core.running_time();
             core.repeats.borrow_mut().forget_idle(time);
         }
--- a/crates/ebonyfork/src/gateway/register.rs
+++ b/crates/ebonyfork/src/gateway/register.rs
@@ -21,14 +21,14 @@
 /// Time between two renewals. Two renewals may fail before the lease expires.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(4);
 /// Longest wait for an answer of the store.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Shortest and longest wait after a failure while there is no entry.
-const RETRY_FIRST: Duration = Duration::from_millis(200);
-const RETRY_LONGEST: Duration = Duration::from_secs(2);
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(200);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 /// Shortest and longest wait after a failure while there is an entry. The lease survives some failures, and each call
 /// to an unavailable store has a cost.
-const RENEWAL_RETRY_FIRST: Duration = Duration::from_secs(2);
-const RENEWAL_RETRY_LONGEST: Duration = RENEWAL_PERIOD;
+const MIN_RENEWAL_RETRY_WAIT: Duration = Duration::from_secs(2);
+const MAX_RENEWAL_RETRY_WAIT: Duration = RENEWAL_PERIOD;
 
 /// Longest wait before the entry is written again in a new era. Spreads the writes, since all VMs learn of the era at
 /// about the same time.
@@ -41,7 +41,7 @@
     port: P,
     lease: Rc<Cell<Option<LeaseId>>>,
     /// Era of the store in which the entry was written.
-    written_in: Cell<StoreEra>,
+    written_era: Cell<StoreEra>,
 }
 
 impl<P: StorePort> VmRegistration<P> {
@@ -51,7 +51,7 @@
             core,
             port,
             lease: Rc::default(),
-            written_in: Cell::default(),
+            written_era: Cell::default(),
         }
     }
 
@@ -62,15 +62,15 @@
 
     /// Registers and renews until the future is dropped or a shutdown begins.
     pub async fn run(self) {
-        let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LONGEST);
+        let mut backoff = Backoff::new(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
         let mut eras = self.core.eras();
-        let mut renewal_backoff = Backoff::new(RENEWAL_RETRY_FIRST, RENEWAL_RETRY_LONGEST);
+        let mut renewal_backoff = Backoff::new(MIN_RENEWAL_RETRY_WAIT, MAX_RENEWAL_RETRY_WAIT);
         while self.core.state() == ServiceState::Serving {
-            match self.keep().await {
+            match self.renew_or_register().await {
                 Ok(()) => {
                     backoff.reset();
                     renewal_backoff.reset();
-                    self.wait_due(&mut eras).await;
+                    self.wait_until_due(&mut eras).await;
                 }
                 Err(error) => {
                     let backoff = match self.lease.get() {
@@ -78,7 +78,10 @@
                         None => &mut backoff,
                     };
                     let wait = backoff.next_wait(&mut rand::rng());
-                    log::info!("registration: {error}; again in {} ms", wait.as_millis());
+                    log::info!(
+                        "registration failed: {error}; retrying in {} ms",
+                        wait.as_millis()
+                    );
                     tokio::time::sleep(wait).await;
                 }
             }
@@ -86,8 +89,8 @@
     }
 
     /// Waits until the lease must be renewed, or the entry must be written again because the store is in a new era.
-    async fn wait_due(&self, eras: &mut watch::Receiver<StoreEra>) {
-        let lost = eras.wait_for(|era| *era > self.written_in.get());
+    async fn wait_until_due(&self, eras: &mut watch::Receiver<StoreEra>) {
+        let lost = eras.wait_for(|era| *era > self.written_era.get());
         let Ok(Ok(_era)) = tokio::time::timeout(RENEWAL_PERIOD, lost).await else {
             return;
         };
@@ -97,33 +100,33 @@
 
     /// Returns whether the entry is in the store as far as this VM knows.
     fn is_written(&self, key: &CompactString) -> bool {
-        let lost = *self.core.eras().borrow() > self.written_in.get();
+        let lost = *self.core.eras().borrow() > self.written_era.get();
         !lost && !self.core.vms.is_missing(key)
     }
 
     /// Renews the lease, or opens a new one and writes the entry under it.
-    async fn keep(&self) -> Result<(), StoreError> {
+    async fn renew_or_register(&self) -> Result<(), StoreError> {
         let key = (self.core.dialect.vm_key)(self.core.settings.listen.callers);
         if let Some(lease) = self.lease.get()
             && self.is_written(&key)
         {
-            match answer_within(ANSWER_TIME, self.port.renew_lease(lease)).await {
+            match answer_within(STORE_TIMEOUT, self.port.renew_lease(lease)).await {
                 Err(StoreError::LeaseEnded) => self.lease.set(None),
                 other => return other,
             }
         }
         let known = *self.core.eras().borrow();
-        let grant = answer_within(ANSWER_TIME, self.port.open_lease(LEASE_TTL)).await?;
+        let grant = answer_within(STORE_TIMEOUT, self.port.open_lease(LEASE_TTL)).await?;
         let write = StoreWrite {
             key,
             value: self.record()?,
             expected: None,
             lease: Some(grant.lease),
         };
-        let revision = answer_within(ANSWER_TIME, self.port.write(write)).await?;
+        let revision = answer_within(STORE_TIMEOUT, self.port.write(write)).await?;
         self.lease.set(Some(grant.lease));
         // If the store reports an era lower than the known one, the entry counts as written in the known one.
-        self.written_in.set(revision.era().max(known));
+        self.written_era.set(revision.era().max(known));
         self.core.enter_era(revision.era());
         log::info!("registered lease={} revision={revision}", grant.lease);
         Ok(())
@@ -142,7 +145,7 @@
         encoded
             .map(Bytes::from)
             .map_err(|error| StoreError::Malformed {
-                reason: compact_str::format_compact!("own record: {error}"),
+                reason: compact_str::format_compact!("own record can't be encoded: {error}"),
             })
     }
 }
--- a/crates/ebonyfork/src/gateway/register_tests.rs
+++ b/crates/ebonyfork/src/gateway/register_tests.rs
@@ -9,7 +9,7 @@
 
 /// Store that records the operations on leases and reports a configurable era.
 #[derive(Debug, Default)]
-struct LeaseBook {
+struct LeaseLog {
     era: u64,
     opened: Vec<LeaseId>,
     renewed: Vec<LeaseId>,
@@ -17,17 +17,17 @@
 }
 
 #[derive(Debug, Clone, Default)]
-struct LeasePort(Arc<Mutex<LeaseBook>>);
+struct LeasePort(Arc<Mutex<LeaseLog>>);
 
 impl LeasePort {
-    fn book(&self) -> std::sync::MutexGuard<'_, LeaseBook> {
+    fn log(&self) -> std::sync::MutexGuard<'_, LeaseLog> {
         self.0.lock().expect("no panic")
     }
 }
 
 impl StorePort for LeasePort {
     async fn read_item(&self, _key: &str) -> std::result::Result<Option<StoreItem>, StoreError> {
-        unreachable!("registrations read nothing")
+        unreachable!("registrations never read")
     }
 
     async fn read_page(
@@ -35,7 +35,7 @@
         _prefix: &str,
         _after: Option<&str>,
     ) -> std::result::Result<StorePage, StoreError> {
-        unreachable!("registrations read nothing")
+        unreachable!("registrations never read")
     }
 
     async fn watch(
@@ -44,24 +44,24 @@
         _after: StoreRevision,
         _wait: Duration,
     ) -> std::result::Result<StoreWatch, StoreError> {
-        unreachable!("registrations watch nothing")
+        unreachable!("registrations never watch")
     }
 
     async fn write(&self, write: StoreWrite) -> std::result::Result<StoreRevision, StoreError> {
-        let mut book = self.book();
-        book.written.extend(write.lease);
-        Ok(StoreRevision::new(1).with_era(StoreEra(book.era)))
+        let mut log = self.log();
+        log.written.extend(write.lease);
+        Ok(StoreRevision::new(1).with_era(StoreEra(log.era)))
     }
 
     async fn open_lease(&self, ttl: Duration) -> std::result::Result<LeaseGrant, StoreError> {
-        let mut book = self.book();
-        let lease = LeaseId(book.opened.len() as u64 + 1);
-        book.opened.push(lease);
+        let mut log = self.log();
+        let lease = LeaseId(log.opened.len() as u64 + 1);
+        log.opened.push(lease);
         Ok(LeaseGrant { lease, ttl })
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> std::result::Result<(), StoreError> {
-        self.book().renewed.push(lease);
+        self.log().renewed.push(lease);
         Ok(())
     }
 
@@ -78,20 +78,20 @@
     let test = async {
         let core = Rc::new(GatewayCore::new(settings(), dialect()));
         let port = LeasePort::default();
-        port.book().era = 1;
+        port.log().era = 1;
         let registration = VmRegistration::new(Rc::clone(&core), port.clone());
         let lease = registration.lease();
         tokio::task::spawn_local(registration.run());
         tokio::time::sleep(Duration::from_secs(9)).await;
         expect_that!(
-            port.book().renewed,
+            port.log().renewed,
             elements_are![eq(&LeaseId(1)), eq(&LeaseId(1))]
         );
-        port.book().era = 2;
+        port.log().era = 2;
         core.enter_era(StoreEra(2));
         tokio::time::sleep(NEW_ERA_SPREAD + Duration::from_millis(10)).await;
         expect_that!(
-            port.book().written,
+            port.log().written,
             elements_are![eq(&LeaseId(1)), eq(&LeaseId(2))]
         );
         expect_that!(lease.get(), some(eq(LeaseId(2))));
@@ -99,8 +99,8 @@
         core.enter_era(StoreEra(2));
         core.enter_era(StoreEra(1));
         tokio::time::sleep(Duration::from_secs(5)).await;
-        expect_that!(port.book().opened.len(), eq(2));
-        expect_that!(port.book().renewed.last(), some(eq(&LeaseId(2))));
+        expect_that!(port.log().opened.len(), eq(2));
+        expect_that!(port.log().renewed.last(), some(eq(&LeaseId(2))));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -20,20 +20,20 @@
 
 /// How long after the store's return a missing entry is kept. Upstreams that are alive have registered again after
 /// about 2 s.
-const RETURN_TIME: Duration = Duration::from_millis(2_300);
+const RETURN_GRACE: Duration = Duration::from_millis(2_300);
 /// Time after the first read by which most upstreams are likely to have registered. They return evenly, so with two or
-/// three replicas per shard half of [`RETURN_TIME`] brings back three quarters of the shards.
-const LIKELY_TIME: Duration = Duration::from_millis(1_150);
+/// three replicas per shard half of [`RETURN_GRACE`] brings back three quarters of the shards.
+const LIKELY_RETURN_TIME: Duration = Duration::from_millis(1_150);
 
 /// How long an evacuation stays in force after a store restored from an older copy has lost it. The operators write it
 /// again within seconds. An evacuation that they had ended just before the loss ends after this time.
-const EVACUATION_KEPT: Duration = Duration::from_secs(10);
+const LOST_EVACUATION_GRACE: Duration = Duration::from_secs(10);
 
 /// How long departed incarnations are remembered. Must exceed the age of any copy from which the store is restored.
-const DEPARTED_REMEMBERED: Duration = Duration::from_mins(1);
+const DEPARTED_RETENTION: Duration = Duration::from_mins(1);
 /// How long an entry is withheld that an older copy of the store brought back after its upstream had left. The store
 /// expires an entry after three missed heartbeats, 3.6 s where the heartbeat interval is stated.
-const WITHHELD_TIME: Duration = Duration::from_secs(5);
+const WITHHOLD_TIME: Duration = Duration::from_secs(5);
 
 /// Period after the first read of the store during which upstreams that it lacked may still register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 
 /// Incarnation of an upstream whose entry was removed.
 #[derive(Debug)]
-struct DepartedLife {
+struct DepartedIncarnation {
     life: UpstreamLife,
     at: Instant,
 }
@@ -70,14 +70,14 @@
     /// Entries that are missing since the store came back, with the time at which they count as gone.
     missing: RefCell<FxHashMap<CompactString, Instant>>,
     /// Time until which a missing entry may still reappear.
-    returning_until: Cell<Option<Instant>>,
+    return_deadline: Cell<Option<Instant>>,
     /// Time at which the store was first read whole.
     first_read: Cell<Option<Instant>>,
     /// Evacuated availability zones, whose upstreams get no new requests. If the store has lost an evacuation, the
     /// value is the time at which it ends.
     evacuated: RefCell<FxHashMap<PlaceName, Option<Instant>>>,
     /// Incarnations that have left recently, by the store key of their entry.
-    departed: RefCell<FxHashMap<CompactString, DepartedLife>>,
+    departed: RefCell<FxHashMap<CompactString, DepartedIncarnation>>,
     /// Entries of departed incarnations that an older copy of the store brought back.
     withheld: RefCell<FxHashMap<CompactString, WithheldEntry>>,
     /// Notified when an entry is added.
@@ -120,11 +120,11 @@
             target: "ebonyfork::decision",
             "zone {zone} kept evacuated: the store has lost the evacuation"
         );
-        *ends = Some(now + EVACUATION_KEPT);
+        *ends = Some(now + LOST_EVACUATION_GRACE);
     }
 
     /// Returns the zones whose evacuation the store has lost and nobody has written again in time.
-    pub fn ended_evacuations(&self, now: Instant) -> Vec<PlaceName> {
+    pub fn lapsed_evacuations(&self, now: Instant) -> Vec<PlaceName> {
         let evacuated = self.evacuated.borrow();
         let ended = evacuated
             .iter()
@@ -179,8 +179,8 @@
     pub fn settling(&self, now: Instant) -> Option<SettlingTime> {
         let first = self.first_read.get()?;
         let settling = SettlingTime {
-            likely: first + LIKELY_TIME,
-            until: first + RETURN_TIME,
+            likely: first + LIKELY_RETURN_TIME,
+            until: first + RETURN_GRACE,
         };
         (now < settling.until).then_some(settling)
     }
@@ -192,7 +192,7 @@
 
     /// Records that the store answers again after an outage.
     pub fn note_return(&self, now: Instant) {
-        self.returning_until.set(Some(now + RETURN_TIME));
+        self.return_deadline.set(Some(now + RETURN_GRACE));
     }
 
     /// Adds or updates an entry. `share` is the number of connections that this process may hold to the upstream.
@@ -212,12 +212,12 @@
                     && before.service == entry.service
             };
             if same {
-                log_leaving(&known, &entry);
+                log_leaving_change(&known, &entry);
                 known.update(entry, now);
                 known.set_evacuated(evacuated);
                 return;
             }
-            self.take_out(key, "replaced");
+            self.drop_entry(key, "replaced");
         }
         log::info!(
             target: "ebonyfork::decision",
@@ -249,7 +249,7 @@
             self.missing.borrow_mut().remove(key);
             log::info!(
                 target: "ebonyfork::decision",
-                "upstream entry older instance={} heartbeats={} leaving={}: what is known holds",
+                "upstream entry older instance={} heartbeats={} leaving={}: keeping the newer entry",
                 entry.life(), entry.heartbeats, entry.leaving
             );
             return;
@@ -260,13 +260,13 @@
         }
         log::info!(
             target: "ebonyfork::decision",
-            "upstream withheld instance={}: it had left before the store came back older",
+            "upstream withheld instance={}: it had left before the store was restored from an older copy",
             entry.life()
         );
         let withheld = WithheldEntry {
             entry,
             share,
-            until: now + WITHHELD_TIME,
+            until: now + WITHHOLD_TIME,
         };
         self.withheld.borrow_mut().insert(key.clone(), withheld);
     }
@@ -286,47 +286,47 @@
     fn has_departed(&self, key: &CompactString, entry: &UpstreamEntry, now: Instant) -> bool {
         let departed = self.departed.borrow();
         departed.get(key).is_some_and(|departed| {
-            let recent = now < departed.at + DEPARTED_REMEMBERED;
+            let recent = now < departed.at + DEPARTED_RETENTION;
             recent && departed.life == entry.life()
         })
     }
 
     /// Removes an entry that no longer names an upstream, even if missing entries are currently kept.
     pub fn disown(&self, key: &CompactString) {
-        self.take_out(key, "its entry names no upstream");
+        self.drop_entry(key, "its entry no longer names an upstream");
     }
 
     /// Handles the removal of an entry from the store.
     pub fn remove(&self, key: &CompactString, now: Instant) {
         self.withheld.borrow_mut().remove(key);
-        let returning = self.returning_until.get().filter(|until| now < *until);
+        let returning = self.return_deadline.get().filter(|until| now < *until);
         if let Some(until) = returning {
-            self.hold(key, until);
+            self.keep_missing(key, until);
             return;
         }
-        self.note_departed(key, now);
-        self.take_out(key, "removed");
+        self.record_departed(key, now);
+        self.drop_entry(key, "removed");
     }
 
-    fn note_departed(&self, key: &CompactString, now: Instant) {
+    fn record_departed(&self, key: &CompactString, now: Instant) {
         let entries = self.entries.borrow();
         let Some(upstream) = entries.get(key) else {
             return;
         };
-        let departed = DepartedLife {
+        let departed = DepartedIncarnation {
             life: upstream.entry().life(),
             at: now,
         };
         self.departed.borrow_mut().insert(key.clone(), departed);
     }
 
-    fn hold(&self, key: &CompactString, until: Instant) {
+    fn keep_missing(&self, key: &CompactString, until: Instant) {
         if !self.entries.borrow().contains_key(key) || self.missing.borrow().contains_key(key) {
             return;
         }
         log::info!(
             target: "ebonyfork::decision",
-            "upstream held key={key}: its entry may have lapsed while the store was away"
+            "upstream held key={key}: its entry may have expired while the store was unavailable"
         );
         self.missing.borrow_mut().insert(key.clone(), until);
     }
@@ -334,10 +334,11 @@
     /// Removes the entries that have not reappeared in time and admits those that were withheld for long enough.
     pub fn expire(&self, now: Instant) {
         self.admit_withheld(now);
-        let remembered = |departed: &mut DepartedLife| now < departed.at + DEPARTED_REMEMBERED;
+        let is_retained =
+            |departed: &mut DepartedIncarnation| now < departed.at + DEPARTED_RETENTION;
         self.departed
             .borrow_mut()
-            .retain(|_key, departed| remembered(departed));
+            .retain(|_key, departed| is_retained(departed));
         let missing = self.missing.borrow();
         let due: Vec<_> = missing
             .iter()
@@ -346,7 +347,7 @@
             .collect();
         drop(missing);
         for key in due {
-            self.take_out(&key, "not back after the store's outage");
+            self.drop_entry(&key, "not registered again after the store's outage");
         }
     }
 
@@ -361,7 +362,7 @@
         }
     }
 
-    fn take_out(&self, key: &CompactString, reason: &str) {
+    fn drop_entry(&self, key: &CompactString, reason: &str) {
         self.missing.borrow_mut().remove(key);
         let Some(upstream) = self.entries.borrow_mut().remove(key) else {
             return;
@@ -389,7 +390,7 @@
     }
 }
 
-fn log_leaving(known: &Upstream, entry: &UpstreamEntry) {
+fn log_leaving_change(known: &Upstream, entry: &UpstreamEntry) {
     if known.is_leaving() == entry.leaving {
         return;
     }
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -201,12 +201,12 @@
     expect_that!(listed(), eq(0));
     registry.remove(&KEY, now + ms(4_000));
     registry.expire(now + ms(8_000));
-    expect_that!(listed(), eq(0), "it lapsed");
+    expect_that!(listed(), eq(0), "its entry has expired");
     registry.put_restored(&KEY, gone.clone(), now + ms(9_000), 1);
     registry.expire(now + ms(13_900));
     expect_that!(listed(), eq(0));
     registry.expire(now + ms(14_000));
-    expect_that!(listed(), eq(1), "it has not lapsed, so it lives");
+    expect_that!(listed(), eq(1), "its entry has not expired, so it is alive");
     registry.remove(&KEY, now + ms(20_000));
     registry.put_restored(&KEY, gone.clone(), now + ms(21_000), 1);
     registry.put(&KEY, gone, now + ms(21_100), 1);
--- a/crates/ebonyfork/src/gateway/reply.rs
+++ b/crates/ebonyfork/src/gateway/reply.rs
@@ -39,7 +39,7 @@
         Ok(value) => {
             reply.headers_mut().insert(header::RETRY_AFTER, value);
         }
-        Err(error) => log::error!("{wait:?} as a header: {error}"),
+        Err(error) => log::error!("retry-after of {wait:?} is not a valid header value: {error}"),
     }
 }
 
@@ -78,7 +78,7 @@
         Ok(value) => {
             headers.insert(names.part_signatures.clone(), value);
         }
-        Err(error) => log::error!("signatures that are header values don't make one: {error}"),
+        Err(error) => log::error!("joined signatures are not a valid header value: {error}"),
     }
     let missing = state.shards().len() - state.answered();
     headers.insert(names.missing_parts.clone(), HeaderValue::from(missing));
--- a/crates/ebonyfork/src/gateway/reply_body.rs
+++ b/crates/ebonyfork/src/gateway/reply_body.rs
@@ -11,8 +11,8 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep};
 
-use crate::gateway::flight::FlightGuard;
-use crate::gateway::upstream::{HeldLink, Upstream};
+use crate::gateway::flight::InFlightGuard;
+use crate::gateway::upstream::{ActiveLink, Upstream};
 
 /// Error that ends an answer early. It also closes the caller's connection, so that the caller can't take the answer
 /// for complete.
@@ -35,9 +35,9 @@
 
 impl ReplyBody {
     /// Counts the request as in flight until a streamed body has been passed on.
-    pub fn hold(&mut self, flight: FlightGuard) {
+    pub fn hold_in_flight(&mut self, in_flight: InFlightGuard) {
         if let Self::Stream(stream) = self {
-            stream.flight = Some(flight);
+            stream.in_flight = Some(in_flight);
         }
     }
 
@@ -56,16 +56,16 @@
     begun: Bytes,
     rest: Incoming,
     /// Connection that carries the answer; `None` once it has been returned to the pool.
-    link: Option<HeldLink>,
+    link: Option<ActiveLink>,
     /// Whether the connection can be reused afterwards.
-    keeps: bool,
+    reusable: bool,
     /// Idle timeout of the connection that the upstream has stated.
-    idle: Option<Duration>,
+    keep_alive: Option<Duration>,
     upstream: Rc<Upstream>,
     /// Longest silence before the answer is given up.
-    patience: Duration,
+    idle_timeout: Duration,
     silence: Pin<Box<Sleep>>,
-    flight: Option<FlightGuard>,
+    in_flight: Option<InFlightGuard>,
 }
 
 impl fmt::Debug for AnswerStream {
@@ -81,67 +81,69 @@
     /// an error.
     pub fn new(
         (begun, rest): (Bytes, Incoming),
-        held: HeldLink,
+        link: ActiveLink,
         upstream: &Rc<Upstream>,
-        patience: Duration,
+        idle_timeout: Duration,
     ) -> Self {
         Self {
             begun,
             rest,
-            link: Some(held),
-            keeps: false,
-            idle: None,
+            link: Some(link),
+            reusable: false,
+            keep_alive: None,
             upstream: Rc::clone(upstream),
-            patience,
-            silence: Box::pin(tokio::time::sleep(patience)),
-            flight: None,
+            idle_timeout,
+            silence: Box::pin(tokio::time::sleep(idle_timeout)),
+            in_flight: None,
         }
     }
 
     /// Returns the connection to the pool afterwards; `keep_alive` is the idle timeout that the upstream has stated.
     #[must_use]
-    pub fn with_kept_link(mut self, idle: Option<Duration>) -> Self {
-        self.keeps = true;
-        self.idle = idle;
+    pub fn with_reuse(mut self, keep_alive: Option<Duration>) -> Self {
+        self.reusable = true;
+        self.keep_alive = keep_alive;
         self
     }
 
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match Pin::new(&mut self.rest).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                let next = Instant::now() + self.patience;
+                let next = Instant::now() + self.idle_timeout;
                 self.silence.as_mut().reset(next);
                 if self.rest.is_end_stream() {
-                    self.give_back();
+                    self.release_link();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
                 let instance = &self.upstream.entry().instance;
-                log::info!(target: "ebonyfork::decision", "answer of {instance} broke off: {error}");
+                log::info!(target: "ebonyfork::decision", "answer of {instance} ended early: {error}");
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
-                self.give_back();
+                self.release_link();
                 Poll::Ready(None)
             }
             Poll::Pending => {
                 if self.silence.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                let (instance, waited) = (&self.upstream.entry().instance, self.patience);
+                let (instance, waited) = (&self.upstream.entry().instance, self.idle_timeout);
                 log::info!(target: "ebonyfork::decision", "answer of {instance} given up: silent for {waited:?}");
-                Poll::Ready(Some(Err("the upstream has fallen silent".into())))
+                Poll::Ready(Some(Err(
+                    "the upstream sent nothing within the idle timeout".into(),
+                )))
             }
         }
     }
 
     /// Returns the connection to the pool, since the answer is complete.
-    fn give_back(&mut self) {
-        if let Some(held) = self.link.take()
-            && self.keeps
+    fn release_link(&mut self) {
+        if let Some(link) = self.link.take()
+            && self.reusable
         {
-            self.upstream.keep(held, self.idle);
+            self.upstream.release(link, self.keep_alive);
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/request.rs
+++ b/crates/ebonyfork/src/gateway/request.rs
@@ -160,18 +160,18 @@
         }
     }
 
-    /// Builds the request for one upstream, which may work on it for `left_ms` milliseconds.
+    /// Builds the request for one upstream, which may work on it for `remaining_ms` milliseconds.
     pub fn build(
         &self,
         names: &WireNames,
         instance: &InstanceName,
-        left_ms: u64,
+        remaining_ms: u64,
     ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
-        headers.insert(names.deadline.clone(), HeaderValue::from(left_ms));
+        headers.insert(names.deadline.clone(), HeaderValue::from(remaining_ms));
         match HeaderValue::from_str(instance.as_str()) {
             Ok(value) => {
                 headers.insert(names.expected_instance.clone(), value);
@@ -179,7 +179,7 @@
             Err(error) => {
                 // Without the header, another upstream at a reused address would run the request. The name can't be one
                 // that the upstream itself would send.
-                log::warn!("instance `{instance}` is not a header value: {error}");
+                log::warn!("instance `{instance}` is not a valid header value: {error}");
             }
         }
         *request.headers_mut() = headers;
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -127,7 +127,7 @@
 pub struct RouteTable {
     version: ConfigVersion,
     hosts: FxHashMap<CompactString, Vec<Rc<RouteEntry>>>,
-    marks: FxHashMap<u64, Rc<RouteEntry>>,
+    digests: FxHashMap<u64, Rc<RouteEntry>>,
     services: FxHashMap<UpstreamService, ServiceTerms>,
     limits: CallerLimits,
 }
@@ -178,7 +178,7 @@
 
 impl RouteEntry {
     /// Returns a digest of all stated properties of the route.
-    fn terms_mark(&self) -> u64 {
+    fn terms_digest(&self) -> u64 {
         let mut hash = Xxh3::new();
         hash.update(&self.shard_mark().to_be_bytes());
         hash.update(self.prefix.as_bytes());
@@ -234,13 +234,13 @@
         limits: CallerLimits,
     ) -> Self {
         let mut hosts = FxHashMap::<CompactString, Vec<Rc<RouteEntry>>>::default();
-        let mut marks = FxHashMap::default();
+        let mut digests = FxHashMap::default();
         for route in routes {
             let route = Rc::new(route);
             let listed = hosts.entry(route.host.clone()).or_default();
             listed.push(Rc::clone(&route));
             if let RouteTarget::Gather(_) = &route.destination {
-                marks.insert(route.shard_mark(), route);
+                digests.insert(route.shard_mark(), route);
             }
         }
         for routes in hosts.values_mut() {
@@ -250,7 +250,7 @@
         Self {
             version,
             hosts,
-            marks,
+            digests,
             services: services.into_iter().collect(),
             limits,
         }
@@ -279,8 +279,8 @@
     }
 
     /// Finds a route over many shards by its [shard digest](RouteEntry::shard_digest).
-    pub fn find_marked(&self, mark: u64) -> Option<&Rc<RouteEntry>> {
-        self.marks.get(&mark)
+    pub fn find_by_digest(&self, digest: u64) -> Option<&Rc<RouteEntry>> {
+        self.digests.get(&digest)
     }
 
     /// Returns a digest of the route with this host and prefix and of all routes of the host whose prefixes extend it.
@@ -295,7 +295,7 @@
         }
         let mut hash = Xxh3::new();
         for route in below {
-            hash.update(&route.terms_mark().to_be_bytes());
+            hash.update(&route.terms_digest().to_be_bytes());
         }
         Some(hash.digest())
     }
--- a/crates/ebonyfork/src/gateway/settings.rs
+++ b/crates/ebonyfork/src/gateway/settings.rs
@@ -97,9 +97,9 @@
 }
 
 /// Default for how soon a change must be in force: the shortest time that any user requires.
-const CHANGE_BOUND: Duration = Duration::from_secs(3);
+const DEFAULT_CHANGE_BOUND: Duration = Duration::from_secs(3);
 /// Shortest bound that can be met: within it, a VM that loses its source must notice and ask another one.
-const LEAST_CHANGE_BOUND: Duration = Duration::from_secs(1);
+const MIN_CHANGE_BOUND: Duration = Duration::from_secs(1);
 
 const SECTIONS: [&str; 6] = ["node", "listen", "zones", "store", "bounds", "log"];
 
@@ -211,14 +211,14 @@
 }
 
 /// Values of the `bounds` section.
-struct StatedBounds {
+struct BoundsSection {
     grace: Duration,
     change: Duration,
     budget: BudgetTerms,
     cold: Option<ColdBound>,
 }
 
-fn read_bounds(document: &IniDocument, findings: &mut FindingList) -> Option<StatedBounds> {
+fn read_bounds(document: &IniDocument, findings: &mut FindingList) -> Option<BoundsSection> {
     let section = document.needed_section("bounds", findings)?;
     let mut reader = SectionReader::new(&document.file, section, findings);
     let grace = read_seconds(&mut reader, "grace-s");
@@ -235,10 +235,10 @@
         slack: slack?,
         window: window?,
     };
-    let config = config.unwrap_or(CHANGE_BOUND);
-    let leaving = leaving.unwrap_or(CHANGE_BOUND);
+    let config = config.unwrap_or(DEFAULT_CHANGE_BOUND);
+    let leaving = leaving.unwrap_or(DEFAULT_CHANGE_BOUND);
     let change = config.min(leaving).min(evacuation.unwrap_or(config));
-    Some(StatedBounds {
+    Some(BoundsSection {
         grace: grace?,
         change,
         budget,
@@ -288,8 +288,8 @@
 /// Reads how soon a change must be in force, in whole milliseconds; `None` if not stated.
 fn read_change_bound(reader: &mut SectionReader<'_>, key: &'static str) -> Option<Duration> {
     let bound = Duration::from_millis(reader.optional::<u64>(key)?);
-    if bound < LEAST_CHANGE_BOUND {
-        let least = LEAST_CHANGE_BOUND.as_millis();
+    if bound < MIN_CHANGE_BOUND {
+        let least = MIN_CHANGE_BOUND.as_millis();
         reader.report(key, format_args!("expected at least {least} ms"));
     }
     Some(bound)
--- a/crates/ebonyfork/src/gateway/settings_tests.rs
+++ b/crates/ebonyfork/src/gateway/settings_tests.rs
@@ -45,14 +45,14 @@
 }
 
 #[gtest]
-fn a_bound_on_changes_that_is_not_stated_is_the_shortest_known() {
+fn the_default_bound_on_changes_is_the_shortest_required() {
     let unstated = WHOLE
         .replace("config-in-force-ms = 5000\n", "")
         .replace("leaving-upstream-ms = 3500\n", "");
     let settings = GatewaySettings::parse("g.ini", &unstated).expect("no findings");
     expect_that!(settings.change_bound, eq(Duration::from_secs(3)));
-    let hasty = WHOLE.replace("leaving-upstream-ms = 3500", "leaving-upstream-ms = 20");
-    let findings = GatewaySettings::parse("g.ini", &hasty).expect_err("a finding");
+    let too_short = WHOLE.replace("leaving-upstream-ms = 3500", "leaving-upstream-ms = 20");
+    let findings = GatewaySettings::parse("g.ini", &too_short).expect_err("a finding");
     expect_that!(findings.to_string(), contains_substring("at least 1000 ms"));
 }
 
@@ -64,7 +64,7 @@
 
 /// Guards against requiring bounds on evacuations or cold upstreams from deployments that have none.
 #[gtest]
-fn bounds_of_places_are_optional() {
+fn bounds_on_evacuations_and_cold_upstreams_are_optional() {
     let plain = GatewaySettings::parse("g.ini", WHOLE).expect("no findings");
     expect_that!(plain.cold_bound, none());
     let stated = format!("{WHOLE}evacuation-ms = 2500\ncold-overage = 1.5\ncold-slack = 5\n");
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -10,11 +10,11 @@
 use crate::wire::{LinkSender, PeerMessage};
 
 /// Time between two requests for a VM's share. Two of them may be lost before the lease ends.
-const ASK_PERIOD: Duration = Duration::from_secs(1);
+const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
 /// Shares on lease as last logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct ShareHolding {
+struct LeasedShares {
     borrowed: usize,
     lent: Option<VmAddress>,
 }
@@ -23,21 +23,21 @@
 pub async fn run_leases(core: Rc<GatewayCore>, own: VmAddress) {
     let mut logged = None;
     loop {
-        tokio::time::sleep(ASK_PERIOD).await;
+        tokio::time::sleep(REQUEST_PERIOD).await;
         let roles = core.vms.zone_roles(&core.settings.place);
         let serves = roles.serving.contains(&own);
         if serves && core.is_ready() {
             for owner in roles.idle {
                 if rendezvous(&roles.serving, owner) == Some(own) {
-                    ask(&core, owner);
+                    request_share(&core, owner);
                 }
             }
         }
-        note_shares(&core, &mut logged);
+        report_shares(&core, &mut logged);
     }
 }
 
-fn ask(core: &GatewayCore, owner: VmAddress) {
+fn request_share(core: &GatewayCore, owner: VmAddress) {
     let number = core.repeats.borrow_mut().ask(owner, core.running_time());
     let message = PeerMessage::Share(ShareMessage::Ask { number });
     // A VM that can't be reached is asked again in the next round.
@@ -45,54 +45,59 @@
 }
 
 /// Updates the metrics with the shares on lease, and logs them if they have changed.
-fn note_shares(core: &GatewayCore, logged: &mut Option<ShareHolding>) {
+fn report_shares(core: &GatewayCore, logged: &mut Option<LeasedShares>) {
     let time = core.running_time();
     let account = core.repeats.borrow();
-    let holding = ShareHolding {
+    let leased = LeasedShares {
         borrowed: account.borrowed(time),
         lent: account.lent_to(time),
     };
-    core.metrics.borrowed_shares.set(holding.borrowed as u64);
-    if *logged == Some(holding) {
+    core.metrics.borrowed_shares.set(leased.borrowed as u64);
+    if *logged == Some(leased) {
         return;
     }
-    *logged = Some(holding);
-    let lent = holding.lent.map(|vm| vm.to_string());
+    *logged = Some(leased);
+    let lent = leased.lent.map(|vm| vm.to_string());
     log::info!(
         target: "ebonyfork::decision",
         "repeat shares borrowed={} lent_to={} vms={}",
-        holding.borrowed,
+        leased.borrowed,
         lent.as_deref().unwrap_or("-"),
-        core.vms.most_count()
+        core.vms.peak_count()
     );
 }
 
 /// Handles a request for a share, or the answer to one, from another VM.
 pub fn take_message(core: &GatewayCore, from: &LinkSender, message: ShareMessage) {
     let Some(peer) = from.peer().map(|session| session.vm) else {
-        log::debug!("share message from an unknown VM: {message:?}");
+        log::debug!("share message on a link without a session: {message:?}");
         return;
     };
     let time = core.running_time();
     match message {
         ShareMessage::Ask { number } => {
-            let answer = answer_ask(core, peer, number, time);
+            let answer = answer_request(core, peer, number, time);
             if let Err(error) = from.send(PeerMessage::Share(answer)) {
                 // The share stays unused until the lease ends.
-                log::debug!("share answer for {peer}: {error}");
+                log::debug!("share answer for {peer} not sent: {error}");
             }
         }
         ShareMessage::Granted { number } => {
             let taken = core.repeats.borrow_mut().take_grant(peer, number, time);
             if !taken {
-                log::info!("share of {peer} not taken: question {number} is not open");
+                log::info!("share of {peer} not accepted: request {number} is not pending");
             }
         }
-        ShareMessage::Refused { number } => log::debug!("share of {peer} refused to {number}"),
+        ShareMessage::Refused { number } => log::debug!("request {number} refused by {peer}"),
     }
 }
 
-fn answer_ask(core: &GatewayCore, peer: VmAddress, number: u64, time: Duration) -> ShareMessage {
+fn answer_request(
+    core: &GatewayCore,
+    peer: VmAddress,
+    number: u64,
+    time: Duration,
+) -> ShareMessage {
     let own = VmAddress(core.settings.place.address);
     let roles = core.vms.zone_roles(&core.settings.place);
     let serves = roles.serving.contains(&own);
--- a/crates/ebonyfork/src/gateway/slots.rs
+++ b/crates/ebonyfork/src/gateway/slots.rs
@@ -12,24 +12,24 @@
 
 /// Divisor that yields the number of connections available to requests that can no longer meet their deadline, at least
 /// one. More would fill the upstream's own queue, in which nothing can overtake.
-const LATE_PART: usize = 2;
+const LATE_DIVISOR: usize = 2;
 
 /// Properties by which a request that waits for a connection is ranked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct SlotOrder {
+pub struct SlotPriority {
     /// Time until which an answer is of full value; `None` if that time has passed.
     pub useful_until: Option<Instant>,
     /// Usual service time of the upstream.
-    pub need: Duration,
+    pub service_time: Duration,
     /// Time at which the request was received.
     pub received: Instant,
 }
 
-impl SlotOrder {
+impl SlotPriority {
     /// Returns the rank at a given time; the lowest goes first.
     fn rank(&self, now: Instant) -> (bool, Instant) {
         match self.useful_until {
-            Some(until) if now + self.need <= until => (false, until),
+            Some(until) if now + self.service_time <= until => (false, until),
             _ => (true, self.received),
         }
     }
@@ -37,14 +37,14 @@
 
 #[derive(Debug)]
 struct SlotWaiter {
-    order: SlotOrder,
-    wake: oneshot::Sender<SlotPermit>,
+    priority: SlotPriority,
+    sender: oneshot::Sender<SlotPermit>,
 }
 
 #[derive(Debug)]
 struct SlotState {
-    granted: usize,
-    used: usize,
+    limit: usize,
+    in_use: usize,
     waiters: Vec<SlotWaiter>,
 }
 
@@ -62,17 +62,17 @@
 
 impl Drop for SlotPermit {
     fn drop(&mut self) {
-        self.queue.state.borrow_mut().used -= 1;
+        self.queue.state.borrow_mut().in_use -= 1;
         self.queue.dispatch();
     }
 }
 
 impl SlotQueue {
     /// Creates a queue that allows `limit` connections at a time.
-    pub fn new(granted: usize) -> Self {
+    pub fn new(limit: usize) -> Self {
         let state = SlotState {
-            granted,
-            used: 0,
+            limit,
+            in_use: 0,
             waiters: Vec::new(),
         };
         Self {
@@ -81,49 +81,49 @@
     }
 
     /// Returns how many connections may be in use at a time.
-    pub fn granted(&self) -> usize {
-        self.state.borrow().granted
+    pub fn limit(&self) -> usize {
+        self.state.borrow().limit
     }
 
     /// Sets how many connections may be in use at a time. Permits already handed out stay valid until they are dropped.
-    pub fn grant(&self, granted: usize) {
-        self.state.borrow_mut().granted = granted;
+    pub fn set_limit(&self, limit: usize) {
+        self.state.borrow_mut().limit = limit;
         self.dispatch();
     }
 
     /// Waits for a permit to use a connection. Dropping the future leaves the queue.
-    pub async fn acquire(&self, order: SlotOrder) -> Option<SlotPermit> {
-        let (wake, woken) = oneshot::channel();
-        let waiter = SlotWaiter { order, wake };
+    pub async fn acquire(&self, priority: SlotPriority) -> Option<SlotPermit> {
+        let (sender, receiver) = oneshot::channel();
+        let waiter = SlotWaiter { priority, sender };
         self.state.borrow_mut().waiters.push(waiter);
         self.dispatch();
         // The queue keeps the sender until it sends a permit, so the wait ends with one.
-        woken.await.ok()
+        receiver.await.ok()
     }
 
     /// Hands free permits to the first waiters.
     fn dispatch(&self) {
         while let Some(waiter) = self.next_waiter() {
-            self.state.borrow_mut().used += 1;
+            self.state.borrow_mut().in_use += 1;
             let permit = SlotPermit {
                 queue: self.clone(),
             };
             // A waiter that has given up drops the permit, which dispatches it to the next one.
-            let _given_up = waiter.wake.send(permit);
+            let _given_up = waiter.sender.send(permit);
         }
     }
 
     fn next_waiter(&self) -> Option<SlotWaiter> {
         let mut state = self.state.borrow_mut();
-        state.waiters.retain(|waiter| !waiter.wake.is_closed());
-        if state.used >= state.granted {
+        state.waiters.retain(|waiter| !waiter.sender.is_closed());
+        if state.in_use >= state.limit {
             return None;
         }
         let now = crate::gateway::clock::now();
         let ranked = state.waiters.iter().enumerate();
-        let (first, waiter) = ranked.min_by_key(|(_number, waiter)| waiter.order.rank(now))?;
-        let (late, _) = waiter.order.rank(now);
-        if late && state.used >= (state.granted / LATE_PART).max(1) {
+        let (first, waiter) = ranked.min_by_key(|(_number, waiter)| waiter.priority.rank(now))?;
+        let (late, _) = waiter.priority.rank(now);
+        if late && state.in_use >= (state.limit / LATE_DIVISOR).max(1) {
             return None;
         }
         Some(state.waiters.remove(first))
--- a/crates/ebonyfork/src/gateway/slots_tests.rs
+++ b/crates/ebonyfork/src/gateway/slots_tests.rs
@@ -7,23 +7,23 @@
     Duration::from_millis(millis)
 }
 
-fn order(received_ms: u64, useful_ms: Option<u64>, start: Instant) -> SlotOrder {
-    SlotOrder {
+fn priority(received_ms: u64, useful_ms: Option<u64>, start: Instant) -> SlotPriority {
+    SlotPriority {
         useful_until: useful_ms.map(|useful| start + ms(useful)),
-        need: ms(30),
+        service_time: ms(30),
         received: start + ms(received_ms),
     }
 }
 
 /// Queues waiters behind one permit and returns the order in which they obtain it.
-async fn served(queue: &SlotQueue, orders: Vec<(char, SlotOrder)>) -> String {
-    let held = queue.acquire(orders[0].1).await;
+async fn served(queue: &SlotQueue, priorities: Vec<(char, SlotPriority)>) -> String {
+    let permit = queue.acquire(priorities[0].1).await;
     let finished = Rc::new(RefCell::new(String::new()));
     let local = tokio::task::LocalSet::new();
-    for (name, order) in orders {
+    for (name, priority) in priorities {
         let (queue, finished) = (queue.clone(), Rc::clone(&finished));
         local.spawn_local(async move {
-            let permit = queue.acquire(order).await;
+            let permit = queue.acquire(priority).await;
             finished.borrow_mut().push(name);
             drop(permit);
         });
@@ -31,7 +31,7 @@
     local
         .run_until(async {
             tokio::task::yield_now().await;
-            drop(held);
+            drop(permit);
         })
         .await;
     local.await;
@@ -40,16 +40,16 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn those_that_can_be_in_time_go_first() {
+async fn requests_that_can_meet_their_deadline_go_first() {
     let start = TokioInstant::now().into_std();
     let queue = SlotQueue::new(1);
-    let orders = vec![
-        ('l', order(0, None, start)),     // already late
-        ('h', order(1, Some(20), start)), // can't meet its deadline any more
-        ('b', order(2, Some(200), start)),
-        ('a', order(3, Some(100), start)), // the most urgent one that can
+    let priorities = vec![
+        ('l', priority(0, None, start)),     // already late
+        ('h', priority(1, Some(20), start)), // can't meet its deadline any more
+        ('b', priority(2, Some(200), start)),
+        ('a', priority(3, Some(100), start)), // the most urgent one that can
     ];
-    expect_that!(served(&queue, orders).await, eq("ablh"));
+    expect_that!(served(&queue, priorities).await, eq("ablh"));
 }
 
 #[gtest]
@@ -57,31 +57,32 @@
 async fn a_waiter_that_gives_up_is_passed_over() {
     let start = TokioInstant::now().into_std();
     let queue = SlotQueue::new(1);
-    let held = queue.acquire(order(0, None, start)).await;
+    let permit = queue.acquire(priority(0, None, start)).await;
     {
-        let waiting = queue.acquire(order(1, None, start));
+        let waiting = queue.acquire(priority(1, None, start));
         let waited = tokio::time::timeout(ms(10), waiting).await;
         expect_that!(waited.is_err(), eq(true));
     };
-    drop(held);
-    let next = tokio::time::timeout(ms(10), queue.acquire(order(2, None, start))).await;
+    drop(permit);
+    let next = tokio::time::timeout(ms(10), queue.acquire(priority(2, None, start))).await;
     expect_that!(next.is_ok(), eq(true));
-    expect_that!(queue.state.borrow().used, eq(1));
+    expect_that!(queue.state.borrow().in_use, eq(1));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_smaller_grant_holds_as_permits_come_back() {
+async fn a_lower_limit_applies_as_permits_are_returned() {
     let start = TokioInstant::now().into_std();
     let queue = SlotQueue::new(2);
-    let first = queue.acquire(order(0, Some(10_000), start)).await;
-    let _second = queue.acquire(order(0, Some(10_000), start)).await;
-    queue.grant(1);
+    let first = queue.acquire(priority(0, Some(10_000), start)).await;
+    let _second = queue.acquire(priority(0, Some(10_000), start)).await;
+    queue.set_limit(1);
     drop(first);
-    let third = tokio::time::timeout(ms(10), queue.acquire(order(1, Some(10_000), start))).await;
+    let third = tokio::time::timeout(ms(10), queue.acquire(priority(1, Some(10_000), start))).await;
     expect_that!(third.is_err(), eq(true));
-    queue.grant(2);
-    let fourth = tokio::time::timeout(ms(10), queue.acquire(order(2, Some(10_000), start))).await;
+    queue.set_limit(2);
+    let fourth =
+        tokio::time::timeout(ms(10), queue.acquire(priority(2, Some(10_000), start))).await;
     expect_that!(fourth.is_ok(), eq(true));
 }
 
@@ -91,19 +92,19 @@
 async fn late_requests_leave_half_of_the_connections_free() {
     let start = TokioInstant::now().into_std();
     let queue = SlotQueue::new(4);
-    let late = order(0, None, start);
+    let late = priority(0, None, start);
     let _first = queue.acquire(late).await;
     let second = queue.acquire(late).await;
     let third = tokio::time::timeout(ms(10), queue.acquire(late)).await;
     expect_that!(third.is_err(), eq(true));
-    let pressing = order(1, Some(200), start);
+    let pressing = priority(1, Some(200), start);
     let in_time = tokio::time::timeout(ms(10), queue.acquire(pressing)).await;
     expect_that!(in_time.is_ok(), eq(true));
     drop((second, in_time));
     let fourth = tokio::time::timeout(ms(10), queue.acquire(late)).await;
     expect_that!(fourth.is_ok(), eq(true));
     // Late requests always get at least one.
-    let narrow = SlotQueue::new(1);
-    let only = tokio::time::timeout(ms(10), narrow.acquire(late)).await;
+    let single = SlotQueue::new(1);
+    let only = tokio::time::timeout(ms(10), single.acquire(late)).await;
     expect_that!(only.is_ok(), eq(true));
 }
--- a/crates/ebonyfork/src/gateway/stream_activity.rs
+++ b/crates/ebonyfork/src/gateway/stream_activity.rs
@@ -21,13 +21,13 @@
     /// Network distance of the caller.
     pub(super) distance: CallerDistance,
     /// Whether no request has been received yet.
-    pub(super) new: Cell<bool>,
+    pub(super) awaiting_first: Cell<bool>,
     /// Whether a request is being answered.
     pub(super) busy: Cell<bool>,
     /// Time since which no request is being answered.
-    pub(super) since: Cell<Instant>,
+    pub(super) idle_since: Cell<Instant>,
     /// Time at which the first bytes of a request head were received, while it is incomplete.
-    pub(super) head_since: Cell<Option<Instant>>,
+    pub(super) head_started: Cell<Option<Instant>>,
     /// Time at which the gathered answer that is about to be written was decided on.
     pub(super) decided: Cell<Option<Instant>>,
     /// Delay between deciding on an answer and writing it.
@@ -36,14 +36,14 @@
 
 impl StreamActivity {
     /// Records that bytes have been received.
-    pub(super) fn note_bytes(&self) {
-        if !self.busy.get() && self.head_since.get().is_none() {
-            self.head_since.set(Some(now()));
+    pub(super) fn record_read(&self) {
+        if !self.busy.get() && self.head_started.get().is_none() {
+            self.head_started.set(Some(now()));
         }
     }
 
     /// Records that an answer has been passed to the kernel.
-    pub(super) fn note_written(&self) {
+    pub(super) fn record_written(&self) {
         let Some(decided) = self.decided.take() else {
             return;
         };
@@ -66,9 +66,9 @@
         Self { stream, activity }
     }
 
-    fn note_write(&self, polled: &Poll<io::Result<usize>>) {
+    fn record_write(&self, polled: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(_)) = polled {
-            self.activity.note_written();
+            self.activity.record_written();
         }
     }
 }
@@ -82,7 +82,7 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.activity.note_bytes();
+            self.activity.record_read();
         }
         polled
     }
@@ -95,7 +95,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.note_write(&polled);
+        self.record_write(&polled);
         polled
     }
 
@@ -105,7 +105,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.note_write(&polled);
+        self.record_write(&polled);
         polled
     }
 
--- a/crates/ebonyfork/src/gateway/upstream.rs
+++ b/crates/ebonyfork/src/gateway/upstream.rs
@@ -9,7 +9,7 @@
 use crate::gateway::loss::{LossCheck, LossFinding};
 use crate::gateway::policy::cold::SendWindow;
 use crate::gateway::policy::health::UpstreamHealth;
-use crate::gateway::slots::{SlotOrder, SlotPermit, SlotQueue};
+use crate::gateway::slots::{SlotPermit, SlotPriority, SlotQueue};
 use crate::http_link::{HttpLink, LinkError};
 use crate::quarantine::LostRequest;
 
@@ -45,22 +45,22 @@
 
 /// How long before the upstream's own idle timeout a pooled connection is given up. A request that is sent while the
 /// upstream closes the connection is lost.
-const IDLE_MARGIN: Duration = Duration::from_millis(700);
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 /// Time without a refusal after which one more connection is allowed.
-const WIDEN_PERIOD: Duration = Duration::from_secs(1);
+const RAISE_PERIOD: Duration = Duration::from_secs(1);
 /// How long spare connections are kept, that is all pooled ones but the most recently used. An upstream counts the
 /// connections of a VM that has lost power until its own idle timeout. When all spare ones were kept, VMs that
 /// restarted together were refused connections for some 8 s.
-const SPARE_KEPT: Duration = Duration::from_millis(400);
+const SPARE_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Idle timeout of a pooled connection whose upstream states none.
-const IDLE_ASSUMED: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Pooled connection.
 #[derive(Debug)]
 struct IdleLink {
     link: HttpLink,
-    since: Instant,
-    keep: Duration,
+    idle_since: Instant,
+    max_idle: Duration,
 }
 
 /// An upstream, its connections and its health.
@@ -76,14 +76,14 @@
     share: Cell<usize>,
     /// Time at which the upstream last refused a connection or a connection was last restored; `None` if the whole
     /// share is allowed.
-    narrowed: Cell<Option<Instant>>,
+    limited_since: Cell<Option<Instant>>,
     leaving: Cell<bool>,
     /// Whether the upstream's availability zone is evacuated.
     evacuated: Cell<bool>,
     /// Time until which the upstream is cold according to its entry.
-    stated_cold: Cell<Instant>,
+    reported_cold_until: Cell<Instant>,
     /// Time until which the upstream may be cold without having stated it.
-    assumed_cold: Cell<Instant>,
+    assumed_cold_until: Cell<Instant>,
     /// Whether an unreadable load report has been logged.
     pub load_warned: Cell<bool>,
     /// Requests that this process sent to the upstream while it was cold.
@@ -96,7 +96,7 @@
 
 /// Connection in use, together with the permit to hold it.
 #[derive(Debug)]
-pub struct HeldLink {
+pub struct ActiveLink {
     /// The connection.
     pub link: HttpLink,
     /// Whether the connection has carried an earlier request.
@@ -113,15 +113,15 @@
             health: RefCell::new(UpstreamHealth::new(now, entry.cold)),
             leaving: Cell::new(entry.leaving),
             evacuated: Cell::new(false),
-            stated_cold: Cell::new(now + entry.cold),
-            assumed_cold: Cell::new(now),
+            reported_cold_until: Cell::new(now + entry.cold),
+            assumed_cold_until: Cell::new(now),
             load_warned: Cell::new(false),
             cold_sends: RefCell::new(SendWindow::new()),
             entry: RefCell::new(Rc::new(entry)),
             idle: RefCell::default(),
             slots: SlotQueue::new(share),
             share: Cell::new(share),
-            narrowed: Cell::new(None),
+            limited_since: Cell::new(None),
             lost: RefCell::default(),
             loss_check: RefCell::default(),
         }
@@ -135,14 +135,14 @@
     /// Updates the entry with a newer one of the same incarnation.
     pub fn update(&self, entry: UpstreamEntry, now: Instant) {
         self.leaving.set(entry.leaving);
-        self.stated_cold.set(now + entry.cold);
+        self.reported_cold_until.set(now + entry.cold);
         *self.entry.borrow_mut() = Rc::new(entry);
     }
 
     /// Marks the upstream as leaving: it gets no new requests, and its pooled connections are closed.
     pub fn leave(&self) {
         self.leaving.set(true);
-        self.drop_idle();
+        self.close_idle();
     }
 
     /// Returns whether the upstream is leaving and gets no new requests.
@@ -162,7 +162,8 @@
 
     /// Treats the upstream as cold until the given time, because it may have become cold without having stated it yet.
     pub fn assume_cold(&self, until: Instant) {
-        self.assumed_cold.set(until.max(self.assumed_cold.get()));
+        self.assumed_cold_until
+            .set(until.max(self.assumed_cold_until.get()));
     }
 
     /// Returns whether the upstream is cold or assumed to be.
@@ -172,7 +173,9 @@
 
     /// Returns the time until which the upstream is cold or assumed to be.
     pub fn cold_until(&self) -> Instant {
-        self.stated_cold.get().max(self.assumed_cold.get())
+        self.reported_cold_until
+            .get()
+            .max(self.assumed_cold_until.get())
     }
 
     /// Returns whether the upstream may get new requests: it is not leaving, and its availability zone is not
@@ -185,48 +188,44 @@
     pub fn set_share(&self, share: usize) {
         let share = share.min(self.entry().slots).max(1);
         self.share.set(share);
-        let narrowed = self.narrowed.get().is_some();
-        self.grant(if narrowed {
-            self.slots.granted()
-        } else {
-            share
-        });
+        let limited = self.limited_since.get().is_some();
+        self.apply_limit(if limited { self.slots.limit() } else { share });
     }
 
     /// Sets how many connections may be in use at a time, within the share.
-    fn grant(&self, wanted: usize) {
-        let wanted = wanted.clamp(1, self.share.get());
-        self.slots.grant(wanted);
-        self.idle.borrow_mut().truncate(wanted);
+    fn apply_limit(&self, limit: usize) {
+        let limit = limit.clamp(1, self.share.get());
+        self.slots.set_limit(limit);
+        self.idle.borrow_mut().truncate(limit);
     }
 
     /// Allows one connection less because the upstream has refused a connection or a request.
-    pub fn narrow(&self, now: Instant) {
-        self.narrowed.set(Some(now));
-        self.grant(self.slots.granted().saturating_sub(1));
+    pub fn reduce_limit(&self, now: Instant) {
+        self.limited_since.set(Some(now));
+        self.apply_limit(self.slots.limit().saturating_sub(1));
     }
 
     /// Allows one connection more if the upstream has refused nothing for a while.
-    pub fn widen(&self, now: Instant) {
-        let Some(narrowed) = self.narrowed.get() else {
+    pub fn raise_limit(&self, now: Instant) {
+        let Some(since) = self.limited_since.get() else {
             return;
         };
-        if now.saturating_duration_since(narrowed) < WIDEN_PERIOD {
+        if now.saturating_duration_since(since) < RAISE_PERIOD {
             return;
         }
-        self.grant(self.slots.granted() + 1);
-        let whole = self.slots.granted() >= self.share.get();
-        self.narrowed.set((!whole).then_some(now));
+        self.apply_limit(self.slots.limit() + 1);
+        let restored = self.slots.limit() >= self.share.get();
+        self.limited_since.set((!restored).then_some(now));
     }
 
     /// Closes the pooled connections.
-    pub fn drop_idle(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
     /// Adds a request whose connection broke. Returns the check of the upstream and whether it is a new one, that is
     /// the first since [`Self::take_lost_requests`].
-    pub fn add_lost(&self, request: LostRequest) -> (Rc<LossCheck>, bool) {
+    pub fn add_lost_request(&self, request: LostRequest) -> (Rc<LossCheck>, bool) {
         self.lost.borrow_mut().push(request);
         let mut current = self.loss_check.borrow_mut();
         let first = current.is_none();
@@ -235,7 +234,7 @@
     }
 
     /// Ends the check and returns the requests whose connections broke.
-    pub fn take_lost(&self) -> Vec<LostRequest> {
+    pub fn take_lost_requests(&self) -> Vec<LostRequest> {
         self.loss_check.take();
         self.lost.take()
     }
@@ -244,36 +243,36 @@
     /// one within `connect_timeout`.
     pub async fn connect(
         &self,
-        order: SlotOrder,
-        fresh: Duration,
-        within: Duration,
-    ) -> Result<HeldLink, LinkError> {
-        let Some(permit) = self.slots.acquire(order).await else {
-            let reason = "the upstream is gone".into();
+        priority: SlotPriority,
+        max_idle: Duration,
+        connect_timeout: Duration,
+    ) -> Result<ActiveLink, LinkError> {
+        let Some(permit) = self.slots.acquire(priority).await else {
+            let reason = "the upstream was removed".into();
             return Err(LinkError::Unsent { reason });
         };
-        if let Some(link) = self.take_idle(fresh) {
-            return Ok(HeldLink {
+        if let Some(link) = self.take_idle(max_idle) {
+            return Ok(ActiveLink {
                 link,
                 reused: true,
                 permit,
             });
         }
         let address = self.entry.borrow().address;
-        let link = HttpLink::open(address, within).await?;
-        Ok(HeldLink {
+        let link = HttpLink::open(address, connect_timeout).await?;
+        Ok(ActiveLink {
             link,
             reused: false,
             permit,
         })
     }
 
-    fn take_idle(&self, fresh: Duration) -> Option<HttpLink> {
+    fn take_idle(&self, max_idle: Duration) -> Option<HttpLink> {
         let now = tokio::time::Instant::now().into_std();
         let mut idle = self.idle.borrow_mut();
         while let Some(kept) = idle.pop() {
-            let age = now.saturating_duration_since(kept.since);
-            if age > kept.keep.min(fresh) || !kept.link.is_ready() {
+            let age = now.saturating_duration_since(kept.idle_since);
+            if age > kept.max_idle.min(max_idle) || !kept.link.is_ready() {
                 continue;
             }
             return Some(kept.link);
@@ -282,36 +281,38 @@
     }
 
     /// Returns a connection to the pool. `stated` is the idle timeout that the upstream has stated.
-    pub fn keep(&self, held: HeldLink, stated: Option<Duration>) {
-        let keep = stated.map_or(IDLE_ASSUMED, |stated| stated.saturating_sub(IDLE_MARGIN));
+    pub fn release(&self, active: ActiveLink, stated: Option<Duration>) {
+        let max_idle = stated.map_or(DEFAULT_IDLE_TIMEOUT, |stated| {
+            stated.saturating_sub(IDLE_TIMEOUT_MARGIN)
+        });
         let now = tokio::time::Instant::now().into_std();
         let mut idle = self.idle.borrow_mut();
         let room = idle.len() < self.share.get();
-        if room && !self.leaving.get() && !keep.is_zero() && !held.link.is_closed() {
+        if room && !self.leaving.get() && !max_idle.is_zero() && !active.link.is_closed() {
             idle.push(IdleLink {
-                link: held.link,
-                since: now,
-                keep,
+                link: active.link,
+                idle_since: now,
+                max_idle,
             });
         }
         drop(idle);
-        drop(held.permit);
+        drop(active.permit);
     }
 
     /// Closes pooled connections whose idle timeout has passed.
-    pub fn drop_stale(&self, now: Instant) {
+    pub fn close_expired(&self, now: Instant) {
         let mut idle = self.idle.borrow_mut();
         // The last connection is the most recently used one, so those before it are spare.
-        let last = idle.len().saturating_sub(1);
-        let mut number = 0;
+        let last_index = idle.len().saturating_sub(1);
+        let mut index = 0;
         idle.retain(|kept| {
-            let allowed = if number < last {
-                kept.keep.min(SPARE_KEPT)
+            let allowed = if index < last_index {
+                kept.max_idle.min(SPARE_IDLE_TIMEOUT)
             } else {
-                kept.keep
+                kept.max_idle
             };
-            number += 1;
-            now.saturating_duration_since(kept.since) <= allowed && !kept.link.is_closed()
+            index += 1;
+            now.saturating_duration_since(kept.idle_since) <= allowed && !kept.link.is_closed()
         });
     }
 }
--- a/crates/ebonyfork/src/gateway/upstream_tests.rs
+++ b/crates/ebonyfork/src/gateway/upstream_tests.rs
@@ -11,11 +11,11 @@
     for (share, used) in [(0, 1), (1, 1), (2, 2), (9, 2)] {
         let entry = entry("i-1", "s", "north-a", address);
         let upstream = Upstream::new(entry, Instant::now(), share);
-        expect_that!(upstream.slots.granted(), eq(used));
+        expect_that!(upstream.slots.limit(), eq(used));
         upstream.set_share(9);
-        expect_that!(upstream.slots.granted(), eq(2));
+        expect_that!(upstream.slots.limit(), eq(2));
         upstream.set_share(share);
-        expect_that!(upstream.slots.granted(), eq(used));
+        expect_that!(upstream.slots.limit(), eq(used));
     }
 }
 
@@ -25,11 +25,11 @@
     let address = ([127, 0, 0, 1], 1).into();
     let now = Instant::now();
     let upstream = Upstream::new(entry("i-1", "s", "north-a", address), now, 2);
-    upstream.narrow(now);
-    upstream.narrow(now);
-    expect_that!(upstream.slots.granted(), eq(1));
-    upstream.widen(now + WIDEN_PERIOD / 2);
-    expect_that!(upstream.slots.granted(), eq(1));
-    upstream.widen(now + WIDEN_PERIOD);
-    expect_that!(upstream.slots.granted(), eq(2));
+    upstream.reduce_limit(now);
+    upstream.reduce_limit(now);
+    expect_that!(upstream.slots.limit(), eq(1));
+    upstream.raise_limit(now + RAISE_PERIOD / 2);
+    expect_that!(upstream.slots.limit(), eq(1));
+    upstream.raise_limit(now + RAISE_PERIOD);
+    expect_that!(upstream.slots.limit(), eq(2));
 }
--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -19,15 +19,15 @@
 use crate::membership::{MemberSnapshot, MemberState};
 
 /// Largest number of addresses in one locate answer.
-const ADDRESS_LIMIT: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 /// Smallest number of VMs in a locate answer, if that many exist: when one fails, the caller needs another.
-const ADDRESS_LEAST: usize = 2;
+const MIN_ADDRESSES: usize = 2;
 /// Upper bound on the number of VMs that a registration may report: twice the largest planned fleet.
-const KNOWN_LIMIT: usize = 10_000;
+const MAX_REPORTED_VMS: usize = 10_000;
 /// Fraction of a host's shards that must have an upstream in a zone for that zone's VMs to serve the host's callers. A
 /// VM without local upstreams fetches every partial answer across zones. A caller that uses a VM next to the upstreams
 /// fetches one merged answer, a twentieth of the bytes with 20 shards.
-const LOCAL_SHARE: f64 = 0.5;
+const LOCAL_SHARD_FRACTION: f64 = 0.5;
 
 /// Record that a VM registers about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
     own: SocketAddr,
     records: RefCell<FxHashMap<CompactString, VmRecord>>,
     members: RefCell<Arc<MemberSnapshot>>,
-    most: Cell<usize>,
+    peak_count: Cell<usize>,
     /// Registrations that the store no longer contains.
     missing: RefCell<FxHashSet<CompactString>>,
     own_load: Cell<u16>,
@@ -90,7 +90,7 @@
             own,
             records: RefCell::default(),
             members: RefCell::default(),
-            most: Cell::new(1),
+            peak_count: Cell::new(1),
             missing: RefCell::default(),
             own_load: Cell::default(),
         }
@@ -99,10 +99,10 @@
     /// Adds or updates a registration.
     pub fn put(&self, key: &CompactString, record: VmRecord) {
         self.missing.borrow_mut().remove(key);
-        let known = (record.vms as usize).min(KNOWN_LIMIT);
+        let known = (record.vms as usize).min(MAX_REPORTED_VMS);
         self.records.borrow_mut().insert(key.clone(), record);
-        let most = self.most.get().max(self.count()).max(known);
-        self.most.set(most);
+        let peak_count = self.peak_count.get().max(self.count()).max(known);
+        self.peak_count.set(peak_count);
     }
 
     /// Handles the end of a registration. A VM that gossip reports alive or suspect is kept: its lease may have expired
@@ -111,7 +111,7 @@
         let record = self.records.borrow().get(key).cloned();
         let Some(record) = record else { return };
         self.missing.borrow_mut().insert(key.clone());
-        if self.is_heard(&record) {
+        if self.is_reported_running(&record) {
             return;
         }
         self.records.borrow_mut().remove(key);
@@ -120,13 +120,13 @@
     /// Applies a snapshot of the gossip membership. Removes failed VMs, as well as registrations that the store no
     /// longer contains and that gossip does not report alive or suspect. A VM that gossip reports alive is running,
     /// even if the store was restored from a copy older than its registration.
-    pub fn take_members(&self, members: Arc<MemberSnapshot>) {
+    pub fn apply_members(&self, members: Arc<MemberSnapshot>) {
         let others = members
             .members()
             .iter()
             .filter(|member| member.vm.0 != self.own.ip() && member.state != MemberState::Failed);
-        let heard = others.count() + 1;
-        self.most.set(self.most.get().max(heard));
+        let running = others.count() + 1;
+        self.peak_count.set(self.peak_count.get().max(running));
         *self.members.borrow_mut() = members;
         let members = self.members.borrow();
         let failed = |record: &VmRecord| {
@@ -135,7 +135,7 @@
         };
         let missing = self.missing.borrow();
         let lapsed = |key: &CompactString, record: &VmRecord| {
-            missing.contains(key) && !self.is_heard(record)
+            missing.contains(key) && !self.is_reported_running(record)
         };
         self.records
             .borrow_mut()
@@ -147,7 +147,7 @@
         self.missing.borrow().contains(key)
     }
 
-    fn is_heard(&self, record: &VmRecord) -> bool {
+    fn is_reported_running(&self, record: &VmRecord) -> bool {
         let members = self.members.borrow();
         let member = members.get(VmAddress(record.caller.ip()));
         member
@@ -163,8 +163,8 @@
 
     /// Returns the largest number of VMs known to have run at the same time. A VM that nobody has reported yet has no
     /// callers and therefore no accumulated budget to spend in addition to that of the others.
-    pub fn most_count(&self) -> usize {
-        self.most.get().max(self.count())
+    pub fn peak_count(&self) -> usize {
+        self.peak_count.get().max(self.count())
     }
 
     /// Returns the addresses of all other VMs, as seeds for gossip.
@@ -184,13 +184,13 @@
 
     /// Returns the serving VMs in the zone of some upstreams, including this process; those of all zones if that zone
     /// has none.
-    pub fn serving_for(&self, zone: &PlaceName, own: &NodePlace) -> Vec<VmAddress> {
+    pub fn serving_near(&self, zone: &PlaceName, own: &NodePlace) -> Vec<VmAddress> {
         let usable = self.usable(Some(own));
-        let beside = serving_vms(usable.iter().filter(|vm| vm.zone == zone.as_str()));
-        let serving = if beside.is_empty() {
+        let local = serving_vms(usable.iter().filter(|vm| vm.zone == zone.as_str()));
+        let serving = if local.is_empty() {
             serving_vms(usable.iter())
         } else {
-            beside
+            local
         };
         serving.iter().map(|vm| vm.address()).collect()
     }
@@ -249,42 +249,46 @@
     /// if it is about to stop.
     pub fn locate(
         &self,
-        asker: &NodePlace,
+        caller_place: &NodePlace,
         needs: &HostNeeds,
         own: Option<&NodePlace>,
     ) -> Vec<SocketAddr> {
-        let usable = allowed_vms(self.usable(own), asker, &needs.regions);
+        let usable = allowed_vms(self.usable(own), caller_place, &needs.regions);
         let mut addresses = Vec::new();
-        for group in preferred_zones(asker, &needs.zones) {
+        for group in preferred_zones(caller_place, &needs.zones) {
             let fits = |vm: &&UsableVm| group.iter().any(|zone| zone.as_str() == vm.zone);
             for vm in serving_vms(usable.iter().filter(fits)) {
                 if !addresses.contains(&vm.caller) {
                     addresses.push(vm.caller);
                 }
             }
-            if addresses.len() >= ADDRESS_LEAST {
+            if addresses.len() >= MIN_ADDRESSES {
                 break;
             }
         }
-        if addresses.len() < ADDRESS_LEAST {
+        if addresses.len() < MIN_ADDRESSES {
             addresses = usable.iter().map(|vm| vm.caller).collect();
         }
         addresses.sort_unstable();
-        spread(&mut addresses);
+        truncate_at_random(&mut addresses);
         addresses
     }
 }
 
 /// Returns the VMs that suit a caller best according to the home regions of a host's routes. VMs of the second-best
 /// rank are included only if the best one has too few.
-fn allowed_vms(vms: Vec<UsableVm>, asker: &NodePlace, regions: &HostRegions) -> Vec<UsableVm> {
+fn allowed_vms(
+    vms: Vec<UsableVm>,
+    caller_place: &NodePlace,
+    regions: &HostRegions,
+) -> Vec<UsableVm> {
     if !regions.is_limited() {
         return vms;
     }
-    let rank = |vm: &UsableVm| regions.rank(&vm.region, &asker.region);
+    let rank = |vm: &UsableVm| regions.rank(&vm.region, &caller_place.region);
     let mut ranks: Vec<_> = vms.iter().filter_map(rank).collect();
     ranks.sort_unstable();
-    let Some(last) = ranks.get(ADDRESS_LEAST - 1).or(ranks.last()).copied() else {
+    let Some(last) = ranks.get(MIN_ADDRESSES - 1).or(ranks.last()).copied() else {
         // Any VM can forward a request to its home region, while an empty list would leave the caller without an
         // answer.
         return vms;
@@ -305,22 +309,22 @@
 /// Returns the serving ones of the given VMs.
 fn serving_vms<'a>(vms: impl Iterator<Item = &'a UsableVm>) -> Vec<&'a UsableVm> {
     let mut vms: Vec<_> = vms.collect();
-    let least = least_cores(vms.iter().map(|vm| VmCapacity {
+    let min_cores = least_cores(vms.iter().map(|vm| VmCapacity {
         cores: vm.cores,
         load: vm.load,
     }));
-    vms.retain(|vm| vm.cores >= least);
+    vms.retain(|vm| vm.cores >= min_cores);
     vms
 }
 
 /// Truncates a long list to a random part of it.
-fn spread(addresses: &mut Vec<SocketAddr>) {
-    if addresses.len() <= ADDRESS_LIMIT {
+fn truncate_at_random(addresses: &mut Vec<SocketAddr>) {
+    if addresses.len() <= MAX_ADDRESSES {
         return;
     }
     let start = rand::random_range(0..addresses.len());
     addresses.rotate_left(start);
-    addresses.truncate(ADDRESS_LIMIT);
+    addresses.truncate(MAX_ADDRESSES);
 }
 
 /// Fraction of a host's shards that have an upstream in each zone.
@@ -362,21 +366,28 @@
 
 /// Returns groups of zones in order of preference: the caller's own zone, the zones of its region, all zones that hold
 /// enough upstreams.
-fn preferred_zones(asker: &NodePlace, homes: &ZoneShares) -> Vec<Vec<PlaceName>> {
-    let local = |zone: &PlaceName| homes.get(zone).copied().unwrap_or_default() >= LOCAL_SHARE;
-    let same_region = |zone: &&PlaceName| asker.zones.get(*zone) == Some(&asker.region);
-    if !homes.keys().any(local) {
+fn preferred_zones(caller_place: &NodePlace, shares: &ZoneShares) -> Vec<Vec<PlaceName>> {
+    let local =
+        |zone: &PlaceName| shares.get(zone).copied().unwrap_or_default() >= LOCAL_SHARD_FRACTION;
+    let same_region =
+        |zone: &&PlaceName| caller_place.zones.get(*zone) == Some(&caller_place.region);
+    if !shares.keys().any(local) {
         // No zone holds enough upstreams, so the caller's own zone and region are preferred.
-        let region = asker.zones.keys().filter(same_region).cloned().collect();
-        return vec![vec![asker.zone.clone()], region];
+        let region = caller_place
+            .zones
+            .keys()
+            .filter(same_region)
+            .cloned()
+            .collect();
+        return vec![vec![caller_place.zone.clone()], region];
     }
     let mut groups = Vec::new();
-    if local(&asker.zone) {
-        groups.push(vec![asker.zone.clone()]);
+    if local(&caller_place.zone) {
+        groups.push(vec![caller_place.zone.clone()]);
     }
-    let near = asker.zones.keys().filter(same_region);
+    let near = caller_place.zones.keys().filter(same_region);
     groups.push(near.filter(|zone| local(zone)).cloned().collect());
-    groups.push(homes.keys().filter(|zone| local(zone)).cloned().collect());
+    groups.push(shares.keys().filter(|zone| local(zone)).cloned().collect());
     groups
 }
 
--- a/crates/ebonyfork/src/gateway/vms_tests.rs
+++ b/crates/ebonyfork/src/gateway/vms_tests.rs
@@ -49,28 +49,28 @@
     Arc::new(MemberSnapshot::new(states.iter().map(member)))
 }
 
-fn homes(shares: &[(&str, f64)]) -> ZoneShares {
+fn zone_shares_of(shares: &[(&str, f64)]) -> ZoneShares {
     let pair = |(zone, share): &(&str, f64)| (PlaceName::new(zone), *share);
     shares.iter().map(pair).collect()
 }
 
-fn located(directory: &VmDirectory, homes: &ZoneShares, own: bool) -> Vec<u8> {
+fn locate(directory: &VmDirectory, shares: &ZoneShares, own: bool) -> Vec<u8> {
     let needs = HostNeeds {
-        zones: homes.clone(),
+        zones: shares.clone(),
         regions: HostRegions::default(),
     };
-    located_by_needs(directory, &place(), &needs, own)
+    locate_for_needs(directory, &place(), &needs, own)
 }
 
-fn located_by_needs(
+fn locate_for_needs(
     directory: &VmDirectory,
-    asker: &NodePlace,
+    caller_place: &NodePlace,
     needs: &HostNeeds,
     own: bool,
 ) -> Vec<u8> {
     let place = place();
     let own = own.then_some(&place);
-    let addresses = directory.locate(asker, needs, own);
+    let addresses = directory.locate(caller_place, needs, own);
     let last = |address: &SocketAddr| match address.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[3],
         std::net::IpAddr::V6(_) => 0,
@@ -95,7 +95,7 @@
         ),
     ];
     for (shares, expected) in cases {
-        let found = located(&directory, &homes(shares), true);
+        let found = locate(&directory, &zone_shares_of(shares), true);
         expect_that!(found, eq(&expected.to_vec()), "{shares:?}");
     }
 }
@@ -109,23 +109,23 @@
     let needs = |zones: &[(&str, f64)], region: &str| {
         let limited = HomeRegions::new([PlaceName::new(region)]);
         HostNeeds {
-            zones: homes(zones),
+            zones: zone_shares_of(zones),
             regions: HostRegions::new([&limited]),
         }
     };
-    let found = |needs: &HostNeeds| located_by_needs(&directory, &place(), needs, true);
+    let found = |needs: &HostNeeds| locate_for_needs(&directory, &place(), needs, true);
     expect_that!(
         found(&needs(&[("south-a", 1.0)], "south")),
         eq(&[1, 2, 3, 4])
     );
     expect_that!(found(&needs(&[], "south")), eq(&[1, 2]));
     expect_that!(found(&needs(&[("north-b", 1.0)], "north")), eq(&[3, 4]));
-    let asker = NodePlace {
+    let caller_place = NodePlace {
         zone: PlaceName::new("west-a"),
         region: PlaceName::new("west"),
         ..place()
     };
-    let found = |needs: &HostNeeds| located_by_needs(&directory, &asker, needs, true);
+    let found = |needs: &HostNeeds| locate_for_needs(&directory, &caller_place, needs, true);
     expect_that!(found(&needs(&[("north-a", 1.0)], "south")), eq(&[5, 6]));
     expect_that!(found(&needs(&[], "west")), eq(&[1, 2, 3, 4, 5, 6]));
 }
@@ -133,38 +133,38 @@
 /// Guards against underestimating the fleet: two VMs that a registration reports are partitioned and their entries have
 /// expired, but they may still run and send retries. Implausible numbers are capped.
 #[gtest]
-fn vms_that_another_one_knew_are_counted_among_those_that_may_run() {
+fn vms_reported_by_another_registration_count_as_possibly_running() {
     let directory = directory();
-    expect_that!(directory.most_count(), eq(6));
+    expect_that!(directory.peak_count(), eq(6));
     let later = VmRecord {
         vms: 8,
         ..record(7, "north-a", "north")
     };
     directory.put(&"vm/7".into(), later);
-    expect_that!((directory.count(), directory.most_count()), eq((7, 8)));
+    expect_that!((directory.count(), directory.peak_count()), eq((7, 8)));
     let wrong = VmRecord {
         vms: u32::MAX,
         ..record(8, "north-a", "north")
     };
     directory.put(&"vm/8".into(), wrong);
-    expect_that!(directory.most_count(), eq(KNOWN_LIMIT));
+    expect_that!(directory.peak_count(), eq(MAX_REPORTED_VMS));
 }
 
 #[gtest]
 fn failed_and_leaving_vms_are_left_out() {
     let directory = directory();
-    directory.take_members(members(&[(2, MemberState::Leaving)]));
+    directory.apply_members(members(&[(2, MemberState::Leaving)]));
     // One VM is left in the zone, so those of the region are included.
     expect_that!(
-        located(&directory, &homes(&[]), true),
+        locate(&directory, &zone_shares_of(&[]), true),
         elements_are![eq(&1), eq(&3), eq(&4)]
     );
-    directory.take_members(members(&[
+    directory.apply_members(members(&[
         (2, MemberState::Failed),
         (3, MemberState::Suspect),
     ]));
     expect_that!(
-        located(&directory, &homes(&[]), true),
+        locate(&directory, &zone_shares_of(&[]), true),
         elements_are![eq(&1), eq(&4)]
     );
     expect_that!(directory.count(), eq(5));
@@ -174,20 +174,20 @@
 fn a_stopping_vm_does_not_name_itself() {
     let directory = directory();
     expect_that!(
-        located(&directory, &homes(&[]), false),
+        locate(&directory, &zone_shares_of(&[]), false),
         elements_are![eq(&2), eq(&3), eq(&4)]
     );
 }
 
 #[gtest]
-fn a_lapsed_registration_of_a_living_vm_is_kept() {
+fn an_expired_registration_of_a_running_vm_is_kept() {
     let directory = directory();
-    directory.take_members(members(&[(2, MemberState::Alive)]));
+    directory.apply_members(members(&[(2, MemberState::Alive)]));
     for last in 1..=6 {
         directory.remove(&format!("vm/{}", caller(last)).into());
     }
     expect_that!(
-        located(&directory, &homes(&[]), true),
+        locate(&directory, &zone_shares_of(&[]), true),
         elements_are![eq(&1), eq(&2)]
     );
     expect_that!(directory.is_missing(&"vm/10.0.0.1:80".into()), eq(true));
@@ -196,17 +196,17 @@
 /// Guards against keeping an expired registration forever: it ends once gossip reports the VM failed or leaving, or no
 /// longer lists it.
 #[gtest]
-fn a_lapsed_registration_ends_with_the_gossip_that_kept_it() {
+fn an_expired_registration_ends_when_gossip_no_longer_reports_the_vm() {
     for gone in [
         &[(2, MemberState::Failed)][..],
         &[(2, MemberState::Leaving)],
         &[],
     ] {
         let directory = directory();
-        directory.take_members(members(&[(2, MemberState::Alive)]));
+        directory.apply_members(members(&[(2, MemberState::Alive)]));
         directory.remove(&"vm/10.0.0.2:80".into());
         expect_that!(directory.count(), eq(6));
-        directory.take_members(members(gone));
+        directory.apply_members(members(gone));
         expect_that!(directory.count(), eq(5), "{gone:?}");
     }
 }
@@ -241,16 +241,16 @@
 /// Guards against a VM claiming too much of the retry budget. A store restored from an older copy contained a single
 /// registration, so a VM that started just then used the whole slack as its share of two VMs.
 #[gtest]
-fn vms_that_gossip_hears_count_although_the_store_has_lost_them() {
+fn vms_alive_in_gossip_count_although_the_store_has_lost_them() {
     let directory = VmDirectory::new(caller(1));
     directory.put(&"vm/2".into(), record(2, "north-a", "north"));
-    expect_that!(directory.most_count(), eq(2));
-    directory.take_members(members(&[
+    expect_that!(directory.peak_count(), eq(2));
+    directory.apply_members(members(&[
         (1, MemberState::Alive),
         (2, MemberState::Alive),
         (3, MemberState::Suspect),
         (4, MemberState::Alive),
         (5, MemberState::Failed),
     ]));
-    expect_that!(directory.most_count(), eq(4));
+    expect_that!(directory.peak_count(), eq(4));
 }
--- a/crates/ebonyfork/src/gateway/weights.rs
+++ b/crates/ebonyfork/src/gateway/weights.rs
@@ -9,16 +9,16 @@
 use crate::gateway::route::WeightedService;
 
 /// Current credit of each service of a route, in requests.
-type OwedList = SmallVec<[(UpstreamService, f64); 2]>;
+type CreditList = SmallVec<[(UpstreamService, f64); 2]>;
 
 /// Smooth weighted round robin: each request credits every service with its fraction of the weights and goes to the
 /// service with the highest credit.
 #[derive(Debug, Default)]
-pub struct WeightShares {
-    owed: RefCell<FxHashMap<RouteName, OwedList>>,
+pub struct WeightedRoundRobin {
+    credits: RefCell<FxHashMap<RouteName, CreditList>>,
 }
 
-impl WeightShares {
+impl WeightedRoundRobin {
     /// Creates a scheduler without credits.
     pub fn new() -> Self {
         Self::default()
@@ -29,13 +29,13 @@
     /// # Examples
     ///
     /// ```
-    /// use ebonyfork::gateway::{RouteName, UpstreamService, WeightShares, WeightedService};
+    /// use ebonyfork::gateway::{RouteName, UpstreamService, WeightedRoundRobin, WeightedService};
     ///
     /// let part = |name: &str, weight| WeightedService { service: UpstreamService::new(name), weight };
     /// let parts = [part("old", 3.0), part("new", 1.0)];
-    /// let shares = WeightShares::new();
+    /// let scheduler = WeightedRoundRobin::new();
     /// let route = RouteName::new("r");
-    /// let picks = (0..8).filter_map(|_n| shares.pick(&route, &parts));
+    /// let picks = (0..8).filter_map(|_n| scheduler.pick(&route, &parts));
     /// assert_eq!(picks.filter(|service| service.as_str() == "new").count(), 2);
     /// ```
     pub fn pick(&self, route: &RouteName, parts: &[WeightedService]) -> Option<UpstreamService> {
@@ -43,25 +43,25 @@
         if sum <= 0.0 {
             return None;
         }
-        let mut owed = self.owed.borrow_mut();
-        let owed = owed.entry(route.clone()).or_default();
-        owed.retain(|(service, _due)| parts.iter().any(|part| part.service == *service));
+        let mut credits = self.credits.borrow_mut();
+        let credits = credits.entry(route.clone()).or_default();
+        credits.retain(|(service, _credit)| parts.iter().any(|part| part.service == *service));
         let mut best: Option<usize> = None;
         for part in parts {
-            let place = owed
+            let index = credits
                 .iter()
-                .position(|(service, _due)| *service == part.service);
-            let place = place.unwrap_or_else(|| {
-                owed.push((part.service.clone(), 0.0));
-                owed.len() - 1
+                .position(|(service, _credit)| *service == part.service);
+            let index = index.unwrap_or_else(|| {
+                credits.push((part.service.clone(), 0.0));
+                credits.len() - 1
             });
-            owed[place].1 += part.weight / sum;
-            if part.weight > 0.0 && best.is_none_or(|best| owed[place].1 > owed[best].1) {
-                best = Some(place);
+            credits[index].1 += part.weight / sum;
+            if part.weight > 0.0 && best.is_none_or(|best| credits[index].1 > credits[best].1) {
+                best = Some(index);
             }
         }
         let best = best?;
-        owed[best].1 -= 1.0;
-        Some(owed[best].0.clone())
+        credits[best].1 -= 1.0;
+        Some(credits[best].0.clone())
     }
 }
