--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -45,7 +45,7 @@
         return None;
     }
     let table = core.table()?;
-    let route = table.find_by_digest(query.mark)?;
+    let route = table.find_by_digest(query.digest)?;
     let RouteTarget::Gather(terms) = &route.destination else {
         return None;
     };
--- a/crates/ebonyfork/src/gateway/partial.rs
+++ b/crates/ebonyfork/src/gateway/partial.rs
@@ -15,7 +15,7 @@
     /// Identifies the query between the two VMs.
     pub number: u64,
     /// Digest of the route and its shards.
-    pub mark: u64,
+    pub digest: u64,
     /// Shards to gather, as indices into the route's list.
     pub shards: SmallVec<[u16; 16]>,
     /// Microseconds for which an answer is of full value; 0 if that time has passed.
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -156,9 +156,9 @@
     ///     homes: HomeRegions::default(),
     /// };
     /// let shorter = route(Duration::from_secs(1));
-    /// assert_eq!(route(Duration::from_secs(2)).shard_mark(), shorter.shard_mark());
+    /// assert_eq!(route(Duration::from_secs(2)).shard_digest(), shorter.shard_digest());
     /// ```
-    pub fn shard_mark(&self) -> u64 {
+    pub fn shard_digest(&self) -> u64 {
         let mut hash = Xxh3::new();
         let mut add = |text: &str| {
             hash.update(text.as_bytes());
@@ -180,7 +180,7 @@
     /// Returns a digest of all stated properties of the route.
     fn terms_digest(&self) -> u64 {
         let mut hash = Xxh3::new();
-        hash.update(&self.shard_mark().to_be_bytes());
+        hash.update(&self.shard_digest().to_be_bytes());
         hash.update(self.prefix.as_bytes());
         for time in [self.timeout, self.target] {
             hash.update(&time.as_micros().to_be_bytes());
@@ -240,7 +240,7 @@
             let listed = hosts.entry(route.host.clone()).or_default();
             listed.push(Rc::clone(&route));
             if let RouteTarget::Gather(_) = &route.destination {
-                digests.insert(route.shard_mark(), route);
+                digests.insert(route.shard_digest(), route);
             }
         }
         for routes in hosts.values_mut() {
@@ -286,7 +286,7 @@
     /// Returns a digest of the route with this host and prefix and of all routes of the host whose prefixes extend it.
     /// While the digest is the same in two versions, both treat every path with this prefix alike. Returns `None` if no
     /// such route exists.
-    pub fn scope_mark(&self, host: &str, prefix: &str) -> Option<u64> {
+    pub fn scope_digest(&self, host: &str, prefix: &str) -> Option<u64> {
         let below = |route: &&Rc<RouteEntry>| route.prefix.starts_with(prefix);
         let mut below: Vec<_> = self.routes_of(host).iter().filter(below).collect();
         below.sort_unstable_by(|one, other| one.prefix.cmp(&other.prefix));
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -57,7 +57,7 @@
     };
     // A VM that does not answer, and one that knows no better, leave the question open.
     let verdict = verdict.ok().and_then(Result::ok).unwrap_or_default();
-    let same = verdict.mark == table.scope_mark(&route.host, &route.prefix);
+    let same = verdict.mark == table.scope_digest(&route.host, &route.prefix);
     let settled = verdict.version >= newest && verdict.mark.is_some();
     log::info!(
         target: "ebonyfork::decision",
@@ -85,7 +85,7 @@
             let table = core.table();
             let verdict = table.map(|table| RouteVerdict {
                 version: table.version(),
-                mark: table.scope_mark(&host, &prefix),
+                mark: table.scope_digest(&host, &prefix),
             });
             let verdict = verdict.unwrap_or_default();
             let verdict = RouteCheckMessage::Verdict {
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -85,16 +85,16 @@
 /// notice it.
 #[gtest]
 fn other_homes_are_another_scope() {
-    let mark = |regions: &[&str]| {
+    let digest = |regions: &[&str]| {
         let route = RouteEntry {
             homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
             ..route("r", "a.example", "/x/")
         };
         let table = RouteTable::new(ConfigVersion(1), [route], [], limits());
-        table.scope_mark("a.example", "/x/")
+        table.scope_digest("a.example", "/x/")
     };
-    expect_that!(mark(&["north"]), eq(mark(&["north"])));
-    expect_that!(mark(&["north"]), not(eq(mark(&[]))));
-    expect_that!(mark(&["north"]), not(eq(mark(&["south"]))));
-    expect_that!(mark(&["north"]), not(eq(mark(&["north", "south"]))));
+    expect_that!(digest(&["north"]), eq(digest(&["north"])));
+    expect_that!(digest(&["north"]), not(eq(digest(&[]))));
+    expect_that!(digest(&["north"]), not(eq(digest(&["south"]))));
+    expect_that!(digest(&["north"]), not(eq(digest(&["north", "south"]))));
 }
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -134,7 +134,7 @@
         let longest = self.context.latency.borrow().waits.own_longest();
         PartialQuery {
             number: 0,
-            mark: *self.mark.get_or_init(|| self.route.shard_mark()),
+            digest: *self.mark.get_or_init(|| self.route.shard_digest()),
             shards: shards
                 .iter()
                 .map(|(shard, _choice)| *shard as u16)
