--- a/crates/ebonyfork/src/gateway/fixture.rs
+++ b/crates/ebonyfork/src/gateway/fixture.rs
@@ -93,7 +93,7 @@
 pub fn entry(instance: &str, service: &str, zone: &str, address: SocketAddr) -> UpstreamEntry {
     UpstreamEntry {
         instance: InstanceName::new(instance),
-        born: None,
+        started: None,
         service: UpstreamService::new(service),
         address,
         zone: PlaceName::new(zone),
--- a/crates/ebonyfork/src/gateway/ident.rs
+++ b/crates/ebonyfork/src/gateway/ident.rs
@@ -48,7 +48,7 @@
     UpstreamService
 );
 text_type!(
-    /// Name of an upstream. It may be reused after a restart: see [`UpstreamLife`].
+    /// Name of an upstream. It may be reused after a restart: see [`UpstreamIncarnation`].
     InstanceName
 );
 text_type!(
@@ -62,15 +62,15 @@
 
 /// Start time of an upstream, in milliseconds of Unix time by its own clock. It only distinguishes incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct BirthTime(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for BirthTime {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
 }
 
-impl FromStr for BirthTime {
+impl FromStr for StartTime {
     type Err = std::num::ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -84,33 +84,33 @@
 /// # Examples
 ///
 /// ```
-/// use ebonyfork::gateway::{BirthTime, InstanceName, UpstreamLife};
+/// use ebonyfork::gateway::{StartTime, InstanceName, UpstreamIncarnation};
 ///
-/// let first = UpstreamLife::new(InstanceName::new("i-1"), Some(BirthTime(1_000)));
-/// let second = UpstreamLife::new(InstanceName::new("i-1"), Some(BirthTime(9_000)));
+/// let first = UpstreamIncarnation::new(InstanceName::new("i-1"), Some(StartTime(1_000)));
+/// let second = UpstreamIncarnation::new(InstanceName::new("i-1"), Some(StartTime(9_000)));
 /// assert_ne!(first, second);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct UpstreamLife {
+pub struct UpstreamIncarnation {
     /// Name of the upstream.
     pub instance: InstanceName,
     /// Start of this incarnation; `None` on deployments whose upstreams take a new name at each start and state no
     /// start time.
-    pub born: Option<BirthTime>,
+    pub started: Option<StartTime>,
 }
 
-impl UpstreamLife {
+impl UpstreamIncarnation {
     /// Creates the incarnation of an upstream that started at the given time.
-    pub fn new(instance: InstanceName, born: Option<BirthTime>) -> Self {
-        Self { instance, born }
+    pub fn new(instance: InstanceName, started: Option<StartTime>) -> Self {
+        Self { instance, started }
     }
 }
 
-impl fmt::Display for UpstreamLife {
+impl fmt::Display for UpstreamIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.instance)?;
-        match self.born {
-            Some(born) => write!(f, "+{born}"),
+        match self.started {
+            Some(started) => write!(f, "+{started}"),
             None => Ok(()),
         }
     }
--- a/crates/ebonyfork/src/gateway/mod.rs
+++ b/crates/ebonyfork/src/gateway/mod.rs
@@ -66,7 +66,8 @@
     ControlCall, DecodeError, GatewayDialect, LocateQuery, LocateReply, StoredKind, WireNames,
 };
 pub use ident::{
-    BirthTime, ConfigVersion, InstanceName, PlaceName, RouteName, UpstreamLife, UpstreamService,
+    ConfigVersion, InstanceName, PlaceName, RouteName, StartTime, UpstreamIncarnation,
+    UpstreamService,
 };
 pub use merge::{RECORD_BYTES, merge_records};
 pub use mirror::MirrorMessage;
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-use crate::gateway::ident::UpstreamLife;
+use crate::gateway::ident::UpstreamIncarnation;
 use crate::gateway::policy::latency::AttemptKind;
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::settings::{NodePlace, PlaceDistance};
@@ -32,7 +32,7 @@
 /// Chooses among the upstreams of a service that are allowed and take requests.
 pub fn choose_upstream(
     candidates: &[Rc<Upstream>],
-    allowed: impl Fn(&Upstream, &UpstreamLife) -> bool,
+    allowed: impl Fn(&Upstream, &UpstreamIncarnation) -> bool,
     place: &NodePlace,
     latency: &RouteLatency,
     now: Instant,
@@ -43,7 +43,7 @@
     for number in 0..candidates.len() {
         let upstream = &candidates[(number + offset) % candidates.len()];
         let entry = upstream.entry();
-        if !upstream.takes_requests() || !allowed(upstream, &entry.life()) {
+        if !upstream.takes_requests() || !allowed(upstream, &entry.incarnation()) {
             continue;
         }
         let distance = place.distance(&entry.zone);
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -67,7 +67,7 @@
         expect_that!(chosen(&candidates, now), some(eq("b")));
     }
     let latency = RouteLatency::default();
-    let allowed = |_: &Upstream, life: &UpstreamLife| life.instance.as_str() == "a";
+    let allowed = |_: &Upstream, life: &UpstreamIncarnation| life.instance.as_str() == "a";
     let none = choose_upstream(&candidates, allowed, &place(), &latency, now);
     expect_that!(none.is_none(), eq(true));
 }
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -15,7 +15,7 @@
 use smallvec::SmallVec;
 use tokio::sync::Notify;
 
-use crate::gateway::ident::{PlaceName, UpstreamLife, UpstreamService};
+use crate::gateway::ident::{PlaceName, UpstreamIncarnation, UpstreamService};
 use crate::gateway::upstream::{Upstream, UpstreamEntry};
 
 /// How long after the store's return a missing entry is kept. Upstreams that are alive have registered again after
@@ -50,7 +50,7 @@
 /// Incarnation of an upstream whose entry was removed.
 #[derive(Debug)]
 struct DepartedIncarnation {
-    life: UpstreamLife,
+    incarnation: UpstreamIncarnation,
     at: Instant,
 }
 
@@ -207,7 +207,7 @@
                 let before = known.entry();
                 // Detects a crash and restart within one heartbeat interval, which nothing else reveals: connections,
                 // latency samples and lost requests of the previous incarnation must not be attributed to the new one.
-                before.life() == entry.life()
+                before.incarnation() == entry.incarnation()
                     && before.address == entry.address
                     && before.service == entry.service
             };
@@ -222,7 +222,7 @@
         log::info!(
             target: "ebonyfork::decision",
             "upstream add instance={} service={} address={} zone={} leaving={}",
-            entry.life(), entry.service, entry.address, entry.zone, entry.leaving
+            entry.incarnation(), entry.service, entry.address, entry.zone, entry.leaving
         );
         let service = entry.service.clone();
         let upstream = Rc::new(Upstream::new(entry, now, share));
@@ -250,7 +250,7 @@
             log::info!(
                 target: "ebonyfork::decision",
                 "upstream entry older instance={} heartbeats={} leaving={}: keeping the newer entry",
-                entry.life(), entry.heartbeats, entry.leaving
+                entry.incarnation(), entry.heartbeats, entry.leaving
             );
             return;
         }
@@ -261,7 +261,7 @@
         log::info!(
             target: "ebonyfork::decision",
             "upstream withheld instance={}: it had left before the store was restored from an older copy",
-            entry.life()
+            entry.incarnation()
         );
         let withheld = WithheldEntry {
             entry,
@@ -279,7 +279,7 @@
         known.is_some_and(|known| {
             let later = known.heartbeats > entry.heartbeats;
             let leaves = known.heartbeats == entry.heartbeats && known.leaving;
-            known.life() == entry.life() && (later || leaves)
+            known.incarnation() == entry.incarnation() && (later || leaves)
         })
     }
 
@@ -287,7 +287,7 @@
         let departed = self.departed.borrow();
         departed.get(key).is_some_and(|departed| {
             let recent = now < departed.at + DEPARTED_RETENTION;
-            recent && departed.life == entry.life()
+            recent && departed.incarnation == entry.incarnation()
         })
     }
 
@@ -314,7 +314,7 @@
             return;
         };
         let departed = DepartedIncarnation {
-            life: upstream.entry().life(),
+            incarnation: upstream.entry().incarnation(),
             at: now,
         };
         self.departed.borrow_mut().insert(key.clone(), departed);
@@ -372,7 +372,7 @@
         log::info!(
             target: "ebonyfork::decision",
             "upstream drop instance={} service={} address={}: {reason}",
-            entry.life(), entry.service, entry.address
+            entry.incarnation(), entry.service, entry.address
         );
         let mut services = self.services.borrow_mut();
         let Some(listed) = services.get_mut(&entry.service) else {
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::gateway::fixture::entry;
-use crate::gateway::ident::BirthTime;
+use crate::gateway::ident::StartTime;
 
 const KEY: CompactString = CompactString::const_new("upstreams/i-1");
 
@@ -95,7 +95,7 @@
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     let mut first = entry("i-1", "s", "north-a", address());
-    first.born = Some(BirthTime(1_000));
+    first.started = Some(StartTime(1_000));
     registry.put(&KEY, first.clone(), now, 1);
     let before = Rc::clone(&registry.upstreams(&service())[0]);
     before.health.borrow_mut().note_failure(now, now);
@@ -105,7 +105,7 @@
         Rc::ptr_eq(&before, &registry.upstreams(&service())[0]),
         eq(true)
     );
-    first.born = Some(BirthTime(9_000));
+    first.started = Some(StartTime(9_000));
     registry.put(&KEY, first, now, 1);
     let listed = registry.upstreams(&service());
     expect_that!(listed.len(), eq(1));
@@ -180,11 +180,11 @@
     registry.put(&KEY, leaving, now, 1);
     expect_that!(listed[0].is_leaving(), eq(false));
     let mut next = older;
-    next.born = Some(BirthTime(7));
+    next.started = Some(StartTime(7));
     next.heartbeats = 0;
     registry.put_restored(&KEY, next, now, 1);
     let listed = registry.upstreams(&service());
-    expect_that!(listed[0].entry().born, some(eq(BirthTime(7))));
+    expect_that!(listed[0].entry().started, some(eq(StartTime(7))));
 }
 
 /// Guards against sending to upstreams that have left but whose entries reappear when the store is restored from an
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -11,7 +11,7 @@
 use super::QueryRun;
 use crate::gateway::clock::now;
 use crate::gateway::exchange::{AttemptOutcome, run_attempt};
-use crate::gateway::ident::UpstreamLife;
+use crate::gateway::ident::UpstreamIncarnation;
 use crate::gateway::metrics::OutcomeLabel;
 use crate::gateway::policy::choice::{UpstreamChoice, choose_upstream};
 use crate::gateway::policy::hedge::HedgeQuestion;
@@ -37,7 +37,7 @@
     /// The upstream it goes to; for one that another VM gathers, the upstream it would have gone to.
     pub upstream: Rc<Upstream>,
     /// That upstream's life.
-    pub life: UpstreamLife,
+    pub life: UpstreamIncarnation,
     /// How it gets there.
     pub kind: AttemptKind,
     /// Whether the request may have run there.
@@ -113,7 +113,7 @@
     pub(super) fn upstreams_run(
         &self,
         shard: usize,
-    ) -> SmallVec<[(AttemptKind, &UpstreamLife); 4]> {
+    ) -> SmallVec<[(AttemptKind, &UpstreamIncarnation); 4]> {
         let mut upstreams = SmallVec::new();
         for attempt in self.attempts_of(shard) {
             let delegated = attempt.kind == AttemptKind::Delegated;
@@ -190,8 +190,8 @@
         let beside = |upstream: &Upstream| {
             self.duty.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
-        let pick = |allowed: &dyn Fn(&Upstream, &UpstreamLife) -> bool| {
-            let allowed = |upstream: &Upstream, life: &UpstreamLife| {
+        let pick = |allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
+            let allowed = |upstream: &Upstream, life: &UpstreamIncarnation| {
                 beside(upstream) && allowed(upstream, life)
             };
             choose_upstream(&candidates, allowed, place, &latency, time)
@@ -201,14 +201,14 @@
         }
         let run = self.upstreams_run(shard);
         let more = run.len() < self.attempts_allowed();
-        let fresh = |life: &UpstreamLife| {
+        let fresh = |life: &UpstreamIncarnation| {
             let mut attempts = self.attempts_of(shard);
             more && !attempts.any(|attempt| attempt.life == *life)
         };
         let reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
         let alone = self.state.shards()[shard].out == 0;
-        let known = |life: &UpstreamLife| run.contains(&(AttemptKind::Zone, life));
-        let again = |life: &UpstreamLife| alone && (more || known(life));
+        let known = |life: &UpstreamIncarnation| run.contains(&(AttemptKind::Zone, life));
+        let again = |life: &UpstreamIncarnation| alone && (more || known(life));
         pick(&|upstream, life| reachable(upstream) && fresh(life))
             .or_else(|| pick(&|upstream, life| reachable(upstream) && again(life)))
             .or_else(|| pick(&|_upstream, life| fresh(life) || again(life)))
@@ -232,7 +232,7 @@
         }
         self.live.push(LiveAttempt {
             shard,
-            life: choice.upstream.entry().life(),
+            life: choice.upstream.entry().incarnation(),
             upstream: Rc::clone(&choice.upstream),
             kind,
             may_have_run: true,
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -119,7 +119,8 @@
         candidates.iter().any(|upstream| {
             let entry = upstream.entry();
             let mut attempts = self.attempts_of(shard);
-            upstream.takes_requests() && !attempts.any(|attempt| attempt.life == entry.life())
+            upstream.takes_requests()
+                && !attempts.any(|attempt| attempt.life == entry.incarnation())
         })
     }
 }
--- a/crates/ebonyfork/src/gateway/upstream.rs
+++ b/crates/ebonyfork/src/gateway/upstream.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use crate::gateway::ident::{BirthTime, InstanceName, PlaceName, UpstreamLife, UpstreamService};
+use crate::gateway::ident::{
+    InstanceName, PlaceName, StartTime, UpstreamIncarnation, UpstreamService,
+};
 use crate::gateway::loss::{LossCheck, LossFinding};
 use crate::gateway::policy::cold::SendWindow;
 use crate::gateway::policy::health::UpstreamHealth;
@@ -19,7 +21,7 @@
     /// Name of the upstream.
     pub instance: InstanceName,
     /// Start time of the upstream; `None` on deployments whose upstreams don't state it.
-    pub born: Option<BirthTime>,
+    pub started: Option<StartTime>,
     /// Service that the upstream belongs to.
     pub service: UpstreamService,
     /// Address on which the upstream listens.
@@ -38,8 +40,8 @@
 
 impl UpstreamEntry {
     /// Returns the incarnation that wrote the entry.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife::new(self.instance.clone(), self.born)
+    pub fn incarnation(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation::new(self.instance.clone(), self.started)
     }
 }
 
