--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -57,8 +57,8 @@
             let limits = CallerLimits {
                 header_bytes: 1,
                 body_bytes: 1,
-                header_time: Duration::from_secs(1),
-                idle_time: Duration::from_secs(1),
+                header_timeout: Duration::from_secs(1),
+                idle_timeout: Duration::from_secs(1),
             };
             Ok(RouteTable::new(version, [], [], limits))
         },
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -136,18 +136,19 @@
             continue;
         }
         let limits = core.table().map(|table| table.limits());
-        let (head_time, idle_time) = limits.map_or((DEFAULT_TIMEOUT, DEFAULT_TIMEOUT), |limits| {
-            (limits.header_time, limits.idle_time)
-        });
+        let (header_timeout, idle_timeout) = limits
+            .map_or((DEFAULT_TIMEOUT, DEFAULT_TIMEOUT), |limits| {
+                (limits.header_timeout, limits.idle_timeout)
+            });
         let elapsed = |since: Instant| now().saturating_duration_since(since);
         if activity
             .head_started
             .get()
-            .is_some_and(|since| elapsed(since) > head_time)
+            .is_some_and(|since| elapsed(since) > header_timeout)
         {
             return CloseReason::SlowHead;
         }
-        if elapsed(activity.idle_since.get()) > idle_time {
+        if elapsed(activity.idle_since.get()) > idle_timeout {
             return CloseReason::Idle;
         }
     }
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -116,9 +116,9 @@
     /// Longest request body, in bytes.
     pub body_bytes: usize,
     /// Longest time for receiving a request head.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Longest idle time of a caller's connection.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// A version of the operators' configuration, indexed for look-ups. It is immutable: a request keeps using the version
@@ -221,8 +221,8 @@
     /// let limits = CallerLimits {
     ///     header_bytes: 16_384,
     ///     body_bytes: 262_144,
-    ///     header_time: Duration::from_secs(3),
-    ///     idle_time: Duration::from_secs(15),
+    ///     header_timeout: Duration::from_secs(3),
+    ///     idle_timeout: Duration::from_secs(15),
     /// };
     /// let table = RouteTable::new(ConfigVersion(7), [], [], limits);
     /// assert!(table.find("example", "/a/").is_none());
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -41,8 +41,8 @@
     let limits = CallerLimits {
         header_bytes: 1_000,
         body_bytes: 1_000,
-        header_time: Duration::from_secs(1),
-        idle_time: Duration::from_secs(1),
+        header_timeout: Duration::from_secs(1),
+        idle_timeout: Duration::from_secs(1),
     };
     let routes = routes
         .iter()
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -7,8 +7,8 @@
     CallerLimits {
         header_bytes: 16_384,
         body_bytes: 262_144,
-        header_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     }
 }
 
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -725,8 +725,8 @@
     let limits = CallerLimits {
         header_bytes: 1_000,
         body_bytes: 1_000,
-        header_time: LONG,
-        idle_time: LONG,
+        header_timeout: LONG,
+        idle_timeout: LONG,
     };
     let services = [(UpstreamService::new("s"), terms)];
     core.adopt_table(RouteTable::new(ConfigVersion(1), [], services, limits));
