--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -56,7 +56,7 @@
     let terms = GatherTerms {
         shards,
         top: terms.top,
-        least_coverage: 0.0,
+        min_coverage: 0.0,
     };
     Some((Rc::clone(route), terms))
 }
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -38,7 +38,7 @@
     /// Largest number of records in the answer.
     pub top: usize,
     /// Smallest fraction of the shards, 0 to 1, that must have answered for the query to be answered at all.
-    pub least_coverage: f64,
+    pub min_coverage: f64,
 }
 
 impl GatherTerms {
@@ -50,13 +50,13 @@
     /// use ebonyfork::gateway::{GatherTerms, UpstreamService};
     ///
     /// let shards = (0..20).map(|number| UpstreamService::new(number.to_string())).collect();
-    /// let terms = GatherTerms { shards, top: 10, least_coverage: 0.89 };
-    /// assert_eq!(terms.least_shards(), 18);
+    /// let terms = GatherTerms { shards, top: 10, min_coverage: 0.89 };
+    /// assert_eq!(terms.min_shards(), 18);
     /// ```
-    pub fn least_shards(&self) -> usize {
+    pub fn min_shards(&self) -> usize {
         /// Absorbs floating-point error in products such as 0.95 times 20.
         const ROUNDING: f64 = 1e-9;
-        let least = (self.least_coverage * self.shards.len() as f64 - ROUNDING).ceil();
+        let least = (self.min_coverage * self.shards.len() as f64 - ROUNDING).ceil();
         (least as usize).clamp(1, self.shards.len().max(1))
     }
 }
@@ -201,7 +201,7 @@
             }
             RouteTarget::Gather(terms) => {
                 hash.update(&terms.top.to_be_bytes());
-                hash.update(&terms.least_coverage.to_be_bytes());
+                hash.update(&terms.min_coverage.to_be_bytes());
             }
         }
         hash.digest()
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn the_least_number_of_shards_is_rounded_up() {
+fn the_minimum_number_of_shards_is_rounded_up() {
     let cases = [
         (20, 0.89, 18),
         (20, 0.75, 15),
@@ -65,19 +65,15 @@
         (3, 1.0, 3),
         (10, 0.3, 3),
     ];
-    for (shards, least_coverage, expected) in cases {
+    for (shards, min_coverage, expected) in cases {
         let terms = GatherTerms {
             shards: (0..shards)
                 .map(|number: usize| UpstreamService::new(number.to_string()))
                 .collect(),
             top: 5,
-            least_coverage,
+            min_coverage,
         };
-        expect_that!(
-            terms.least_shards(),
-            eq(expected),
-            "{shards} {least_coverage}"
-        );
+        expect_that!(terms.min_shards(), eq(expected), "{shards} {min_coverage}");
     }
 }
 
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -157,7 +157,7 @@
     ) -> Self {
         let (shards, least) = match &target {
             RunTarget::One(_) => (1, 1),
-            RunTarget::Gather(terms) => (terms.shards.len(), terms.least_shards()),
+            RunTarget::Gather(terms) => (terms.shards.len(), terms.min_shards()),
         };
         let lag = core.lag.borrow().margin();
         let margin = request.caller_time + lag;
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -149,7 +149,7 @@
         let terms = GatherTerms {
             shards: ["s0", "s1", "s2"].map(UpstreamService::new).to_vec(),
             top: 10,
-            least_coverage: 0.9,
+            min_coverage: 0.9,
         };
         let route = route(2, RouteTarget::Gather(terms.clone()));
         let target = RunTarget::Gather(terms);
@@ -363,14 +363,14 @@
     LocalSet::new().run_until(test).await;
 }
 
-fn gather_route(shards: &[&str], least_coverage: f64) -> (Rc<RouteEntry>, RunTarget) {
+fn gather_route(shards: &[&str], min_coverage: f64) -> (Rc<RouteEntry>, RunTarget) {
     let terms = GatherTerms {
         shards: shards
             .iter()
             .map(|shard| UpstreamService::new(*shard))
             .collect(),
         top: 10,
-        least_coverage,
+        min_coverage,
     };
     let route = route(2, RouteTarget::Gather(terms.clone()));
     (route, RunTarget::Gather(terms))
