--- a/crates/ebonyfork/src/gateway/loss.rs
+++ b/crates/ebonyfork/src/gateway/loss.rs
@@ -4,9 +4,9 @@
 
 /// Verdict on a broken connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LossFinding {
+pub enum LossVerdict {
     /// The check is still running.
-    Open,
+    Pending,
     /// The upstream accepts connections, so the request is not to blame.
     Harmless,
     /// The upstream is lost, possibly because of the request.
@@ -17,24 +17,24 @@
 /// runs.
 #[derive(Debug)]
 pub struct LossCheck {
-    finding: Cell<LossFinding>,
+    verdict: Cell<LossVerdict>,
 }
 
 impl LossCheck {
     /// Creates a check with the given verdict.
-    pub fn new(finding: LossFinding) -> Self {
+    pub fn new(verdict: LossVerdict) -> Self {
         Self {
-            finding: Cell::new(finding),
+            verdict: Cell::new(verdict),
         }
     }
 
     /// Returns the current verdict.
-    pub fn finding(&self) -> LossFinding {
-        self.finding.get()
+    pub fn verdict(&self) -> LossVerdict {
+        self.verdict.get()
     }
 
     /// Sets the verdict.
-    pub fn set(&self, finding: LossFinding) {
-        self.finding.set(finding);
+    pub fn set(&self, verdict: LossVerdict) {
+        self.verdict.set(verdict);
     }
 }
--- a/crates/ebonyfork/src/gateway/loss_check.rs
+++ b/crates/ebonyfork/src/gateway/loss_check.rs
@@ -8,7 +8,7 @@
 
 use crate::gateway::clock::now;
 use crate::gateway::core::GatewayCore;
-use crate::gateway::loss::{LossCheck, LossFinding};
+use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::upstream::Upstream;
 use crate::http_link::HttpLink;
 use crate::ident::UpstreamAddress;
@@ -42,10 +42,10 @@
     let opened = HttpLink::open(entry.address, CHECK_TIMEOUT).await;
     let lost = upstream.take_lost_requests();
     let Err(error) = opened else {
-        check.set(LossFinding::Harmless);
+        check.set(LossVerdict::Harmless);
         return;
     };
-    check.set(LossFinding::Lost);
+    check.set(LossVerdict::Lost);
     log::info!(
         target: "ebonyfork::decision",
         "upstream lost instance={} address={} in_flight={}: {error}",
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -11,7 +11,7 @@
 use crate::gateway::clock::now;
 use crate::gateway::delegate::{GroupEvent, GroupNews};
 use crate::gateway::ident::PlaceName;
-use crate::gateway::loss::{LossCheck, LossFinding};
+use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::merge::merge_records;
 use crate::gateway::partial::{
     FailedShard, PartialQuery, PartialReply, ShardReach, ShardSignature,
@@ -263,7 +263,7 @@
             ShardReach::Run => {}
             ShardReach::Broken => {
                 state.lost = true;
-                let check = Rc::new(LossCheck::new(LossFinding::Lost));
+                let check = Rc::new(LossCheck::new(LossVerdict::Lost));
                 self.retry_lost(shard, Some(check));
                 return;
             }
--- a/crates/ebonyfork/src/gateway/run/suspicion.rs
+++ b/crates/ebonyfork/src/gateway/run/suspicion.rs
@@ -12,7 +12,7 @@
 use smallvec::SmallVec;
 
 use super::QueryRun;
-use crate::gateway::loss::{LossCheck, LossFinding};
+use crate::gateway::loss::{LossCheck, LossVerdict};
 
 /// Breaks that are not known to be harmless from which on the request itself is suspected.
 const SUSPICIOUS_LOSSES: usize = 2;
@@ -53,21 +53,21 @@
     /// Whether an upstream was lost under a shard.
     pub(super) fn is_confirmed(&self, shard: usize) -> bool {
         let lost = |(of, check): &(usize, Rc<LossCheck>)| {
-            *of == shard && check.finding() == LossFinding::Lost
+            *of == shard && check.verdict() == LossVerdict::Lost
         };
         self.losses.iter().any(lost)
     }
 
-    fn count(&self, finding: LossFinding) -> usize {
+    fn count(&self, finding: LossVerdict) -> usize {
         let found = self.losses.iter();
         found
-            .filter(|(_shard, check)| check.finding() == finding)
+            .filter(|(_shard, check)| check.verdict() == finding)
             .count()
     }
 
     /// Breaks that may be the request's fault.
     fn possible(&self) -> usize {
-        self.count(LossFinding::Open) + self.count(LossFinding::Lost)
+        self.count(LossVerdict::Pending) + self.count(LossVerdict::Lost)
     }
 }
 
@@ -106,10 +106,10 @@
             }
             self.suspicion.probe = None;
         }
-        if self.suspicion.held.is_empty() || self.suspicion.count(LossFinding::Open) > 0 {
+        if self.suspicion.held.is_empty() || self.suspicion.count(LossVerdict::Pending) > 0 {
             return;
         }
-        let lost = self.suspicion.count(LossFinding::Lost);
+        let lost = self.suspicion.count(LossVerdict::Lost);
         if lost < SUSPICIOUS_LOSSES && !self.suspicion.suspect {
             self.release_held();
             return;
--- a/crates/ebonyfork/src/gateway/upstream.rs
+++ b/crates/ebonyfork/src/gateway/upstream.rs
@@ -8,7 +8,7 @@
 use crate::gateway::ident::{
     InstanceName, PlaceName, StartTime, UpstreamIncarnation, UpstreamService,
 };
-use crate::gateway::loss::{LossCheck, LossFinding};
+use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::policy::cold::SendWindow;
 use crate::gateway::policy::health::UpstreamHealth;
 use crate::gateway::slots::{SlotPermit, SlotPriority, SlotQueue};
@@ -231,7 +231,7 @@
         self.lost.borrow_mut().push(request);
         let mut current = self.loss_check.borrow_mut();
         let first = current.is_none();
-        let check = current.get_or_insert_with(|| Rc::new(LossCheck::new(LossFinding::Open)));
+        let check = current.get_or_insert_with(|| Rc::new(LossCheck::new(LossVerdict::Pending)));
         (Rc::clone(check), first)
     }
 
