--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -128,17 +128,17 @@
     }
 
     /// Ends the evacuation of a zone. Its upstreams may have become cold in the meantime.
-    pub fn readmit(&self, zone: &PlaceName) {
+    pub fn end_evacuation(&self, zone: &PlaceName) {
         // Must come first, so that no request is sent to the upstreams as if they were warm.
         self.assume_cold(zone);
-        self.registry.readmit(zone);
+        self.registry.end_evacuation(zone);
     }
 
     /// Removes entries and evacuations that the store has lost and nobody has written again in time.
     pub fn expire_missing(&self, time: Instant) {
         self.registry.expire(time);
         for zone in self.registry.lapsed_evacuations(time) {
-            self.readmit(&zone);
+            self.end_evacuation(&zone);
         }
     }
 
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -210,7 +210,7 @@
             return;
         }
         if self.failing_since.take().is_some() {
-            self.core.registry.note_return(now());
+            self.core.registry.record_store_return(now());
         }
         // A page that is not the last one shows nothing yet.
         let Some(proof) = step.proof else { return };
@@ -385,7 +385,7 @@
         })?;
         if self.core.relay.is_old() && self.failing_since.take().is_some() {
             // The store was away, perhaps for all: entries that lapsed meanwhile may come back.
-            self.core.registry.note_return(now());
+            self.core.registry.record_store_return(now());
         }
         let taken = self.take_change(ChangeSource::Vm(vm), change);
         taken.map_err(|_gap| SourceFault::Gap)
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -41,7 +41,7 @@
         let restored = before > StoreRevision::ABSENT && after.era() > before.era();
         if restored {
             // Entries that the older copy lacks are written again.
-            self.core.registry.note_return(now());
+            self.core.registry.record_store_return(now());
         }
         for event in &news.events {
             match event {
@@ -54,7 +54,7 @@
             if self.core.registry.is_first_read() {
                 self.core.assume_cold_where_claimed();
             }
-            self.core.registry.note_read(now());
+            self.core.registry.record_read(now());
             self.log_whole(read, news.events.len());
         }
         if !news.events.is_empty() {
@@ -88,7 +88,7 @@
         match (self.core.dialect.classify)(key) {
             StoredKind::Upstream => self.core.registry.remove(key, now()),
             StoredKind::Vm => self.core.vms.remove(key),
-            StoredKind::Evacuation(zone) => self.core.readmit(&zone),
+            StoredKind::Evacuation(zone) => self.core.end_evacuation(&zone),
             StoredKind::Config | StoredKind::ZoneClaim(_) | StoredKind::Other => {}
         }
     }
@@ -166,7 +166,7 @@
             }
             // Whatever stood there before is no longer stated by anybody; all other entries hold.
             Err(error) => {
-                self.core.registry.disown(&item.key);
+                self.core.registry.remove_invalid(&item.key);
                 log::warn!(
                     target: "ebonyfork::decision",
                     "upstream entry ignored revision={}: {error}", item.revision
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -133,7 +133,7 @@
     }
 
     /// Ends an evacuation: the upstreams of the zone may get requests again.
-    pub fn readmit(&self, zone: &PlaceName) {
+    pub fn end_evacuation(&self, zone: &PlaceName) {
         self.evacuated.borrow_mut().remove(zone);
         self.set_evacuated(zone, false);
     }
@@ -163,7 +163,7 @@
     }
 
     /// Records that the whole store has been read.
-    pub fn note_read(&self, now: Instant) {
+    pub fn record_read(&self, now: Instant) {
         if self.first_read.get().is_none() {
             self.first_read.set(Some(now));
         }
@@ -186,12 +186,12 @@
     }
 
     /// Waits until an entry is added.
-    pub async fn wait_change(&self) {
+    pub async fn wait_for_new_entry(&self) {
         self.changed.notified().await;
     }
 
     /// Records that the store answers again after an outage.
-    pub fn note_return(&self, now: Instant) {
+    pub fn record_store_return(&self, now: Instant) {
         self.return_deadline.set(Some(now + RETURN_GRACE));
     }
 
@@ -292,7 +292,7 @@
     }
 
     /// Removes an entry that no longer names an upstream, even if missing entries are currently kept.
-    pub fn disown(&self, key: &CompactString) {
+    pub fn remove_invalid(&self, key: &CompactString) {
         self.drop_entry(key, "its entry no longer names an upstream");
     }
 
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -37,7 +37,7 @@
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     registry.put(&KEY, entry("i-1", "s", "north-a", address()), now, 1);
-    registry.note_return(now);
+    registry.record_store_return(now);
     registry.remove(&KEY, now);
     registry.expire(now + ms(2_000));
     expect_that!(registry.upstreams(&service()).len(), eq(1));
@@ -56,7 +56,7 @@
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     registry.put(&KEY, entry("i-1", "s", "north-a", address()), now, 1);
-    registry.note_return(now);
+    registry.record_store_return(now);
     registry.remove(&KEY, now + ms(100));
     registry.expire(now + ms(2_400));
     expect_that!(registry.upstreams(&service()).len(), eq(0));
@@ -91,7 +91,7 @@
 /// Guards against attributing health and connections of a previous incarnation to an upstream that restarted under its
 /// name.
 #[gtest]
-fn an_upstream_that_starts_again_under_its_name_is_another_one() {
+fn an_upstream_that_restarts_under_its_name_is_a_new_one() {
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     let mut first = entry("i-1", "s", "north-a", address());
@@ -115,26 +115,26 @@
 }
 
 #[gtest]
-fn an_entry_that_is_disowned_is_gone_also_while_others_may_return() {
+fn an_invalid_entry_is_removed_even_while_missing_ones_are_kept() {
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     registry.put(&KEY, entry("i-1", "s", "north-a", address()), now, 1);
-    registry.note_return(now);
-    registry.disown(&KEY);
+    registry.record_store_return(now);
+    registry.remove_invalid(&KEY);
     expect_that!(registry.upstreams(&service()).len(), eq(0));
 }
 
 /// Guards against evacuations that miss upstreams: one must apply to upstreams that register before and after it, and
 /// to those that change their entry.
 #[gtest]
-fn an_evacuated_zone_gets_no_requests_until_it_is_taken_back() {
+fn an_evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     let registry = UpstreamRegistry::new();
     let now = Instant::now();
     let address = ([127, 0, 0, 1], 1).into();
     let put = |key: &str, zone: &str| {
         registry.put(&key.into(), entry(key, "s", zone, address), now, 2);
     };
-    let takers = || {
+    let accepting = || {
         let listed = registry.upstreams(&service());
         let taking = listed.iter().filter(|upstream| upstream.takes_requests());
         let mut names: Vec<_> = taking
@@ -149,12 +149,12 @@
     registry.evacuate(&PlaceName::new("nowhere"));
     put("c", "north-a");
     put("a", "north-a");
-    expect_that!(takers(), eq(&["b"]));
+    expect_that!(accepting(), eq(&["b"]));
     registry.evacuate(&PlaceName::new("north-b"));
-    registry.readmit(&PlaceName::new("north-a"));
-    expect_that!(takers(), eq(&["a", "c"]));
-    registry.readmit(&PlaceName::new("north-b"));
-    expect_that!(takers(), eq(&["a", "b", "c"]));
+    registry.end_evacuation(&PlaceName::new("north-a"));
+    expect_that!(accepting(), eq(&["a", "c"]));
+    registry.end_evacuation(&PlaceName::new("north-b"));
+    expect_that!(accepting(), eq(&["a", "b", "c"]));
 }
 
 /// Guards against a leaving upstream becoming ready again when the store is restored from a copy older than its
@@ -216,14 +216,14 @@
 /// Guards against treating an upstream as departed that was silent for a while and registered again by itself. It must
 /// stay listed when one restored copy of the store lacks its entry and the next one has it.
 #[gtest]
-fn an_upstream_that_came_back_by_itself_is_not_withheld() {
+fn an_upstream_that_registered_again_is_not_withheld() {
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     let known = entry("i-1", "s", "north-a", address());
     registry.put(&KEY, known.clone(), now, 1);
     registry.remove(&KEY, now);
     registry.put(&KEY, known.clone(), now + ms(1_000), 1);
-    registry.note_return(now + ms(2_000));
+    registry.record_store_return(now + ms(2_000));
     registry.remove(&KEY, now + ms(2_000));
     registry.put_restored(&KEY, known, now + ms(3_000), 1);
     registry.expire(now + ms(4_500));
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -403,7 +403,7 @@
         // The caller's patience in ms; what becomes of its request.
         for (patience, status) in [(5_000, 200), (600, 503)] {
             let core = core();
-            core.registry.note_read(now());
+            core.registry.record_read(now());
             let _first = upstreams(&core, "s0", 1, ScriptedReply::Answer(16)).await;
             let (route, target) = gather_route(&["s0", "s1"], 0.9);
             let request = request(Duration::from_millis(patience));
@@ -644,7 +644,7 @@
     let test = async {
         for evacuated in [false, true] {
             let core = core();
-            core.registry.note_read(now());
+            core.registry.record_read(now());
             let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
             register_in(&core, "s", "south-a", &upstream);
             let (route, target) = one(2);
@@ -822,7 +822,7 @@
             let zone = PlaceName::new("north-a");
             core.registry.evacuate(&zone);
             core.assume_cold(&zone);
-            core.registry.readmit(&zone);
+            core.registry.end_evacuation(&zone);
             let report = run(&core, 2).await;
             expect_that!(report.reply.status().as_u16(), eq(expected), "{tolerated}");
         }
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -19,7 +19,7 @@
             }
             let until = settling.until.min(self.request.finish_by);
             let until = tokio::time::Instant::from_std(until);
-            let changed = registry.wait_change();
+            let changed = registry.wait_for_new_entry();
             if tokio::time::timeout_at(until, changed).await.is_err() {
                 return;
             }
