--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -95,7 +95,7 @@
     }
 
     /// Returns whether the limit for cold upstreams allows another request to an upstream.
-    pub fn has_cold_room(&self, upstream: &Upstream) -> bool {
+    pub fn allows_cold_send(&self, upstream: &Upstream) -> bool {
         let time = self.running_time();
         let limit = self.cold_rate_limit(upstream, time);
         limit.is_none_or(|limit| upstream.cold_sends.borrow().room(limit, time) > 0)
--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -149,7 +149,7 @@
     }
 
     /// Puts a configuration in force unless the current one is the same or newer. Returns whether it did.
-    pub fn adopt_table(&self, table: RouteTable) -> bool {
+    pub fn install_table(&self, table: RouteTable) -> bool {
         let current = self.table.borrow().as_ref().map(|table| table.version());
         if current.is_some_and(|current| current >= table.version()) {
             return false;
@@ -161,13 +161,13 @@
         self.route_checks.forget_same();
         self.host_needs.borrow_mut().clear();
         *self.table.borrow_mut() = Some(Rc::new(table));
-        self.share_connections();
-        self.note_own_version();
+        self.redistribute_shares();
+        self.compare_own_version();
         true
     }
 
     /// Compares the configuration version in force with those of other VMs.
-    pub fn note_own_version(&self) {
+    pub fn compare_own_version(&self) {
         let own = self
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
@@ -176,7 +176,7 @@
 
     /// Returns whether the configuration in force may be stale: changes may not have reached this VM, or the store has
     /// lost a version that other VMs have in force.
-    pub fn has_old_config(&self) -> bool {
+    pub fn may_have_stale_config(&self) -> bool {
         let own = self
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
@@ -186,8 +186,8 @@
 
     /// Returns the reason for refusing a request that no route matches. A VM whose configuration may be stale can't
     /// tell that the route does not exist, so the caller is asked to try another VM, which may know it.
-    pub fn no_route(&self) -> RefusalReason {
-        if self.has_old_config() {
+    pub fn no_route_reason(&self) -> RefusalReason {
+        if self.may_have_stale_config() {
             RefusalReason::OldConfig
         } else {
             RefusalReason::NoRoute
@@ -195,7 +195,7 @@
     }
 
     /// Returns the upstreams of a service that are in the home regions of a route.
-    pub fn upstreams_at_home(&self, route: &RouteEntry, service: &UpstreamService) -> UpstreamList {
+    pub fn home_upstreams(&self, route: &RouteEntry, service: &UpstreamService) -> UpstreamList {
         let mut listed = self.registry.upstreams(service);
         if route.homes.is_limited() {
             let region_of = |upstream: &Upstream| {
@@ -218,7 +218,7 @@
             return Cow::Borrowed(parts);
         }
         let has_home_upstream = |part: &&WeightedService| {
-            let upstreams = self.upstreams_at_home(route, &part.service);
+            let upstreams = self.home_upstreams(route, &part.service);
             upstreams.iter().any(|upstream| !upstream.is_leaving())
         };
         Cow::Owned(parts.iter().filter(has_home_upstream).cloned().collect())
@@ -245,7 +245,7 @@
     }
 
     /// Redistributes connections and the retry budget among the known VMs.
-    pub fn share_connections(&self) {
+    pub fn redistribute_shares(&self) {
         let vms = self.vms.peak_count();
         let time = self.running_time();
         self.repeats.borrow_mut().share_among(vms, time);
--- a/crates/ebonyfork/src/gateway/core_tests.rs
+++ b/crates/ebonyfork/src/gateway/core_tests.rs
@@ -6,14 +6,18 @@
 /// Guards against answering 404 from a stale copy of the store: the route may have been added since the copy was
 /// current.
 #[gtest]
-fn a_vm_whose_copy_is_old_does_not_deny_a_route() {
+fn a_vm_with_a_stale_copy_does_not_deny_a_route() {
     let core = GatewayCore::new(settings(), dialect());
-    expect_that!(core.no_route(), eq(RefusalReason::OldConfig), "never read");
+    expect_that!(
+        core.no_route_reason(),
+        eq(RefusalReason::OldConfig),
+        "never read"
+    );
     let Some(long_ago) = now().checked_sub(settings().change_bound) else {
         return;
     };
     core.relay.note_proof(long_ago);
-    expect_that!(core.no_route(), eq(RefusalReason::OldConfig));
+    expect_that!(core.no_route_reason(), eq(RefusalReason::OldConfig));
     core.relay.note_proof(now());
-    expect_that!(core.no_route(), eq(RefusalReason::NoRoute));
+    expect_that!(core.no_route_reason(), eq(RefusalReason::NoRoute));
 }
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -58,7 +58,7 @@
             self.log_whole(read, news.events.len());
         }
         if !news.events.is_empty() {
-            self.core.share_connections();
+            self.core.redistribute_shares();
             self.tell_seeds();
         }
         news.joined
@@ -118,7 +118,7 @@
             Ok(table) => {
                 self.log_unknown_homes(&table);
                 let (version, routes) = (table.version(), table.route_count());
-                let adopted = self.core.adopt_table(table);
+                let adopted = self.core.install_table(table);
                 let word = if adopted { "in force" } else { "not newer" };
                 log::info!(
                     target: "ebonyfork::decision",
--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -40,7 +40,7 @@
     loop {
         let seen = snapshot.borrow_and_update().clone();
         core.route_checks.note_members(&seen, vm, &zone);
-        core.note_own_version();
+        core.compare_own_version();
         core.vms.apply_members(seen);
         if snapshot.changed().await.is_err() {
             return;
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -252,7 +252,7 @@
     }
     let host = request_host(&parts).ok_or(RefusalReason::Malformed)?;
     let route = table.find(&host, parts.uri.path()).map(Rc::clone);
-    let route = route.ok_or_else(|| core.no_route())?;
+    let route = route.ok_or_else(|| core.no_route_reason())?;
     request_log.set_route(&route, &table);
     if core.state() == ServiceState::Finishing {
         return Err(RefusalReason::Stopping);
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -36,7 +36,7 @@
     route: &RouteEntry,
 ) -> Result<(), RefusalReason> {
     let checks = &core.route_checks;
-    let old = core.has_old_config();
+    let old = core.may_have_stale_config();
     let (newest, vm) = match checks.standing(table.version(), &route.name, old) {
         RouteStanding::Certain => return Ok(()),
         RouteStanding::Unknown => return Err(RefusalReason::OldConfig),
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -103,8 +103,8 @@
 
     fn put(&self, own: RouteTable, other: RouteTable) {
         let newest = other.version().0;
-        self.first.adopt_table(own);
-        self.second.adopt_table(other);
+        self.first.install_table(own);
+        self.second.install_table(other);
         let members = members(newest, MemberState::Alive);
         self.first
             .route_checks
@@ -201,9 +201,9 @@
         let lost = [("/a/", "s"), ("/b/", "moved"), ("/c/", "new")];
         vms.put(table(10, &[("/a/", "s"), ("/b/", "s")]), table(14, &lost));
         vms.first.relay.note_proof(now());
-        vms.first.note_own_version();
+        vms.first.compare_own_version();
         expect_that!(vms.check("/b/1").await, ok(eq(())), "it may be on its way");
-        expect_that!(vms.first.no_route(), eq(RefusalReason::NoRoute));
+        expect_that!(vms.first.no_route_reason(), eq(RefusalReason::NoRoute));
         let since = now().checked_sub(settings().change_bound);
         let Some(since) = since else { return };
         vms.first.route_checks.note_own(ConfigVersion(9), since);
@@ -211,10 +211,10 @@
         expect_that!(vms.check("/a/1").await, ok(eq(())), "as it was");
         let refused = err(eq(RefusalReason::OldConfig));
         expect_that!(vms.check("/b/1").await, refused, "moved");
-        expect_that!(vms.first.no_route(), eq(RefusalReason::OldConfig));
-        vms.first.adopt_table(table(14, &lost));
+        expect_that!(vms.first.no_route_reason(), eq(RefusalReason::OldConfig));
+        vms.first.install_table(table(14, &lost));
         expect_that!(vms.check("/b/1").await, ok(eq(())), "written again");
-        expect_that!(vms.first.no_route(), eq(RefusalReason::NoRoute));
+        expect_that!(vms.first.no_route_reason(), eq(RefusalReason::NoRoute));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -169,14 +169,14 @@
     /// request from this VM now.
     pub(super) fn candidates(&self, shard: usize) -> UpstreamList {
         let mut listed = self.at_home(shard);
-        listed.retain(|upstream| self.context.core.has_cold_room(upstream));
+        listed.retain(|upstream| self.context.core.allows_cold_send(upstream));
         listed
     }
 
     /// The upstreams in the home regions of the route.
     pub(super) fn at_home(&self, shard: usize) -> UpstreamList {
         let service = self.target.service(shard);
-        self.context.core.upstreams_at_home(&self.route, service)
+        self.context.core.home_upstreams(&self.route, service)
     }
 
     /// Chooses an upstream that the shard was not sent to; if there is none and no attempt is out, one that it was sent
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -729,7 +729,7 @@
         idle_timeout: LONG,
     };
     let services = [(UpstreamService::new("s"), terms)];
-    core.adopt_table(RouteTable::new(ConfigVersion(1), [], services, limits));
+    core.install_table(RouteTable::new(ConfigVersion(1), [], services, limits));
     core
 }
 
