--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -41,7 +41,7 @@
 /// Returns the route of a query and the terms for the requested shards; `None` if this process does not know the same
 /// shards or is about to stop.
 fn find_terms(core: &GatewayCore, query: &PartialQuery) -> Option<(Rc<RouteEntry>, GatherTerms)> {
-    if core.state() == ServiceState::Finishing {
+    if core.state() == ServiceState::Draining {
         return None;
     }
     let table = core.table()?;
--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -47,7 +47,7 @@
     /// The process accepts requests, but callers are directed to other VMs.
     Leaving,
     /// The process refuses new requests and completes those in flight.
-    Finishing,
+    Draining,
 }
 
 /// State shared by all requests of a process.
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -254,7 +254,7 @@
     let route = table.find(&host, parts.uri.path()).map(Rc::clone);
     let route = route.ok_or_else(|| core.no_route_reason())?;
     request_log.set_route(&route, &table);
-    if core.state() == ServiceState::Finishing {
+    if core.state() == ServiceState::Draining {
         return Err(RefusalReason::Stopping);
     }
     check_route(core, &table, &route).await?;
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -155,7 +155,7 @@
         self.end_lease().await;
         let callers_moved_at = started_at + LOCATE_TTL * TTL_FACTOR + LOOKUP_TIME;
         sleep_until(callers_moved_at.min(refuse_at)).await;
-        self.core.set_state(ServiceState::Finishing);
+        self.core.set_state(ServiceState::Draining);
         while self.core.in_flight.get() > 0 && now() < exit_by {
             tokio::time::sleep(DRAIN_CHECK_PERIOD).await;
         }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -285,7 +285,7 @@
             }
         }
         let mut set = std::mem::take(&mut self.set);
-        if set.is_empty() || self.context.core.state() == ServiceState::Finishing {
+        if set.is_empty() || self.context.core.state() == ServiceState::Draining {
             return;
         }
         tokio::task::spawn_local(async move {
