--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -308,7 +308,7 @@
             "upstream gone instance={} address={}: another upstream answers at this address",
             upstream.entry().instance, upstream.entry().address
         );
-        upstream.leave();
+        upstream.mark_leaving();
         return AttemptOutcome::Declined(head.status);
     }
     let declined = head.headers.contains_key(&names.not_run);
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -62,7 +62,7 @@
 fn leaving_and_forbidden_ones_are_left_out() {
     let now = Instant::now();
     let candidates = [upstream("a", "north-a", now), upstream("b", "north-a", now)];
-    candidates[0].leave();
+    candidates[0].mark_leaving();
     for _ in 0..8 {
         expect_that!(chosen(&candidates, now), some(eq("b")));
     }
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -367,7 +367,7 @@
         let Some(upstream) = self.entries.borrow_mut().remove(key) else {
             return;
         };
-        upstream.leave();
+        upstream.mark_leaving();
         let entry = upstream.entry();
         log::info!(
             target: "ebonyfork::decision",
--- a/crates/ebonyfork/src/gateway/upstream.rs
+++ b/crates/ebonyfork/src/gateway/upstream.rs
@@ -142,7 +142,7 @@
     }
 
     /// Marks the upstream as leaving: it gets no new requests, and its pooled connections are closed.
-    pub fn leave(&self) {
+    pub fn mark_leaving(&self) {
         self.leaving.set(true);
         self.close_idle();
     }
