--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -1,4 +1,4 @@
-//! Gathering parts for other VMs: runs the asked shards on the upstreams beside this VM and replies with merged parts.
+//! Gathers shards for other VMs: runs them on the upstreams near this VM and replies with merged partial answers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,33 +15,37 @@
 use crate::gateway::run::run_partial;
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Begins to gather the shards of another VM's query.
+/// Starts gathering the shards of another VM's query.
 pub fn take_query(core: &Rc<GatewayCore>, from: LinkSender, query: PartialQuery) {
     let Some((route, terms)) = find_terms(core, &query) else {
         refuse(&from, &query);
         return;
     };
     let longest = Duration::from_micros(u64::from(query.longest_wait_us));
-    core.latency(&route).borrow_mut().waits.hear(longest, now());
+    core.latency(&route)
+        .borrow_mut()
+        .waits
+        .record_peer_wait(longest, now());
     let key = (from.peer(), query.number);
     let core = Rc::clone(core);
     let (abort, registration) = AbortHandle::new_pair();
     core.aggregates.begin(key, abort);
     tokio::task::spawn_local(async move {
         let gathering = gather_parts(&core, route, terms, query, &from);
-        // Aborted when the asking VM has ended the query.
+        // Fails if the asking VM has cancelled the query.
         let _aborted = Abortable::new(gathering, registration).await;
         core.aggregates.end(key);
     });
 }
 
-/// The route of a query and the shards that are asked for; none unless this process knows the same shards.
+/// Returns the route of a query and the terms for the requested shards; `None` if this process does not know the same
+/// shards or is about to stop.
 fn find_terms(core: &GatewayCore, query: &PartialQuery) -> Option<(Rc<RouteEntry>, GatherTerms)> {
-    if core.state() == ServiceState::Finishing {
+    if core.state() == ServiceState::Draining {
         return None;
     }
     let table = core.table()?;
-    let route = table.find_marked(query.mark)?;
+    let route = table.find_by_digest(query.digest)?;
     let RouteTarget::Gather(terms) = &route.destination else {
         return None;
     };
@@ -52,12 +56,12 @@
     let terms = GatherTerms {
         shards,
         top: terms.top,
-        least_coverage: 0.0,
+        min_coverage: 0.0,
     };
     Some((Rc::clone(route), terms))
 }
 
-/// Tells that none of the asked shards was sent anywhere.
+/// Replies that none of the requested shards was sent to an upstream.
 fn refuse(from: &LinkSender, query: &PartialQuery) {
     let failed = query.shards.iter().map(|shard| FailedShard {
         shard: *shard,
@@ -75,8 +79,8 @@
 fn send_reply(from: &LinkSender, reply: PartialReply) {
     let message = PeerMessage::Partial(PartialMessage::Reply(reply));
     if let Err(error) = from.send(message) {
-        // The asking VM hears of the broken link itself.
-        log::debug!("partial reply: {error}");
+        // The asking VM detects the broken link itself.
+        log::debug!("partial reply not sent: {error}");
     }
 }
 
@@ -94,7 +98,7 @@
     let request = match ForwardRequest::from_partial(names, query.request, received, finish_by) {
         Ok(request) => Rc::new(request),
         Err(error) => {
-            log::warn!("partial query {}: {error}", query.number);
+            log::warn!("partial query {} is malformed: {error}", query.number);
             return;
         }
     };
--- a/crates/ebonyfork/src/gateway/control.rs
+++ b/crates/ebonyfork/src/gateway/control.rs
@@ -1,4 +1,4 @@
-//! The control addresses: readiness, and which VMs a caller should use.
+//! Control addresses: readiness checks, and look-ups of the VMs that a caller should use.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,30 +18,30 @@
 use crate::gateway::settings::NodePlace;
 use crate::gateway::vms::{HostNeeds, ZoneShares, zone_shares};
 
-/// How long a caller may keep a locate answer. Some keep it three times as long, so callers have left a stopping VM
-/// after 3 s, half of the stated grace time.
+/// How long a caller may cache a locate answer. Some callers keep it three times as long, so callers have left a
+/// stopping VM after 3 s, half of the stated grace time.
 pub const LOCATE_TTL: Duration = Duration::from_secs(1);
-/// How long it is kept what a host needs.
-const NEEDS_KEPT: Duration = Duration::from_secs(1);
+/// How long the computed requirements of a host are cached.
+const HOST_NEEDS_TTL: Duration = Duration::from_secs(1);
 
 /// Serves the control calls on a listener until the future is dropped.
 pub async fn serve_control(core: Rc<GatewayCore>, listener: TcpListener) {
-    serve_http(listener, move |request| answer(&core, request)).await;
+    serve_http(listener, move |request| handle_call(&core, request)).await;
 }
 
-fn answer(core: &GatewayCore, request: &Request<Incoming>) -> CallerReply {
+fn handle_call(core: &GatewayCore, request: &Request<Incoming>) -> CallerReply {
     if request.method() != Method::GET {
-        return plain(StatusCode::METHOD_NOT_ALLOWED);
+        return empty_reply(StatusCode::METHOD_NOT_ALLOWED);
     }
     match (core.dialect.read_call)(request.uri()) {
-        None => plain(StatusCode::NOT_FOUND),
-        Some(ControlCall::Ready) if core.is_ready() => plain(StatusCode::OK),
-        Some(ControlCall::Ready) => plain(StatusCode::SERVICE_UNAVAILABLE),
+        None => empty_reply(StatusCode::NOT_FOUND),
+        Some(ControlCall::Ready) if core.is_ready() => empty_reply(StatusCode::OK),
+        Some(ControlCall::Ready) => empty_reply(StatusCode::SERVICE_UNAVAILABLE),
         Some(ControlCall::Locate(query)) => locate(core, &query),
     }
 }
 
-fn plain(status: StatusCode) -> CallerReply {
+fn empty_reply(status: StatusCode) -> CallerReply {
     let mut reply = Response::new(Bytes::new().into());
     *reply.status_mut() = status;
     reply
@@ -49,16 +49,18 @@
 
 fn locate(core: &GatewayCore, query: &LocateQuery) -> CallerReply {
     let place = &core.settings.place;
-    let asker = NodePlace {
+    let caller_place = NodePlace {
         zone: query.zone.clone(),
         region: query.region.clone(),
         ..place.clone()
     };
     let own = core.is_ready().then_some(place);
-    let addresses = core.vms.locate(&asker, &host_needs(core, query), own);
+    let addresses = core
+        .vms
+        .locate(&caller_place, &host_needs(core, query), own);
     if addresses.is_empty() {
-        // Nobody is known to serve; the caller keeps what it has or asks elsewhere.
-        return plain(StatusCode::SERVICE_UNAVAILABLE);
+        // No VM is known to serve. The caller keeps its previous answer or asks elsewhere.
+        return empty_reply(StatusCode::SERVICE_UNAVAILABLE);
     }
     log::debug!(
         target: "ebonyfork::decision",
@@ -77,22 +79,25 @@
     reply
 }
 
-/// What a host's routes need. Reckoning it takes a look at every upstream of the host, so it is kept for a moment.
+/// Returns the requirements of a host's routes. Computing them visits every upstream of the host, so they are cached
+/// briefly.
 fn host_needs(core: &GatewayCore, query: &LocateQuery) -> Rc<HostNeeds> {
     let time = now();
-    if let Some((reckoned, needs)) = core.needs.borrow().get(&query.host)
-        && time.saturating_duration_since(*reckoned) < NEEDS_KEPT
+    if let Some((computed_at, needs)) = core.host_needs.borrow().get(&query.host)
+        && time.saturating_duration_since(*computed_at) < HOST_NEEDS_TTL
     {
         return Rc::clone(needs);
     }
-    let needs = Rc::new(reckon_needs(core, query));
-    let mut kept = core.needs.borrow_mut();
-    kept.retain(|_host, (reckoned, _needs)| time.saturating_duration_since(*reckoned) < NEEDS_KEPT);
+    let needs = Rc::new(compute_host_needs(core, query));
+    let mut kept = core.host_needs.borrow_mut();
+    kept.retain(|_host, (computed_at, _needs)| {
+        time.saturating_duration_since(*computed_at) < HOST_NEEDS_TTL
+    });
     kept.insert(query.host.clone(), (time, Rc::clone(&needs)));
     needs
 }
 
-fn reckon_needs(core: &GatewayCore, query: &LocateQuery) -> HostNeeds {
+fn compute_host_needs(core: &GatewayCore, query: &LocateQuery) -> HostNeeds {
     let Some(table) = core.table() else {
         return HostNeeds::default();
     };
@@ -103,9 +108,9 @@
     }
 }
 
-/// Where the upstreams are that a host's queries over many shards need.
+/// Returns the zones of the upstreams that a host's queries over many shards need.
 fn upstream_zones(core: &GatewayCore, table: &RouteTable, query: &LocateQuery) -> ZoneShares {
-    // All routes over many shards of a host usually name the same shards.
+    // All routes over many shards of a host usually have the same shards.
     for route in table.routes_of(&query.host) {
         if let RouteTarget::Gather(terms) = &route.destination {
             return zone_shares(&core.registry, &terms.shards);
--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of one process share. One thread runs them all, so nothing here needs a lock.
+//! State shared by all requests of one process. A single thread runs them all, so nothing here needs a lock.
 
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -14,7 +14,7 @@
 use crate::gateway::cold_claims::ColdClaims;
 use crate::gateway::delegate::DelegateTable;
 use crate::gateway::dialect::GatewayDialect;
-use crate::gateway::flight::FlightCount;
+use crate::gateway::flight::InFlightCount;
 use crate::gateway::ident::{ConfigVersion, RouteName, UpstreamService};
 use crate::gateway::metrics::GatewayMetrics;
 use crate::gateway::mirror::{FreshnessTimings, MirrorRelay};
@@ -28,87 +28,89 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::gateway::upstream::Upstream;
 use crate::gateway::vms::{HostNeeds, VmDirectory};
-use crate::gateway::weights::WeightShares;
+use crate::gateway::weights::WeightedRoundRobin;
 use crate::ident::{IncarnationNumber, SessionId, VmAddress};
 use crate::quarantine::QuarantineHandle;
 use crate::store::StoreEra;
 
-/// Share of an upstream's connections that all VMs together use: the rest is for VMs that have just come or gone.
-const CONNECTION_SHARE: f64 = 0.9;
-/// Connections that one upstream is assumed to accept while no configuration states it.
-const CONNECTIONS_ASSUMED: usize = 16;
+/// Fraction of an upstream's connections that all VMs together use. The rest is headroom for VMs that have just joined
+/// or left.
+const CONNECTION_UTILIZATION: f64 = 0.9;
+/// Connections that one upstream is assumed to accept until a configuration states the number.
+const DEFAULT_CONNECTIONS: usize = 16;
 
-/// Whether the process takes new requests.
+/// Whether the process accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceState {
-    /// It takes requests and is named to callers.
+    /// The process accepts requests and is listed in locate answers.
     Serving,
-    /// It takes requests, but callers are told to go elsewhere.
+    /// The process accepts requests, but callers are directed to other VMs.
     Leaving,
-    /// It refuses new requests and ends those it has.
-    Finishing,
+    /// The process refuses new requests and completes those in flight.
+    Draining,
 }
 
-/// State that all requests of a process share.
+/// State shared by all requests of a process.
 #[derive(Debug)]
 pub struct GatewayCore {
-    /// The settings.
+    /// Settings of the process.
     pub settings: GatewaySettings,
-    /// This life of this VM's process.
+    /// Identifies this run of the process on this VM.
     pub session: SessionId,
-    /// The deployment's protocols.
+    /// Protocols of the deployment.
     pub dialect: GatewayDialect,
-    /// The upstreams.
+    /// Registered upstreams.
     pub registry: UpstreamRegistry,
     /// Our own VMs.
     pub vms: VmDirectory,
-    /// Repeats that may still be sent.
+    /// Budget of retries and hedges that may still be sent.
     pub repeats: RefCell<LeasedRetryBudget>,
-    /// How late this process's answers are after the decision on them.
+    /// Delay between deciding on an answer and writing it.
     pub lag: Rc<RefCell<AnswerLag>>,
-    /// What each service of a weighted route is owed.
-    pub shares: WeightShares,
-    /// Parts of queries that other VMs gather for this one.
+    /// Distributes the requests of weighted routes among their services.
+    pub round_robin: WeightedRoundRobin,
+    /// Shards of queries that other VMs gather for this one.
     pub delegates: DelegateTable,
-    /// Parts of queries that this VM gathers for others.
+    /// Shards of queries that this VM gathers for others.
     pub aggregates: AggregateTable,
-    /// What each host's routes need, with the time at which that was reckoned.
-    pub needs: RefCell<FxHashMap<CompactString, (Instant, Rc<HostNeeds>)>>,
-    /// The store's changes, for VMs that hear of them from this one.
+    /// Placement requirements of each host's routes, with the time at which they were computed.
+    pub host_needs: RefCell<FxHashMap<CompactString, (Instant, Rc<HostNeeds>)>>,
+    /// Passes the store's changes on to VMs that follow this one.
     pub relay: MirrorRelay,
-    /// What other VMs' configurations say of this one's routes.
+    /// Compares the routes of this VM's configuration with those of other VMs.
     pub route_checks: RouteChecks,
-    /// Which VMs send to cold upstreams.
+    /// Claims that decide which VM sends to cold upstreams.
     pub cold_claims: ColdClaims,
-    /// The store's era, as far as this VM has heard.
+    /// Latest era of the store that this VM knows of.
     era: watch::Sender<StoreEra>,
-    /// Requests that crash upstreams.
+    /// Quarantine of requests that crash upstreams.
     pub quarantine: QuarantineHandle,
     /// Counters and histograms.
     pub metrics: GatewayMetrics,
-    /// When the process started.
+    /// Time at which the process started, on the monotonic clock.
     pub started: Instant,
-    /// The same on the clock that counts suspensions.
-    booted: Duration,
+    /// Time at which the process started, on the clock that includes suspensions.
+    started_since_boot: Duration,
     state: Cell<ServiceState>,
-    /// Requests in flight.
-    pub flights: FlightCount,
+    /// Number of requests in flight.
+    pub in_flight: InFlightCount,
     table: RefCell<Option<Rc<RouteTable>>>,
     latencies: RefCell<FxHashMap<RouteName, Rc<RefCell<RouteLatency>>>>,
 }
 
-/// This life of this VM's process.
+/// Returns the session of this process.
 fn own_session(settings: &GatewaySettings) -> SessionId {
-    // The wall clock only tells lives apart; if it steps back, peers learn the newer life by refutation.
-    let life = std::time::SystemTime::now()
+    // The wall clock only distinguishes sessions. If it has stepped back, peers learn of the newer session through
+    // refutation.
+    let incarnation = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64);
     let vm = VmAddress(settings.place.address);
-    SessionId::new(vm, IncarnationNumber(life))
+    SessionId::new(vm, IncarnationNumber(incarnation))
 }
 
 impl GatewayCore {
-    /// Makes the state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
         let repeats = LeasedRetryBudget::new(settings.budget);
         let metrics = GatewayMetrics::default();
@@ -121,8 +123,8 @@
             vms: VmDirectory::new(settings.listen.callers),
             repeats: RefCell::new(repeats),
             lag: Rc::new(RefCell::new(AnswerLag::new(settings.place.cores))),
-            shares: WeightShares::new(),
-            needs: RefCell::default(),
+            round_robin: WeightedRoundRobin::new(),
+            host_needs: RefCell::default(),
             relay: MirrorRelay::new(limit, metrics.told_bytes.clone()),
             route_checks: RouteChecks::default(),
             delegates: DelegateTable::default(),
@@ -132,22 +134,22 @@
             quarantine: QuarantineHandle::new(),
             metrics,
             started: now(),
-            booted: boot_time(),
+            started_since_boot: boot_time(),
             state: Cell::new(ServiceState::Serving),
-            flights: FlightCount::default(),
+            in_flight: InFlightCount::default(),
             table: RefCell::default(),
             latencies: RefCell::default(),
             settings,
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Puts a configuration in force unless a newer one is; tells whether it did.
-    pub fn adopt_table(&self, table: RouteTable) -> bool {
+    /// Puts a configuration in force unless the current one is the same or newer. Returns whether it did.
+    pub fn install_table(&self, table: RouteTable) -> bool {
         let current = self.table.borrow().as_ref().map(|table| table.version());
         if current.is_some_and(|current| current >= table.version()) {
             return false;
@@ -157,24 +159,24 @@
             .borrow_mut()
             .retain(|name, _latency| known(name));
         self.route_checks.clear_matches();
-        self.needs.borrow_mut().clear();
+        self.host_needs.borrow_mut().clear();
         *self.table.borrow_mut() = Some(Rc::new(table));
-        self.share_connections();
-        self.note_own_version();
+        self.redistribute_shares();
+        self.compare_own_version();
         true
     }
 
-    /// Compares the version in force with those of other VMs.
-    pub fn note_own_version(&self) {
+    /// Compares the configuration version in force with those of other VMs.
+    pub fn compare_own_version(&self) {
         let own = self
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
         self.route_checks.note_own_version(own, now());
     }
 
-    /// Whether the configuration in force may be an old one: changes may not have reached this VM, or the store has lost a
-    /// version that others have in force.
-    pub fn has_old_config(&self) -> bool {
+    /// Returns whether the configuration in force may be stale: changes may not have reached this VM, or the store has
+    /// lost a version that other VMs have in force.
+    pub fn may_have_stale_config(&self) -> bool {
         let own = self
             .table()
             .map_or(ConfigVersion(0), |table| table.version());
@@ -182,18 +184,18 @@
         self.relay.is_stale() || self.route_checks.is_overdue(own, now(), bound)
     }
 
-    /// Why a request is refused that no route matches. A VM whose configuration may be an old one does not know that there
-    /// is none: the caller is to ask another VM, which may have a route that this one has not heard of.
-    pub fn no_route(&self) -> RefusalReason {
-        if self.has_old_config() {
+    /// Returns the reason for refusing a request that no route matches. A VM whose configuration may be stale can't
+    /// tell that the route does not exist, so the caller is asked to try another VM, which may know it.
+    pub fn no_route_reason(&self) -> RefusalReason {
+        if self.may_have_stale_config() {
             RefusalReason::OldConfig
         } else {
             RefusalReason::NoRoute
         }
     }
 
-    /// The upstreams of a service in the home regions of a route.
-    pub fn upstreams_at_home(&self, route: &RouteEntry, service: &UpstreamService) -> UpstreamList {
+    /// Returns the upstreams of a service that are in the home regions of a route.
+    pub fn home_upstreams(&self, route: &RouteEntry, service: &UpstreamService) -> UpstreamList {
         let mut listed = self.registry.upstreams(service);
         if route.homes.is_limited() {
             let region_of = |upstream: &Upstream| {
@@ -205,9 +207,9 @@
         listed
     }
 
-    /// Those of a route's weighted services that have an upstream in its home regions: their weights hold among them. An
-    /// evacuation moves nothing from one service to another.
-    pub fn parts_at_home<'a>(
+    /// Returns those of a route's weighted services that have an upstream in its home regions. The weights apply among
+    /// these services. Evacuating a zone does not shift requests from one service to another.
+    pub fn home_services<'a>(
         &self,
         route: &RouteEntry,
         parts: &'a [WeightedService],
@@ -215,14 +217,14 @@
         if !route.homes.is_limited() {
             return Cow::Borrowed(parts);
         }
-        let at_home = |part: &&WeightedService| {
-            let upstreams = self.upstreams_at_home(route, &part.service);
+        let has_home_upstream = |part: &&WeightedService| {
+            let upstreams = self.home_upstreams(route, &part.service);
             upstreams.iter().any(|upstream| !upstream.is_leaving())
         };
-        Cow::Owned(parts.iter().filter(at_home).cloned().collect())
+        Cow::Owned(parts.iter().filter(has_home_upstream).cloned().collect())
     }
 
-    /// The attempt times of a route.
+    /// Returns the attempt latencies of a route.
     pub fn latency(&self, route: &RouteEntry) -> Rc<RefCell<RouteLatency>> {
         if let Some(latency) = self.latencies.borrow().get(&route.name) {
             return Rc::clone(latency);
@@ -233,18 +235,18 @@
         latency
     }
 
-    /// How many connections this process may hold to one upstream of a service.
+    /// Returns how many connections this process may hold to one upstream of a service.
     pub fn connection_share(&self, service: &UpstreamService) -> usize {
         let table = self.table.borrow();
-        let stated = table.as_ref().and_then(|table| table.service(service));
-        let all = stated.map_or(CONNECTIONS_ASSUMED, |terms| terms.connections);
-        let share = all as f64 * CONNECTION_SHARE / self.vms.count() as f64;
+        let terms = table.as_ref().and_then(|table| table.service(service));
+        let total = terms.map_or(DEFAULT_CONNECTIONS, |terms| terms.connections);
+        let share = total as f64 * CONNECTION_UTILIZATION / self.vms.count() as f64;
         (share as usize).max(1)
     }
 
-    /// Shares connections and repeats anew among the VMs that are known.
-    pub fn share_connections(&self) {
-        let vms = self.vms.most_count();
+    /// Redistributes connections and the retry budget among the known VMs.
+    pub fn redistribute_shares(&self) {
+        let vms = self.vms.peak_count();
         let time = self.running_time();
         self.repeats.borrow_mut().set_vm_count(vms, time);
         self.registry.for_each(|upstream| {
@@ -253,44 +255,46 @@
         });
     }
 
-    /// Takes in that the store is in an era: what rests on a write in the one before is void.
+    /// Records that the store has entered an era. Claims that rest on a write in an earlier era become void.
     pub fn enter_era(&self, era: StoreEra) {
         self.cold_claims.enter_era(era, self.running_time());
         self.era.send_if_modified(|known| {
-            let rises = era > *known;
+            let increases = era > *known;
             *known = era.max(*known);
-            rises
+            increases
         });
     }
 
-    /// The store's era, as it rises.
+    /// Subscribes to increases of the store's era.
     pub fn eras(&self) -> watch::Receiver<StoreEra> {
         self.era.subscribe()
     }
 
-    /// Whether new requests are taken.
+    /// Returns whether new requests are accepted.
     pub fn state(&self) -> ServiceState {
         self.state.get()
     }
 
-    /// Changes whether new requests are taken.
+    /// Sets whether new requests are accepted.
     pub fn set_state(&self, state: ServiceState) {
         self.state.set(state);
     }
 
-    /// Whether callers should be sent here: there is a configuration and no stop has begun.
+    /// Returns whether callers should be sent here: a configuration is in force and no shutdown has begun.
     pub fn is_ready(&self) -> bool {
         self.state.get() == ServiceState::Serving && self.table.borrow().is_some()
     }
 
-    /// Time since the start that the process could run.
+    /// Returns the time since the start without suspensions of the VM.
     pub fn uptime(&self) -> Duration {
         now().saturating_duration_since(self.started)
     }
 
-    /// Time since the start, with what the VM was suspended for: leases between VMs end by it.
+    /// Returns the time since the start including suspensions of the VM. Leases between VMs expire by this clock.
     pub fn running_time(&self) -> Duration {
-        boot_time().saturating_sub(self.booted).max(self.uptime())
+        boot_time()
+            .saturating_sub(self.started_since_boot)
+            .max(self.uptime())
     }
 }
 
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request to one upstream, and what became of it.
+//! A single attempt: sends a request to one upstream and classifies the outcome.
 
 use std::fmt;
 use std::rc::Rc;
@@ -11,66 +11,66 @@
 use crate::gateway::core::GatewayCore;
 use crate::gateway::dialect::WireNames;
 use crate::gateway::loss::LossCheck;
-use crate::gateway::loss_check::note_loss;
+use crate::gateway::loss_check::record_loss;
 use crate::gateway::policy::latency::millis;
 use crate::gateway::policy::load_report::LoadReport;
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::reply_body::{AnswerStream, ReplyBody};
 use crate::gateway::request::ForwardRequest;
 use crate::gateway::route::RepeatKind;
-use crate::gateway::slots::SlotOrder;
-use crate::gateway::upstream::{HeldLink, Upstream};
+use crate::gateway::slots::SlotPriority;
+use crate::gateway::upstream::{ActiveLink, Upstream};
 use crate::http_link::{LinkBody, LinkError};
 use crate::quarantine::LostRequest;
 
-/// Longest wait for a new connection in the same region: a handshake takes 1 to 6 ms there, more on a busy upstream.
-const CONNECT_TIME: Duration = Duration::from_millis(300);
-/// How old a kept connection may be for a request that runs at most once: one that breaks leaves the outcome unknown,
-/// and a new connection costs about 1 ms.
-const ONCE_FRESH: Duration = Duration::from_millis(500);
-/// The same for requests that can be sent again.
-const REPEAT_FRESH: Duration = Duration::from_mins(1);
-/// Longest part of a query over many shards, in bytes: it has to be merged, so it has to be here whole.
-const PART_LIMIT: usize = 8 * 1024 * 1024;
-/// Longest answer that is read whole before it is passed on, in bytes. One that breaks off up to here can be sent again;
-/// a longer one is passed on as it comes, so that it takes no more of a VM's memory (160 MB on the smallest).
-const WHOLE_LIMIT: usize = 256 * 1024;
+/// Longest time for opening a connection. In the same region a handshake takes 1 to 6 ms, more on a busy upstream.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest idle time of a pooled connection that is used for a request that must run at most once. If such a connection
+/// breaks, the outcome is unknown, while a new connection costs only about 1 ms.
+const MAX_IDLE_ONCE: Duration = Duration::from_millis(500);
+/// Longest idle time of a pooled connection that is used for a request that can be sent again.
+const MAX_IDLE_IDEMPOTENT: Duration = Duration::from_mins(1);
+/// Longest answer of a shard, in bytes. It is merged with others and therefore buffered whole.
+const MAX_SHARD_ANSWER_BYTES: usize = 8 * 1024 * 1024;
+/// Longest answer that is buffered whole before it is passed on, in bytes. If an answer up to this length breaks off,
+/// the request can be sent again. A longer one is streamed to limit the memory it takes (the smallest VM has 160 MB).
+const MAX_BUFFERED_ANSWER_BYTES: usize = 256 * 1024;
 
-/// An upstream's answer.
+/// Answer of an upstream.
 #[derive(Debug)]
 pub struct UpstreamAnswer {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its headers, those of the connection included.
+    /// Headers, including hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Its body, which may still be coming in.
+    /// Body, which may still be arriving.
     pub body: ReplyBody,
 }
 
-/// What became of an attempt.
+/// Outcome of an attempt.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The upstream ran the request and answered.
     Answered(UpstreamAnswer),
-    /// The upstream says that it has not run the request.
+    /// The upstream states that it has not run the request.
     Declined(StatusCode),
-    /// Nothing of the request was sent.
+    /// No part of the request was sent.
     Unsent(CompactString),
-    /// It was sent and may have run.
+    /// The request was sent and may have run, but no valid answer came.
     Lost(AttemptLoss),
 }
 
-/// An attempt that was sent and brought no answer.
+/// A request that was sent and may have run, but brought no valid answer.
 #[derive(Debug)]
 pub struct AttemptLoss {
-    /// What has happened.
+    /// Cause of the loss, for logs.
     pub reason: CompactString,
-    /// Whether the upstream was lost with it, where the connection broke.
+    /// Check whether the upstream itself was lost, if the connection broke.
     pub check: Option<Rc<LossCheck>>,
 }
 
 impl From<CompactString> for AttemptLoss {
-    /// What the upstream has sent is no answer: it lives.
+    /// Creates a loss without an upstream check: the upstream sent something, so it is alive.
     fn from(reason: CompactString) -> Self {
         Self {
             reason,
@@ -80,12 +80,12 @@
 }
 
 impl AttemptOutcome {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     pub fn may_have_run(&self) -> bool {
         matches!(self, Self::Answered(_) | Self::Lost(_))
     }
 
-    /// One word for logs.
+    /// Returns the outcome as one word for logs.
     pub fn word(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
@@ -108,26 +108,27 @@
     }
 }
 
-/// What an attempt needs beside the request.
+/// Context of an attempt besides the request itself.
 #[derive(Debug, Clone)]
 pub struct AttemptContext {
-    /// The process.
+    /// Shared state of the process.
     pub core: Rc<GatewayCore>,
-    /// Attempt times of the route.
+    /// Attempt latencies of the route.
     pub latency: Rc<std::cell::RefCell<RouteLatency>>,
-    /// Whether the request may run again.
+    /// Whether the request may run more than once.
     pub repeat: RepeatKind,
-    /// Longest silence in the midst of an answer that is passed on as it comes; `None` where answers must be whole.
+    /// Longest silence within a streamed answer; `None` if answers must be buffered whole.
     pub stream_patience: Option<Duration>,
 }
 
-/// Notes how an attempt ended, also when it is dropped midway.
+/// Records the outcome of an attempt with the health of its upstream, also if the attempt is dropped before it
+/// completes.
 struct AttemptRecord<'a> {
     context: &'a AttemptContext,
     upstream: &'a Upstream,
-    began: Instant,
+    started: Instant,
     sent: Option<Instant>,
-    noted: bool,
+    recorded: bool,
 }
 
 impl AttemptRecord<'_> {
@@ -136,33 +137,33 @@
         place.distance(&self.upstream.entry().zone)
     }
 
-    /// How long such an attempt usually takes.
+    /// Returns how long an attempt at this distance usually takes.
     fn usual_time(&self) -> Duration {
         let latency = self.context.latency.borrow();
         Duration::from_secs_f64(latency.median_ms(self.distance()) / 1_000.0)
     }
 
-    /// The time so far over the usual one.
+    /// Returns the ratio of the elapsed time to the usual one.
     fn slowness(&self, now: Instant) -> f64 {
-        let took = millis(now.saturating_duration_since(self.began));
+        let took = millis(now.saturating_duration_since(self.started));
         let latency = self.context.latency.borrow();
         latency.slowness(self.distance(), took)
     }
 
-    fn note(&mut self, outcome: &AttemptOutcome) {
-        self.noted = true;
+    fn record_outcome(&mut self, outcome: &AttemptOutcome) {
+        self.recorded = true;
         let now = now();
         let mut health = self.upstream.health.borrow_mut();
         match outcome {
             AttemptOutcome::Answered(answer) if !answer.status.is_server_error() => {
-                health.record_answer(self.began, now, self.slowness(now));
-                let took = now.saturating_duration_since(self.began);
+                health.record_answer(self.started, now, self.slowness(now));
+                let took = now.saturating_duration_since(self.started);
                 let mut latency = self.context.latency.borrow_mut();
                 latency.histogram_mut(self.distance()).record(took, now);
             }
-            AttemptOutcome::Unsent(_) => health.record_unreachable(self.began, now),
+            AttemptOutcome::Unsent(_) => health.record_unreachable(self.started, now),
             AttemptOutcome::Answered(_) | AttemptOutcome::Declined(_) | AttemptOutcome::Lost(_) => {
-                health.record_failure(self.began, now);
+                health.record_failure(self.started, now);
             }
         }
     }
@@ -170,26 +171,26 @@
 
 impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
-        if self.noted {
+        if self.recorded {
             return;
         }
         let mut health = self.upstream.health.borrow_mut();
         match self.sent {
             Some(_) => {
                 let now = now();
-                health.record_abandoned(self.began, now, self.slowness(now));
-                let waited = now.saturating_duration_since(self.began);
+                health.record_abandoned(self.started, now, self.slowness(now));
+                let waited = now.saturating_duration_since(self.started);
                 let mut latency = self.context.latency.borrow_mut();
                 let track = latency.histogram_mut(self.distance());
                 track.record_abandoned(waited, now);
             }
-            None => health.record_unsent(self.began),
+            None => health.record_unsent(self.started),
         }
     }
 }
 
-/// Sends a request to one upstream. `before_send` is asked once the connection is there and may still forbid the
-/// sending. Dropping the future ends the connection, and with it the upstream's work.
+/// Sends a request to one upstream. `before_send` is called once a connection is available and may still prevent
+/// sending. Dropping the future closes the connection, which also cancels the work at the upstream.
 pub async fn run_attempt(
     context: &AttemptContext,
     upstream: &Rc<Upstream>,
@@ -197,44 +198,44 @@
     useful_until: Option<Instant>,
     before_send: impl FnOnce() -> bool,
 ) -> AttemptOutcome {
-    let began = now();
-    upstream.health.borrow_mut().record_start(began);
+    let started = now();
+    upstream.health.borrow_mut().record_start(started);
     let mut record = AttemptRecord {
         context,
         upstream,
-        began,
+        started,
         sent: None,
-        noted: false,
+        recorded: false,
     };
-    let fresh = match context.repeat {
-        RepeatKind::Idempotent => REPEAT_FRESH,
-        RepeatKind::Once => ONCE_FRESH,
+    let max_idle = match context.repeat {
+        RepeatKind::Idempotent => MAX_IDLE_IDEMPOTENT,
+        RepeatKind::Once => MAX_IDLE_ONCE,
     };
-    let order = SlotOrder {
+    let priority = SlotPriority {
         useful_until,
-        need: record.usual_time(),
+        service_time: record.usual_time(),
         received: request.received,
     };
-    let outcome = match upstream.connect(order, fresh, CONNECT_TIME).await {
-        Err(error) => AttemptOutcome::Unsent(reason(&error)),
-        Ok(held) => {
+    let outcome = match upstream.connect(priority, max_idle, CONNECT_TIMEOUT).await {
+        Err(error) => AttemptOutcome::Unsent(error_text(&error)),
+        Ok(active) => {
             let core = &context.core;
             let sent = now();
-            let left = request.finish_by.saturating_duration_since(sent);
-            let left_ms = left.as_millis() as u64;
-            let open = upstream.takes_requests() && core.take_cold_room(upstream);
-            if !open || left_ms == 0 || !before_send() {
-                // Nothing of this is the upstream's fault.
-                upstream.keep(held, None);
-                record.noted = true;
-                upstream.health.borrow_mut().record_unsent(began);
-                return AttemptOutcome::Unsent("given up before it was sent".into());
+            let remaining = request.finish_by.saturating_duration_since(sent);
+            let remaining_ms = remaining.as_millis() as u64;
+            let may_send = upstream.takes_requests() && core.reserve_cold_send(upstream);
+            if !may_send || remaining_ms == 0 || !before_send() {
+                // The upstream is not at fault.
+                upstream.release(active, None);
+                record.recorded = true;
+                upstream.health.borrow_mut().record_unsent(started);
+                return AttemptOutcome::Unsent("cancelled before it was sent".into());
             }
             record.sent = Some(sent);
-            send(context, upstream, request, (held, left_ms)).await
+            send(context, upstream, request, (active, remaining_ms)).await
         }
     };
-    record.note(&outcome);
+    record.record_outcome(&outcome);
     outcome
 }
 
@@ -242,42 +243,42 @@
     context: &AttemptContext,
     upstream: &Rc<Upstream>,
     request: &ForwardRequest,
-    (mut held, left_ms): (HeldLink, u64),
+    (mut active, remaining_ms): (ActiveLink, u64),
 ) -> AttemptOutcome {
     let core = &context.core;
     let names = &core.dialect.names;
     let sent = now();
     let instance = upstream.entry().instance.clone();
-    let message = request.build(names, &instance, left_ms);
+    let message = request.build(names, &instance, remaining_ms);
     let after_loss = request.after_loss.get();
-    let whole = match context.stream_patience {
-        Some(_) => WHOLE_LIMIT,
-        None => PART_LIMIT,
+    let max_buffered = match context.stream_patience {
+        Some(_) => MAX_BUFFERED_ANSWER_BYTES,
+        None => MAX_SHARD_ANSWER_BYTES,
     };
-    let response = match held.link.begin_exchange(message, whole).await {
+    let response = match active.link.begin_exchange(message, max_buffered).await {
         Ok(response) => response,
         Err(error) => {
-            if !held.reused {
-                // A new connection that breaks at once was one too many.
-                upstream.narrow(now());
+            if !active.reused {
+                // If a new connection breaks at once, the upstream does not accept that many.
+                upstream.reduce_limit(now());
             }
-            // What was kept beside it is likely to have ended as well.
-            upstream.drop_idle();
+            // Other pooled connections have probably been closed as well.
+            upstream.close_idle();
             if matches!(error, LinkError::Unsent { .. }) {
-                return AttemptOutcome::Unsent(reason(&error));
+                return AttemptOutcome::Unsent(error_text(&error));
             }
             let lost = LostRequest {
                 after_loss,
                 ..LostRequest::new(request.fingerprint, now().saturating_duration_since(sent))
             };
-            let check = note_loss(core, upstream, lost);
+            let check = record_loss(core, upstream, lost);
             return AttemptOutcome::Lost(AttemptLoss {
-                reason: reason(&error),
+                reason: error_text(&error),
                 check: Some(check),
             });
         }
     };
-    let outcome = read_response(context, request, response, held, upstream);
+    let outcome = read_response(context, request, response, active, upstream);
     if let AttemptOutcome::Answered(_) = &outcome {
         let flight = now().saturating_duration_since(sent);
         core.quarantine.report_answer(request.fingerprint, flight);
@@ -285,62 +286,62 @@
     outcome
 }
 
-/// Tells an answer to this request from anything else that may stand on the connection.
+/// Verifies that a response is an answer to this request and classifies it.
 fn read_response(
     context: &AttemptContext,
     request: &ForwardRequest,
     response: Response<LinkBody>,
-    held: HeldLink,
+    active: ActiveLink,
     upstream: &Rc<Upstream>,
 ) -> AttemptOutcome {
     let names = &context.core.dialect.names;
     let (head, body) = response.into_parts();
     let echoed = head.headers.get(&names.request_id);
     if echoed.is_some_and(|echoed| *echoed != request.id) {
-        // A late second answer to an earlier request: this connection is out of step for good.
-        let reason = CompactString::const_new("the answer is to another request");
+        // A late duplicate answer to an earlier request: request and answers on this connection no longer match up.
+        let reason = CompactString::const_new("the response is for another request");
         return AttemptOutcome::Lost(reason.into());
     }
     if head.status == StatusCode::MISDIRECTED_REQUEST {
         log::info!(
             target: "ebonyfork::decision",
-            "upstream gone instance={} address={}: another one answers there",
+            "upstream gone instance={} address={}: another upstream answers at this address",
             upstream.entry().instance, upstream.entry().address
         );
-        upstream.leave();
+        upstream.mark_leaving();
         return AttemptOutcome::Declined(head.status);
     }
     let declined = head.headers.contains_key(&names.not_run);
     let signed = head.headers.contains_key(&names.signature);
     if !declined && !signed {
         let status = head.status.as_u16();
-        let reason = compact_str::format_compact!("an unsigned answer with status {status}");
+        let reason = compact_str::format_compact!("unsigned response with status {status}");
         return AttemptOutcome::Lost(reason.into());
     }
-    note_load(names, &head.headers, upstream);
-    let keeps = keeps_connection(&head.headers);
-    let idle = idle_time(&head.headers);
+    record_load(names, &head.headers, upstream);
+    let reusable = allows_reuse(&head.headers);
+    let keep_alive = keep_alive_timeout(&head.headers);
     let body = match (body.rest, context.stream_patience) {
         (None, _) => {
-            if keeps {
-                upstream.keep(held, idle);
+            if reusable {
+                upstream.release(active, keep_alive);
             }
             ReplyBody::Whole(body.begun)
         }
-        (Some(rest), Some(patience)) if !declined => {
-            let mut stream = AnswerStream::new((body.begun, rest), held, upstream, patience);
-            if keeps {
-                stream = stream.with_kept_link(idle);
+        (Some(rest), Some(idle_timeout)) if !declined => {
+            let mut stream = AnswerStream::new((body.begun, rest), active, upstream, idle_timeout);
+            if reusable {
+                stream = stream.with_reuse(keep_alive);
             }
             ReplyBody::Stream(Box::new(stream))
         }
         (Some(_), _) => {
-            let reason = CompactString::const_new("the answer is too long");
+            let reason = CompactString::const_new("the response exceeds the size limit");
             return AttemptOutcome::Lost(reason.into());
         }
     };
     if declined {
-        upstream.narrow(now());
+        upstream.reduce_limit(now());
         return AttemptOutcome::Declined(head.status);
     }
     AttemptOutcome::Answered(UpstreamAnswer {
@@ -350,8 +351,8 @@
     })
 }
 
-/// Takes in what an upstream says of its load. A report that can't be read is told of once.
-fn note_load(names: &WireNames, headers: &HeaderMap, upstream: &Upstream) {
+/// Records the load that an upstream reports. An unreadable report is logged once per upstream.
+fn record_load(names: &WireNames, headers: &HeaderMap, upstream: &Upstream) {
     let Some(stated) = headers.get(&names.load) else {
         return;
     };
@@ -360,14 +361,14 @@
         Ok(report) => upstream.health.borrow_mut().record_load(report, now()),
         Err(error) if !upstream.load_warned.replace(true) => log::warn!(
             target: "ebonyfork::decision",
-            "upstream instance={}: {error}; its load is not used",
+            "upstream instance={}: {error}; load report ignored",
             upstream.entry().instance
         ),
         Err(_known) => {}
     }
 }
 
-fn keeps_connection(headers: &HeaderMap) -> bool {
+fn allows_reuse(headers: &HeaderMap) -> bool {
     let closes = |value: &header::HeaderValue| {
         value
             .to_str()
@@ -376,8 +377,8 @@
     !headers.get_all(header::CONNECTION).iter().any(closes)
 }
 
-/// The idle time that an upstream states.
-fn idle_time(headers: &HeaderMap) -> Option<Duration> {
+/// Returns the idle timeout that an upstream states in its `Keep-Alive` header.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let stated = headers.get("keep-alive")?.to_str().ok()?;
     let seconds = stated
         .split(',')
@@ -385,6 +386,6 @@
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
 
-fn reason(error: &LinkError) -> CompactString {
+fn error_text(error: &LinkError) -> CompactString {
     compact_str::format_compact!("{error}")
 }
--- a/crates/ebonyfork/src/gateway/flight.rs
+++ b/crates/ebonyfork/src/gateway/flight.rs
@@ -1,30 +1,30 @@
-//! How many requests a process has in flight: a planned stop waits for them.
+//! Counts the requests that a process has in flight. A planned shutdown waits for them.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The number of requests in flight.
+/// Number of requests in flight. Clones share the count.
 #[derive(Debug, Clone, Default)]
-pub struct FlightCount(Rc<Cell<usize>>);
+pub struct InFlightCount(Rc<Cell<usize>>);
 
-impl FlightCount {
-    /// The number now.
+impl InFlightCount {
+    /// Returns the current number.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 
-    /// Counts one more request for as long as the guard is held.
-    pub fn hold(&self) -> FlightGuard {
+    /// Counts one more request for as long as the returned guard lives.
+    pub fn enter(&self) -> InFlightGuard {
         self.0.set(self.0.get() + 1);
-        FlightGuard(self.clone())
+        InFlightGuard(self.clone())
     }
 }
 
-/// Counts a request as in flight for as long as it is held.
+/// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct FlightGuard(FlightCount);
+pub struct InFlightGuard(InFlightCount);
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let count = &self.0.0;
         count.set(count.get() - 1);
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -213,7 +213,7 @@
             return;
         }
         if self.store_failing_since.take().is_some() {
-            self.core.registry.note_return(now());
+            self.core.registry.record_store_return(now());
         }
         // Only the last page of a read proves anything.
         let Some(proof) = step.proof else { return };
@@ -389,7 +389,7 @@
         })?;
         if self.core.relay.is_stale() && self.store_failing_since.take().is_some() {
             // The store may have been unreachable for all VMs: entries that lapsed in the meantime may come back.
-            self.core.registry.note_return(now());
+            self.core.registry.record_store_return(now());
         }
         let applied = self.apply_change(ChangeSource::Vm(vm), change);
         applied.map_err(|_gap| SourceFault::Gap)
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -41,7 +41,7 @@
         let restored = before > StoreRevision::ABSENT && after.era() > before.era();
         if restored {
             // Entries missing from the older copy will be written again.
-            self.core.registry.note_return(now());
+            self.core.registry.record_store_return(now());
         }
         for event in &outcome.events {
             match event {
@@ -54,11 +54,11 @@
             if self.core.registry.is_first_read() {
                 self.core.assume_cold_where_claimed();
             }
-            self.core.registry.note_read(now());
+            self.core.registry.record_read(now());
             self.log_full_read(read, outcome.events.len());
         }
         if !outcome.events.is_empty() {
-            self.core.share_connections();
+            self.core.redistribute_shares();
             self.publish_seeds();
         }
         outcome.result
@@ -88,7 +88,7 @@
         match (self.core.dialect.classify)(key) {
             StoredKind::Upstream => self.core.registry.remove(key, now()),
             StoredKind::Vm => self.core.vms.remove(key),
-            StoredKind::Evacuation(zone) => self.core.readmit(&zone),
+            StoredKind::Evacuation(zone) => self.core.end_evacuation(&zone),
             StoredKind::Config | StoredKind::ZoneClaim(_) | StoredKind::Other => {}
         }
     }
@@ -120,7 +120,7 @@
             Ok(table) => {
                 self.log_unknown_homes(&table);
                 let (version, routes) = (table.version(), table.route_count());
-                let adopted = self.core.adopt_table(table);
+                let adopted = self.core.install_table(table);
                 let word = if adopted { "in force" } else { "not newer" };
                 log::info!(
                     target: "ebonyfork::decision",
@@ -168,7 +168,7 @@
             }
             // No one states the key's previous entry any more; all other entries stay in force.
             Err(error) => {
-                self.core.registry.disown(&item.key);
+                self.core.registry.remove_invalid(&item.key);
                 log::warn!(
                     target: "ebonyfork::decision",
                     "upstream entry ignored revision={}: {error}", item.revision
--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -1,4 +1,4 @@
-//! Joins the gateway to gossip: who lives, and news about requests that crash upstreams.
+//! Connects the gateway to gossip: membership, load, and notices about requests that crash upstreams.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use crate::membership::{MemberDigest, MemberHandle};
 use crate::quarantine::{publish_notices, receive_notices};
 
-/// Time between two looks at how busy this VM is.
+/// Time between two updates of the published load.
 const LOAD_PERIOD: Duration = Duration::from_secs(1);
-/// Lag of a VM's answers at which it counts as fully busy.
+/// Lag of a VM's answers at which it counts as fully loaded.
 const FULL_LAG: Duration = Duration::from_millis(40);
-/// Steps in which the load is told.
+/// Number of steps to which the load is rounded.
 const LOAD_STEPS: f64 = 8.0;
 
-/// Starts what carries news between the gateway and gossip.
-pub(super) fn join_gossip(
+/// Starts the tasks that exchange information between the gateway and gossip.
+pub(super) fn connect_gossip(
     tasks: &mut JoinSet<()>,
     core: &Rc<GatewayCore>,
     members: &MemberHandle,
@@ -40,21 +40,21 @@
     loop {
         let seen = snapshot.borrow_and_update().clone();
         core.route_checks.note_members(&seen, vm, &zone);
-        core.note_own_version();
-        core.vms.take_members(seen);
+        core.compare_own_version();
+        core.vms.apply_members(seen);
         if snapshot.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// Tells the other VMs which configuration is in force here, as this VM has read it from the store, and how busy it is.
+/// Publishes the version of the configuration in force, as this VM has read it from the store, and the load of this VM.
 async fn publish_digest(core: Rc<GatewayCore>, members: MemberHandle) {
-    let mut told = core.route_checks.announced_version();
+    let mut version = core.route_checks.announced_version();
     let mut published = MemberDigest::default();
     loop {
         let digest = MemberDigest {
-            revision: RevisionNumber(told.borrow_and_update().0),
+            revision: RevisionNumber(version.borrow_and_update().0),
             load: vm_load(core.lag.borrow().margin()),
         };
         core.vms.set_own_load(digest.load);
@@ -62,13 +62,14 @@
             members.set_digest(digest);
             published = digest;
         }
-        if let Ok(Err(_closed)) = tokio::time::timeout(LOAD_PERIOD, told.changed()).await {
+        if let Ok(Err(_closed)) = tokio::time::timeout(LOAD_PERIOD, version.changed()).await {
             return;
         }
     }
 }
 
-/// How busy a VM is whose answers lag so much, in steps, so that a change of no meaning is not told.
+/// Returns the load of a VM whose answers lag by `lag`, in per mille, rounded down to a step so that insignificant
+/// changes are not published.
 fn vm_load(lag: Duration) -> u16 {
     let steps = (millis(lag) / millis(FULL_LAG) * LOAD_STEPS).floor();
     (steps * 1_000.0 / LOAD_STEPS).min(1_000.0) as u16
--- a/crates/ebonyfork/src/gateway/ident.rs
+++ b/crates/ebonyfork/src/gateway/ident.rs
@@ -1,7 +1,7 @@
 //! Names that the deployment's operators and upstreams choose freely.
 //!
-//! They are texts of any characters and go back onto the wire as they came, so they are not held to the form of the
-//! product's own names.
+//! They may contain any characters and are written back to the wire unchanged, so the rules for the product's own names
+//! don't apply to them.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -16,7 +16,7 @@
         pub struct $name(CompactString);
 
         impl $name {
-            /// Takes a text as it came.
+            /// Wraps a text without changes.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(CompactString::new(text))
             }
@@ -44,11 +44,11 @@
 }
 
 text_type!(
-    /// Name of a group of interchangeable upstreams. On a route over many shards each shard is one such group.
+    /// Name of a group of interchangeable upstreams. On a route over many shards, each shard is such a group.
     UpstreamService
 );
 text_type!(
-    /// Name of an upstream. One that starts again may have the same name: see [`UpstreamLife`].
+    /// Name of an upstream. It may be reused after a restart: see [`UpstreamIncarnation`].
     InstanceName
 );
 text_type!(
@@ -60,17 +60,17 @@
     PlaceName
 );
 
-/// When an upstream was started, in milliseconds of Unix time by its own clock. It only tells lives apart.
+/// Start time of an upstream, in milliseconds of Unix time by its own clock. It only distinguishes incarnations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct BirthTime(pub u64);
+pub struct StartTime(pub u64);
 
-impl fmt::Display for BirthTime {
+impl fmt::Display for StartTime {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
 }
 
-impl FromStr for BirthTime {
+impl FromStr for StartTime {
     type Err = std::num::ParseIntError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -78,43 +78,45 @@
     }
 }
 
-/// One life of one upstream, from its start to its end. Nothing that was learnt of one life holds for the next.
+/// Incarnation of an upstream: one run from its start to its end. Nothing learnt about one incarnation applies to the
+/// next.
 ///
 /// # Examples
 ///
 /// ```
-/// use ebonyfork::gateway::{BirthTime, InstanceName, UpstreamLife};
+/// use ebonyfork::gateway::{StartTime, InstanceName, UpstreamIncarnation};
 ///
-/// let first = UpstreamLife::new(InstanceName::new("i-1"), Some(BirthTime(1_000)));
-/// let second = UpstreamLife::new(InstanceName::new("i-1"), Some(BirthTime(9_000)));
+/// let first = UpstreamIncarnation::new(InstanceName::new("i-1"), Some(StartTime(1_000)));
+/// let second = UpstreamIncarnation::new(InstanceName::new("i-1"), Some(StartTime(9_000)));
 /// assert_ne!(first, second);
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct UpstreamLife {
-    /// The upstream's name.
+pub struct UpstreamIncarnation {
+    /// Name of the upstream.
     pub instance: InstanceName,
-    /// When this life began; `None` on deployments whose upstreams have a new name at each start and don't tell.
-    pub born: Option<BirthTime>,
+    /// Start of this incarnation; `None` on deployments whose upstreams take a new name at each start and state no
+    /// start time.
+    pub started: Option<StartTime>,
 }
 
-impl UpstreamLife {
-    /// The life of an upstream that began at a time.
-    pub fn new(instance: InstanceName, born: Option<BirthTime>) -> Self {
-        Self { instance, born }
+impl UpstreamIncarnation {
+    /// Creates the incarnation of an upstream that started at the given time.
+    pub fn new(instance: InstanceName, started: Option<StartTime>) -> Self {
+        Self { instance, started }
     }
 }
 
-impl fmt::Display for UpstreamLife {
+impl fmt::Display for UpstreamIncarnation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.instance)?;
-        match self.born {
-            Some(born) => write!(f, "+{born}"),
+        match self.started {
+            Some(started) => write!(f, "+{started}"),
             None => Ok(()),
         }
     }
 }
 
-/// Version of the operators' configuration. Newer versions have higher numbers, not always by one.
+/// Version of the operators' configuration. Newer versions have higher numbers, not necessarily consecutive ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ConfigVersion(pub u64);
 
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -1,4 +1,4 @@
-//! The callers' connections: bounds on what they send, the route of each request, its answer.
+//! Callers' connections: enforces limits, routes each request and answers it.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -20,7 +20,7 @@
 use crate::gateway::caller_time::{CallerDistance, CallerTime};
 use crate::gateway::clock::now;
 use crate::gateway::core::{GatewayCore, ServiceState};
-use crate::gateway::http_server::note_accept_error;
+use crate::gateway::http_server::log_accept_error;
 use crate::gateway::metrics::OutcomeLabel;
 use crate::gateway::refusal::RefusalReason;
 use crate::gateway::reply::{CallerReply, refusal};
@@ -31,34 +31,35 @@
 use crate::gateway::stream_activity::{ActivityStream, StreamActivity};
 use crate::quarantine::RequestStanding;
 
-/// Idle and header time of connections while no configuration states them.
-const TIME_ASSUMED: Duration = Duration::from_secs(15);
-/// Least buffer that the HTTP library takes for a request's head, in bytes.
-const HEAD_BUFFER_LEAST: usize = 8_192;
-/// Buffer for a request's head while no configuration states its limit, in bytes.
-const HEAD_BUFFER_ASSUMED: usize = 64 * 1024;
+/// Idle and header timeout of connections until a configuration states them.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
+/// Smallest buffer that the HTTP library accepts for a request head, in bytes.
+const MIN_HEAD_BUFFER_BYTES: usize = 8_192;
+/// Buffer for a request head until a configuration states its limit, in bytes.
+const DEFAULT_HEAD_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Longest wait of a caller that is counted, in milliseconds: a longer one is a mistake that must not overflow a time.
-const LONGEST_WAIT_MS: f64 = 86_400_000.0;
+/// Upper bound on the wait that a caller states, in milliseconds. A longer wait is a mistake and could overflow a
+/// timestamp.
+const MAX_WAIT_MS: f64 = 86_400_000.0;
 
-/// Takes callers' connections until the future is dropped.
+/// Accepts callers' connections until the future is dropped.
 pub async fn serve_callers(core: Rc<GatewayCore>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _peer)) => {
                 tokio::task::spawn_local(serve_stream(Rc::clone(&core), stream));
             }
-            Err(error) => note_accept_error(&error).await,
+            Err(error) => log_accept_error(&error).await,
         }
     }
 }
 
-/// Why a connection is ended from this side.
+/// Reason for closing a connection from this side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StreamEnd {
-    /// It has been idle for too long.
+enum CloseReason {
+    /// The connection was idle for too long.
     Idle,
-    /// A request's head has been coming in for too long.
+    /// Receiving a request head took too long.
     SlowHead,
 }
 
@@ -68,13 +69,13 @@
         return;
     }
     let limits = core.table().map(|table| table.limits());
-    let head = limits.map_or(HEAD_BUFFER_ASSUMED, |limits| limits.header_bytes);
+    let head = limits.map_or(DEFAULT_HEAD_BUFFER_BYTES, |limits| limits.header_bytes);
     let activity = Rc::new(StreamActivity {
         distance: CallerDistance::measure(&stream),
-        new: Cell::new(true),
+        awaiting_first: Cell::new(true),
         busy: Cell::new(false),
-        since: Cell::new(now()),
-        head_since: Cell::new(None),
+        idle_since: Cell::new(now()),
+        head_started: Cell::new(None),
         decided: Cell::new(None),
         lag: Rc::clone(&core.lag),
     });
@@ -86,12 +87,14 @@
             let activity = Rc::clone(&activity);
             async move {
                 activity.busy.set(true);
-                activity.head_since.set(None);
-                let time = activity.distance.request(activity.new.replace(false));
+                activity.head_started.set(None);
+                let time = activity
+                    .distance
+                    .for_request(activity.awaiting_first.replace(false));
                 let (reply, decided) = answer(&core, request, time).await;
                 activity.decided.set(decided);
                 activity.busy.set(false);
-                activity.since.set(now());
+                activity.idle_since.set(now());
                 Ok::<_, Infallible>(reply)
             }
         }
@@ -100,7 +103,7 @@
     builder
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(head.max(HEAD_BUFFER_LEAST));
+        .max_buf_size(head.max(MIN_HEAD_BUFFER_BYTES));
     let stream = ActivityStream::new(stream, Rc::clone(&activity));
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
@@ -112,10 +115,10 @@
                 }
                 return;
             }
-            end = wait_end(&core, &activity) => match end {
-                StreamEnd::Idle => connection.as_mut().graceful_shutdown(),
-                StreamEnd::SlowHead => {
-                    log::info!(target: "ebonyfork::decision", "caller connection ended: its request's head took too long");
+            end = wait_close_reason(&core, &activity) => match end {
+                CloseReason::Idle => connection.as_mut().graceful_shutdown(),
+                CloseReason::SlowHead => {
+                    log::info!(target: "ebonyfork::decision", "caller connection closed: timeout while receiving a request head");
                     return;
                 }
             }
@@ -123,35 +126,35 @@
     }
 }
 
-/// Returns when a connection has been idle, or a request's head has been coming in, for longer than the configuration in
-/// force allows.
-async fn wait_end(core: &GatewayCore, activity: &StreamActivity) -> StreamEnd {
-    /// Time between two looks at a connection.
-    const LOOK: Duration = Duration::from_secs(1);
+/// Waits until a connection exceeds the idle or header timeout of the configuration in force. Returns which.
+async fn wait_close_reason(core: &GatewayCore, activity: &StreamActivity) -> CloseReason {
+    /// Time between two checks of a connection.
+    const CHECK_PERIOD: Duration = Duration::from_secs(1);
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_PERIOD).await;
         if activity.busy.get() {
             continue;
         }
         let limits = core.table().map(|table| table.limits());
-        let (head_time, idle_time) = limits.map_or((TIME_ASSUMED, TIME_ASSUMED), |limits| {
-            (limits.header_time, limits.idle_time)
-        });
-        let passed = |since: Instant| now().saturating_duration_since(since);
+        let (header_timeout, idle_timeout) = limits
+            .map_or((DEFAULT_TIMEOUT, DEFAULT_TIMEOUT), |limits| {
+                (limits.header_timeout, limits.idle_timeout)
+            });
+        let elapsed = |since: Instant| now().saturating_duration_since(since);
         if activity
-            .head_since
+            .head_started
             .get()
-            .is_some_and(|since| passed(since) > head_time)
+            .is_some_and(|since| elapsed(since) > header_timeout)
         {
-            return StreamEnd::SlowHead;
+            return CloseReason::SlowHead;
         }
-        if passed(activity.since.get()) > idle_time {
-            return StreamEnd::Idle;
+        if elapsed(activity.idle_since.get()) > idle_timeout {
+            return CloseReason::Idle;
         }
     }
 }
 
-/// Answers one request and writes its log line; also returns when a gathered answer was decided on.
+/// Answers one request and logs it. Also returns when a gathered answer was decided on.
 async fn answer(
     core: &Rc<GatewayCore>,
     request: Request<Incoming>,
@@ -159,9 +162,9 @@
 ) -> (CallerReply, Option<Instant>) {
     let received = now();
     let (parts, body) = request.into_parts();
-    let flight = core.flights.hold();
-    let mut story = RequestStory::new(core, &parts, received);
-    let report = match handle(core, parts, body, (received, time), &mut story).await {
+    let in_flight = core.in_flight.enter();
+    let mut request_log = RequestLog::new(core, &parts, received);
+    let report = match handle(core, parts, body, (received, time), &mut request_log).await {
         Ok(report) => report,
         Err(reason) => RunReport {
             reply: refusal(reason),
@@ -171,26 +174,26 @@
         },
     };
     let mut reply = report.reply;
-    reply.body_mut().hold(flight);
+    reply.body_mut().hold_in_flight(in_flight);
     if core.state() != ServiceState::Serving {
-        // The caller is to ask anew which VMs to use.
+        // Makes the caller look up again which VMs to use.
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(header::CONNECTION, close);
     }
-    story.end(report.outcome, &report.detail, reply.status().as_u16());
+    request_log.finish(report.outcome, &report.detail, reply.status().as_u16());
     (reply, report.decided)
 }
 
-/// What is logged of a request, also when its caller leaves before the answer.
-struct RequestStory {
+/// Logs a request once, also if its caller disconnects before the answer.
+struct RequestLog {
     core: Rc<GatewayCore>,
     id: CompactString,
     route: CompactString,
     received: Instant,
-    ended: bool,
+    logged: bool,
 }
 
-impl RequestStory {
+impl RequestLog {
     fn new(core: &Rc<GatewayCore>, parts: &Parts, received: Instant) -> Self {
         let id = parts.headers.get(&core.dialect.names.request_id);
         let id = id.and_then(|id| id.to_str().ok()).unwrap_or("-");
@@ -199,16 +202,16 @@
             id: CompactString::new(id),
             route: CompactString::const_new("-"),
             received,
-            ended: false,
+            logged: false,
         }
     }
 
-    fn note_route(&mut self, route: &RouteEntry, table: &RouteTable) {
+    fn set_route(&mut self, route: &RouteEntry, table: &RouteTable) {
         self.route = format_compact!("{} version={}", route.name, table.version());
     }
 
-    fn end(mut self, word: &'static str, detail: &str, status: u16) {
-        self.ended = true;
+    fn finish(mut self, word: &'static str, detail: &str, status: u16) {
+        self.logged = true;
         let took = now().saturating_duration_since(self.received);
         let metrics = &self.core.metrics;
         metrics.requests.get_or_create(&OutcomeLabel(word)).inc();
@@ -221,9 +224,9 @@
     }
 }
 
-impl Drop for RequestStory {
+impl Drop for RequestLog {
     fn drop(&mut self) {
-        if self.ended {
+        if self.logged {
             return;
         }
         self.core.metrics.abandoned.inc();
@@ -241,7 +244,7 @@
     parts: Parts,
     body: Incoming,
     (received, time): (Instant, CallerTime),
-    story: &mut RequestStory,
+    request_log: &mut RequestLog,
 ) -> Result<RunReport, RefusalReason> {
     let table = core.table().ok_or(RefusalReason::NoConfig)?;
     if head_bytes(&parts) > table.limits().header_bytes {
@@ -249,9 +252,9 @@
     }
     let host = request_host(&parts).ok_or(RefusalReason::Malformed)?;
     let route = table.find(&host, parts.uri.path()).map(Rc::clone);
-    let route = route.ok_or_else(|| core.no_route())?;
-    story.note_route(&route, &table);
-    if core.state() == ServiceState::Finishing {
+    let route = route.ok_or_else(|| core.no_route_reason())?;
+    request_log.set_route(&route, &table);
+    if core.state() == ServiceState::Draining {
         return Err(RefusalReason::Stopping);
     }
     check_route(core, &table, &route).await?;
@@ -260,7 +263,7 @@
     let id = id.ok_or(RefusalReason::Malformed)?;
     let stated = caller_wait(core, &parts)?;
     let latency = core.latency(&route);
-    let before = stated.and_then(|wait| latency.borrow_mut().waits.note(wait, received));
+    let before = stated.and_then(|wait| latency.borrow_mut().waits.record(wait, received));
     let wait = stated.map_or(route.timeout, |wait| wait.min(route.timeout));
     let finish_by = received + wait;
     let body = read_body(body, table.limits().body_bytes, finish_by).await?;
@@ -270,15 +273,15 @@
     if standing == RequestStanding::Quarantined {
         return Err(RefusalReason::Quarantined);
     }
-    let target = run_target(core, &route)?;
+    let target = select_target(core, &route)?;
     Ok(run_request(core, &route, target, Rc::new(request), standing).await)
 }
 
-/// Length of a request's head on the wire, in bytes.
+/// Returns the length of a request head on the wire, in bytes.
 fn head_bytes(parts: &Parts) -> usize {
-    /// The spaces, the version and the line ends around method and target, and the empty line.
+    /// Spaces, HTTP version and line end of the request line, and the empty line that ends the head.
     const LINE: usize = " ".len() + " HTTP/1.1\r\n".len() + "\r\n".len();
-    /// What stands around the name and the value of a header.
+    /// Separator and line end of a header.
     const HEADER: usize = ": ".len() + "\r\n".len();
     let target = parts
         .uri
@@ -289,19 +292,19 @@
     parts.method.as_str().len() + target + LINE + headers.sum::<usize>()
 }
 
-/// The host that a request is for.
+/// Returns the host of a request; `None` if it is missing or ambiguous.
 fn request_host(parts: &Parts) -> Option<CompactString> {
     if let Some(host) = parts.uri.host() {
         return Some(CompactString::new(host));
     }
     let mut stated = parts.headers.get_all(header::HOST).iter();
     let host = stated.next()?.to_str().ok()?;
-    // Two hosts could mean two routes.
+    // Two hosts could select two different routes.
     let single = stated.next().is_none() && parts.version <= Version::HTTP_11;
     single.then(|| CompactString::new(host))
 }
 
-/// How long the caller will wait, if it says so.
+/// Returns how long the caller will wait, if it states so.
 fn caller_wait(core: &GatewayCore, parts: &Parts) -> Result<Option<Duration>, RefusalReason> {
     let Some(stated) = parts.headers.get(&core.dialect.names.deadline) else {
         return Ok(None);
@@ -313,7 +316,7 @@
     let millis = stated.filter(|millis| millis.is_finite() && *millis >= 0.0);
     let millis = millis.ok_or(RefusalReason::Malformed)?;
     Ok(Some(Duration::from_secs_f64(
-        millis.min(LONGEST_WAIT_MS) / 1_000.0,
+        millis.min(MAX_WAIT_MS) / 1_000.0,
     )))
 }
 
@@ -333,22 +336,22 @@
             Err(RefusalReason::TooLarge)
         }
         Err(error) => {
-            log::debug!("caller body: {error}");
+            log::debug!("caller body not received: {error}");
             Err(RefusalReason::Malformed)
         }
     }
 }
 
-fn run_target(core: &GatewayCore, route: &RouteEntry) -> Result<RunTarget, RefusalReason> {
+fn select_target(core: &GatewayCore, route: &RouteEntry) -> Result<RunTarget, RefusalReason> {
     match &route.destination {
         RouteTarget::One(service) => Ok(RunTarget::One(service.clone())),
         RouteTarget::Gather(terms) => Ok(RunTarget::Gather(terms.clone())),
         RouteTarget::Weighted(parts) => {
-            let at_home = core.parts_at_home(route, parts);
-            if at_home.is_empty() {
+            let home_services = core.home_services(route, parts);
+            if home_services.is_empty() {
                 return Err(RefusalReason::NotAtHome);
             }
-            let picked = core.shares.pick(&route.name, &at_home);
+            let picked = core.round_robin.pick(&route.name, &home_services);
             picked.map(RunTarget::One).ok_or(RefusalReason::NoUpstream)
         }
     }
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -1,8 +1,8 @@
-//! A small model of upstreams and VMs in virtual time that drives the decisions of the gateway under load: which upstream
-//! gets a shard, what is sent again, what is hedged, when a query ends. No sockets, no tasks; one seed gives one course.
+//! A small discrete-event model of upstreams and VMs in virtual time. It exercises the gateway's decisions under load:
+//! which upstream gets a shard, what is retried or hedged, and when a query ends. It uses no sockets and no tasks; a
+//! run is determined by its seed.
 //!
-//! It replays what was seen to go wrong, over deployments drawn at random, so that a limit that suits one deployment only
-//! shows here.
+//! It replays observed failures over randomly drawn deployments, to reveal limits that only suit one deployment.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -23,66 +23,66 @@
 use crate::gateway::settings::{NodePlace, PlaceDistance};
 use crate::gateway::upstream::Upstream;
 
-/// One way between two regions.
-const FAR_WAY: Duration = Duration::from_millis(12);
-/// One way inside a zone.
-const NEAR_WAY: Duration = Duration::from_micros(100);
-/// Requests that wait at an upstream before it declines further ones.
-const QUEUE: usize = 12;
-/// Requests that an upstream runs side by side.
+/// One-way latency between two regions.
+const INTER_REGION_LATENCY: Duration = Duration::from_millis(12);
+/// One-way latency within a zone.
+const INTRA_ZONE_LATENCY: Duration = Duration::from_micros(100);
+/// Number of requests queued at an upstream from which it declines further ones.
+const MAX_QUEUED: usize = 12;
+/// Number of requests that an upstream runs concurrently.
 const SLOTS: usize = 2;
-/// Least time between two looks at an attempt.
-const LEAST_STEP: Duration = Duration::from_millis(1);
-/// Sends of one shard.
-const SENDS: usize = 4;
+/// Shortest time between two hedging checks of an attempt.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(1);
+/// Largest number of attempts per shard.
+const MAX_ATTEMPTS: usize = 4;
 
-/// What is wrong with an upstream.
+/// Fault of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ModelFault {
-    /// It declines this share of its requests.
+    /// Declines this fraction of the requests.
     Declines(f64),
-    /// Its requests take this many times as long.
+    /// Takes this many times as long for a request.
     Slow(f64),
-    /// It answers this share of its requests with a break of the connection, after running them.
+    /// Closes the connection instead of answering this fraction of the requests, after running them.
     Breaks(f64),
 }
 
-/// A fault of some of the upstreams for some seconds.
+/// Fault of some of the upstreams for a period of time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultPhase {
-    /// From which second on.
+    /// First second of the fault.
     pub from: u64,
-    /// Until which second.
+    /// Second at which the fault has ended.
     pub until: u64,
-    /// Of each shard's upstreams, the one with this number has the fault; `None` for a drawn eighth of all.
+    /// Index of the faulty upstream within each shard; `None` for a randomly drawn eighth of all upstreams.
     pub replica: Option<usize>,
-    /// What it is.
+    /// The fault.
     pub fault: ModelFault,
 }
 
-/// A deployment.
+/// Parameters of a deployment.
 #[derive(Debug, Clone, Copy)]
 pub struct ModelDeployment {
     shards: usize,
     vms: usize,
-    work: Duration,
+    service_time: Duration,
     target: Duration,
-    /// Queries a second over the capacity of the upstreams.
+    /// Query rate as a fraction of the upstreams' capacity.
     demand: f64,
     budget: RetryBudgetConfig,
 }
 
 impl ModelDeployment {
-    /// Draws one; `demand` is the share of the upstreams' capacity that is asked for.
+    /// Draws a deployment; `demand` is the query rate as a fraction of the upstreams' capacity.
     pub fn draw(seed: u64, demand: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let vms = rng.random_range(4..=12_usize);
-        let work = Duration::from_millis(rng.random_range(4..=14));
+        let service_time = Duration::from_millis(rng.random_range(4..=14));
         Self {
             shards: rng.random_range(10..=30),
             vms,
-            work,
-            target: work * rng.random_range(9..=14) + FAR_WAY * 2,
+            service_time,
+            target: service_time * rng.random_range(9..=14) + INTER_REGION_LATENCY * 2,
             demand,
             budget: RetryBudgetConfig {
                 ratio: 0.2,
@@ -92,35 +92,36 @@
         }
     }
 
-    /// Fewest shards in an answer.
-    fn least(&self) -> usize {
+    /// Returns the smallest number of shards in an answer.
+    fn min_shards(&self) -> usize {
         (self.shards as f64 * 0.89).ceil() as usize
     }
 
-    /// Queries a second.
+    /// Returns the query rate, in queries per second.
     fn rate(&self) -> f64 {
-        self.demand * (2 * SLOTS) as f64 / self.work.as_secs_f64()
+        self.demand * (2 * SLOTS) as f64 / self.service_time.as_secs_f64()
     }
 }
 
-/// What became of the queries of a span.
+/// Value of the queries that began in a period of time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ReplayReport {
-    /// Queries that began.
+    /// Number of queries that began.
     pub queries: f64,
-    /// Worth earned: the square of the coverage of answers in time, a tenth of it for late ones.
-    pub earned: f64,
+    /// Sum of the values of the answers. An answer in time is worth the square of its coverage, a late one a tenth of
+    /// that.
+    pub value: f64,
 }
 
 impl ReplayReport {
-    /// Worth earned of what was owed.
-    pub fn worth(&self) -> f64 {
-        self.earned / self.queries
+    /// Returns the mean value of a query.
+    pub fn mean_value(&self) -> f64 {
+        self.value / self.queries
     }
 }
 
 struct ModelServer {
-    /// When each slot is free.
+    /// Time at which each slot becomes free.
     free: [Instant; SLOTS],
     waiting: Vec<Instant>,
 }
@@ -145,7 +146,7 @@
     vm: usize,
     began: Instant,
     state: GatherState,
-    /// Which upstreams of each shard got an attempt.
+    /// Whether an attempt was sent to each upstream of each shard.
     sent: Vec<[bool; 2]>,
     done: bool,
 }
@@ -155,32 +156,32 @@
     Begin,
     Answer(usize),
     Fail(usize),
-    Look(usize),
+    CheckHedge(usize),
     Decide(usize),
 }
 
-/// One course of a pattern on a deployment.
+/// Replay of a fault pattern on a deployment.
 pub struct LoadReplay {
     deployment: ModelDeployment,
     phases: Vec<FaultPhase>,
     rng: ChaCha8Rng,
     start: Instant,
     events: BinaryHeap<Reverse<(Instant, u64, ModelEvent)>>,
-    numbers: u64,
+    event_count: u64,
     servers: Vec<[ModelServer; 2]>,
-    struck: Vec<[bool; 2]>,
+    drawn_faulty: Vec<[bool; 2]>,
     vms: Vec<ModelVm>,
     queries: Vec<ModelQuery>,
     attempts: Vec<ModelAttempt>,
-    /// Times of repeats of each shard.
+    /// Times of the retries and hedges of each shard.
     pub repeats: Vec<Vec<Instant>>,
-    /// What each second's queries earned.
+    /// Value of the queries that began in each second.
     pub seconds: Vec<ReplayReport>,
 }
 
 impl LoadReplay {
-    /// Plays a pattern for some seconds.
-    pub fn play(
+    /// Replays a pattern for some seconds.
+    pub fn run(
         deployment: ModelDeployment,
         phases: impl Into<Vec<FaultPhase>>,
         seconds: usize,
@@ -196,7 +197,7 @@
             .map(|_| [server(), server()])
             .collect();
         let drawn = |rng: &mut ChaCha8Rng| rng.random_bool(0.125);
-        let struck = (0..deployment.shards)
+        let drawn_faulty = (0..deployment.shards)
             .map(|_| [drawn(&mut rng), drawn(&mut rng)])
             .collect();
         let vms = (0..deployment.vms)
@@ -208,9 +209,9 @@
             rng,
             start,
             events: BinaryHeap::new(),
-            numbers: 0,
+            event_count: 0,
             servers,
-            struck,
+            drawn_faulty,
             vms,
             queries: Vec::new(),
             attempts: Vec::new(),
@@ -228,29 +229,29 @@
         replay
     }
 
-    /// The bound on repeats.
+    /// Returns the terms of the retry budget.
     pub fn terms(&self) -> RetryBudgetConfig {
         self.deployment.budget
     }
 
-    /// When it began.
+    /// Returns the time at which the replay began.
     pub fn start(&self) -> Instant {
         self.start
     }
 
-    /// Worth earned in a span of seconds.
-    pub fn worth(&self, seconds: std::ops::Range<usize>) -> f64 {
+    /// Returns the mean value of the queries that began in a range of seconds.
+    pub fn mean_value(&self, seconds: std::ops::Range<usize>) -> f64 {
         let mut sum = ReplayReport::default();
         for second in &self.seconds[seconds] {
             sum.queries += second.queries;
-            sum.earned += second.earned;
+            sum.value += second.value;
         }
-        sum.worth()
+        sum.mean_value()
     }
 
     fn push(&mut self, at: Instant, event: ModelEvent) {
-        self.numbers += 1;
-        self.events.push(Reverse((at, self.numbers, event)));
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 
     fn second(&self, at: Instant) -> usize {
@@ -263,8 +264,8 @@
             ModelEvent::Begin => self.begin(now),
             ModelEvent::Answer(attempt) => self.answer(attempt, now),
             ModelEvent::Fail(attempt) => self.fail(attempt, now),
-            ModelEvent::Look(attempt) => self.look(attempt, now),
-            ModelEvent::Decide(query) => self.judge(query, now),
+            ModelEvent::CheckHedge(attempt) => self.check_hedge(attempt, now),
+            ModelEvent::Decide(query) => self.decide(query, now),
         }
     }
 
@@ -273,14 +274,14 @@
         self.push(now + Duration::from_secs_f64(gap), ModelEvent::Begin);
         let second = self.second(now);
         self.seconds[second].queries += 1.0;
-        let (shards, least) = (self.deployment.shards, self.deployment.least());
+        let (shards, min_shards) = (self.deployment.shards, self.deployment.min_shards());
         let answer_by = now + self.deployment.target;
         let finish_by = now + self.deployment.target * 4;
         let query = self.queries.len();
         self.queries.push(ModelQuery {
             vm: self.rng.random_range(0..self.vms.len()),
             began: now,
-            state: GatherState::new(shards, least, answer_by, finish_by),
+            state: GatherState::new(shards, min_shards, answer_by, finish_by),
             sent: vec![[false; 2]; shards],
             done: false,
         });
@@ -320,13 +321,13 @@
         funded
     }
 
-    /// Sends an attempt: what the upstream makes of it is reckoned at once.
+    /// Sends an attempt. Its outcome at the upstream is computed immediately.
     fn send(&mut self, query: usize, shard: usize, choice: &UpstreamChoice, now: Instant) {
         let near = choice.distance == PlaceDistance::Zone;
-        let (way, kind) = if near {
-            (NEAR_WAY, AttemptKind::Zone)
+        let (one_way, kind) = if near {
+            (INTRA_ZONE_LATENCY, AttemptKind::Zone)
         } else {
-            (FAR_WAY, AttemptKind::Delegated)
+            (INTER_REGION_LATENCY, AttemptKind::Delegated)
         };
         let replica = replica(&choice.upstream);
         choice.upstream.health.borrow_mut().record_start(now);
@@ -343,26 +344,28 @@
             began: now,
             ended: false,
         });
-        let (done, answered) = self.serve(shard, replica, now + way);
+        let (done, answered) = self.serve(shard, replica, now + one_way);
         let event = if answered {
             ModelEvent::Answer(number)
         } else {
             ModelEvent::Fail(number)
         };
-        self.push(done + way, event);
+        self.push(done + one_way, event);
         let vm = &self.vms[self.queries[query].vm];
-        let first_look = HedgeCandidate::next_check_ms(vm.latency.histogram(kind), 0.0);
-        let look = now + Duration::from_secs_f64(first_look / 1_000.0);
-        self.push(look, ModelEvent::Look(number));
+        let first_check_ms = HedgeCandidate::next_check_ms(vm.latency.histogram(kind), 0.0);
+        let check_at = now + Duration::from_secs_f64(first_check_ms / 1_000.0);
+        self.push(check_at, ModelEvent::CheckHedge(number));
     }
 
-    /// When an upstream has done with a request that arrives, and whether it answers.
+    /// Returns when an upstream completes a request that arrives at `at`, and whether it answers it.
     fn serve(&mut self, shard: usize, replica: usize, at: Instant) -> (Instant, bool) {
         let second = at.saturating_duration_since(self.start).as_secs();
-        let struck = self.struck[shard][replica];
+        let drawn_faulty = self.drawn_faulty[shard][replica];
         let in_force = self.phases.iter().filter(|phase| {
             let now = (phase.from..phase.until).contains(&second);
-            now && phase.replica.map_or(struck, |number| number == replica)
+            now && phase
+                .replica
+                .map_or(drawn_faulty, |number| number == replica)
         });
         let faults: Vec<ModelFault> = in_force.map(|phase| phase.fault).collect();
         let (mut factor, mut breaks) = (1.0, false);
@@ -376,19 +379,19 @@
         }
         let spread = self.rng.random_range(0.5..1.5);
         let server = &mut self.servers[shard][replica];
-        server.waiting.retain(|begins| *begins > at);
-        if server.waiting.len() >= QUEUE {
+        server.waiting.retain(|starts_at| *starts_at > at);
+        if server.waiting.len() >= MAX_QUEUED {
             return (at, false);
         }
         let slot = usize::from(server.free[1] < server.free[0]);
-        let begins = server.free[slot].max(at);
-        let ends = begins + self.deployment.work.mul_f64(factor * spread);
-        server.free[slot] = ends;
-        server.waiting.push(begins);
-        (ends, !breaks)
+        let starts_at = server.free[slot].max(at);
+        let ends_at = starts_at + self.deployment.service_time.mul_f64(factor * spread);
+        server.free[slot] = ends_at;
+        server.waiting.push(starts_at);
+        (ends_at, !breaks)
     }
 
-    /// The attempt, if its query still waits for it; notes it as ended.
+    /// Marks an attempt as ended. Returns its query, shard and VM unless it had already ended.
     fn end(&mut self, number: usize) -> Option<(usize, usize, usize)> {
         let attempt = &mut self.attempts[number];
         if std::mem::replace(&mut attempt.ended, true) {
@@ -415,7 +418,7 @@
         let signature = http::HeaderValue::from_static("s");
         let state = &mut self.queries[query].state;
         state.add_part(shard, signature, bytes::Bytes::new());
-        self.judge(query, now);
+        self.decide(query, now);
     }
 
     fn fail(&mut self, number: usize, now: Instant) {
@@ -428,7 +431,7 @@
         health.record_failure(attempt.began, now);
         drop(health);
         self.retry(query, shard, now);
-        self.judge(query, now);
+        self.decide(query, now);
     }
 
     fn retry(&mut self, query: usize, shard: usize, now: Instant) {
@@ -437,16 +440,16 @@
             return;
         }
         let choice = self.choose(query, shard, now);
-        let may = state.ran < SENDS;
+        let attempts_left = state.ran < MAX_ATTEMPTS;
         match choice {
-            Some(choice) if may && self.spend(query, shard, now) => {
+            Some(choice) if attempts_left && self.spend(query, shard, now) => {
                 self.send(query, shard, &choice, now);
             }
             _ => self.queries[query].state.fail(shard),
         }
     }
 
-    fn look(&mut self, number: usize, now: Instant) {
+    fn check_hedge(&mut self, number: usize, now: Instant) {
         let attempt = &self.attempts[number];
         let (query, shard, kind) = (attempt.query, attempt.shard, attempt.kind);
         let state = &self.queries[query].state;
@@ -459,7 +462,7 @@
         let left_ms = left.map(|until| millis(until.saturating_duration_since(now)));
         let latency = &self.vms[self.queries[query].vm].latency;
         let next = HedgeCandidate::next_check_ms(latency.histogram(kind), waited_ms);
-        let look = attempt.began + Duration::from_secs_f64(next / 1_000.0);
+        let check_at = attempt.began + Duration::from_secs_f64(next / 1_000.0);
         let Some(choice) = self.choose(query, shard, now) else {
             return;
         };
@@ -475,15 +478,18 @@
             other_slowness: choice.slowness,
             known_late: false,
         };
-        let worth = question.is_worthwhile() && replica(&choice.upstream) != attempt.replica;
-        // Rounded to nanoseconds the next look may lie at this one.
-        self.push(look.max(now + LEAST_STEP), ModelEvent::Look(number));
-        if worth && self.spend(query, shard, now) {
+        let hedge = question.is_worthwhile() && replica(&choice.upstream) != attempt.replica;
+        // When rounded to nanoseconds, the next check may coincide with this one.
+        self.push(
+            check_at.max(now + MIN_CHECK_INTERVAL),
+            ModelEvent::CheckHedge(number),
+        );
+        if hedge && self.spend(query, shard, now) {
             self.send(query, shard, &choice, now);
         }
     }
 
-    fn judge(&mut self, number: usize, now: Instant) {
+    fn decide(&mut self, number: usize, now: Instant) {
         let query = &mut self.queries[number];
         if query.done {
             return;
@@ -494,10 +500,10 @@
         query.done = true;
         let coverage = query.state.answered() as f64 / query.state.shards().len() as f64;
         let late = now > query.began + self.deployment.target;
-        let full = if late { 0.1 } else { 1.0 };
+        let timeliness = if late { 0.1 } else { 1.0 };
         if matches!(end, GatherEnd::Whole | GatherEnd::Partial) {
             let second = self.second(self.queries[number].began);
-            self.seconds[second].earned += coverage * coverage * full;
+            self.seconds[second].value += coverage * coverage * timeliness;
         }
     }
 }
@@ -506,12 +512,12 @@
     UpstreamService::new(format!("s{shard}"))
 }
 
-/// Which of its shard's upstreams one is.
+/// Returns the index of an upstream within its shard.
 fn replica(upstream: &Upstream) -> usize {
     usize::from(upstream.entry().instance.as_str() == "b")
 }
 
-/// A VM in one of two regions; each shard has an upstream in both.
+/// Creates a VM in one of two regions. Each shard has an upstream in both.
 fn model_vm(deployment: &ModelDeployment, number: usize, now: Instant) -> ModelVm {
     let mut place = place();
     if number % 2 == 1 {
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -62,12 +62,12 @@
 fn leaving_and_disallowed_upstreams_are_skipped() {
     let now = Instant::now();
     let candidates = [upstream("a", "north-a", now), upstream("b", "north-a", now)];
-    candidates[0].leave();
+    candidates[0].mark_leaving();
     for _ in 0..8 {
         expect_that!(chosen(&candidates, now), some(eq("b")));
     }
     let latency = RouteLatency::default();
-    let allowed = |_: &Upstream, life: &UpstreamLife| life.instance.as_str() == "a";
+    let allowed = |_: &Upstream, life: &UpstreamIncarnation| life.instance.as_str() == "a";
     let none = choose_upstream(&candidates, allowed, &place(), &latency, now);
     expect_that!(none.is_none(), eq(true));
 }
--- a/crates/ebonyfork/src/gateway/register.rs
+++ b/crates/ebonyfork/src/gateway/register.rs
@@ -1,7 +1,8 @@
-//! Keeps this VM's own entry in the store: under a lease, so that it vanishes with the process.
+//! Keeps this VM's entry in the store under a lease, so that the entry disappears with the process.
 //!
-//! A store that comes back from an older copy may hold neither, and may have given the lease's number to somebody else. So
-//! an entry counts for the era in which it was written, and is written again under a new lease in the next.
+//! A store that was restored from an older copy may lack both, and may have assigned the lease's number to another
+//! process. The entry is therefore only valid in the era in which it was written, and is written again under a new
+//! lease in the next era.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,59 +16,61 @@
 use crate::gateway::vms::VmRecord;
 use crate::store::{Backoff, LeaseId, StoreEra, StoreError, StorePort, StoreWrite, answer_within};
 
-/// How long the entry outlives the process. Gossip notices a dead VM within about 2 s; the lease only cleans up.
+/// How long the entry outlives the process. Gossip detects a dead VM within about 2 s; the lease only cleans up.
 const LEASE_TTL: Duration = Duration::from_secs(12);
-/// Time between two renewals: two may fail before the lease ends.
+/// Time between two renewals. Two renewals may fail before the lease expires.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(4);
-/// Longest wait for one answer.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+/// Longest wait for an answer of the store.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Shortest and longest wait after a failure while there is no entry.
-const RETRY_FIRST: Duration = Duration::from_millis(200);
-const RETRY_LONGEST: Duration = Duration::from_secs(2);
-/// The same while there is one: the lease outlasts some failures, and each call to a store that is away has its price.
-const RENEWAL_RETRY_FIRST: Duration = Duration::from_secs(2);
-const RENEWAL_RETRY_LONGEST: Duration = RENEWAL_PERIOD;
+const MIN_RETRY_WAIT: Duration = Duration::from_millis(200);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
+/// Shortest and longest wait after a failure while there is an entry. The lease survives some failures, and each call
+/// to an unavailable store has a cost.
+const MIN_RENEWAL_RETRY_WAIT: Duration = Duration::from_secs(2);
+const MAX_RENEWAL_RETRY_WAIT: Duration = RENEWAL_PERIOD;
 
-/// Longest wait before the entry is written again in a new era: all VMs hear of it within moments.
+/// Longest wait before the entry is written again in a new era. Spreads the writes, since all VMs learn of the era at
+/// about the same time.
 const NEW_ERA_SPREAD: Duration = Duration::from_secs(1);
 
-/// Keeps the entry of this process.
+/// Maintains the entry of this process.
 #[derive(Debug)]
 pub struct VmRegistration<P> {
     core: Rc<GatewayCore>,
     port: P,
     lease: Rc<Cell<Option<LeaseId>>>,
-    /// The store's era in which the entry was written.
-    written_in: Cell<StoreEra>,
+    /// Era of the store in which the entry was written.
+    written_era: Cell<StoreEra>,
 }
 
 impl<P: StorePort> VmRegistration<P> {
-    /// Makes a registration that has not been written.
+    /// Creates a registration that has not been written yet.
     pub fn new(core: Rc<GatewayCore>, port: P) -> Self {
         Self {
             core,
             port,
             lease: Rc::default(),
-            written_in: Cell::default(),
+            written_era: Cell::default(),
         }
     }
 
-    /// The lease in force, for ending it at a planned stop.
+    /// Returns the current lease, so that a planned shutdown can end it.
     pub fn lease(&self) -> Rc<Cell<Option<LeaseId>>> {
         Rc::clone(&self.lease)
     }
 
-    /// Registers and renews until the future is dropped or a stop begins.
+    /// Registers and renews until the future is dropped or a shutdown begins.
     pub async fn run(self) {
-        let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LONGEST);
+        let mut backoff = Backoff::new(MIN_RETRY_WAIT, MAX_RETRY_WAIT);
         let mut eras = self.core.eras();
-        let mut renewal_backoff = Backoff::new(RENEWAL_RETRY_FIRST, RENEWAL_RETRY_LONGEST);
+        let mut renewal_backoff = Backoff::new(MIN_RENEWAL_RETRY_WAIT, MAX_RENEWAL_RETRY_WAIT);
         while self.core.state() == ServiceState::Serving {
-            match self.keep().await {
+            match self.renew_or_register().await {
                 Ok(()) => {
                     backoff.reset();
                     renewal_backoff.reset();
-                    self.wait_due(&mut eras).await;
+                    self.wait_until_due(&mut eras).await;
                 }
                 Err(error) => {
                     let backoff = match self.lease.get() {
@@ -75,16 +78,19 @@
                         None => &mut backoff,
                     };
                     let wait = backoff.next_wait(&mut rand::rng());
-                    log::info!("registration: {error}; again in {} ms", wait.as_millis());
+                    log::info!(
+                        "registration failed: {error}; retrying in {} ms",
+                        wait.as_millis()
+                    );
                     tokio::time::sleep(wait).await;
                 }
             }
         }
     }
 
-    /// Waits until the lease has to be renewed, or the entry written again because the store is in a new era.
-    async fn wait_due(&self, eras: &mut watch::Receiver<StoreEra>) {
-        let lost = eras.wait_for(|era| *era > self.written_in.get());
+    /// Waits until the lease must be renewed, or the entry must be written again because the store is in a new era.
+    async fn wait_until_due(&self, eras: &mut watch::Receiver<StoreEra>) {
+        let lost = eras.wait_for(|era| *era > self.written_era.get());
         let Ok(Ok(_era)) = tokio::time::timeout(RENEWAL_PERIOD, lost).await else {
             return;
         };
@@ -92,35 +98,35 @@
         tokio::time::sleep(spread).await;
     }
 
-    /// Whether the entry is in the store for all that is known.
+    /// Returns whether the entry is in the store as far as this VM knows.
     fn is_written(&self, key: &CompactString) -> bool {
-        let lost = *self.core.eras().borrow() > self.written_in.get();
+        let lost = *self.core.eras().borrow() > self.written_era.get();
         !lost && !self.core.vms.is_missing(key)
     }
 
-    /// Renews the lease, or opens one and writes the entry under it.
-    async fn keep(&self) -> Result<(), StoreError> {
+    /// Renews the lease, or opens a new one and writes the entry under it.
+    async fn renew_or_register(&self) -> Result<(), StoreError> {
         let key = (self.core.dialect.vm_key)(self.core.settings.listen.callers);
         if let Some(lease) = self.lease.get()
             && self.is_written(&key)
         {
-            match answer_within(ANSWER_TIME, self.port.renew_lease(lease)).await {
+            match answer_within(STORE_TIMEOUT, self.port.renew_lease(lease)).await {
                 Err(StoreError::LeaseEnded) => self.lease.set(None),
                 other => return other,
             }
         }
         let known = *self.core.eras().borrow();
-        let grant = answer_within(ANSWER_TIME, self.port.open_lease(LEASE_TTL)).await?;
+        let grant = answer_within(STORE_TIMEOUT, self.port.open_lease(LEASE_TTL)).await?;
         let write = StoreWrite {
             key,
             value: self.record()?,
             expected: None,
             lease: Some(grant.lease),
         };
-        let revision = answer_within(ANSWER_TIME, self.port.write(write)).await?;
+        let revision = answer_within(STORE_TIMEOUT, self.port.write(write)).await?;
         self.lease.set(Some(grant.lease));
-        // One that states a lower era than it did counts as of the known one.
-        self.written_in.set(revision.era().max(known));
+        // If the store reports an era lower than the known one, the entry counts as written in the known one.
+        self.written_era.set(revision.era().max(known));
         self.core.enter_era(revision.era());
         log::info!("registered lease={} revision={revision}", grant.lease);
         Ok(())
@@ -139,7 +145,7 @@
         encoded
             .map(Bytes::from)
             .map_err(|error| StoreError::Malformed {
-                reason: compact_str::format_compact!("own record: {error}"),
+                reason: compact_str::format_compact!("own record can't be encoded: {error}"),
             })
     }
 }
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -1,9 +1,10 @@
-//! All upstreams that are registered, by service.
+//! Registered upstreams, indexed by service.
 //!
-//! Entries come from the store's mirror. While the store is away nothing is known about who lives; the last picture is
-//! kept, and an upstream that is gone is found out by its connections. When the store is back, entries that lapsed
-//! meanwhile return within about two seconds, so an entry that is missing is kept for that long. A store that comes back
-//! from an older copy may lack an evacuation that it had acknowledged: that stays in force until it has been written again.
+//! Entries come from the store's mirror. While the store is unavailable, nothing is known about which upstreams are
+//! alive: the last known entries are kept, and connections reveal the upstreams that are gone. Once the store is back,
+//! entries that expired in the meantime reappear within about two seconds, so a missing entry is kept for that long. A
+//! store that was restored from an older copy may lack an evacuation that it had acknowledged. The evacuation stays in
+//! force until it has been written again.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -14,45 +15,46 @@
 use smallvec::SmallVec;
 use tokio::sync::Notify;
 
-use crate::gateway::ident::{PlaceName, UpstreamLife, UpstreamService};
+use crate::gateway::ident::{PlaceName, UpstreamIncarnation, UpstreamService};
 use crate::gateway::upstream::{Upstream, UpstreamEntry};
 
-/// How long after the store's return a missing entry is kept. Upstreams that live are back after about 2 s.
-const RETURN_TIME: Duration = Duration::from_millis(2_300);
-/// How long after the first read most upstreams are likely to be there: they come back evenly, and with two or three of
-/// each shard half of the time brings three quarters of the shards.
-const LIKELY_TIME: Duration = Duration::from_millis(1_150);
+/// How long after the store's return a missing entry is kept. Upstreams that are alive have registered again after
+/// about 2 s.
+const RETURN_GRACE: Duration = Duration::from_millis(2_300);
+/// Time after the first read by which most upstreams are likely to have registered. They return evenly, so with two or
+/// three replicas per shard half of [`RETURN_GRACE`] brings back three quarters of the shards.
+const LIKELY_RETURN_TIME: Duration = Duration::from_millis(1_150);
 
-/// How long an evacuation stays in force that a store lacks which came back from an older copy. The operators write it
-/// again within seconds; one that they had taken back just before ends with this time.
-const EVACUATION_KEPT: Duration = Duration::from_secs(10);
+/// How long an evacuation stays in force after a store restored from an older copy has lost it. The operators write it
+/// again within seconds. An evacuation that they had ended just before the loss ends after this time.
+const LOST_EVACUATION_GRACE: Duration = Duration::from_secs(10);
 
-/// How long it is remembered which lives have left: longer than a copy from which the store comes back is old.
-const DEPARTED_REMEMBERED: Duration = Duration::from_mins(1);
-/// How long an entry is withheld that came back with an older copy though its upstream had left: the store lets an entry
-/// lapse after three heartbeats of silence, 3.6 s where they are stated.
-const WITHHELD_TIME: Duration = Duration::from_secs(5);
+/// How long departed incarnations are remembered. Must exceed the age of any copy from which the store is restored.
+const DEPARTED_RETENTION: Duration = Duration::from_mins(1);
+/// How long an entry is withheld that an older copy of the store brought back after its upstream had left. The store
+/// expires an entry after three missed heartbeats, 3.6 s where the heartbeat interval is stated.
+const WITHHOLD_TIME: Duration = Duration::from_secs(5);
 
-/// While upstreams may still come that the first read of the store lacked.
+/// Period after the first read of the store during which upstreams that it lacked may still register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettlingTime {
-    /// When most of them are likely to be there.
+    /// Time by which most of them are likely to have registered.
     pub likely: Instant,
-    /// When those that are missing count as gone.
+    /// Time from which missing upstreams count as gone.
     pub until: Instant,
 }
 
-/// Some upstreams.
+/// List of upstreams, usually those of one service.
 pub type UpstreamList = SmallVec<[Rc<Upstream>; 4]>;
 
-/// A life of an upstream whose entry was removed.
+/// Incarnation of an upstream whose entry was removed.
 #[derive(Debug)]
-struct DepartedLife {
-    life: UpstreamLife,
+struct DepartedIncarnation {
+    incarnation: UpstreamIncarnation,
     at: Instant,
 }
 
-/// An entry that is not believed yet.
+/// Entry that is not used yet because its upstream had left before the store was restored.
 #[derive(Debug)]
 struct WithheldEntry {
     entry: UpstreamEntry,
@@ -60,35 +62,35 @@
     until: Instant,
 }
 
-/// The upstreams by the key of their entry and by service.
+/// Registered upstreams, by the store key of their entry and by service.
 #[derive(Debug, Default)]
 pub struct UpstreamRegistry {
     entries: RefCell<FxHashMap<CompactString, Rc<Upstream>>>,
     services: RefCell<FxHashMap<UpstreamService, UpstreamList>>,
     /// Entries that are missing since the store came back, with the time at which they count as gone.
     missing: RefCell<FxHashMap<CompactString, Instant>>,
-    /// Until when a missing entry may still come back.
-    returning_until: Cell<Option<Instant>>,
-    /// When the store was first read.
+    /// Time until which a missing entry may still reappear.
+    return_deadline: Cell<Option<Instant>>,
+    /// Time at which the store was first read whole.
     first_read: Cell<Option<Instant>>,
-    /// Availability zones whose upstreams get no new requests; with the time at which that ends if the store has lost the
-    /// evacuation.
+    /// Evacuated availability zones, whose upstreams get no new requests. If the store has lost an evacuation, the
+    /// value is the time at which it ends.
     evacuated: RefCell<FxHashMap<PlaceName, Option<Instant>>>,
-    /// Lives that have left lately.
-    departed: RefCell<FxHashMap<CompactString, DepartedLife>>,
-    /// Entries of such lives that came back with an older copy of the store.
+    /// Incarnations that have left recently, by the store key of their entry.
+    departed: RefCell<FxHashMap<CompactString, DepartedIncarnation>>,
+    /// Entries of departed incarnations that an older copy of the store brought back.
     withheld: RefCell<FxHashMap<CompactString, WithheldEntry>>,
-    /// Told of each entry that is new.
+    /// Notified when an entry is added.
     changed: Notify,
 }
 
 impl UpstreamRegistry {
-    /// Starts without upstreams.
+    /// Creates a registry without upstreams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The upstreams of a service.
+    /// Returns the upstreams of a service.
     pub fn upstreams(&self, service: &UpstreamService) -> UpstreamList {
         let services = self.services.borrow();
         services.get(service).cloned().unwrap_or_default()
@@ -101,13 +103,14 @@
         }
     }
 
-    /// The operators want no new requests in an availability zone. Requests that run there are left to end.
+    /// Evacuates an availability zone on behalf of the operators: its upstreams get no new requests. Requests in flight
+    /// there are allowed to finish.
     pub fn evacuate(&self, zone: &PlaceName) {
         self.evacuated.borrow_mut().insert(zone.clone(), None);
         self.set_evacuated(zone, true);
     }
 
-    /// The store came back from an older copy that lacks an evacuation.
+    /// Keeps an evacuation in force for a limited time because a store restored from an older copy lacks it.
     pub fn keep_evacuated(&self, zone: &PlaceName, now: Instant) {
         let mut evacuated = self.evacuated.borrow_mut();
         let Some(ends) = evacuated.get_mut(zone) else {
@@ -117,11 +120,11 @@
             target: "ebonyfork::decision",
             "zone {zone} kept evacuated: the store has lost the evacuation"
         );
-        *ends = Some(now + EVACUATION_KEPT);
+        *ends = Some(now + LOST_EVACUATION_GRACE);
     }
 
-    /// The zones whose evacuation the store has lost and nobody has written again in time.
-    pub fn ended_evacuations(&self, now: Instant) -> Vec<PlaceName> {
+    /// Returns the zones whose evacuation the store has lost and nobody has written again in time.
+    pub fn lapsed_evacuations(&self, now: Instant) -> Vec<PlaceName> {
         let evacuated = self.evacuated.borrow();
         let ended = evacuated
             .iter()
@@ -129,8 +132,8 @@
         ended.map(|(zone, _ends)| zone.clone()).collect()
     }
 
-    /// The upstreams of an evacuated availability zone may get requests again.
-    pub fn readmit(&self, zone: &PlaceName) {
+    /// Ends an evacuation: the upstreams of the zone may get requests again.
+    pub fn end_evacuation(&self, zone: &PlaceName) {
         self.evacuated.borrow_mut().remove(zone);
         self.set_evacuated(zone, false);
     }
@@ -149,7 +152,7 @@
         );
     }
 
-    /// The zones whose upstreams get no new requests.
+    /// Returns the zones whose upstreams get no new requests.
     #[cfg(test)]
     pub fn evacuated_zones(&self) -> rustc_hash::FxHashSet<PlaceName> {
         self.evacuated.borrow().keys().cloned().collect()
@@ -159,40 +162,40 @@
         self.evacuated.borrow().contains_key(zone)
     }
 
-    /// Notes that the whole store has been read.
-    pub fn note_read(&self, now: Instant) {
+    /// Records that the whole store has been read.
+    pub fn record_read(&self, now: Instant) {
         if self.first_read.get().is_none() {
             self.first_read.set(Some(now));
         }
     }
 
-    /// Whether the store has not been read whole yet.
+    /// Returns whether the store has not been read whole yet.
     pub fn is_first_read(&self) -> bool {
         self.first_read.get().is_none()
     }
 
-    /// Whether upstreams that the first read lacked may still come: the store may have returned from an outage just
-    /// before this process started.
+    /// Returns the settling period if upstreams that the first read lacked may still register: the store may have
+    /// returned from an outage just before this process started.
     pub fn settling(&self, now: Instant) -> Option<SettlingTime> {
         let first = self.first_read.get()?;
         let settling = SettlingTime {
-            likely: first + LIKELY_TIME,
-            until: first + RETURN_TIME,
+            likely: first + LIKELY_RETURN_TIME,
+            until: first + RETURN_GRACE,
         };
         (now < settling.until).then_some(settling)
     }
 
-    /// Returns when an entry has been added.
-    pub async fn wait_change(&self) {
+    /// Waits until an entry is added.
+    pub async fn wait_for_new_entry(&self) {
         self.changed.notified().await;
     }
 
-    /// Notes that the store answers again after an outage.
-    pub fn note_return(&self, now: Instant) {
-        self.returning_until.set(Some(now + RETURN_TIME));
+    /// Records that the store answers again after an outage.
+    pub fn record_store_return(&self, now: Instant) {
+        self.return_deadline.set(Some(now + RETURN_GRACE));
     }
 
-    /// Takes in an entry. `share` is the number of connections that this process may hold to the upstream.
+    /// Adds or updates an entry. `share` is the number of connections that this process may hold to the upstream.
     pub fn put(&self, key: &CompactString, entry: UpstreamEntry, now: Instant, share: usize) {
         self.missing.borrow_mut().remove(key);
         self.withheld.borrow_mut().remove(key);
@@ -202,24 +205,24 @@
         if let Some(known) = known {
             let same = {
                 let before = known.entry();
-                // A crash and a start within one heartbeat show only here: connections, samples and lost requests
-                // of the life before would be taken for those of the new one.
-                before.life() == entry.life()
+                // Detects a crash and restart within one heartbeat interval, which nothing else reveals: connections,
+                // latency samples and lost requests of the previous incarnation must not be attributed to the new one.
+                before.incarnation() == entry.incarnation()
                     && before.address == entry.address
                     && before.service == entry.service
             };
             if same {
-                log_leaving(&known, &entry);
+                log_leaving_change(&known, &entry);
                 known.update(entry, now);
                 known.set_evacuated(evacuated);
                 return;
             }
-            self.take_out(key, "replaced");
+            self.drop_entry(key, "replaced");
         }
         log::info!(
             target: "ebonyfork::decision",
             "upstream add instance={} service={} address={} zone={} leaving={}",
-            entry.life(), entry.service, entry.address, entry.zone, entry.leaving
+            entry.incarnation(), entry.service, entry.address, entry.zone, entry.leaving
         );
         let service = entry.service.clone();
         let upstream = Rc::new(Upstream::new(entry, now, share));
@@ -233,8 +236,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Takes in an entry of a store that has come back from an older copy. What this process has heard of the same life
-    /// since that copy holds: that it leaves, and for a while that it has left.
+    /// Adds or updates an entry from a store restored from an older copy. What this process has since learnt about the
+    /// same incarnation takes precedence: that it is leaving, and for a limited time that it has left.
     pub fn put_restored(
         &self,
         key: &CompactString,
@@ -246,8 +249,8 @@
             self.missing.borrow_mut().remove(key);
             log::info!(
                 target: "ebonyfork::decision",
-                "upstream entry older instance={} heartbeats={} leaving={}: what is known holds",
-                entry.life(), entry.heartbeats, entry.leaving
+                "upstream entry older instance={} heartbeats={} leaving={}: keeping the newer entry",
+                entry.incarnation(), entry.heartbeats, entry.leaving
             );
             return;
         }
@@ -257,84 +260,85 @@
         }
         log::info!(
             target: "ebonyfork::decision",
-            "upstream withheld instance={}: it had left before the store came back older",
-            entry.life()
+            "upstream withheld instance={}: it had left before the store was restored from an older copy",
+            entry.incarnation()
         );
         let withheld = WithheldEntry {
             entry,
             share,
-            until: now + WITHHELD_TIME,
+            until: now + WITHHOLD_TIME,
         };
         self.withheld.borrow_mut().insert(key.clone(), withheld);
     }
 
-    /// Whether the same life has stated something since. Between two statements with the same count of heartbeats the one that
-    /// it leaves holds, since nobody takes that back.
+    /// Returns whether the same incarnation has written a newer entry. If both have the same number of heartbeats, the
+    /// one that is leaving is newer, since no upstream revokes that.
     fn is_older(&self, key: &CompactString, entry: &UpstreamEntry) -> bool {
         let entries = self.entries.borrow();
         let known = entries.get(key).map(|upstream| upstream.entry());
         known.is_some_and(|known| {
             let later = known.heartbeats > entry.heartbeats;
             let leaves = known.heartbeats == entry.heartbeats && known.leaving;
-            known.life() == entry.life() && (later || leaves)
+            known.incarnation() == entry.incarnation() && (later || leaves)
         })
     }
 
     fn has_departed(&self, key: &CompactString, entry: &UpstreamEntry, now: Instant) -> bool {
         let departed = self.departed.borrow();
         departed.get(key).is_some_and(|departed| {
-            let recent = now < departed.at + DEPARTED_REMEMBERED;
-            recent && departed.life == entry.life()
+            let recent = now < departed.at + DEPARTED_RETENTION;
+            recent && departed.incarnation == entry.incarnation()
         })
     }
 
-    /// Takes out an entry that names no upstream any more, whatever the store has been through.
-    pub fn disown(&self, key: &CompactString) {
-        self.take_out(key, "its entry names no upstream");
+    /// Removes an entry that no longer names an upstream, even if missing entries are currently kept.
+    pub fn remove_invalid(&self, key: &CompactString) {
+        self.drop_entry(key, "its entry no longer names an upstream");
     }
 
-    /// Takes in that an entry was removed.
+    /// Handles the removal of an entry from the store.
     pub fn remove(&self, key: &CompactString, now: Instant) {
         self.withheld.borrow_mut().remove(key);
-        let returning = self.returning_until.get().filter(|until| now < *until);
+        let returning = self.return_deadline.get().filter(|until| now < *until);
         if let Some(until) = returning {
-            self.hold(key, until);
+            self.keep_missing(key, until);
             return;
         }
-        self.note_departed(key, now);
-        self.take_out(key, "removed");
+        self.record_departed(key, now);
+        self.drop_entry(key, "removed");
     }
 
-    fn note_departed(&self, key: &CompactString, now: Instant) {
+    fn record_departed(&self, key: &CompactString, now: Instant) {
         let entries = self.entries.borrow();
         let Some(upstream) = entries.get(key) else {
             return;
         };
-        let departed = DepartedLife {
-            life: upstream.entry().life(),
+        let departed = DepartedIncarnation {
+            incarnation: upstream.entry().incarnation(),
             at: now,
         };
         self.departed.borrow_mut().insert(key.clone(), departed);
     }
 
-    fn hold(&self, key: &CompactString, until: Instant) {
+    fn keep_missing(&self, key: &CompactString, until: Instant) {
         if !self.entries.borrow().contains_key(key) || self.missing.borrow().contains_key(key) {
             return;
         }
         log::info!(
             target: "ebonyfork::decision",
-            "upstream held key={key}: its entry may have lapsed while the store was away"
+            "upstream held key={key}: its entry may have expired while the store was unavailable"
         );
         self.missing.borrow_mut().insert(key.clone(), until);
     }
 
-    /// Takes out the entries that have not come back in time, and takes in those that were withheld for long enough.
+    /// Removes the entries that have not reappeared in time and admits those that were withheld for long enough.
     pub fn expire(&self, now: Instant) {
         self.admit_withheld(now);
-        let remembered = |departed: &mut DepartedLife| now < departed.at + DEPARTED_REMEMBERED;
+        let is_retained =
+            |departed: &mut DepartedIncarnation| now < departed.at + DEPARTED_RETENTION;
         self.departed
             .borrow_mut()
-            .retain(|_key, departed| remembered(departed));
+            .retain(|_key, departed| is_retained(departed));
         let missing = self.missing.borrow();
         let due: Vec<_> = missing
             .iter()
@@ -343,7 +347,7 @@
             .collect();
         drop(missing);
         for key in due {
-            self.take_out(&key, "not back after the store's outage");
+            self.drop_entry(&key, "not registered again after the store's outage");
         }
     }
 
@@ -358,17 +362,17 @@
         }
     }
 
-    fn take_out(&self, key: &CompactString, reason: &str) {
+    fn drop_entry(&self, key: &CompactString, reason: &str) {
         self.missing.borrow_mut().remove(key);
         let Some(upstream) = self.entries.borrow_mut().remove(key) else {
             return;
         };
-        upstream.leave();
+        upstream.mark_leaving();
         let entry = upstream.entry();
         log::info!(
             target: "ebonyfork::decision",
             "upstream drop instance={} service={} address={}: {reason}",
-            entry.life(), entry.service, entry.address
+            entry.incarnation(), entry.service, entry.address
         );
         let mut services = self.services.borrow_mut();
         let Some(listed) = services.get_mut(&entry.service) else {
@@ -380,13 +384,13 @@
         }
     }
 
-    /// The number of upstreams.
+    /// Returns the number of upstreams.
     pub fn len(&self) -> usize {
         self.entries.borrow().len()
     }
 }
 
-fn log_leaving(known: &Upstream, entry: &UpstreamEntry) {
+fn log_leaving_change(known: &Upstream, entry: &UpstreamEntry) {
     if known.is_leaving() == entry.leaving {
         return;
     }
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::gateway::fixture::entry;
-use crate::gateway::ident::BirthTime;
+use crate::gateway::ident::StartTime;
 
 const KEY: CompactString = CompactString::const_new("upstreams/i-1");
 
@@ -28,7 +28,7 @@
     let kept = registry.upstreams(&service());
     registry.remove(&KEY, now);
     expect_that!(registry.upstreams(&service()).len(), eq(0));
-    // A request that has chosen it already sees that it leaves.
+    // A request that has already chosen the upstream sees that it is leaving.
     expect_that!(kept[0].is_leaving(), eq(true));
 }
 
@@ -37,7 +37,7 @@
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     registry.put(&KEY, entry("i-1", "s", "north-a", address()), now, 1);
-    registry.note_return(now);
+    registry.record_store_return(now);
     registry.remove(&KEY, now);
     registry.expire(now + ms(2_000));
     expect_that!(registry.upstreams(&service()).len(), eq(1));
@@ -56,7 +56,7 @@
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     registry.put(&KEY, entry("i-1", "s", "north-a", address()), now, 1);
-    registry.note_return(now);
+    registry.record_store_return(now);
     registry.remove(&KEY, now + ms(100));
     registry.expire(now + ms(2_400));
     expect_that!(registry.upstreams(&service()).len(), eq(0));
@@ -88,23 +88,24 @@
     expect_that!(reused[0].entry().instance.as_str(), eq("i-2"));
 }
 
-/// The same name with another start is another life: nothing that was learnt of the one before holds for it.
+/// Guards against attributing health and connections of a previous incarnation to an upstream that restarted under its
+/// name.
 #[gtest]
-fn an_upstream_that_starts_again_under_its_name_is_another_one() {
+fn an_upstream_that_restarts_under_its_name_is_a_new_one() {
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     let mut first = entry("i-1", "s", "north-a", address());
-    first.born = Some(BirthTime(1_000));
+    first.started = Some(StartTime(1_000));
     registry.put(&KEY, first.clone(), now, 1);
     let before = Rc::clone(&registry.upstreams(&service())[0]);
     before.health.borrow_mut().record_failure(now, now);
-    // A heartbeat of the same life changes nothing.
+    // A heartbeat of the same incarnation changes nothing.
     registry.put(&KEY, first.clone(), now, 1);
     expect_that!(
         Rc::ptr_eq(&before, &registry.upstreams(&service())[0]),
         eq(true)
     );
-    first.born = Some(BirthTime(9_000));
+    first.started = Some(StartTime(9_000));
     registry.put(&KEY, first, now, 1);
     let listed = registry.upstreams(&service());
     expect_that!(listed.len(), eq(1));
@@ -114,25 +115,26 @@
 }
 
 #[gtest]
-fn an_entry_that_is_disowned_is_gone_also_while_others_may_return() {
+fn an_invalid_entry_is_removed_even_while_missing_ones_are_kept() {
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     registry.put(&KEY, entry("i-1", "s", "north-a", address()), now, 1);
-    registry.note_return(now);
-    registry.disown(&KEY);
+    registry.record_store_return(now);
+    registry.remove_invalid(&KEY);
     expect_that!(registry.upstreams(&service()).len(), eq(0));
 }
 
-/// An evacuation holds for upstreams that register before and after it, and for those that change their entry.
+/// Guards against evacuations that miss upstreams: one must apply to upstreams that register before and after it, and
+/// to those that change their entry.
 #[gtest]
-fn an_evacuated_zone_gets_no_requests_until_it_is_taken_back() {
+fn an_evacuated_zone_gets_no_requests_until_the_evacuation_ends() {
     let registry = UpstreamRegistry::new();
     let now = Instant::now();
     let address = ([127, 0, 0, 1], 1).into();
     let put = |key: &str, zone: &str| {
         registry.put(&key.into(), entry(key, "s", zone, address), now, 2);
     };
-    let takers = || {
+    let accepting = || {
         let listed = registry.upstreams(&service());
         let taking = listed.iter().filter(|upstream| upstream.takes_requests());
         let mut names: Vec<_> = taking
@@ -147,15 +149,16 @@
     registry.evacuate(&PlaceName::new("nowhere"));
     put("c", "north-a");
     put("a", "north-a");
-    expect_that!(takers(), eq(&["b"]));
+    expect_that!(accepting(), eq(&["b"]));
     registry.evacuate(&PlaceName::new("north-b"));
-    registry.readmit(&PlaceName::new("north-a"));
-    expect_that!(takers(), eq(&["a", "c"]));
-    registry.readmit(&PlaceName::new("north-b"));
-    expect_that!(takers(), eq(&["a", "b", "c"]));
+    registry.end_evacuation(&PlaceName::new("north-a"));
+    expect_that!(accepting(), eq(&["a", "c"]));
+    registry.end_evacuation(&PlaceName::new("north-b"));
+    expect_that!(accepting(), eq(&["a", "b", "c"]));
 }
 
-/// A store that came back from an older copy held an upstream for ready that had said that it leaves.
+/// Guards against a leaving upstream becoming ready again when the store is restored from a copy older than its
+/// announcement.
 #[gtest]
 fn a_leaving_upstream_does_not_return_with_an_older_copy() {
     let now = Instant::now();
@@ -172,19 +175,20 @@
     registry.put(&KEY, leaving.clone(), now, 1);
     registry.put_restored(&KEY, older.clone(), now, 1);
     expect_that!(listed[0].is_leaving(), eq(true), "between two heartbeats");
-    // What it writes itself from then on counts, and so does another life.
+    // Later entries that it writes itself apply, and so do those of another incarnation.
     leaving.leaving = false;
     registry.put(&KEY, leaving, now, 1);
     expect_that!(listed[0].is_leaving(), eq(false));
     let mut next = older;
-    next.born = Some(BirthTime(7));
+    next.started = Some(StartTime(7));
     next.heartbeats = 0;
     registry.put_restored(&KEY, next, now, 1);
     let listed = registry.upstreams(&service());
-    expect_that!(listed[0].entry().born, some(eq(BirthTime(7))));
+    expect_that!(listed[0].entry().started, some(eq(StartTime(7))));
 }
 
-/// The older copy holds the entries of upstreams that have left since; the store lets them lapse in a few seconds.
+/// Guards against sending to upstreams that have left but whose entries reappear when the store is restored from an
+/// older copy. The store expires these entries within a few seconds.
 #[gtest]
 fn an_upstream_that_has_left_does_not_return_with_an_older_copy() {
     let now = Instant::now();
@@ -197,29 +201,29 @@
     expect_that!(listed(), eq(0));
     registry.remove(&KEY, now + ms(4_000));
     registry.expire(now + ms(8_000));
-    expect_that!(listed(), eq(0), "it lapsed");
+    expect_that!(listed(), eq(0), "its entry has expired");
     registry.put_restored(&KEY, gone.clone(), now + ms(9_000), 1);
     registry.expire(now + ms(13_900));
     expect_that!(listed(), eq(0));
     registry.expire(now + ms(14_000));
-    expect_that!(listed(), eq(1), "it has not lapsed, so it lives");
+    expect_that!(listed(), eq(1), "its entry has not expired, so it is alive");
     registry.remove(&KEY, now + ms(20_000));
     registry.put_restored(&KEY, gone.clone(), now + ms(21_000), 1);
     registry.put(&KEY, gone, now + ms(21_100), 1);
     expect_that!(listed(), eq(1), "it has written its entry again");
 }
 
-/// An upstream that fell silent for a while and wrote its entry again has not left: a store that lacks it in one drill and
-/// holds it in the next takes nothing away.
+/// Guards against treating an upstream as departed that was silent for a while and registered again by itself. It must
+/// stay listed when one restored copy of the store lacks its entry and the next one has it.
 #[gtest]
-fn an_upstream_that_came_back_by_itself_is_not_withheld() {
+fn an_upstream_that_registered_again_is_not_withheld() {
     let now = Instant::now();
     let registry = UpstreamRegistry::new();
     let known = entry("i-1", "s", "north-a", address());
     registry.put(&KEY, known.clone(), now, 1);
     registry.remove(&KEY, now);
     registry.put(&KEY, known.clone(), now + ms(1_000), 1);
-    registry.note_return(now + ms(2_000));
+    registry.record_store_return(now + ms(2_000));
     registry.remove(&KEY, now + ms(2_000));
     registry.put_restored(&KEY, known, now + ms(3_000), 1);
     registry.expire(now + ms(4_500));
--- a/crates/ebonyfork/src/gateway/reply_body.rs
+++ b/crates/ebonyfork/src/gateway/reply_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller: whole, or passed on while it still comes in.
+//! Body of an answer to a caller, either buffered whole or streamed while it arrives.
 
 use std::error::Error;
 use std::fmt;
@@ -11,18 +11,19 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep};
 
-use crate::gateway::flight::FlightGuard;
-use crate::gateway::upstream::{HeldLink, Upstream};
+use crate::gateway::flight::InFlightGuard;
+use crate::gateway::upstream::{ActiveLink, Upstream};
 
-/// Why the rest of an answer does not come. The caller's connection ends with it, so that what it has can't look whole.
+/// Error that ends an answer early. It also closes the caller's connection, so that the caller can't take the answer
+/// for complete.
 type BodyError = Box<dyn Error + Send + Sync>;
 
-/// The body of an answer to a caller.
+/// Body of an answer to a caller.
 #[derive(Debug)]
 pub enum ReplyBody {
-    /// All of it is here.
+    /// The complete body.
     Whole(Bytes),
-    /// Its beginning is here.
+    /// The beginning of the body, and the stream of the rest.
     Stream(Box<AnswerStream>),
 }
 
@@ -33,14 +34,14 @@
 }
 
 impl ReplyBody {
-    /// Counts the request as in flight until the body has been passed on.
-    pub fn hold(&mut self, flight: FlightGuard) {
+    /// Counts the request as in flight until a streamed body has been passed on.
+    pub fn hold_in_flight(&mut self, in_flight: InFlightGuard) {
         if let Self::Stream(stream) = self {
-            stream.flight = Some(flight);
+            stream.in_flight = Some(in_flight);
         }
     }
 
-    /// What is here already.
+    /// Returns the part of the body that has been buffered.
     pub fn begun(&self) -> &Bytes {
         match self {
             Self::Whole(bytes) => bytes,
@@ -49,21 +50,22 @@
     }
 }
 
-/// An upstream's answer whose rest is still to come. Dropping it ends the upstream's connection, and its work.
+/// Answer of an upstream whose rest is still arriving. Dropping it closes the upstream's connection, which also cancels
+/// the work at the upstream.
 pub struct AnswerStream {
     begun: Bytes,
     rest: Incoming,
-    /// The connection that carries it; `None` once it was given back.
-    link: Option<HeldLink>,
-    /// Whether the connection takes other requests afterwards.
-    keeps: bool,
-    /// The idle time that the upstream has stated.
-    idle: Option<Duration>,
+    /// Connection that carries the answer; `None` once it has been returned to the pool.
+    link: Option<ActiveLink>,
+    /// Whether the connection can be reused afterwards.
+    reusable: bool,
+    /// Idle timeout of the connection that the upstream has stated.
+    keep_alive: Option<Duration>,
     upstream: Rc<Upstream>,
     /// Longest silence before the answer is given up.
-    patience: Duration,
+    idle_timeout: Duration,
     silence: Pin<Box<Sleep>>,
-    flight: Option<FlightGuard>,
+    in_flight: Option<InFlightGuard>,
 }
 
 impl fmt::Debug for AnswerStream {
@@ -75,70 +77,73 @@
 }
 
 impl AnswerStream {
-    /// Passes on what has `begun`, then the rest as it comes. A silence of `patience` ends it.
+    /// Creates a stream that passes on `begun`, then the rest as it arrives. A silence of `idle_timeout` ends it with
+    /// an error.
     pub fn new(
         (begun, rest): (Bytes, Incoming),
-        held: HeldLink,
+        link: ActiveLink,
         upstream: &Rc<Upstream>,
-        patience: Duration,
+        idle_timeout: Duration,
     ) -> Self {
         Self {
             begun,
             rest,
-            link: Some(held),
-            keeps: false,
-            idle: None,
+            link: Some(link),
+            reusable: false,
+            keep_alive: None,
             upstream: Rc::clone(upstream),
-            patience,
-            silence: Box::pin(tokio::time::sleep(patience)),
-            flight: None,
+            idle_timeout,
+            silence: Box::pin(tokio::time::sleep(idle_timeout)),
+            in_flight: None,
         }
     }
 
-    /// Keeps the connection for other requests afterwards; `idle` is the idle time that the upstream has stated.
+    /// Returns the connection to the pool afterwards; `keep_alive` is the idle timeout that the upstream has stated.
     #[must_use]
-    pub fn with_kept_link(mut self, idle: Option<Duration>) -> Self {
-        self.keeps = true;
-        self.idle = idle;
+    pub fn with_reuse(mut self, keep_alive: Option<Duration>) -> Self {
+        self.reusable = true;
+        self.keep_alive = keep_alive;
         self
     }
 
     fn poll_rest(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match Pin::new(&mut self.rest).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                let next = Instant::now() + self.patience;
+                let next = Instant::now() + self.idle_timeout;
                 self.silence.as_mut().reset(next);
                 if self.rest.is_end_stream() {
-                    self.give_back();
+                    self.release_link();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => {
                 let instance = &self.upstream.entry().instance;
-                log::info!(target: "ebonyfork::decision", "answer of {instance} broke off: {error}");
+                log::info!(target: "ebonyfork::decision", "answer of {instance} ended early: {error}");
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
-                self.give_back();
+                self.release_link();
                 Poll::Ready(None)
             }
             Poll::Pending => {
                 if self.silence.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                let (instance, waited) = (&self.upstream.entry().instance, self.patience);
+                let (instance, waited) = (&self.upstream.entry().instance, self.idle_timeout);
                 log::info!(target: "ebonyfork::decision", "answer of {instance} given up: silent for {waited:?}");
-                Poll::Ready(Some(Err("the upstream has fallen silent".into())))
+                Poll::Ready(Some(Err(
+                    "the upstream sent nothing within the idle timeout".into(),
+                )))
             }
         }
     }
 
-    /// The whole answer has come: its connection takes other requests.
-    fn give_back(&mut self) {
-        if let Some(held) = self.link.take()
-            && self.keeps
+    /// Returns the connection to the pool, since the answer is complete.
+    fn release_link(&mut self) {
+        if let Some(link) = self.link.take()
+            && self.reusable
         {
-            self.upstream.keep(held, self.idle);
+            self.upstream.release(link, self.keep_alive);
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -39,7 +39,7 @@
     route: &RouteEntry,
 ) -> Result<(), RefusalReason> {
     let checks = &core.route_checks;
-    let outdated = core.has_old_config();
+    let outdated = core.may_have_stale_config();
     let (newest, vm) = match checks.freshness(table.version(), &route.name, outdated) {
         RouteFreshness::Current => return Ok(()),
         RouteFreshness::Unknown => return Err(RefusalReason::OldConfig),
@@ -60,7 +60,7 @@
     };
     // Without a response, or with one from a VM that has no newer version, the check is inconclusive.
     let response = response.ok().and_then(Result::ok).unwrap_or_default();
-    let same = response.scope_mark == table.scope_mark(&route.host, &route.prefix);
+    let same = response.scope_mark == table.scope_digest(&route.host, &route.prefix);
     let is_conclusive = response.version >= newest && response.scope_mark.is_some();
     log::info!(
         target: "ebonyfork::decision",
@@ -88,7 +88,7 @@
             let table = core.table();
             let response = table.map(|table| RouteState {
                 version: table.version(),
-                scope_mark: table.scope_mark(&host, &prefix),
+                scope_mark: table.scope_digest(&host, &prefix),
             });
             let response = response.unwrap_or_default();
             let response = RouteCheckMessage::Response {
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -7,8 +7,8 @@
     CallerLimits {
         header_bytes: 16_384,
         body_bytes: 262_144,
-        header_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     }
 }
 
@@ -54,7 +54,7 @@
 }
 
 #[gtest]
-fn the_least_number_of_shards_is_rounded_up() {
+fn the_minimum_number_of_shards_is_rounded_up() {
     let cases = [
         (20, 0.89, 18),
         (20, 0.75, 15),
@@ -65,35 +65,32 @@
         (3, 1.0, 3),
         (10, 0.3, 3),
     ];
-    for (shards, least_coverage, expected) in cases {
+    for (shards, min_coverage, expected) in cases {
         let terms = GatherTerms {
             shards: (0..shards)
                 .map(|number: usize| UpstreamService::new(number.to_string()))
                 .collect(),
             top: 5,
-            least_coverage,
+            min_coverage,
         };
-        expect_that!(
-            terms.least_shards(),
-            eq(expected),
-            "{shards} {least_coverage}"
-        );
+        expect_that!(terms.min_shards(), eq(expected), "{shards} {min_coverage}");
     }
 }
 
-/// A VM that has an older version must see that a route's homes are others in the newer one.
+/// Guards against treating a route as unchanged when only its home regions differ: a VM with an older version must
+/// notice it.
 #[gtest]
 fn other_homes_are_another_scope() {
-    let mark = |regions: &[&str]| {
+    let digest = |regions: &[&str]| {
         let route = RouteEntry {
             homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
             ..route("r", "a.example", "/x/")
         };
         let table = RouteTable::new(ConfigVersion(1), [route], [], limits());
-        table.scope_mark("a.example", "/x/")
+        table.scope_digest("a.example", "/x/")
     };
-    expect_that!(mark(&["north"]), eq(mark(&["north"])));
-    expect_that!(mark(&["north"]), not(eq(mark(&[]))));
-    expect_that!(mark(&["north"]), not(eq(mark(&["south"]))));
-    expect_that!(mark(&["north"]), not(eq(mark(&["north", "south"]))));
+    expect_that!(digest(&["north"]), eq(digest(&["north"])));
+    expect_that!(digest(&["north"]), not(eq(digest(&[]))));
+    expect_that!(digest(&["north"]), not(eq(digest(&["south"]))));
+    expect_that!(digest(&["north"]), not(eq(digest(&["north", "south"]))));
 }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -11,7 +11,7 @@
 use super::QueryRun;
 use crate::gateway::clock::now;
 use crate::gateway::exchange::{AttemptOutcome, run_attempt};
-use crate::gateway::ident::UpstreamLife;
+use crate::gateway::ident::UpstreamIncarnation;
 use crate::gateway::metrics::OutcomeLabel;
 use crate::gateway::policy::choice::{UpstreamChoice, choose_upstream};
 use crate::gateway::policy::hedge::HedgeCandidate;
@@ -37,7 +37,7 @@
     /// Upstream that it is sent to. For a delegated attempt, the upstream that this VM would have used.
     pub upstream: Rc<Upstream>,
     /// Incarnation of that upstream.
-    pub life: UpstreamLife,
+    pub life: UpstreamIncarnation,
     /// How the attempt reaches the upstream.
     pub kind: AttemptKind,
     /// Whether the request may have run at the upstream.
@@ -115,7 +115,7 @@
     pub(super) fn upstreams_run(
         &self,
         shard: usize,
-    ) -> SmallVec<[(AttemptKind, &UpstreamLife); 4]> {
+    ) -> SmallVec<[(AttemptKind, &UpstreamIncarnation); 4]> {
         let mut upstreams = SmallVec::new();
         for attempt in self.attempts_of(shard) {
             let delegated = attempt.kind == AttemptKind::Delegated;
@@ -171,14 +171,14 @@
     /// may get no request from this VM now.
     pub(super) fn candidates(&self, shard: usize) -> UpstreamList {
         let mut listed = self.home_upstreams(shard);
-        listed.retain(|upstream| self.context.core.has_cold_room(upstream));
+        listed.retain(|upstream| self.context.core.allows_cold_send(upstream));
         listed
     }
 
     /// Returns the upstreams in the home regions of the route.
     pub(super) fn home_upstreams(&self, shard: usize) -> UpstreamList {
         let service = self.target.service(shard);
-        self.context.core.upstreams_at_home(&self.route, service)
+        self.context.core.home_upstreams(&self.route, service)
     }
 
     /// Selects an upstream that the shard was not sent to. If there is none and no attempt is in flight, selects one
@@ -193,8 +193,8 @@
         let in_own_zone = |upstream: &Upstream| {
             self.delivery.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
-        let pick = |allowed: &dyn Fn(&Upstream, &UpstreamLife) -> bool| {
-            let allowed = |upstream: &Upstream, life: &UpstreamLife| {
+        let pick = |allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
+            let allowed = |upstream: &Upstream, life: &UpstreamIncarnation| {
                 in_own_zone(upstream) && allowed(upstream, life)
             };
             choose_upstream(&candidates, allowed, place, &latency, time)
@@ -204,14 +204,14 @@
         }
         let run = self.upstreams_run(shard);
         let more = run.len() < self.max_upstreams();
-        let fresh = |life: &UpstreamLife| {
+        let fresh = |life: &UpstreamIncarnation| {
             let mut attempts = self.attempts_of(shard);
             more && !attempts.any(|attempt| attempt.life == *life)
         };
         let reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
         let alone = self.state.shards()[shard].in_flight == 0;
-        let known = |life: &UpstreamLife| run.contains(&(AttemptKind::Zone, life));
-        let again = |life: &UpstreamLife| alone && (more || known(life));
+        let known = |life: &UpstreamIncarnation| run.contains(&(AttemptKind::Zone, life));
+        let again = |life: &UpstreamIncarnation| alone && (more || known(life));
         pick(&|upstream, life| reachable(upstream) && fresh(life))
             .or_else(|| pick(&|upstream, life| reachable(upstream) && again(life)))
             .or_else(|| pick(&|_upstream, life| fresh(life) || again(life)))
@@ -235,7 +235,7 @@
         }
         self.attempts.push(StartedAttempt {
             shard,
-            life: choice.upstream.entry().life(),
+            life: choice.upstream.entry().incarnation(),
             upstream: Rc::clone(&choice.upstream),
             kind,
             may_have_run: true,
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -159,7 +159,7 @@
     ) -> Self {
         let (shards, required) = match &target {
             RunTarget::One(_) => (1, 1),
-            RunTarget::Gather(terms) => (terms.shards.len(), terms.least_shards()),
+            RunTarget::Gather(terms) => (terms.shards.len(), terms.min_shards()),
         };
         let lag = core.lag.borrow().margin();
         let margin = request.caller_time + lag;
@@ -288,7 +288,7 @@
             }
         }
         let mut in_flight = std::mem::take(&mut self.in_flight);
-        if in_flight.is_empty() || self.context.core.state() == ServiceState::Finishing {
+        if in_flight.is_empty() || self.context.core.state() == ServiceState::Draining {
             return;
         }
         tokio::task::spawn_local(async move {
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -149,7 +149,7 @@
         let terms = GatherTerms {
             shards: ["s0", "s1", "s2"].map(UpstreamService::new).to_vec(),
             top: 10,
-            least_coverage: 0.9,
+            min_coverage: 0.9,
         };
         let route = route(2, RouteTarget::Gather(terms.clone()));
         let target = RunTarget::Gather(terms);
@@ -364,14 +364,14 @@
     LocalSet::new().run_until(test).await;
 }
 
-fn gather_route(shards: &[&str], least_coverage: f64) -> (Rc<RouteEntry>, RunTarget) {
+fn gather_route(shards: &[&str], min_coverage: f64) -> (Rc<RouteEntry>, RunTarget) {
     let terms = GatherTerms {
         shards: shards
             .iter()
             .map(|shard| UpstreamService::new(*shard))
             .collect(),
         top: 10,
-        least_coverage,
+        min_coverage,
     };
     let route = route(2, RouteTarget::Gather(terms.clone()));
     (route, RunTarget::Gather(terms))
@@ -405,7 +405,7 @@
         // Deadline of the request in ms and expected status.
         for (patience, status) in [(5_000, 200), (600, 503)] {
             let core = core();
-            core.registry.note_read(now());
+            core.registry.record_read(now());
             let _first = upstreams(&core, "s0", 1, ScriptedReply::Answer(16)).await;
             let (route, target) = gather_route(&["s0", "s1"], 0.9);
             let request = request(Duration::from_millis(patience));
@@ -649,7 +649,7 @@
     let test = async {
         for evacuated in [false, true] {
             let core = core();
-            core.registry.note_read(now());
+            core.registry.record_read(now());
             let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
             register_in(&core, "s", "south-a", &upstream);
             let (route, target) = one(2);
@@ -732,11 +732,11 @@
     let limits = CallerLimits {
         header_bytes: 1_000,
         body_bytes: 1_000,
-        header_time: LONG,
-        idle_time: LONG,
+        header_timeout: LONG,
+        idle_timeout: LONG,
     };
     let services = [(UpstreamService::new("s"), terms)];
-    core.adopt_table(RouteTable::new(ConfigVersion(1), [], services, limits));
+    core.install_table(RouteTable::new(ConfigVersion(1), [], services, limits));
     core
 }
 
@@ -831,7 +831,7 @@
             let zone = PlaceName::new("north-a");
             core.registry.evacuate(&zone);
             core.assume_cold(&zone);
-            core.registry.readmit(&zone);
+            core.registry.end_evacuation(&zone);
             let report = run(&core, 2).await;
             expect_that!(report.reply.status().as_u16(), eq(expected), "{tolerated}");
         }
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -1,4 +1,4 @@
-//! Leases shares of the repeats' slack between the VMs of a zone: each VM that stands by is asked by one that serves.
+//! Leases shares of the retry budget's slack between the VMs of a zone: each standby VM is asked by one serving VM.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,35 +9,35 @@
 use crate::ident::VmAddress;
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Time between two questions to the same VM: two may be lost before the lease ends.
-const ASK_PERIOD: Duration = Duration::from_secs(1);
+/// Time between two requests for a VM's share. Two of them may be lost before the lease ends.
+const REQUEST_PERIOD: Duration = Duration::from_secs(1);
 
-/// The shares that are on lease, as they were last logged.
+/// Shares on lease as last logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct ShareHolding {
+struct LeasedShares {
     borrowed: usize,
     lent: Option<VmAddress>,
 }
 
-/// Asks for shares until the future is dropped.
+/// Requests shares until the future is dropped.
 pub async fn run_leases(core: Rc<GatewayCore>, own: VmAddress) {
     let mut logged = None;
     loop {
-        tokio::time::sleep(ASK_PERIOD).await;
+        tokio::time::sleep(REQUEST_PERIOD).await;
         let roles = core.vms.zone_roles(&core.settings.place);
         let serves = roles.serving.contains(&own);
         if serves && core.is_ready() {
             for owner in roles.idle {
                 if rendezvous(&roles.serving, owner) == Some(own) {
-                    ask(&core, owner);
+                    request_share(&core, owner);
                 }
             }
         }
-        note_shares(&core, &mut logged);
+        report_shares(&core, &mut logged);
     }
 }
 
-fn ask(core: &GatewayCore, owner: VmAddress) {
+fn request_share(core: &GatewayCore, owner: VmAddress) {
     let number = core
         .repeats
         .borrow_mut()
@@ -47,55 +47,60 @@
     let _sent = core.delegates.tell(owner, message);
 }
 
-/// Puts the shares that are on lease into the metrics, and into the log if they have changed.
-fn note_shares(core: &GatewayCore, logged: &mut Option<ShareHolding>) {
+/// Updates the metrics with the shares on lease, and logs them if they have changed.
+fn report_shares(core: &GatewayCore, logged: &mut Option<LeasedShares>) {
     let time = core.running_time();
     let account = core.repeats.borrow();
-    let holding = ShareHolding {
+    let leased = LeasedShares {
         borrowed: account.borrowed(time),
         lent: account.lent_to(time),
     };
-    core.metrics.borrowed_shares.set(holding.borrowed as u64);
-    if *logged == Some(holding) {
+    core.metrics.borrowed_shares.set(leased.borrowed as u64);
+    if *logged == Some(leased) {
         return;
     }
-    *logged = Some(holding);
-    let lent = holding.lent.map(|vm| vm.to_string());
+    *logged = Some(leased);
+    let lent = leased.lent.map(|vm| vm.to_string());
     log::info!(
         target: "ebonyfork::decision",
         "repeat shares borrowed={} lent_to={} vms={}",
-        holding.borrowed,
+        leased.borrowed,
         lent.as_deref().unwrap_or("-"),
-        core.vms.most_count()
+        core.vms.peak_count()
     );
 }
 
-/// Takes in what another VM asks or answers about a share.
+/// Handles a request for a share, or the answer to one, from another VM.
 pub fn take_message(core: &GatewayCore, from: &LinkSender, message: ShareMessage) {
     let Some(peer) = from.peer().map(|session| session.vm) else {
-        log::debug!("share message from an unknown VM: {message:?}");
+        log::debug!("share message on a link without a session: {message:?}");
         return;
     };
     let time = core.running_time();
     match message {
         ShareMessage::Request { number } => {
-            let answer = answer_ask(core, peer, number, time);
+            let answer = answer_request(core, peer, number, time);
             if let Err(error) = from.send(PeerMessage::Share(answer)) {
-                // The share stays unused until its term has passed.
-                log::debug!("share answer for {peer}: {error}");
+                // The share stays unused until the lease ends.
+                log::debug!("share answer for {peer} not sent: {error}");
             }
         }
         ShareMessage::Granted { number } => {
             let taken = core.repeats.borrow_mut().accept_grant(peer, number, time);
             if !taken {
-                log::info!("share of {peer} not taken: question {number} is not open");
+                log::info!("share of {peer} not accepted: request {number} is not pending");
             }
         }
-        ShareMessage::Refused { number } => log::debug!("share of {peer} refused to {number}"),
+        ShareMessage::Refused { number } => log::debug!("request {number} refused by {peer}"),
     }
 }
 
-fn answer_ask(core: &GatewayCore, peer: VmAddress, number: u64, time: Duration) -> ShareMessage {
+fn answer_request(
+    core: &GatewayCore,
+    peer: VmAddress,
+    number: u64,
+    time: Duration,
+) -> ShareMessage {
     let own = VmAddress(core.settings.place.address);
     let roles = core.vms.zone_roles(&core.settings.place);
     let serves = roles.serving.contains(&own);
--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -1,4 +1,4 @@
-//! Our own VMs: what each has registered, and which of them a caller is told to use.
+//! Our own VMs: their registrations, and the selection of the VMs that callers are told to use.
 
 use std::cell::{Cell, RefCell};
 use std::fmt;
@@ -18,41 +18,41 @@
 use crate::ident::VmAddress;
 use crate::membership::{MemberSnapshot, MemberState};
 
-/// Most addresses in one locate answer.
-const ADDRESS_LIMIT: usize = 64;
-/// Fewest VMs that a caller is told of, if there are as many: one that fails must leave another to go to.
-const ADDRESS_LEAST: usize = 2;
-/// Most VMs that a registration is believed to know: twice the largest fleet that is planned for.
-const KNOWN_LIMIT: usize = 10_000;
-/// Share of a host's shards that must have an upstream in a zone for that zone's VMs to serve the host's callers. A VM
-/// without upstreams beside it fetches each part across zones; a caller that goes to a VM beside them fetches one merged
-/// answer, a twentieth of the bytes at 20 shards.
-const LOCAL_SHARE: f64 = 0.5;
-
-/// What a VM registers about itself.
+/// Largest number of addresses in one locate answer.
+const MAX_ADDRESSES: usize = 64;
+/// Smallest number of VMs in a locate answer, if that many exist: when one fails, the caller needs another.
+const MIN_ADDRESSES: usize = 2;
+/// Upper bound on the number of VMs that a registration may report: twice the largest planned fleet.
+const MAX_REPORTED_VMS: usize = 10_000;
+/// Fraction of a host's shards that must have an upstream in a zone for that zone's VMs to serve the host's callers. A
+/// VM without local upstreams fetches every partial answer across zones. A caller that uses a VM next to the upstreams
+/// fetches one merged answer, a twentieth of the bytes with 20 shards.
+const LOCAL_SHARD_FRACTION: f64 = 0.5;
+
+/// Record that a VM registers about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmRecord {
-    /// Where it takes callers' requests.
+    /// Address on which the VM accepts callers' requests.
     pub caller: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: CompactString,
-    /// Its region.
+    /// Region of the VM.
     pub region: CompactString,
-    /// Processor that it has, in whole cores.
+    /// Processor capacity of the VM, in cores.
     pub cores: f32,
-    /// VMs that it knew when it registered. A process that starts while others are cut off, and their entries have lapsed,
-    /// learns from this that they may still run.
+    /// Number of VMs that this one knew when it registered. A process that starts while other VMs are partitioned and
+    /// their entries have expired learns from this that they may still be running.
     pub vms: u32,
 }
 
-/// A VM that takes requests.
+/// A VM that callers can be told to use.
 #[derive(Debug, Clone)]
 struct UsableVm {
     caller: SocketAddr,
     zone: CompactString,
     region: PlaceName,
     cores: f32,
-    /// How busy it is, in per mille of what it can take.
+    /// Load, in per mille of the capacity.
     load: u16,
 }
 
@@ -62,71 +62,71 @@
     }
 }
 
-/// The VMs of one zone by the work that they take.
+/// VMs of one zone by role.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ZoneRoles {
-    /// VMs that callers are told of, and that gather shards for VMs of other zones.
+    /// VMs that callers are told of and that gather shards for VMs of other zones.
     pub serving: Vec<VmAddress>,
-    /// VMs that only stand by.
+    /// VMs on standby.
     pub idle: Vec<VmAddress>,
 }
 
-/// The VMs that have registered.
+/// Registered VMs.
 #[derive(Debug)]
 pub struct VmDirectory {
     own: SocketAddr,
     records: RefCell<FxHashMap<CompactString, VmRecord>>,
     members: RefCell<Arc<MemberSnapshot>>,
-    most: Cell<usize>,
-    /// Registrations that the store no longer holds.
+    peak_count: Cell<usize>,
+    /// Registrations that the store no longer contains.
     missing: RefCell<FxHashSet<CompactString>>,
     own_load: Cell<u16>,
 }
 
 impl VmDirectory {
-    /// Knows only this process's own address.
+    /// Creates a directory that knows only this process's own address.
     pub fn new(own: SocketAddr) -> Self {
         Self {
             own,
             records: RefCell::default(),
             members: RefCell::default(),
-            most: Cell::new(1),
+            peak_count: Cell::new(1),
             missing: RefCell::default(),
             own_load: Cell::default(),
         }
     }
 
-    /// Takes in a registration.
+    /// Adds or updates a registration.
     pub fn put(&self, key: &CompactString, record: VmRecord) {
         self.missing.borrow_mut().remove(key);
-        let known = (record.vms as usize).min(KNOWN_LIMIT);
+        let known = (record.vms as usize).min(MAX_REPORTED_VMS);
         self.records.borrow_mut().insert(key.clone(), record);
-        let most = self.most.get().max(self.count()).max(known);
-        self.most.set(most);
+        let peak_count = self.peak_count.get().max(self.count()).max(known);
+        self.peak_count.set(peak_count);
     }
 
-    /// Takes in that a registration has ended. A VM that gossip still hears stays: its lease may have lapsed while
-    /// the store was away.
+    /// Handles the end of a registration. A VM that gossip reports alive or suspect is kept: its lease may have expired
+    /// while the store was unavailable.
     pub fn remove(&self, key: &CompactString) {
         let record = self.records.borrow().get(key).cloned();
         let Some(record) = record else { return };
         self.missing.borrow_mut().insert(key.clone());
-        if self.is_heard(&record) {
+        if self.is_reported_running(&record) {
             return;
         }
         self.records.borrow_mut().remove(key);
     }
 
-    /// Takes in what gossip believes. VMs that it holds for gone are forgotten, and so is a registration that the store no
-    /// longer holds once gossip does not hear the VM any more. One that gossip hears runs, also if the store has come back
-    /// from a copy that is older than its registration.
-    pub fn take_members(&self, members: Arc<MemberSnapshot>) {
+    /// Applies a snapshot of the gossip membership. Removes failed VMs, as well as registrations that the store no
+    /// longer contains and that gossip does not report alive or suspect. A VM that gossip reports alive is running,
+    /// even if the store was restored from a copy older than its registration.
+    pub fn apply_members(&self, members: Arc<MemberSnapshot>) {
         let others = members
             .members()
             .iter()
             .filter(|member| member.vm.0 != self.own.ip() && member.state != MemberState::Failed);
-        let heard = others.count() + 1;
-        self.most.set(self.most.get().max(heard));
+        let running = others.count() + 1;
+        self.peak_count.set(self.peak_count.get().max(running));
         *self.members.borrow_mut() = members;
         let members = self.members.borrow();
         let failed = |record: &VmRecord| {
@@ -135,46 +135,46 @@
         };
         let missing = self.missing.borrow();
         let lapsed = |key: &CompactString, record: &VmRecord| {
-            missing.contains(key) && !self.is_heard(record)
+            missing.contains(key) && !self.is_reported_running(record)
         };
         self.records
             .borrow_mut()
             .retain(|key, record| !failed(record) && !lapsed(key, record));
     }
 
-    /// Whether the store has told that a registration is no longer there.
+    /// Returns whether the store no longer contains a registration.
     pub fn is_missing(&self, key: &CompactString) -> bool {
         self.missing.borrow().contains(key)
     }
 
-    fn is_heard(&self, record: &VmRecord) -> bool {
+    fn is_reported_running(&self, record: &VmRecord) -> bool {
         let members = self.members.borrow();
         let member = members.get(VmAddress(record.caller.ip()));
         member
             .is_some_and(|member| matches!(member.state, MemberState::Alive | MemberState::Suspect))
     }
 
-    /// The number of VMs, this one included.
+    /// Returns the number of VMs, including this one.
     pub fn count(&self) -> usize {
         let records = self.records.borrow();
         let own = records.values().any(|record| record.caller == self.own);
         (records.len() + usize::from(!own)).max(1)
     }
 
-    /// Most VMs that were ever known to run at a time. One that nobody has told of yet has no callers yet, and nothing
-    /// saved that could be spent beside what the others have.
-    pub fn most_count(&self) -> usize {
-        self.most.get().max(self.count())
+    /// Returns the largest number of VMs known to have run at the same time. A VM that nobody has reported yet has no
+    /// callers and therefore no accumulated budget to spend in addition to that of the others.
+    pub fn peak_count(&self) -> usize {
+        self.peak_count.get().max(self.count())
     }
 
-    /// Addresses of all other VMs, for gossip to begin with.
+    /// Returns the addresses of all other VMs, as seeds for gossip.
     pub fn seeds(&self) -> Vec<VmAddress> {
         let records = self.records.borrow();
         let others = records.values().filter(|record| record.caller != self.own);
         others.map(|record| VmAddress(record.caller.ip())).collect()
     }
 
-    /// The other VMs of a zone that are believed to work.
+    /// Returns the other serving VMs of a zone.
     pub fn working_in(&self, zone: &PlaceName) -> Vec<VmAddress> {
         let mut usable = self.usable(None);
         usable.retain(|vm| vm.zone == zone.as_str());
@@ -182,19 +182,20 @@
         serving.iter().map(|vm| vm.address()).collect()
     }
 
-    /// The VMs that take requests beside the upstreams of a zone, this process among them; of all zones if it has none.
-    pub fn serving_for(&self, zone: &PlaceName, own: &NodePlace) -> Vec<VmAddress> {
+    /// Returns the serving VMs in the zone of some upstreams, including this process; those of all zones if that zone
+    /// has none.
+    pub fn serving_near(&self, zone: &PlaceName, own: &NodePlace) -> Vec<VmAddress> {
         let usable = self.usable(Some(own));
-        let beside = serving_vms(usable.iter().filter(|vm| vm.zone == zone.as_str()));
-        let serving = if beside.is_empty() {
+        let local = serving_vms(usable.iter().filter(|vm| vm.zone == zone.as_str()));
+        let serving = if local.is_empty() {
             serving_vms(usable.iter())
         } else {
-            beside
+            local
         };
         serving.iter().map(|vm| vm.address()).collect()
     }
 
-    /// The VMs of a zone by the work that they take, this process among them.
+    /// Returns the VMs of the own zone by role, including this process.
     pub fn zone_roles(&self, own: &NodePlace) -> ZoneRoles {
         let mut usable = self.usable(Some(own));
         usable.retain(|vm| vm.zone == own.zone.as_str());
@@ -207,7 +208,7 @@
         ZoneRoles { serving, idle }
     }
 
-    /// The VMs that callers can be told to use, with their zone and region.
+    /// Returns the VMs that callers can be told to use; this process is included if its place is given.
     fn usable(&self, own: Option<&NodePlace>) -> Vec<UsableVm> {
         let members = self.members.borrow();
         let records = self.records.borrow();
@@ -238,60 +239,65 @@
         usable
     }
 
-    /// States how busy this process is, in per mille of what it can take.
+    /// Sets the load of this process, in per mille of its capacity.
     pub fn set_own_load(&self, load: u16) {
         self.own_load.set(load);
     }
 
-    /// The addresses that a caller is told: VMs beside the upstreams that its host needs, the caller's own zone first, and
-    /// of those the ones that the homes of the host's routes allow. `own` is this process's place unless it is about to
-    /// stop.
+    /// Returns the addresses for a caller: VMs next to the upstreams that its host needs, starting with the caller's
+    /// own zone, and restricted to the home regions of the host's routes. `own` is the place of this process, or `None`
+    /// if it is about to stop.
     pub fn locate(
         &self,
-        asker: &NodePlace,
+        caller_place: &NodePlace,
         needs: &HostNeeds,
         own: Option<&NodePlace>,
     ) -> Vec<SocketAddr> {
-        let usable = allowed_vms(self.usable(own), asker, &needs.regions);
+        let usable = allowed_vms(self.usable(own), caller_place, &needs.regions);
         let mut addresses = Vec::new();
-        for group in preferred_zones(asker, &needs.zones) {
+        for group in preferred_zones(caller_place, &needs.zones) {
             let fits = |vm: &&UsableVm| group.iter().any(|zone| zone.as_str() == vm.zone);
             for vm in serving_vms(usable.iter().filter(fits)) {
                 if !addresses.contains(&vm.caller) {
                     addresses.push(vm.caller);
                 }
             }
-            if addresses.len() >= ADDRESS_LEAST {
+            if addresses.len() >= MIN_ADDRESSES {
                 break;
             }
         }
-        if addresses.len() < ADDRESS_LEAST {
+        if addresses.len() < MIN_ADDRESSES {
             addresses = usable.iter().map(|vm| vm.caller).collect();
         }
         addresses.sort_unstable();
-        spread(&mut addresses);
+        truncate_at_random(&mut addresses);
         addresses
     }
 }
 
-/// Those VMs that suit a caller best by the homes of a host's routes: two regions' worth of them only where the better one
-/// has too few.
-fn allowed_vms(vms: Vec<UsableVm>, asker: &NodePlace, regions: &HostRegions) -> Vec<UsableVm> {
+/// Returns the VMs that suit a caller best according to the home regions of a host's routes. VMs of the second-best
+/// rank are included only if the best one has too few.
+fn allowed_vms(
+    vms: Vec<UsableVm>,
+    caller_place: &NodePlace,
+    regions: &HostRegions,
+) -> Vec<UsableVm> {
     if !regions.is_limited() {
         return vms;
     }
-    let rank = |vm: &UsableVm| regions.rank(&vm.region, &asker.region);
+    let rank = |vm: &UsableVm| regions.rank(&vm.region, &caller_place.region);
     let mut ranks: Vec<_> = vms.iter().filter_map(rank).collect();
     ranks.sort_unstable();
-    let Some(last) = ranks.get(ADDRESS_LEAST - 1).or(ranks.last()).copied() else {
-        // Any VM can send a request home; without one there is no answer at all.
+    let Some(last) = ranks.get(MIN_ADDRESSES - 1).or(ranks.last()).copied() else {
+        // Any VM can forward a request to its home region, while an empty list would leave the caller without an
+        // answer.
         return vms;
     };
     let fits = |vm: &UsableVm| rank(vm).is_some_and(|rank| rank <= last);
     vms.into_iter().filter(fits).collect()
 }
 
-/// Chooses one of some VMs for a purpose, by rendezvous hashing: a VM more or less changes the choice for few purposes.
+/// Chooses a VM for a purpose by rendezvous hashing: adding or removing a VM changes the choice for few purposes only.
 pub fn rendezvous(vms: &[VmAddress], purpose: impl fmt::Display) -> Option<VmAddress> {
     let score = |vm: &VmAddress| {
         let pair = format!("{vm} {purpose}");
@@ -300,40 +306,40 @@
     vms.iter().copied().max_by_key(score)
 }
 
-/// Those of some VMs that take requests.
+/// Returns the serving ones of the given VMs.
 fn serving_vms<'a>(vms: impl Iterator<Item = &'a UsableVm>) -> Vec<&'a UsableVm> {
     let mut vms: Vec<_> = vms.collect();
-    let least = min_serving_cores(vms.iter().map(|vm| VmCapacity {
+    let min_cores = min_serving_cores(vms.iter().map(|vm| VmCapacity {
         cores: vm.cores,
         load: vm.load,
     }));
-    vms.retain(|vm| vm.cores >= least);
+    vms.retain(|vm| vm.cores >= min_cores);
     vms
 }
 
-/// Cuts a long list down to a part that differs from answer to answer.
-fn spread(addresses: &mut Vec<SocketAddr>) {
-    if addresses.len() <= ADDRESS_LIMIT {
+/// Truncates a long list to a random part of it.
+fn truncate_at_random(addresses: &mut Vec<SocketAddr>) {
+    if addresses.len() <= MAX_ADDRESSES {
         return;
     }
     let start = rand::random_range(0..addresses.len());
     addresses.rotate_left(start);
-    addresses.truncate(ADDRESS_LIMIT);
+    addresses.truncate(MAX_ADDRESSES);
 }
 
-/// Share of a host's shards that have an upstream in each zone.
+/// Fraction of a host's shards that have an upstream in each zone.
 pub type ZoneShares = FxHashMap<PlaceName, f64>;
 
-/// What a host's routes need of the VMs that its callers are told of.
+/// Requirements of a host's routes on the VMs that its callers are told of.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HostNeeds {
-    /// Where its upstreams are.
+    /// Zones of the host's upstreams.
     pub zones: ZoneShares,
-    /// Which regions its routes allow.
+    /// Regions that the host's routes allow.
     pub regions: HostRegions,
 }
 
-/// Computes the share of the shards that have an upstream in each zone.
+/// Computes the fraction of the shards that have an upstream in each zone.
 pub fn zone_shares<'a>(
     registry: &UpstreamRegistry,
     shards: impl IntoIterator<Item = &'a UpstreamService>,
@@ -358,22 +364,30 @@
     counts
 }
 
-/// Groups of zones in the order in which their VMs are taken: the caller's own, its region's, all that hold upstreams.
-fn preferred_zones(asker: &NodePlace, homes: &ZoneShares) -> Vec<Vec<PlaceName>> {
-    let local = |zone: &PlaceName| homes.get(zone).copied().unwrap_or_default() >= LOCAL_SHARE;
-    let same_region = |zone: &&PlaceName| asker.zones.get(*zone) == Some(&asker.region);
-    if !homes.keys().any(local) {
-        // No zone stands out: the caller's own place is as good as any.
-        let region = asker.zones.keys().filter(same_region).cloned().collect();
-        return vec![vec![asker.zone.clone()], region];
+/// Returns groups of zones in order of preference: the caller's own zone, the zones of its region, all zones that hold
+/// enough upstreams.
+fn preferred_zones(caller_place: &NodePlace, shares: &ZoneShares) -> Vec<Vec<PlaceName>> {
+    let local =
+        |zone: &PlaceName| shares.get(zone).copied().unwrap_or_default() >= LOCAL_SHARD_FRACTION;
+    let same_region =
+        |zone: &&PlaceName| caller_place.zones.get(*zone) == Some(&caller_place.region);
+    if !shares.keys().any(local) {
+        // No zone holds enough upstreams, so the caller's own zone and region are preferred.
+        let region = caller_place
+            .zones
+            .keys()
+            .filter(same_region)
+            .cloned()
+            .collect();
+        return vec![vec![caller_place.zone.clone()], region];
     }
     let mut groups = Vec::new();
-    if local(&asker.zone) {
-        groups.push(vec![asker.zone.clone()]);
+    if local(&caller_place.zone) {
+        groups.push(vec![caller_place.zone.clone()]);
     }
-    let near = asker.zones.keys().filter(same_region);
+    let near = caller_place.zones.keys().filter(same_region);
     groups.push(near.filter(|zone| local(zone)).cloned().collect());
-    groups.push(homes.keys().filter(|zone| local(zone)).cloned().collect());
+    groups.push(shares.keys().filter(|zone| local(zone)).cloned().collect());
     groups
 }
 
