--- a/crates/ebonyfork/src/gateway/policy/cold/mod.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/mod.rs
@@ -1,6 +1,6 @@
 //! Limits the requests per second that all VMs together send to a cold upstream.
 //!
-//! An upstream that has just started, or whose caches were emptied, crashes under the load that it handles when warm.
+//! An upstream that has just started, or whose zone was evacuated, crashes under the load that it handles when warm.
 //! It tolerates a few requests per second, and the share of one VM among tens or hundreds would be less than one. So in
 //! each availability zone a single VM sends all requests to cold upstreams ([`ZoneClaim`]): a VM in the same zone,
 //! which receives requests for them from its own callers and from the queries of other VMs. It counts the requests that
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -340,8 +340,8 @@
         let ended = |shard: usize| !shards[shard].is_open();
         let waiting = (0..shards.len()).filter(|shard| !ended(*shard));
         let usual = |shard: usize| {
-            let mut out = self.attempts_of(shard).filter(|attempt| !attempt.ended);
-            out.any(|attempt| !self.is_straggler(attempt.began, attempt.kind, time))
+            let mut in_flight = self.attempts_of(shard).filter(|attempt| !attempt.ended);
+            in_flight.any(|attempt| !self.is_straggler(attempt.began, attempt.kind, time))
         };
         let failed = (0..shards.len()).any(|shard| {
             !delivery.reported[shard] && shards[shard].outcome == ShardOutcome::Failed
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -23,7 +23,7 @@
 use crate::store::StoreRevision;
 
 const ID: &str = "r-1";
-/// Longer than any operation in these tests.
+/// Much longer than any operation in these tests.
 const LONG: Duration = Duration::from_secs(10);
 
 /// Creates a process that has run long enough to hold its share of the slack for repeats.
