--- a/crates/ebonyfork/benches/relay.rs
+++ b/crates/ebonyfork/benches/relay.rs
@@ -68,15 +68,15 @@
         let mut now = Duration::ZERO;
         bencher.iter(|| {
             now += Duration::from_micros(100);
-            limit.record_sent(limit.current());
+            limit.record_sent(limit.current_limit());
             let sample = LimitSample {
                 epoch: limit.epoch(),
-                in_flight: limit.current(),
+                in_flight: limit.current_limit(),
                 log_service_time: 9.0 + f64::from(now.subsec_micros() % 1_000) / 2_000.0,
                 has_backlog: true,
             };
             limit.record(now, black_box(sample));
-            limit.current()
+            limit.current_limit()
         });
     });
 }
--- a/crates/ebonyfork/src/relay/action.rs
+++ b/crates/ebonyfork/src/relay/action.rs
@@ -10,7 +10,7 @@
 use crate::relay::message::{FailureReason, RefusalReason, ShardVerdict};
 use cranelift_entity::{PrimaryMap, SecondaryMap};
 
-/// An action for the actor to execute.
+/// An action that the decision logic has issued and the actor executes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum RelayAction {
     /// Open a connection.
@@ -35,6 +35,7 @@
     /// Report to the quarantine that a suspect was answered with rows.
     ReportAnswer {
         fingerprint: RequestFingerprint,
+        /// Time from sending the attempt to its answer.
         flight: Duration,
     },
     /// Report to the topology that an upstream said it is leaving.
@@ -47,10 +48,11 @@
     pub(super) upstream: UpstreamId,
     pub(super) organisation: OrganisationId,
     pub(super) class: ClassId,
-    pub(super) arrived: Duration,
+    /// When the relay received the attempt.
+    pub(super) arrived_at: Duration,
     pub(super) deadline: Duration,
     pub(super) fingerprint: RequestFingerprint,
-    /// Whether its request may have crashed an upstream.
+    /// Whether the request of the attempt is suspected of crashing upstreams.
     pub(super) suspicion: WorkSuspicion,
 }
 
@@ -67,12 +69,13 @@
 }
 
 impl WorkItem {
-    /// Returns whether the attempt has to be sent alone.
+    /// Returns whether the attempt has to be sent while nothing else is in flight at the upstream.
     pub(super) fn is_suspect(&self) -> bool {
         self.suspicion != WorkSuspicion::Clear
     }
 
-    /// Returns the report for the quarantine if the upstream is lost. The loss window sets its `flight`.
+    /// Returns the report to the quarantine that the upstream was lost while the attempt was in flight. Its `flight` is
+    /// zero until the loss window sets it.
     pub(super) fn lost_request(&self) -> LostRequest {
         LostRequest {
             fingerprint: self.fingerprint,
@@ -85,12 +88,15 @@
 /// The issued actions, and the tables of attempts and connections that all upstreams share.
 #[derive(Debug, Default)]
 pub(super) struct RelayTables {
+    /// Actions issued since this list was last taken.
     pub(super) actions: Vec<RelayAction>,
+    /// Properties of each attempt that is held.
     items: PrimaryMap<WorkId, Option<WorkItem>>,
     free_work_ids: Vec<WorkId>,
+    /// Upstream of each connection that is being opened or open.
     connections: PrimaryMap<ConnectionId, Option<UpstreamId>>,
     free_connection_ids: Vec<ConnectionId>,
-    /// Latency targets of the classes, if declared.
+    /// Latency target of each class, or `None` if the configuration declares none.
     pub(super) latency_targets: SecondaryMap<ClassId, Option<LatencyTarget>>,
     /// Attempts released since this list was last drained.
     pub(super) released: Vec<WorkId>,
@@ -111,7 +117,7 @@
         self.items.get(work).copied().flatten()
     }
 
-    /// Marks a waiting attempt as belonging to a suspected request.
+    /// Marks an attempt as belonging to a suspected request.
     pub(super) fn mark_suspect(&mut self, work: WorkId) {
         if let Some(item) = &mut self.items[work] {
             item.suspicion = WorkSuspicion::Suspect;
@@ -131,7 +137,7 @@
         self.connections.get(connection).copied().flatten()
     }
 
-    pub(super) fn open(&mut self, upstream: UpstreamId) {
+    pub(super) fn open_connection(&mut self, upstream: UpstreamId) {
         let connection = match self.free_connection_ids.pop() {
             Some(connection) => connection,
             None => self.connections.push(None),
@@ -160,8 +166,8 @@
         self.release(work);
     }
 
-    pub(super) fn refuse_all(&mut self, items: &mut Vec<WorkId>, reason: RefusalReason) {
-        for work in items.drain(..) {
+    pub(super) fn refuse_all(&mut self, refused_work: &mut Vec<WorkId>, reason: RefusalReason) {
+        for work in refused_work.drain(..) {
             self.refuse(work, reason);
         }
     }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -15,7 +15,7 @@
 use crate::quarantine::RequestStanding;
 use crate::relay::action::{RelayAction, WorkSuspicion};
 use crate::relay::answer::shard_request;
-use crate::relay::canceller::{CANCEL_QUEUE, run_canceller};
+use crate::relay::canceller::{CANCEL_QUEUE_LIMIT, run_canceller};
 use crate::relay::connection::{ConnectionJob, UpstreamRoute, run_connection};
 use crate::relay::decision;
 use crate::relay::ids::{ConnectionId, UpstreamId, WorkId};
@@ -28,18 +28,21 @@
 use crate::relay::state::{AttemptKey, ConnectionEvent, RelayState, ViewPair, WorkRequest};
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Interval at which expired attempts and idle connections are checked while there are any.
+/// Interval of the time-based work: expired attempts, idle connections and losses are checked while there are any.
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The data of an attempt that is kept until its verdict is returned.
+/// An attempt whose verdict has not been returned to its entry yet.
 #[derive(Debug, Clone)]
 pub(super) struct PendingAttempt {
-    pub(super) from: LinkSender,
+    /// The link to the entry that submitted the attempt.
+    pub(super) link: LinkSender,
+    /// The session of that entry.
     pub(super) session: SessionId,
     pub(super) batch: Arc<SubmitBatch>,
     pub(super) target: ShardTarget,
-    pub(super) submitted: Instant,
-    pub(super) sent: Option<Instant>,
+    pub(super) submitted_at: Instant,
+    /// When the attempt was handed to its connection, or `None` while it waits.
+    pub(super) sent_at: Option<Instant>,
 }
 
 impl PendingAttempt {
@@ -54,7 +57,7 @@
     }
 
     fn deadline(&self) -> Instant {
-        self.submitted + Duration::from_micros(self.batch.remaining_us)
+        self.submitted_at + Duration::from_micros(self.batch.remaining_us)
     }
 }
 
@@ -63,24 +66,25 @@
 pub(super) struct RelayActor {
     settings: RelaySettings,
     state: RelayState,
-    started: Instant,
-    pending: SecondaryMap<WorkId, Option<PendingAttempt>>,
+    started_at: Instant,
+    /// The attempts whose verdict is outstanding.
+    pending_attempts: SecondaryMap<WorkId, Option<PendingAttempt>>,
     /// Senders of the jobs of each connection. Dropping a sender closes its connection.
     connections: SecondaryMap<ConnectionId, Option<mpsc::Sender<ConnectionJob>>>,
     /// Queues of the tasks that send cancellations, by upstream.
     cancellers: FxHashMap<UpstreamAddress, mpsc::Sender<AttemptId>>,
-    /// Buffer that is empty between events and kept for its allocation.
+    /// Buffer for the actions being executed; empty between events and kept for its allocation.
     actions: Vec<RelayAction>,
-    /// Whether a [`Tick`] is scheduled.
-    ticking: bool,
+    /// Whether a [`Tick`] is scheduled and was not handled yet.
+    tick_scheduled: bool,
     /// Number of attempts without an outcome, shared with the handle.
-    outstanding: Arc<AtomicUsize>,
+    outstanding_attempts: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
 /// Submits a batch of attempts.
 pub(super) struct Submit {
-    pub(super) from: LinkSender,
+    pub(super) link: LinkSender,
     pub(super) batch: SubmitBatch,
 }
 
@@ -91,72 +95,72 @@
 }
 
 /// Reports an event on a connection.
-pub(super) struct Report {
+pub(super) struct ConnectionReport {
     pub(super) connection: ConnectionId,
     pub(super) event: ConnectionEvent,
 }
 
-/// Runs the time-based work.
+/// Makes the relay do its time-based work, such as refusing expired attempts.
 pub(super) struct Tick;
 
-/// Tells the actor that a view has changed.
+/// Notifies the actor that a view has changed.
 pub(super) struct ViewsChanged;
 
-/// Requests the loads of all upstreams.
-pub(super) struct Loads;
+/// Requests the loads of the upstreams that the relay has used.
+pub(super) struct LoadsRequest;
 
 impl RelayActor {
     pub(super) fn new(
         settings: RelaySettings,
-        outstanding: Arc<AtomicUsize>,
+        outstanding_attempts: Arc<AtomicUsize>,
         metrics: RelayMetrics,
     ) -> Self {
         Self {
             state: RelayState::new(settings.vm, settings.experiment),
             settings,
-            started: Instant::now(),
-            pending: SecondaryMap::new(),
+            started_at: Instant::now(),
+            pending_attempts: SecondaryMap::new(),
             connections: SecondaryMap::new(),
             cancellers: FxHashMap::default(),
             actions: Vec::new(),
-            ticking: false,
-            outstanding,
+            tick_scheduled: false,
+            outstanding_attempts,
             metrics,
         }
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
-    fn submit_batch(&mut self, from: LinkSender, batch: SubmitBatch, address: &WeakAddress<Self>) {
-        let refusal = self.refusal(&from, &batch);
-        let session = match (from.peer(), refusal) {
+    fn submit_batch(&mut self, link: LinkSender, batch: SubmitBatch, address: &WeakAddress<Self>) {
+        let refusal_reason = self.refusal_reason(&link, &batch);
+        let session = match (link.peer(), refusal_reason) {
             (Some(session), None) => session,
             (_, reason) => {
                 let reason = reason.unwrap_or(RefusalReason::NotReady);
-                self.refuse_batch(&from, &batch, reason);
+                self.refuse_batch(&link, &batch, reason);
                 return;
             }
         };
         let topology = Arc::clone(&self.settings.views.topology.borrow());
         let config = Arc::clone(&self.settings.views.config.borrow());
-        let organisation = self.state.organisation(&batch.organisation);
-        let class = self.state.class(&batch.class, &config);
+        let organisation = self.state.intern_organisation(&batch.organisation);
+        let class = self.state.intern_class(&batch.class, &config);
         let batch = Arc::new(batch);
-        let submitted = Instant::now();
+        let submitted_at = Instant::now();
         let views = ViewPair {
             topology: &topology,
             config: &config,
         };
         for target in &batch.targets {
-            let pending = PendingAttempt {
-                from: from.clone(),
+            let pending_attempt = PendingAttempt {
+                link: link.clone(),
                 session,
                 batch: Arc::clone(&batch),
                 target: target.clone(),
-                submitted,
-                sent: None,
+                submitted_at,
+                sent_at: None,
             };
             let request = WorkRequest {
                 key: AttemptKey {
@@ -167,11 +171,11 @@
                 upstream: target.upstream,
                 organisation,
                 class,
-                deadline: pending.deadline().duration_since(self.started),
+                deadline: pending_attempt.deadline().duration_since(self.started_at),
                 fingerprint: batch.fingerprint,
                 suspicion: self.suspicion(&batch, target),
             };
-            self.submit_one(views, &request, pending, address);
+            self.submit_one(views, &request, pending_attempt, address);
         }
     }
 
@@ -179,21 +183,21 @@
         &mut self,
         views: ViewPair<'_>,
         request: &WorkRequest,
-        pending: PendingAttempt,
+        pending_attempt: PendingAttempt,
         address: &WeakAddress<Self>,
     ) {
         let now = self.now();
         let Some(work) = self.state.submit(now, views, request) else {
             return;
         };
-        self.pending[work] = Some(pending);
-        self.outstanding.fetch_add(1, Ordering::Relaxed);
+        self.pending_attempts[work] = Some(pending_attempt);
+        self.outstanding_attempts.fetch_add(1, Ordering::Relaxed);
         self.run_actions(address);
     }
 
     /// Returns why a whole batch has to be refused, if there is a reason.
-    fn refusal(&self, from: &LinkSender, batch: &SubmitBatch) -> Option<RefusalReason> {
-        if from.peer().is_none() || !self.settings.views.readiness.borrow().takes_work() {
+    fn refusal_reason(&self, link: &LinkSender, batch: &SubmitBatch) -> Option<RefusalReason> {
+        if link.peer().is_none() || !self.settings.views.readiness.borrow().takes_work() {
             return Some(RefusalReason::NotReady);
         }
         if (self.settings.refuses)(batch.fingerprint) {
@@ -212,12 +216,12 @@
         }
     }
 
-    fn refuse_batch(&self, from: &LinkSender, batch: &SubmitBatch, reason: RefusalReason) {
+    fn refuse_batch(&self, link: &LinkSender, batch: &SubmitBatch, reason: RefusalReason) {
         let mut outcomes = OutcomeBatch::default();
         for target in &batch.targets {
             let verdict = ShardVerdict::NotRun(reason);
-            decision::log_refusal(self.settings.vm, from.peer(), batch, target, reason);
-            self.metrics.count(&batch.class, &verdict);
+            decision::log_refusal(self.settings.vm, link.peer(), batch, target, reason);
+            self.metrics.count_verdict(&batch.class, &verdict);
             outcomes.outcomes.push(ShardOutcome {
                 query: batch.query,
                 attempt: target.attempt,
@@ -227,20 +231,20 @@
                 served_us: 0,
             });
         }
-        send_outcomes(from, outcomes);
+        send_outcomes(link, outcomes);
     }
 
-    /// Executes actions until there are none left: some issue further ones.
+    /// Executes the issued actions until there are none left, because some of them issue further ones.
     fn run_actions(&mut self, address: &WeakAddress<Self>) {
         loop {
             let mut actions = std::mem::take(&mut self.actions);
             self.state.take_actions(&mut actions);
-            let done = actions.is_empty();
+            let is_done = actions.is_empty();
             for action in actions.drain(..) {
                 self.run_action(action, address);
             }
             self.actions = actions;
-            if done {
+            if is_done {
                 break;
             }
         }
@@ -252,13 +256,13 @@
             RelayAction::Open {
                 upstream,
                 connection,
-            } => self.open(upstream, connection, address),
+            } => self.open_connection(upstream, connection, address),
             RelayAction::Close { connection } => self.connections[connection] = None,
             RelayAction::Send {
                 connection, work, ..
-            } => self.send(connection, work),
+            } => self.send_attempt(connection, work),
             RelayAction::CancelSent { upstream, work } => self.cancel_sent(upstream, work),
-            RelayAction::Finish { work, verdict } => self.finish(work, verdict),
+            RelayAction::Finish { work, verdict } => self.finish_attempt(work, verdict),
             RelayAction::ReportLoss(loss) => (self.settings.report_loss)(loss),
             RelayAction::ReportAnswer {
                 fingerprint,
@@ -268,7 +272,7 @@
         }
     }
 
-    fn open(
+    fn open_connection(
         &mut self,
         upstream: UpstreamId,
         connection: ConnectionId,
@@ -276,40 +280,45 @@
     ) {
         let (sender, jobs) = mpsc::channel(1);
         self.connections[connection] = Some(sender);
-        self.metrics.opened();
-        let route = self.route(upstream);
+        self.metrics.count_opened();
+        let route = self.route_to(upstream);
         let address = address.clone();
         tokio::spawn(run_connection(route, jobs, async move |event| {
-            let report = Report { connection, event };
+            let report = ConnectionReport { connection, event };
             // If the relay has ended, no one waits for the event.
-            let _delivered = address.send(report).detach().await;
+            let _send_result = address.send(report).detach().await;
         }));
     }
 
-    fn send(&mut self, connection: ConnectionId, work: WorkId) {
+    fn send_attempt(&mut self, connection: ConnectionId, work: WorkId) {
         let now = self.now();
-        let Some(pending) = self.pending[work].as_mut() else {
+        let Some(pending_attempt) = self.pending_attempts[work].as_mut() else {
             return;
         };
-        if pending.from.is_closed() {
+        if pending_attempt.link.is_closed() {
             self.state.refuse_unsent(now, work, RefusalReason::LinkDown);
             return;
         }
-        if (self.settings.refuses)(pending.batch.fingerprint) {
+        if (self.settings.refuses)(pending_attempt.batch.fingerprint) {
             self.state
                 .refuse_unsent(now, work, RefusalReason::Quarantined);
             return;
         }
-        let standing = (self.settings.standing)(pending.batch.fingerprint);
+        let standing = (self.settings.standing)(pending_attempt.batch.fingerprint);
         if standing == RequestStanding::Suspect && !self.state.is_suspect(work) {
             self.state.isolate(now, work);
             return;
         }
-        let deadline = pending.deadline();
-        let remaining = deadline.saturating_duration_since(Instant::now());
-        let remaining_ms = u64::max(1, remaining.as_millis() as u64);
-        let attempt = pending.attempt();
-        let request = shard_request(&pending.batch, &pending.target, attempt, remaining_ms);
+        let deadline = pending_attempt.deadline();
+        let remaining_time = deadline.saturating_duration_since(Instant::now());
+        let remaining_ms = u64::max(1, remaining_time.as_millis() as u64);
+        let attempt = pending_attempt.attempt();
+        let request = shard_request(
+            &pending_attempt.batch,
+            &pending_attempt.target,
+            attempt,
+            remaining_ms,
+        );
         let Some(request) = request else {
             self.state.refuse_unsent(now, work, RefusalReason::NotReady);
             return;
@@ -321,90 +330,96 @@
         };
         let sender = self.connections[connection].as_ref();
         if sender.is_none_or(|sender| sender.try_send(job).is_err()) {
-            self.state.unsent(now, work);
+            self.state.requeue_unsent(now, work);
             return;
         }
-        pending.sent = Some(Instant::now());
-        decision::log_dispatch(self.settings.vm, pending);
+        pending_attempt.sent_at = Some(Instant::now());
+        decision::log_dispatch(self.settings.vm, pending_attempt);
     }
 
-    fn route(&self, upstream: UpstreamId) -> UpstreamRoute {
+    fn route_to(&self, upstream: UpstreamId) -> UpstreamRoute {
         UpstreamRoute {
-            from: self.settings.vm,
-            to: self.state.address(upstream),
+            vm: self.settings.vm,
+            upstream: self.state.address(upstream),
         }
     }
 
     fn cancel_sent(&mut self, upstream: UpstreamId, work: WorkId) {
-        let Some(pending) = &self.pending[work] else {
+        let Some(pending_attempt) = &self.pending_attempts[work] else {
             return;
         };
         if !self.state.may_cancel(upstream) {
             return;
         }
-        let route = self.route(upstream);
-        let canceller = self.cancellers.entry(route.to);
+        let route = self.route_to(upstream);
+        let canceller = self.cancellers.entry(route.upstream);
         let canceller = canceller.or_insert_with(|| spawn_canceller(route));
         // Best effort: an attempt that can't be cancelled ends at its deadline.
-        let _queued = canceller.try_send(pending.attempt());
+        let _send_result = canceller.try_send(pending_attempt.attempt());
     }
 
-    fn finish(&mut self, work: WorkId, verdict: ShardVerdict) {
-        let Some(pending) = self.pending[work].take() else {
+    fn finish_attempt(&mut self, work: WorkId, verdict: ShardVerdict) {
+        let Some(pending_attempt) = self.pending_attempts[work].take() else {
             return;
         };
-        self.outstanding.fetch_sub(1, Ordering::Relaxed);
-        self.metrics.count(&pending.batch.class, &verdict);
-        decision::log_verdict(self.settings.vm, &pending, &verdict);
-        let finished = Instant::now();
-        let sent = pending.sent.unwrap_or(finished);
-        let (waited, served) = (sent - pending.submitted, finished - sent);
+        self.outstanding_attempts.fetch_sub(1, Ordering::Relaxed);
+        self.metrics
+            .count_verdict(&pending_attempt.batch.class, &verdict);
+        decision::log_verdict(self.settings.vm, &pending_attempt, &verdict);
+        let finished_at = Instant::now();
+        let sent_at = pending_attempt.sent_at.unwrap_or(finished_at);
+        let (wait_time, service_time) = (
+            sent_at - pending_attempt.submitted_at,
+            finished_at - sent_at,
+        );
         if matches!(verdict, ShardVerdict::Rows { .. }) {
-            self.metrics.observe(&pending.batch.class, waited, served);
+            self.metrics
+                .observe_times(&pending_attempt.batch.class, wait_time, service_time);
         }
         let outcome = ShardOutcome {
-            query: pending.batch.query,
-            attempt: pending.target.attempt,
-            upstream: pending.target.upstream,
+            query: pending_attempt.batch.query,
+            attempt: pending_attempt.target.attempt,
+            upstream: pending_attempt.target.upstream,
             verdict,
-            waited_us: micros(waited),
-            served_us: micros(served),
+            waited_us: saturating_micros(wait_time),
+            served_us: saturating_micros(service_time),
         };
         let mut batch = OutcomeBatch::default();
         batch.outcomes.push(outcome);
-        let load = self.state.load(self.now(), pending.target.upstream);
+        let load = self.state.load(self.now(), pending_attempt.target.upstream);
         batch.loads.extend(load);
-        send_outcomes(&pending.from, batch);
+        send_outcomes(&pending_attempt.link, batch);
     }
 
     /// Schedules the next [`Tick`] if none is scheduled and there is time-based work.
     fn schedule_tick(&mut self, address: &WeakAddress<Self>) {
-        if self.ticking || !self.state.needs_tick() {
+        if self.tick_scheduled || !self.state.needs_tick() {
             return;
         }
-        self.ticking = true;
+        self.tick_scheduled = true;
         let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(TICK_INTERVAL).await;
-            let _delivered = address.send(Tick).detach().await;
+            let _send_result = address.send(Tick).detach().await;
         });
     }
 }
 
 fn spawn_canceller(route: UpstreamRoute) -> mpsc::Sender<AttemptId> {
-    let (sender, attempts) = mpsc::channel(CANCEL_QUEUE);
+    let (sender, attempts) = mpsc::channel(CANCEL_QUEUE_LIMIT);
     tokio::spawn(run_canceller(route, attempts));
     sender
 }
 
-/// Returns outcomes to the entry. If its link is gone, the entry already counts the attempts as lost with the link.
+/// Sends outcomes to the entry. If the link to the entry is gone, the entry already counts the attempts as lost with
+/// the link.
 fn send_outcomes(link: &LinkSender, outcomes: OutcomeBatch) {
     if let Err(error) = link.send(PeerMessage::Outcomes(outcomes)) {
         log::debug!("outcomes dropped: {error}");
     }
 }
 
-fn micros(span: Duration) -> u32 {
+fn saturating_micros(span: Duration) -> u32 {
     u32::try_from(span.as_micros()).unwrap_or(u32::MAX)
 }
 
@@ -413,7 +428,7 @@
 
     async fn handle(&mut self, message: Submit, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        self.submit_batch(message.from, message.batch, &address);
+        self.submit_batch(message.link, message.batch, &address);
     }
 }
 
@@ -434,13 +449,13 @@
     }
 }
 
-impl Handler<Report> for RelayActor {
+impl Handler<ConnectionReport> for RelayActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Report, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: ConnectionReport, ctx: &mut Context<Self>) {
         let now = self.now();
         self.state
-            .connection_event(now, message.connection, message.event);
+            .handle_connection_event(now, message.connection, message.event);
         self.run_actions(&ctx.mailbox().address());
     }
 }
@@ -449,10 +464,10 @@
     type Return = ();
 
     async fn handle(&mut self, _tick: Tick, ctx: &mut Context<Self>) {
-        self.ticking = false;
+        self.tick_scheduled = false;
         self.state.tick(self.now());
         self.metrics.set_occupancy(self.state.occupancy());
-        self.metrics.set_connections(self.state.connections());
+        self.metrics.set_connections(self.state.connection_count());
         self.run_actions(&ctx.mailbox().address());
     }
 }
@@ -468,17 +483,21 @@
             config: &config,
         };
         self.state.apply_views(self.now(), views);
-        let listed = &topology.upstreams;
+        let listed_upstreams = &topology.upstreams;
         self.cancellers
-            .retain(|address, _| listed.contains_key(address));
+            .retain(|address, _| listed_upstreams.contains_key(address));
         self.run_actions(&ctx.mailbox().address());
     }
 }
 
-impl Handler<Loads> for RelayActor {
+impl Handler<LoadsRequest> for RelayActor {
     type Return = Vec<UpstreamLoad>;
 
-    async fn handle(&mut self, _loads: Loads, _ctx: &mut Context<Self>) -> Vec<UpstreamLoad> {
+    async fn handle(
+        &mut self,
+        _loads: LoadsRequest,
+        _ctx: &mut Context<Self>,
+    ) -> Vec<UpstreamLoad> {
         self.state.loads(self.now())
     }
 }
--- a/crates/ebonyfork/src/relay/answer_tests.rs
+++ b/crates/ebonyfork/src/relay/answer_tests.rs
@@ -15,7 +15,7 @@
 /// Status, headers and body of an answer, and the expected verdict.
 type AnswerCase<'a> = (u16, &'a [(&'a str, &'a str)], &'a str, ShardVerdict);
 
-/// A verdict claims no more than the upstream stated. In particular, only an explicit statement counts as not run.
+/// Checks the verdict for each kind of answer. An attempt counts as not run only if the upstream stated so explicitly.
 #[gtest]
 fn verdict_claims_no_more_than_the_upstream_stated() {
     let rows = ShardVerdict::Rows {
--- a/crates/ebonyfork/src/relay/canceller.rs
+++ b/crates/ebonyfork/src/relay/canceller.rs
@@ -1,4 +1,5 @@
-//! Tells an upstream which attempts are no longer wanted, on a dedicated connection that counts against the share.
+//! Tells an upstream which attempts are no longer wanted, on a dedicated connection, which is taken from the
+//! VM's connection share.
 //!
 //! Best effort: if a cancellation does not reach the upstream in time, the attempt ends at its deadline.
 
@@ -11,18 +12,18 @@
 use crate::ident::{AttemptId, UpstreamAddress};
 use crate::relay::connection::{OpenConnection, UpstreamRoute, plain_request};
 
-/// Maximum number of cancellations waiting for one upstream; more are dropped.
-pub(super) const CANCEL_QUEUE: usize = 64;
+/// Maximum number of cancellations waiting to be sent to one upstream; further ones are dropped.
+pub(super) const CANCEL_QUEUE_LIMIT: usize = 64;
 /// Timeout of one cancellation, opening the connection included.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which the connection is closed.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// Idle time after which the connection for cancellations is closed.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Sends cancellations until the channel `attempts` closes.
 pub(super) async fn run_canceller(route: UpstreamRoute, mut attempts: mpsc::Receiver<AttemptId>) {
     let mut connection = None;
     loop {
-        let attempt = match timeout(IDLE_LIMIT, attempts.recv()).await {
+        let attempt = match timeout(IDLE_TIMEOUT, attempts.recv()).await {
             Ok(Some(attempt)) => attempt,
             Ok(None) => return,
             Err(_idle) => {
@@ -33,8 +34,8 @@
                 }
             }
         };
-        let cancelling = cancel(route, connection.take(), attempt);
-        connection = timeout(CANCEL_TIMEOUT, cancelling).await.ok().flatten();
+        let cancellation = cancel(route, connection.take(), attempt);
+        connection = timeout(CANCEL_TIMEOUT, cancellation).await.ok().flatten();
     }
 }
 
@@ -45,15 +46,16 @@
     attempt: AttemptId,
 ) -> Option<OpenConnection> {
     if let Some(mut connection) = connection
-        && call_cancel(&mut connection, route.to, attempt).await
+        && call_cancel(&mut connection, route.upstream, attempt).await
     {
         return Some(connection);
     }
     let mut connection = OpenConnection::connect(route).await?;
-    let reusable = call_cancel(&mut connection, route.to, attempt).await;
-    reusable.then_some(connection)
+    let is_reusable = call_cancel(&mut connection, route.upstream, attempt).await;
+    is_reusable.then_some(connection)
 }
 
+/// Sends one cancellation and returns whether the connection can be used again.
 async fn call_cancel(
     connection: &mut OpenConnection,
     upstream: UpstreamAddress,
--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -1,6 +1,6 @@
-//! Limits the depth of classes with looser latency targets while a class with a tighter one misses its target at this
-//! upstream. The method is that of io.latency (Linux block layer, 2018), applied to the classes of an upstream instead
-//! of the cgroups of a disk.
+//! Limits the depth (the number of attempts in flight) of classes with looser latency targets while a class with a
+//! tighter target misses that target at the same upstream. The method is that of io.latency (Linux block layer, 2018),
+//! applied to the classes of an upstream instead of the cgroups of a disk.
 //!
 //! Time is divided into windows. A class misses its target in a window if its share of late attempts exceeds what its
 //! percentile allows. Every class with a looser target then loses half of its depth, down to one attempt in flight. A
@@ -19,7 +19,7 @@
 const WINDOW: Duration = Duration::from_millis(250);
 /// Fraction of a class's target latency that an attempt may spend at one upstream, queueing included.
 const TARGET_FRACTION: f64 = 0.5;
-/// Minimum number of attempts in a window for which a class's target is evaluated.
+/// Minimum number of attempts of a class in a window for its target to be evaluated.
 const MIN_ATTEMPTS: u32 = 5;
 
 /// The latency target that operators declare for a class.
@@ -31,11 +31,13 @@
     pub late_share: f64,
 }
 
-/// Counts of one class in the current window, and its depth limit.
+/// The attempts of one class in the current window, and the depth limit of the class.
 #[derive(Debug, Clone, Copy, Default)]
 struct ClassWindow {
+    /// Number of attempts recorded in the window.
     attempts: u32,
-    late: u32,
+    /// Number of attempts that spent more than [`TARGET_FRACTION`] of the target latency at the upstream.
+    late_attempts: u32,
     /// Maximum number of attempts in flight, or `None` for no limit.
     depth: Option<u32>,
 }
@@ -49,22 +51,22 @@
 }
 
 impl ClassClamp {
-    /// Records an attempt that was answered or expired after spending `spent` at this upstream, queueing included.
-    pub fn record(&mut self, class: ClassId, target: LatencyTarget, spent: Duration) {
+    /// Records an attempt that was answered or expired after spending `time_spent` at this upstream, queueing included.
+    pub fn record(&mut self, class: ClassId, target: LatencyTarget, time_spent: Duration) {
         let window = &mut self.classes[class];
         window.attempts += 1;
-        window.late += u32::from(spent > target.latency.mul_f64(TARGET_FRACTION));
+        window.late_attempts += u32::from(time_spent > target.latency.mul_f64(TARGET_FRACTION));
     }
 
-    /// Returns whether a class with `in_flight` attempts in flight may have one more.
+    /// Returns whether a class with `in_flight` attempts in flight may have another one in flight.
     pub fn allows(&self, class: ClassId, in_flight: u32) -> bool {
         self.classes[class]
             .depth
             .is_none_or(|depth| in_flight < depth)
     }
 
-    /// If the current window is over, adjusts the depths and starts the next window. `limit` is the concurrency limit
-    /// of the upstream.
+    /// If the current window is over, adjusts the depth limits and starts the next window. `limit` is the concurrency
+    /// limit of the upstream; a depth limit that reaches it is removed.
     pub fn advance(
         &mut self,
         now: Duration,
@@ -75,14 +77,16 @@
             return;
         }
         self.window_end = now + WINDOW;
-        let tightest_missed = self.tightest_missed(&target);
+        let tightest_missed_target = self.tightest_missed_target(&target);
         for (class, window) in self.classes.iter_mut() {
-            let looser = match (tightest_missed, target(class)) {
-                (Some(tightest_missed), Some(target)) => target.latency > tightest_missed,
+            let has_looser_target = match (tightest_missed_target, target(class)) {
+                (Some(tightest_missed_target), Some(target)) => {
+                    target.latency > tightest_missed_target
+                }
                 _ => false,
             };
             let depth = window.depth.unwrap_or(limit);
-            let new_depth = if looser {
+            let new_depth = if has_looser_target {
                 u32::max(depth / 2, 1)
             } else {
                 depth + 1
@@ -94,23 +98,24 @@
         }
     }
 
-    /// Returns the tightest target latency that was missed in the current window.
-    fn tightest_missed(
+    /// Returns the lowest target latency among the classes that missed their target in the current window.
+    fn tightest_missed_target(
         &self,
         target: &impl Fn(ClassId) -> Option<LatencyTarget>,
     ) -> Option<Duration> {
-        let mut tightest: Option<Duration> = None;
+        let mut tightest_latency: Option<Duration> = None;
         for (class, window) in self.classes.iter() {
             let Some(target) = target(class) else {
                 continue;
             };
-            let allowed = f64::from(window.attempts) * target.late_share;
-            let missed = window.attempts >= MIN_ATTEMPTS && f64::from(window.late) > allowed;
-            if missed && tightest.is_none_or(|latency| target.latency < latency) {
-                tightest = Some(target.latency);
+            let allowed_late = f64::from(window.attempts) * target.late_share;
+            let is_missed =
+                window.attempts >= MIN_ATTEMPTS && f64::from(window.late_attempts) > allowed_late;
+            if is_missed && tightest_latency.is_none_or(|latency| target.latency < latency) {
+                tightest_latency = Some(target.latency);
             }
         }
-        tightest
+        tightest_latency
     }
 }
 
--- a/crates/ebonyfork/src/relay/clamp_tests.rs
+++ b/crates/ebonyfork/src/relay/clamp_tests.rs
@@ -4,7 +4,7 @@
 
 #[gtest]
 fn looser_class_loses_depth_while_a_tighter_one_is_late() {
-    let (tight, loose) = (ClassId::from_u32(0), ClassId::from_u32(1));
+    let (tight_class, loose_class) = (ClassId::from_u32(0), ClassId::from_u32(1));
     let target = |class: ClassId| {
         let latency = [100, 2_000].get(class.as_u32() as usize)?;
         Some(LatencyTarget {
@@ -14,7 +14,8 @@
     };
     let mut clamp = ClassClamp::default();
     let mut now = Duration::ZERO;
-    // Milliseconds spent by each attempt of the tight class, and the depth of the loose class after the window.
+    // Milliseconds that each attempt of the class with the tight target spends at the upstream, or `None` if the class
+    // is idle, and the depth of the class with the loose target after the window.
     let windows = [
         (Some(20), 6),
         (Some(90), 3),
@@ -26,17 +27,25 @@
         (None, 5),
         (None, 6),
     ];
-    for (spent, depth) in windows {
-        clamp.record(loose, target(loose).unwrap(), Duration::from_millis(300));
+    for (spent_ms, depth) in windows {
+        clamp.record(
+            loose_class,
+            target(loose_class).unwrap(),
+            Duration::from_millis(300),
+        );
         for _attempt in 0..10 {
-            if let Some(spent) = spent {
-                clamp.record(tight, target(tight).unwrap(), Duration::from_millis(spent));
+            if let Some(spent_ms) = spent_ms {
+                clamp.record(
+                    tight_class,
+                    target(tight_class).unwrap(),
+                    Duration::from_millis(spent_ms),
+                );
             }
         }
         now += WINDOW;
         clamp.advance(now, 6, target);
-        let allowed = (0..6).filter(|in_flight| clamp.allows(loose, *in_flight));
-        expect_that!(allowed.count(), eq(depth), "{spent:?}");
-        expect_that!(clamp.allows(tight, 5), eq(true));
+        let allowed = (0..6).filter(|in_flight| clamp.allows(loose_class, *in_flight));
+        expect_that!(allowed.count(), eq(depth), "{spent_ms:?}");
+        expect_that!(clamp.allows(tight_class, 5), eq(true));
     }
 }
--- a/crates/ebonyfork/src/relay/connection.rs
+++ b/crates/ebonyfork/src/relay/connection.rs
@@ -36,22 +36,22 @@
 /// The endpoints of a connection to an upstream.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UpstreamRoute {
-    /// The address of this VM.
-    pub(super) from: VmAddress,
+    /// The address of this VM, from which the connection is opened.
+    pub(super) vm: VmAddress,
     /// The address of the upstream.
-    pub(super) to: UpstreamAddress,
+    pub(super) upstream: UpstreamAddress,
 }
 
 impl UpstreamRoute {
     /// Connects from this VM's own address, so that the upstream sees which VM it is. If the address is not assigned to
     /// this machine, for example behind NAT, the operating system picks one.
     async fn connect(self) -> std::io::Result<TcpStream> {
-        let socket = match self.to.0 {
+        let socket = match self.upstream.0 {
             SocketAddr::V4(_) => TcpSocket::new_v4()?,
             SocketAddr::V6(_) => TcpSocket::new_v6()?,
         };
-        let _bound = socket.bind(SocketAddr::new(self.from.0, 0));
-        socket.connect(self.to.0).await
+        let _bind_result = socket.bind(SocketAddr::new(self.vm.0, 0));
+        socket.connect(self.upstream.0).await
     }
 }
 
@@ -63,7 +63,7 @@
     pub(super) deadline: Instant,
 }
 
-/// An open connection and the task that drives it.
+/// An open connection to an upstream and the task that drives it.
 pub(super) struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
@@ -76,9 +76,9 @@
 }
 
 impl OpenConnection {
-    /// Opens a TCP connection without sending a request. Returns `None` if that fails.
+    /// Opens a connection without sending a request. Returns `None` if that fails.
     pub(super) async fn connect(route: UpstreamRoute) -> Option<Self> {
-        let upstream = route.to;
+        let upstream = route.upstream;
         let stream = route.connect().await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
@@ -104,15 +104,15 @@
     }
 
     /// Waits until the upstream has closed the connection.
-    async fn ended(&mut self) {
-        let _ended = (&mut self.driver).await;
+    async fn wait_until_closed(&mut self) {
+        let _join_result = (&mut self.driver).await;
     }
 }
 
 /// A complete answer. The body is `None` if it exceeds [`BODY_LIMIT`].
 pub(super) type Answer = Response<Option<Bytes>>;
 
-/// Why a call returned no answer.
+/// Why a call on a connection returned no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallError {
     /// No byte of the request was sent.
@@ -139,8 +139,8 @@
     mut jobs: mpsc::Receiver<ConnectionJob>,
     report: impl AsyncFn(ConnectionEvent),
 ) {
-    let opened = timeout(OPEN_TIMEOUT, open_verified(route)).await;
-    let Some((mut connection, status)) = opened.ok().flatten() else {
+    let open_result = timeout(OPEN_TIMEOUT, open_verified(route)).await;
+    let Some((mut connection, status)) = open_result.ok().flatten() else {
         report(ConnectionEvent::OpenFailed).await;
         return;
     };
@@ -149,7 +149,7 @@
         let job = tokio::select! {
             biased;
             job = jobs.recv() => job,
-            () = connection.ended() => None,
+            () = connection.wait_until_closed() => None,
         };
         let Some(job) = job else {
             break;
@@ -194,7 +194,7 @@
     job: ConnectionJob,
     report: &impl AsyncFn(ConnectionEvent),
 ) -> JobOutcome {
-    let sent = Instant::now();
+    let sent_at = Instant::now();
     let work = job.work;
     let call = connection.call(job.request);
     tokio::pin!(call);
@@ -207,7 +207,7 @@
         Ok(Ok(answer)) => JobOutcome::Answered(UpstreamAnswer {
             draining: is_draining(answer.headers()),
             verdict: read_answer(answer),
-            served: sent.elapsed(),
+            service_time: sent_at.elapsed(),
         }),
         Ok(Err(CallError::Unsent)) => JobOutcome::Unsent,
         Ok(Err(CallError::Broken)) => JobOutcome::Broken,
@@ -218,12 +218,12 @@
 /// Opens a connection and verifies by a status call that the upstream serves it.
 async fn open_verified(route: UpstreamRoute) -> Option<(OpenConnection, OpenStatus)> {
     let mut connection = OpenConnection::connect(route).await?;
-    let request = plain_request(route.to, Method::GET, "/v1/status")?;
+    let request = plain_request(route.upstream, Method::GET, "/v1/status")?;
     let answer = connection.call(request).await.ok()?;
     Some((connection, parse_open_status(&answer)))
 }
 
-/// The body of the status answer. It is only a hint, because it lags and may be wrong.
+/// The body of the answer to a status call. It is only a hint, because it lags and may be wrong.
 #[derive(Deserialize)]
 struct StatusBody<'a> {
     state: &'a str,
--- a/crates/ebonyfork/src/relay/decision.rs
+++ b/crates/ebonyfork/src/relay/decision.rs
@@ -6,20 +6,24 @@
 
 const LOG_TARGET: &str = "ebonyfork::decision";
 
-pub(super) fn log_dispatch(relay: VmAddress, pending: &PendingAttempt) {
+pub(super) fn log_dispatch(relay: VmAddress, pending_attempt: &PendingAttempt) {
     if !log::log_enabled!(target: LOG_TARGET, log::Level::Info) {
         return;
     }
-    let waited = pending.submitted.elapsed();
+    let wait_time = pending_attempt.submitted_at.elapsed();
     log::info!(
         target: LOG_TARGET,
-        "relay={relay} query={} attempt={} shard={} upstream={} decision=send reason={:?} waited={waited:?}",
-        pending.attempt().query, pending.target.attempt, pending.target.shard, pending.target.upstream,
-        pending.target.purpose
+        "relay={relay} query={} attempt={} shard={} upstream={} decision=send reason={:?} waited={wait_time:?}",
+        pending_attempt.attempt().query, pending_attempt.target.attempt, pending_attempt.target.shard, pending_attempt.target.upstream,
+        pending_attempt.target.purpose
     );
 }
 
-pub(super) fn log_verdict(relay: VmAddress, pending: &PendingAttempt, verdict: &ShardVerdict) {
+pub(super) fn log_verdict(
+    relay: VmAddress,
+    pending_attempt: &PendingAttempt,
+    verdict: &ShardVerdict,
+) {
     let (decision, reason): (_, &dyn std::fmt::Debug) = match verdict {
         ShardVerdict::NotRun(reason) => ("refuse", reason),
         ShardVerdict::Failed { reason, .. } => ("fail", reason),
@@ -34,7 +38,7 @@
     log::info!(
         target: LOG_TARGET,
         "relay={relay} query={} attempt={} shard={} upstream={} decision={decision} reason={reason:?}",
-        pending.attempt().query, pending.target.attempt, pending.target.shard, pending.target.upstream
+        pending_attempt.attempt().query, pending_attempt.target.attempt, pending_attempt.target.shard, pending_attempt.target.upstream
     );
 }
 
--- a/crates/ebonyfork/src/relay/handle.rs
+++ b/crates/ebonyfork/src/relay/handle.rs
@@ -6,7 +6,7 @@
 use prometheus_client::registry::Registry;
 use xtra::{Address, Mailbox, WeakAddress};
 
-use crate::relay::actor::{Cancel, Loads, RelayActor, Submit, ViewsChanged};
+use crate::relay::actor::{Cancel, LoadsRequest, RelayActor, Submit, ViewsChanged};
 use crate::relay::message::{CancelBatch, SubmitBatch, UpstreamLoad};
 use crate::relay::metrics::RelayMetrics;
 use crate::relay::settings::RelaySettings;
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct RelayHandle {
     actor: Address<RelayActor>,
-    outstanding: Arc<AtomicUsize>,
+    outstanding_attempts: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
@@ -40,41 +40,41 @@
     /// # }
     /// ```
     pub fn start(settings: RelaySettings) -> Self {
-        let outstanding = Arc::new(AtomicUsize::new(0));
+        let outstanding_attempts = Arc::new(AtomicUsize::new(0));
         let metrics = RelayMetrics::default();
         let views = settings.views.clone();
-        let actor = RelayActor::new(settings, Arc::clone(&outstanding), metrics.clone());
+        let actor = RelayActor::new(settings, Arc::clone(&outstanding_attempts), metrics.clone());
         let actor = xtra::spawn_tokio(actor, Mailbox::unbounded());
         tokio::spawn(follow_views(views, actor.downgrade()));
         Self {
             actor,
-            outstanding,
+            outstanding_attempts,
             metrics,
         }
     }
 
-    /// Submits attempts. Each gets exactly one outcome, sent back through `from`.
-    pub async fn submit(&self, from: LinkSender, batch: SubmitBatch) {
+    /// Submits attempts. Each gets exactly one outcome, sent back through `link`.
+    pub async fn submit(&self, link: LinkSender, batch: SubmitBatch) {
         // The actor stops only when its last handle is dropped, so the message can't be lost.
-        let _handled = self.actor.send(Submit { from, batch }).await;
+        let _send_result = self.actor.send(Submit { link, batch }).await;
     }
 
     /// Cancels attempts. Each still gets its outcome: not run if it was never sent, failed otherwise.
-    pub async fn cancel(&self, from: &LinkSender, batch: CancelBatch) {
-        let Some(session) = from.peer() else {
+    pub async fn cancel(&self, link: &LinkSender, batch: CancelBatch) {
+        let Some(session) = link.peer() else {
             return;
         };
-        let _handled = self.actor.send(Cancel { session, batch }).await;
+        let _send_result = self.actor.send(Cancel { session, batch }).await;
     }
 
     /// Returns the loads of the upstreams that the relay has used.
     pub async fn loads(&self) -> Vec<UpstreamLoad> {
-        self.actor.send(Loads).await.unwrap_or_default()
+        self.actor.send(LoadsRequest).await.unwrap_or_default()
     }
 
     /// Returns the number of attempts, queued or sent, that have no outcome yet.
     pub fn in_flight(&self) -> usize {
-        self.outstanding.load(Ordering::Relaxed)
+        self.outstanding_attempts.load(Ordering::Relaxed)
     }
 
     /// Registers the relay's metrics.
@@ -86,11 +86,11 @@
 /// Notifies the actor of changed views until the views or the actor are gone.
 async fn follow_views(mut views: NodeViews, actor: WeakAddress<RelayActor>) {
     loop {
-        let changed = tokio::select! {
-            changed = views.topology.changed() => changed,
-            changed = views.config.changed() => changed,
+        let change_result = tokio::select! {
+            result = views.topology.changed() => result,
+            result = views.config.changed() => result,
         };
-        if changed.is_err() || actor.send(ViewsChanged).await.is_err() {
+        if change_result.is_err() || actor.send(ViewsChanged).await.is_err() {
             return;
         }
     }
--- a/crates/ebonyfork/src/relay/ids.rs
+++ b/crates/ebonyfork/src/relay/ids.rs
@@ -1,4 +1,5 @@
-//! Dense ids of the entities in a relay. They index tables and are reused once nothing refers to them.
+//! Dense ids of the entities in a relay. They index tables; those of attempts, upstreams, connections and lanes are
+//! reused once nothing refers to them.
 
 use cranelift_entity::entity_impl;
 
@@ -27,7 +28,7 @@
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// The backlog of one organisation in a queue.
+/// The waiting attempts of one organisation in a queue.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct LaneId(u32);
 entity_impl!(LaneId, "lane");
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -3,23 +3,24 @@
 //! An upstream runs as many attempts in parallel as it has slots, and the number of slots is not known. Another attempt
 //! in flight is useful while it adds throughput: with free slots the service time does not change; without one, it
 //! grows by the factor (n + 1) / n, because every attempt waits a little longer. The limit is therefore found by
-//! *trials*. A trial alternates for a short time, in blocks, between two neighbouring values under saturation, and a
-//! sequential test on the difference between the mean log service times decides which hypothesis holds. Because the
-//! blocks are close in time, a slowdown or warm-up of the whole upstream affects both values and decides nothing;
-//! because of the logarithm and the clamping, neither do single stragglers.
+//! *trials*. While the limit is used up (the upstream is *saturated*), a trial alternates for a short time, in blocks,
+//! between two neighbouring limits, and a sequential test on the difference between the mean log service times decides
+//! whether the higher one found a free slot. Because the blocks are close in time, a slowdown or warm-up of the whole
+//! upstream affects both limits and decides nothing; because of the logarithm and the clamping, neither do single
+//! stragglers.
 //!
 //! A trial exceeds the limit by one attempt, for as few answers as the noise allows. Between trials the limit does not
-//! move, and the pause between trials grows while they confirm it. Without saturation there are no trials, because a
-//! higher limit would not be used.
+//! move unless the upstream sheds an attempt or is lost, and the pause between trials grows while they confirm the
+//! limit. Without saturation there are no trials, because a higher limit would not be used.
 
 use std::time::Duration;
 
 use crate::relay::trial::{LimitTrial, TrialVerdict};
 use crate::settings::LimitMode;
 
-/// Limit at an upstream that was never used.
+/// Initial limit at an upstream that was never used, in attempts.
 const INITIAL_LIMIT: u32 = 2;
-/// Limit at an upstream that has returned after a loss.
+/// Initial limit at an upstream that has returned after a loss, in attempts. It is lower because the upstream is cold.
 const RESTART_LIMIT: u32 = 1;
 /// Initial pause between two trials. It doubles while trials confirm the limit, up to the longer of [`MAX_PAUSE`] and
 /// [`MAX_PAUSE_FACTOR`] times the duration of the last trial: where noise makes trials long, they run rarely.
@@ -35,7 +36,7 @@
 /// A trial without a saturated answer for this long is aborted.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Identifies the attempts that were sent under one value of the limit.
+/// Identifies the attempts that were sent while the limit had one value.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LimitEpoch(u32);
 
@@ -52,14 +53,14 @@
     pub epoch: LimitEpoch,
     /// Attempts in flight when the attempt was sent, itself included.
     pub in_flight: u32,
-    /// Natural logarithm of the service time in microseconds, adjusted for the difference between its class and the
-    /// mean of all classes.
+    /// Natural logarithm of the service time in microseconds, adjusted for the difference between the class of the
+    /// attempt and the mean of all classes.
     pub log_service_time: f64,
-    /// Whether further attempts wait to be sent.
+    /// Whether further attempts waited to be sent when the answer arrived.
     pub has_backlog: bool,
 }
 
-/// Direction of a trial: up compares the limit with one more, down with one less.
+/// Direction of a trial: `Up` compares the limit with one more, `Down` with one less.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TrialDirection {
     Up,
@@ -75,66 +76,75 @@
 /// use ebonyfork::settings::LimitMode;
 ///
 /// let mut limit = ConcurrencyLimit::new(LimitMode::Adaptive, 7);
-/// assert_eq!(limit.current(), 2);
-/// limit.shed(std::time::Duration::ZERO, limit.epoch());
-/// assert_eq!(limit.current(), 1);
+/// assert_eq!(limit.current_limit(), 2);
+/// limit.record_shed(std::time::Duration::ZERO, limit.epoch());
+/// assert_eq!(limit.current_limit(), 1);
 /// ```
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     mode: LimitMode,
     /// Connections to the upstream that this VM may use for attempts.
-    share: u32,
+    connection_share: u32,
+    /// The limit without the additional attempt of a running trial, not yet bounded by `connection_share`.
     limit: u32,
+    /// The epoch of attempts that are sent now.
     epoch: LimitEpoch,
-    /// The epoch whose answers count. `epoch` moves past it once a block of a trial is full.
+    /// The epoch of the attempts whose answers count. `epoch` moves past it once a block of a trial is full.
     sampled_epoch: LimitEpoch,
     trial: Option<LimitTrial>,
     direction: TrialDirection,
-    /// Whether the limit has grown since a trial last compared it with one less.
-    unverified: bool,
-    /// Upward trials rejected since a downward trial last confirmed the limit.
-    rejected: u32,
-    next_trial: Duration,
-    pause: Duration,
-    /// When the running trial started, and when it last received a sample.
-    trial_started: Duration,
-    last_sample: Duration,
+    /// Whether the limit has grown, or was reset, since a downward trial last confirmed it.
+    growth_unverified: bool,
+    /// Number of upward trials that ended with the lower limit since a downward trial last confirmed the limit.
+    rejected_up_trials: u32,
+    /// Earliest time of the next trial.
+    next_trial_at: Duration,
+    /// Length of the next pause, unless the duration of the trial before it requires a longer one.
+    next_pause: Duration,
+    /// Start of the running trial.
+    trial_started_at: Duration,
+    /// Time at which the running trial last received a sample, or its start.
+    last_sample_at: Duration,
 }
 
 impl ConcurrencyLimit {
-    /// Creates a limit at its initial value; `share` is the number of connections for attempts.
-    pub fn new(mode: LimitMode, share: u32) -> Self {
+    /// Creates a limit for an upstream that was never used. `connection_share` is the number of connections to the
+    /// upstream that this VM may use for attempts.
+    pub fn new(mode: LimitMode, connection_share: u32) -> Self {
         Self {
             mode,
-            share,
+            connection_share,
             limit: INITIAL_LIMIT,
             epoch: LimitEpoch::default(),
             sampled_epoch: LimitEpoch::default(),
             trial: None,
             direction: TrialDirection::Up,
-            unverified: true,
-            rejected: 0,
-            next_trial: Duration::ZERO,
-            pause: INITIAL_PAUSE,
-            trial_started: Duration::ZERO,
-            last_sample: Duration::ZERO,
+            growth_unverified: true,
+            rejected_up_trials: 0,
+            next_trial_at: Duration::ZERO,
+            next_pause: INITIAL_PAUSE,
+            trial_started_at: Duration::ZERO,
+            last_sample_at: Duration::ZERO,
         }
     }
 
-    /// Returns how many attempts may be in flight now, the extra attempt of a running trial included.
-    pub fn current(&self) -> u32 {
+    /// Returns how many attempts may be in flight now, the additional attempt of a running trial included.
+    pub fn current_limit(&self) -> u32 {
         if self.mode == LimitMode::Static {
-            return self.share;
+            return self.connection_share;
         }
-        let limit = self.trial.as_ref().map_or(self.limit, LimitTrial::limit);
-        u32::min(limit, self.share)
+        let limit = self
+            .trial
+            .as_ref()
+            .map_or(self.limit, LimitTrial::limit_in_force);
+        u32::min(limit, self.connection_share)
     }
 
-    /// Returns the limit without the extra attempt of a running trial.
-    pub fn settled(&self) -> u32 {
+    /// Returns the limit without the additional attempt of a running trial.
+    pub fn base_limit(&self) -> u32 {
         match self.mode {
-            LimitMode::Static => self.share,
-            LimitMode::Adaptive => u32::min(self.limit, self.share),
+            LimitMode::Static => self.connection_share,
+            LimitMode::Adaptive => u32::min(self.limit, self.connection_share),
         }
     }
 
@@ -143,28 +153,28 @@
         self.epoch
     }
 
-    /// Sets the number of connections for attempts.
-    pub fn set_share(&mut self, share: u32) {
-        self.share = share;
+    /// Sets the number of connections to the upstream that this VM may use for attempts.
+    pub fn set_connection_share(&mut self, connection_share: u32) {
+        self.connection_share = connection_share;
     }
 
-    /// Records an answer with rows.
+    /// Records an answer with rows, which may decide a running trial or start the next one.
     pub fn record(&mut self, now: Duration, sample: LimitSample) {
         if self.mode == LimitMode::Static {
             return;
         }
-        let saturated = self.is_saturated(sample.epoch, sample.in_flight);
+        let is_saturated = self.is_saturated(sample.epoch, sample.in_flight);
         if self.trial.is_some() {
-            self.record_in_trial(now, sample, saturated);
-        } else if saturated && now >= self.next_trial {
+            self.record_in_trial(now, sample, is_saturated);
+        } else if is_saturated && now >= self.next_trial_at {
             self.start_trial(now, sample.has_backlog);
         }
     }
 
     /// Records that an attempt was sent and that `in_flight` attempts are now in flight.
     pub fn record_sent(&mut self, in_flight: u32) {
-        let saturated = self.is_saturated(self.epoch, in_flight);
-        let Some(trial) = self.trial.as_mut().filter(|_| saturated) else {
+        let is_saturated = self.is_saturated(self.epoch, in_flight);
+        let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) else {
             return;
         };
         trial.record_sent();
@@ -175,126 +185,139 @@
 
     /// Records that an attempt ended without rows; it was sent in `epoch` with `in_flight` attempts in flight.
     pub fn record_lost(&mut self, epoch: LimitEpoch, in_flight: u32) {
-        let saturated = self.is_saturated(epoch, in_flight);
-        if let Some(trial) = self.trial.as_mut().filter(|_| saturated) {
+        let is_saturated = self.is_saturated(epoch, in_flight);
+        if let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) {
             trial.record_lost();
             self.epoch = self.sampled_epoch;
         }
     }
 
-    /// Returns whether an attempt was sent under the present value and used the last free place under it.
+    /// Returns whether an attempt used up the limit: it was sent in the epoch whose answers count, as the last attempt
+    /// that the limit, or during a trial the limit of the current block, admitted. `in_flight` is the number of
+    /// attempts in flight after it was sent. Only such attempts count in a trial, because the others say nothing about
+    /// the limit.
     fn is_saturated(&self, epoch: LimitEpoch, in_flight: u32) -> bool {
-        let value = self.trial.as_ref().map_or(self.limit, LimitTrial::value);
-        epoch == self.sampled_epoch && in_flight == u32::min(value, self.share)
+        let block_limit = self
+            .trial
+            .as_ref()
+            .map_or(self.limit, LimitTrial::block_limit);
+        epoch == self.sampled_epoch && in_flight == u32::min(block_limit, self.connection_share)
     }
 
-    /// Handles that the upstream shed an attempt sent in `epoch`. Attempts sent before the limit last moved say nothing
-    /// about its present value and are ignored.
-    pub fn shed(&mut self, now: Duration, epoch: LimitEpoch) {
+    /// Records that the upstream shed an attempt sent in `epoch`: ends the running trial, if any, and lowers the limit
+    /// by one unless the trial was testing its higher limit. An attempt sent before the limit last changed says nothing
+    /// about the current limit and is ignored.
+    pub fn record_shed(&mut self, now: Duration, epoch: LimitEpoch) {
         if epoch != self.epoch && epoch != self.sampled_epoch || self.mode == LimitMode::Static {
             return;
         }
-        let overshooting = self.trial.as_ref().is_some_and(LimitTrial::overshoots);
-        if !overshooting {
+        let in_high_block = self
+            .trial
+            .as_ref()
+            .is_some_and(LimitTrial::is_in_high_block);
+        if !in_high_block {
             self.limit = u32::max(self.limit - 1, 1);
         }
         self.direction = TrialDirection::Up;
         self.pause_trials(now);
     }
 
-    /// Resets the limit after the upstream has returned from a loss, because it is cold.
+    /// Resets the limit after a loss of the upstream, because the upstream will be cold when it returns.
     pub fn restart(&mut self, now: Duration) {
         self.limit = RESTART_LIMIT;
         self.direction = TrialDirection::Up;
-        self.unverified = true;
-        self.pause = INITIAL_PAUSE;
+        self.growth_unverified = true;
+        self.next_pause = INITIAL_PAUSE;
         self.end_trial(now);
     }
 
-    /// Starts a trial, unless it would go upwards without a backlog or beyond the share.
+    /// Starts a trial, unless it is an upward one and there is no backlog or no further connection for its additional
+    /// attempt.
     fn start_trial(&mut self, now: Duration, has_backlog: bool) {
         if self.limit == 1 {
             self.direction = TrialDirection::Up;
         }
-        let low = match self.direction {
-            TrialDirection::Up if !has_backlog || self.limit >= self.share => return,
+        let low_limit = match self.direction {
+            TrialDirection::Up if !has_backlog || self.limit >= self.connection_share => return,
             TrialDirection::Up => self.limit,
             TrialDirection::Down => self.limit - 1,
         };
-        self.trial = Some(LimitTrial::new(low));
-        self.trial_started = now;
-        self.last_sample = now;
+        self.trial = Some(LimitTrial::new(low_limit));
+        self.trial_started_at = now;
+        self.last_sample_at = now;
         self.next_epoch();
     }
 
-    /// Passes a sample to the running trial, and ends the trial if it is decided or has timed out.
-    fn record_in_trial(&mut self, now: Duration, sample: LimitSample, saturated: bool) {
-        if now > self.last_sample + TRIAL_TIMEOUT {
+    /// Passes a sample to the running trial if it comes from an attempt that used up the limit, and ends the trial if
+    /// it is decided or has timed out.
+    fn record_in_trial(&mut self, now: Duration, sample: LimitSample, is_saturated: bool) {
+        if now > self.last_sample_at + TRIAL_TIMEOUT {
             self.pause_trials(now);
             return;
         }
-        let Some(trial) = self.trial.as_mut().filter(|_| saturated) else {
+        let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) else {
             return;
         };
-        self.last_sample = now;
+        self.last_sample_at = now;
         let verdict = trial.record(sample.log_service_time);
-        let low = trial.low();
+        let low_limit = trial.low_limit();
         if trial.is_block_empty() {
             self.next_epoch();
         }
         match verdict {
             None => {}
-            Some(TrialVerdict::Saturated) => self.settle(now, low),
-            Some(TrialVerdict::Free) => self.settle(now, low + 1),
+            Some(TrialVerdict::Saturated) => self.finish_trial(now, low_limit),
+            Some(TrialVerdict::FreeSlot) => self.finish_trial(now, low_limit + 1),
         }
     }
 
-    /// Ends a trial with the better of its two values, and chooses the next direction.
-    fn settle(&mut self, now: Duration, limit: u32) {
-        let confirmed = limit == self.limit;
-        self.limit = limit;
+    /// Ends a trial with the limit that it has accepted, and chooses the direction of the next trial.
+    fn finish_trial(&mut self, now: Duration, accepted_limit: u32) {
+        let is_confirmed = accepted_limit == self.limit;
+        self.limit = accepted_limit;
         match self.direction {
-            TrialDirection::Up if confirmed => {
-                self.rejected += 1;
-                let verified = !self.unverified && self.rejected < REJECTIONS_PER_DOWN_TRIAL;
-                if self.limit == 1 || verified {
+            TrialDirection::Up if is_confirmed => {
+                self.rejected_up_trials += 1;
+                let is_verified =
+                    !self.growth_unverified && self.rejected_up_trials < REJECTIONS_PER_DOWN_TRIAL;
+                if self.limit == 1 || is_verified {
                     self.pause_trials(now);
                     return;
                 }
                 self.direction = TrialDirection::Down;
             }
-            TrialDirection::Up => self.unverified = true,
-            TrialDirection::Down if confirmed => {
+            TrialDirection::Up => self.growth_unverified = true,
+            TrialDirection::Down if is_confirmed => {
                 self.direction = TrialDirection::Up;
-                self.unverified = false;
-                self.rejected = 0;
+                self.growth_unverified = false;
+                self.rejected_up_trials = 0;
                 self.pause_trials(now);
                 return;
             }
             TrialDirection::Down => {}
         }
-        if !confirmed {
-            self.pause = INITIAL_PAUSE;
+        if !is_confirmed {
+            self.next_pause = INITIAL_PAUSE;
         }
         self.end_trial(now);
     }
 
     /// Ends the running trial, if any, and pauses; each pause is longer than the last, up to the maximum.
     fn pause_trials(&mut self, now: Duration) {
-        let running = self.trial.is_some();
-        let duration = running.then(|| now.saturating_sub(self.trial_started));
-        let duration = duration.unwrap_or_default();
-        let max_pause = Duration::max(MAX_PAUSE, duration * MAX_PAUSE_FACTOR);
-        let min_pause = Duration::min(duration * MIN_PAUSE_FACTOR, MIN_PAUSE_LIMIT);
-        let pause = Duration::max(self.pause, min_pause);
-        self.pause = Duration::min(pause * 2, max_pause);
+        let is_running = self.trial.is_some();
+        let trial_duration = is_running.then(|| now.saturating_sub(self.trial_started_at));
+        let trial_duration = trial_duration.unwrap_or_default();
+        let max_pause = Duration::max(MAX_PAUSE, trial_duration * MAX_PAUSE_FACTOR);
+        let min_pause = Duration::min(trial_duration * MIN_PAUSE_FACTOR, MIN_PAUSE_LIMIT);
+        let pause = Duration::max(self.next_pause, min_pause);
+        self.next_pause = Duration::min(pause * 2, max_pause);
         self.end_trial(now + pause);
     }
 
-    /// Ends the running trial, if any; the next may start at `next_trial`.
-    fn end_trial(&mut self, next_trial: Duration) {
+    /// Ends the running trial, if any; the next may start at `next_trial_at`.
+    fn end_trial(&mut self, next_trial_at: Duration) {
         self.trial = None;
-        self.next_trial = next_trial;
+        self.next_trial_at = next_trial_at;
         self.next_epoch();
     }
 
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -9,141 +9,153 @@
 use crate::relay::ids::ClassId;
 use crate::relay::service::ServiceTimes;
 
-/// A modelled upstream.
+/// Parameters of a modelled upstream.
 #[derive(Debug, Clone, Copy)]
 struct UpstreamModel {
     slots: usize,
     /// Standard deviation of the log service time.
-    spread: f64,
+    log_std_dev: f64,
     /// Percentage of requests that take ten times as long.
-    stragglers: f64,
+    straggler_percent: f64,
     /// Factor on the service time, as a function of the time in seconds.
     slowness: fn(f64) -> f64,
-    /// Number of requests in flight at which it sheds a further one.
-    sheds_beyond: Option<usize>,
+    /// Number of requests in flight from which on the upstream sheds a further one.
+    shedding_threshold: Option<usize>,
 }
 
 const STEADY: UpstreamModel = UpstreamModel {
     slots: 2,
-    spread: 0.4,
-    stragglers: 1.0,
+    log_std_dev: 0.4,
+    straggler_percent: 1.0,
     slowness: |_seconds| 1.0,
-    sheds_beyond: None,
+    shedding_threshold: None,
 };
 
-/// Results of a run. Averages cover its second half.
+/// Results of a run of the model. Means and shares cover the second half of the run.
 #[derive(Debug, Default)]
 struct RunReport {
     /// Mean limit in force when attempts were answered.
-    limit: f64,
-    /// Share of the answers at which the limit exceeded the slots.
-    above_slots: f64,
-    /// Seconds until the limit first reached the slots.
-    reached: f64,
+    mean_limit: f64,
+    /// Share of the answers at which the limit exceeded the number of slots.
+    share_above_slots: f64,
+    /// Seconds until the limit first reached the number of slots.
+    reached_slots_s: f64,
     /// Utilisation of the slots, as a fraction.
     utilisation: f64,
 }
 
-/// An attempt in flight: its end and start in microseconds, the attempts in flight when it was sent, the limit's epoch,
-/// and whether it is shed.
+/// An attempt in flight: the times of its answer and of its sending in microseconds, the number of attempts in flight
+/// when it was sent, the epoch of the limit, and whether the attempt is shed.
 type InFlightAttempt = (u64, u64, u32, u32, bool);
 
-/// Runs a saturated upstream in virtual time: first in, first out over its slots.
+/// Runs a saturated upstream in virtual time. Its slots serve attempts first in, first out.
 fn run_model(model: UpstreamModel, seconds: f64, seed: u64) -> RunReport {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut limit = ConcurrencyLimit::new(LimitMode::Adaptive, 33);
-    let mut service = ServiceTimes::default();
+    let mut service_times = ServiceTimes::default();
     let class = ClassId::from_u32(0);
     let mut slots: BinaryHeap<Reverse<u64>> = (0..model.slots).map(|_| Reverse(0)).collect();
-    let mut pending: BinaryHeap<Reverse<InFlightAttempt>> = BinaryHeap::new();
+    let mut in_flight_attempts: BinaryHeap<Reverse<InFlightAttempt>> = BinaryHeap::new();
     let mut report = RunReport {
-        reached: f64::INFINITY,
+        reached_slots_s: f64::INFINITY,
         ..Default::default()
     };
-    let (mut now, mut answers, mut busy) = (0_u64, 0.0, 0.0);
-    while (now as f64) < seconds * 1e6 {
-        while pending.len() < limit.current() as usize {
-            let in_flight = pending.len() as u32 + 1;
+    let (mut now_us, mut answer_count, mut busy_us) = (0_u64, 0.0, 0.0);
+    while (now_us as f64) < seconds * 1e6 {
+        while in_flight_attempts.len() < limit.current_limit() as usize {
+            let in_flight = in_flight_attempts.len() as u32 + 1;
             let epoch = limit.epoch().0;
             limit.record_sent(in_flight);
-            if model.sheds_beyond.is_some_and(|most| pending.len() >= most) {
-                pending.push(Reverse((now + 200, now, in_flight, epoch, true)));
+            if model
+                .shedding_threshold
+                .is_some_and(|threshold| in_flight_attempts.len() >= threshold)
+            {
+                in_flight_attempts.push(Reverse((now_us + 200, now_us, in_flight, epoch, true)));
                 continue;
             }
-            let Reverse(free) = slots.pop().unwrap();
-            let start = u64::max(free, now);
-            let taken = service_time(&model, start, &mut rng);
-            slots.push(Reverse(start + taken));
-            busy += if now as f64 > seconds * 5e5 {
-                taken as f64
+            let Reverse(free_at_us) = slots.pop().unwrap();
+            let start_us = u64::max(free_at_us, now_us);
+            let service_us = service_time(&model, start_us, &mut rng);
+            slots.push(Reverse(start_us + service_us));
+            busy_us += if now_us as f64 > seconds * 5e5 {
+                service_us as f64
             } else {
                 0.0
             };
-            pending.push(Reverse((start + taken, now, in_flight, epoch, false)));
+            in_flight_attempts.push(Reverse((
+                start_us + service_us,
+                now_us,
+                in_flight,
+                epoch,
+                false,
+            )));
         }
-        let Reverse((done, sent, in_flight, epoch, shed)) = pending.pop().unwrap();
-        now = done;
+        let Reverse((done_at_us, sent_at_us, in_flight, epoch, is_shed)) =
+            in_flight_attempts.pop().unwrap();
+        now_us = done_at_us;
         let epoch = LimitEpoch(epoch);
-        if shed {
-            limit.shed(Duration::from_micros(now), epoch);
+        if is_shed {
+            limit.record_shed(Duration::from_micros(now_us), epoch);
             continue;
         }
-        let log_service_time = service.record(class, Duration::from_micros(now - sent));
+        let log_service_time =
+            service_times.record_sample(class, Duration::from_micros(now_us - sent_at_us));
         let sample = LimitSample {
             epoch,
             in_flight,
             log_service_time,
             has_backlog: true,
         };
-        limit.record(Duration::from_micros(now), sample);
-        if limit.settled() as usize >= model.slots {
-            report.reached = f64::min(report.reached, now as f64 / 1e6);
+        limit.record(Duration::from_micros(now_us), sample);
+        if limit.base_limit() as usize >= model.slots {
+            report.reached_slots_s = f64::min(report.reached_slots_s, now_us as f64 / 1e6);
         }
-        if now as f64 > seconds * 5e5 {
-            answers += 1.0;
-            report.limit += f64::from(limit.current());
-            report.above_slots += f64::from(u32::from(limit.current() as usize > model.slots));
+        if now_us as f64 > seconds * 5e5 {
+            answer_count += 1.0;
+            report.mean_limit += f64::from(limit.current_limit());
+            report.share_above_slots +=
+                f64::from(u32::from(limit.current_limit() as usize > model.slots));
         }
     }
-    report.limit /= answers;
-    report.above_slots /= answers;
-    report.utilisation = busy / (seconds * 5e5 * model.slots as f64);
+    report.mean_limit /= answer_count;
+    report.share_above_slots /= answer_count;
+    report.utilisation = busy_us / (seconds * 5e5 * model.slots as f64);
     report
 }
 
-fn service_time(model: &UpstreamModel, start: u64, rng: &mut ChaCha8Rng) -> u64 {
+fn service_time(model: &UpstreamModel, start_us: u64, rng: &mut ChaCha8Rng) -> u64 {
     // The sum of twelve uniform samples approximates a normal distribution.
-    let normal: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
-    let straggles = rng.random::<f64>() * 100.0 < model.stragglers;
-    let factor = if straggles { 10.0 } else { 1.0 };
-    let slowness = (model.slowness)(start as f64 / 1e6);
-    (8_000.0 * (normal * model.spread).exp() * factor * slowness) as u64
+    let normal_sample: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
+    let is_straggler = rng.random::<f64>() * 100.0 < model.straggler_percent;
+    let factor = if is_straggler { 10.0 } else { 1.0 };
+    let slowness = (model.slowness)(start_us as f64 / 1e6);
+    (8_000.0 * (normal_sample * model.log_std_dev).exp() * factor * slowness) as u64
 }
 
 #[gtest]
 fn limit_converges_to_slots_without_overshoot() {
-    let slow = |seconds: f64| {
+    let slowdown = |seconds: f64| {
         if (40.0..50.0).contains(&seconds) {
             5.0
         } else {
             1.0
         }
     };
-    let cold = |seconds: f64| f64::max(1.0, 8.0 - seconds);
+    let warm_up = |seconds: f64| f64::max(1.0, 8.0 - seconds);
     let cases = [
         ("2 slots", STEADY),
         (
             "2 slots, quiet",
             UpstreamModel {
-                spread: 0.05,
-                stragglers: 0.0,
+                log_std_dev: 0.05,
+                straggler_percent: 0.0,
                 ..STEADY
             },
         ),
         (
             "2 slots, noisy",
             UpstreamModel {
-                spread: 1.0,
+                log_std_dev: 1.0,
                 ..STEADY
             },
         ),
@@ -152,7 +164,7 @@
             "6 slots, noisy",
             UpstreamModel {
                 slots: 6,
-                spread: 1.0,
+                log_std_dev: 1.0,
                 ..STEADY
             },
         ),
@@ -161,7 +173,7 @@
         (
             "2 slots, slows down",
             UpstreamModel {
-                slowness: slow,
+                slowness: slowdown,
                 ..STEADY
             },
         ),
@@ -169,14 +181,14 @@
             "6 slots, slows down",
             UpstreamModel {
                 slots: 6,
-                slowness: slow,
+                slowness: slowdown,
                 ..STEADY
             },
         ),
         (
             "2 slots, cold",
             UpstreamModel {
-                slowness: cold,
+                slowness: warm_up,
                 ..STEADY
             },
         ),
@@ -184,14 +196,14 @@
             "6 slots, cold",
             UpstreamModel {
                 slots: 6,
-                slowness: cold,
+                slowness: warm_up,
                 ..STEADY
             },
         ),
         (
             "2 slots, sheds",
             UpstreamModel {
-                sheds_beyond: Some(2),
+                shedding_threshold: Some(2),
                 ..STEADY
             },
         ),
@@ -199,7 +211,7 @@
             "6 slots, sheds",
             UpstreamModel {
                 slots: 6,
-                sheds_beyond: Some(6),
+                shedding_threshold: Some(6),
                 ..STEADY
             },
         ),
@@ -207,12 +219,12 @@
     for (name, model) in cases {
         for seed in 1..=5 {
             let report = run_model(model, 120.0, seed);
-            let place = format!("{name}, seed {seed}: {report:?}");
+            let context = format!("{name}, seed {seed}: {report:?}");
             let slots = model.slots as f64;
-            expect_that!(report.limit, near(slots, 0.05), "{place}");
-            expect_that!(report.above_slots, le(0.02), "{place}");
-            expect_that!(report.utilisation, ge(0.98), "{place}");
-            expect_that!(report.reached, le(10.0), "{place}");
+            expect_that!(report.mean_limit, near(slots, 0.05), "{context}");
+            expect_that!(report.share_above_slots, le(0.02), "{context}");
+            expect_that!(report.utilisation, ge(0.98), "{context}");
+            expect_that!(report.reached_slots_s, le(10.0), "{context}");
         }
     }
 }
--- a/crates/ebonyfork/src/relay/loss.rs
+++ b/crates/ebonyfork/src/relay/loss.rs
@@ -13,7 +13,7 @@
 /// The loss of an upstream: connections to it broke while attempts were in flight on them.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamLoss {
-    /// The upstream.
+    /// The lost upstream.
     pub upstream: UpstreamAddress,
     /// Time since the first connection broke.
     pub age: Duration,
@@ -24,38 +24,40 @@
 /// The connections of one upstream that broke within one window.
 #[derive(Debug)]
 pub(super) struct LossWindow {
-    began: Duration,
+    /// When the first connection broke.
+    first_break_at: Duration,
+    /// The requests that were in flight on the broken connections.
     in_flight: SmallVec<[LostRequest; 4]>,
 }
 
 impl LossWindow {
-    /// Opens a window when the first connection breaks.
+    /// Creates a window that starts at `now`, when the first connection of a loss breaks.
     pub(super) fn new(now: Duration) -> Self {
         Self {
-            began: now,
+            first_break_at: now,
             in_flight: SmallVec::new(),
         }
     }
 
-    /// Adds an attempt that was in flight, sent at `sent`. Its flight is measured up to the first break; an attempt
-    /// sent later can't have caused the loss and is ignored.
-    pub(super) fn add(&mut self, request: LostRequest, sent: Duration) {
-        let Some(flight) = self.began.checked_sub(sent) else {
+    /// Adds the request of an attempt that was sent at `sent_at` and was in flight on a connection that broke. The time
+    /// in flight is measured up to the first break. An attempt sent later can't have caused the loss and is ignored.
+    pub(super) fn add(&mut self, request: LostRequest, sent_at: Duration) {
+        let Some(flight) = self.first_break_at.checked_sub(sent_at) else {
             return;
         };
         self.in_flight.push(LostRequest { flight, ..request });
     }
 
-    /// Returns whether the window has ended.
+    /// Returns whether the window has ended, so that later breaks belong to another loss.
     pub(super) fn is_over(&self, now: Duration) -> bool {
-        now >= self.began + LOSS_WINDOW
+        now >= self.first_break_at + LOSS_WINDOW
     }
 
-    /// Builds the report of the loss.
-    pub(super) fn finish(self, upstream: UpstreamAddress, now: Duration) -> UpstreamLoss {
+    /// Returns the loss that the window has recorded.
+    pub(super) fn into_loss(self, upstream: UpstreamAddress, now: Duration) -> UpstreamLoss {
         UpstreamLoss {
             upstream,
-            age: now.saturating_sub(self.began),
+            age: now.saturating_sub(self.first_break_at),
             in_flight: self.in_flight,
         }
     }
--- a/crates/ebonyfork/src/relay/message.rs
+++ b/crates/ebonyfork/src/relay/message.rs
@@ -22,8 +22,8 @@
     Hedge,
     /// A further attempt at a shard after an earlier one ended without rows.
     Retry,
-    /// An attempt of a query that has already lost an upstream. It is sent alone, and a further loss is attributed to
-    /// it.
+    /// An attempt of a query that was already in flight when an upstream was lost. It is sent while nothing else is in
+    /// flight at its upstream, so that a further loss can be attributed to the query.
     AfterLoss,
 }
 
@@ -34,7 +34,7 @@
     pub attempt: u32,
     /// The shard to query.
     pub shard: ShardNumber,
-    /// The upstream to send it to.
+    /// The upstream to send the attempt to.
     pub upstream: UpstreamAddress,
     /// Why the attempt is made.
     pub purpose: AttemptPurpose,
@@ -79,7 +79,7 @@
 /// Why an attempt has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The upstream refused it explicitly because it sheds load.
+    /// The upstream stated that it shed the attempt.
     Shed,
     /// The relay's queue was full.
     QueueFull,
@@ -89,7 +89,7 @@
     NotOwner,
     /// The upstream is leaving or unknown.
     Leaving,
-    /// No connection could be opened, so nothing was sent.
+    /// No connection to the upstream could be opened, so nothing was sent.
     Unreachable,
     /// The attempt was cancelled before it was sent.
     Cancelled,
@@ -106,7 +106,7 @@
 pub enum FailureReason {
     /// The upstream answered with an error status.
     Status,
-    /// The connection broke during the request, which counts as evidence against the upstream and the request.
+    /// The connection broke while the attempt was in flight, which counts against the upstream and against the request.
     Broken,
     /// The deadline passed while the attempt was in flight.
     Timeout,
@@ -128,19 +128,19 @@
         /// JSON text `{"rows":[…]}` as the upstream sent it.
         body: Bytes,
     },
-    /// Not run: the upstream does not hold the pinned version.
+    /// The attempt has not run, because the upstream does not hold the pinned index version.
     VersionGone {
         /// The newest version that the upstream holds.
         newest: SnapshotVersion,
     },
-    /// Not run: the shard is now served by another service.
+    /// The attempt has not run, because the shard is now served by another service.
     Moved {
         /// The service that serves the shard.
         service: ServiceName,
     },
-    /// Not run for another reason.
+    /// The attempt has not run for another reason.
     NotRun(RefusalReason),
-    /// Sent, but no rows were returned.
+    /// The attempt was sent, but no rows were returned.
     Failed {
         /// Whether the attempt ran, as far as known.
         ran: RunState,
@@ -160,9 +160,9 @@
     pub upstream: UpstreamAddress,
     /// The result of the attempt.
     pub verdict: ShardVerdict,
-    /// Time in the relay's queue, in microseconds.
+    /// Time that the attempt waited in the relay, in microseconds.
     pub waited_us: u32,
-    /// Time at the upstream, in microseconds.
+    /// Time from sending the attempt to its verdict, in microseconds; zero if it was not sent.
     pub served_us: u32,
 }
 
@@ -181,11 +181,12 @@
     pub leaving: bool,
 }
 
-/// Verdicts for one entry, with the loads of the upstreams involved.
+/// Outcomes of attempts of one entry, with the loads of the upstreams involved.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeBatch {
-    /// Outcomes of attempts.
+    /// One outcome per attempt. A relay sends the outcomes of a batch that it refuses as a whole together, in the order
+    /// of the batch, and any other outcome by itself.
     pub outcomes: SmallVec<[ShardOutcome; 2]>,
-    /// Loads of the upstreams.
+    /// Loads of the upstreams to which the attempts were assigned.
     pub loads: SmallVec<[UpstreamLoad; 2]>,
 }
--- a/crates/ebonyfork/src/relay/metrics.rs
+++ b/crates/ebonyfork/src/relay/metrics.rs
@@ -83,7 +83,7 @@
     outcomes: Family<OutcomeLabels, Counter>,
     wait_times: Family<ClassLabels, Histogram>,
     service_times: Family<ClassLabels, Histogram>,
-    opened: Counter,
+    connections_opened: Counter,
     connections: Gauge,
     queued: Gauge,
     in_flight: Gauge,
@@ -95,7 +95,7 @@
             outcomes: Family::default(),
             wait_times: Family::new_with_constructor(time_histogram),
             service_times: Family::new_with_constructor(time_histogram),
-            opened: Counter::default(),
+            connections_opened: Counter::default(),
             connections: Gauge::default(),
             queued: Gauge::default(),
             in_flight: Gauge::default(),
@@ -123,7 +123,7 @@
         registry.register(
             "relay_connections_opened",
             "Connections that were opened to upstreams",
-            self.opened.clone(),
+            self.connections_opened.clone(),
         );
         registry.register(
             "relay_connections",
@@ -142,8 +142,8 @@
         );
     }
 
-    /// Counts a verdict.
-    pub(super) fn count(&self, class: &ClassName, verdict: &ShardVerdict) {
+    /// Counts a verdict of an attempt of `class`.
+    pub(super) fn count_verdict(&self, class: &ClassName, verdict: &ShardVerdict) {
         let (outcome, reason) = outcome_labels(verdict);
         let labels = OutcomeLabels {
             class: ClassLabel(class.clone()),
@@ -153,19 +153,24 @@
         self.outcomes.get_or_create(&labels).inc();
     }
 
-    /// Records the times of an attempt that was answered with rows.
-    pub(super) fn observe(&self, class: &ClassName, waited: Duration, served: Duration) {
+    /// Records the wait and service time of an attempt that was answered with rows.
+    pub(super) fn observe_times(
+        &self,
+        class: &ClassName,
+        wait_time: Duration,
+        service_time: Duration,
+    ) {
         let labels = ClassLabels {
             class: ClassLabel(class.clone()),
         };
         let wait_times = self.wait_times.get_or_create(&labels);
-        wait_times.observe(waited.as_secs_f64());
+        wait_times.observe(wait_time.as_secs_f64());
         let service_times = self.service_times.get_or_create(&labels);
-        service_times.observe(served.as_secs_f64());
+        service_times.observe(service_time.as_secs_f64());
     }
 
-    pub(super) fn opened(&self) {
-        self.opened.inc();
+    pub(super) fn count_opened(&self) {
+        self.connections_opened.inc();
     }
 
     pub(super) fn set_connections(&self, connections: u32) {
--- a/crates/ebonyfork/src/relay/metrics_tests.rs
+++ b/crates/ebonyfork/src/relay/metrics_tests.rs
@@ -10,13 +10,14 @@
     metrics.register(&mut registry);
     let class = "search".parse().unwrap();
     let newest = SnapshotVersion(18);
-    metrics.count(&class, &ShardVerdict::NotRun(RefusalReason::QueueFull));
-    metrics.count(&class, &ShardVerdict::VersionGone { newest });
-    metrics.observe(&class, Duration::from_millis(3), Duration::from_millis(9));
+    metrics.count_verdict(&class, &ShardVerdict::NotRun(RefusalReason::QueueFull));
+    metrics.count_verdict(&class, &ShardVerdict::VersionGone { newest });
+    metrics.observe_times(&class, Duration::from_millis(3), Duration::from_millis(9));
     let mut text = String::new();
     prometheus_client::encoding::text::encode(&mut text, &registry).unwrap();
-    let full = r#"relay_outcomes_total{class="search",outcome="not-run",reason="queue-full"} 1"#;
-    expect_that!(text, contains_substring(full));
+    let full_line =
+        r#"relay_outcomes_total{class="search",outcome="not-run",reason="queue-full"} 1"#;
+    expect_that!(text, contains_substring(full_line));
     expect_that!(text, contains_substring(r#"reason="version-gone"} 1"#));
     expect_that!(
         text,
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -19,7 +19,7 @@
 /// Arrival rate in attempts per second, as a function of the time in seconds.
 type ArrivalRate = fn(f64) -> f64;
 
-/// A stream of arrivals.
+/// A stream of arriving attempts of one organisation and class.
 #[derive(Debug, Clone, Copy)]
 struct LoadStream {
     organisation: u32,
@@ -27,33 +27,35 @@
     /// Arrival rate in attempts per second.
     rate: ArrivalRate,
     /// Median service time in microseconds.
-    service: f64,
+    median_service_us: f64,
     /// Time from arrival to deadline in microseconds.
-    within: u64,
+    remaining_us: u64,
 }
 
-/// Results of one stream.
+/// Results of one stream of attempts.
 #[derive(Debug, Clone, Default)]
 struct StreamReport {
     /// Times from arrival to answer in microseconds, of the attempts answered before their deadline.
     latencies: Vec<u64>,
-    arrived: usize,
-    /// Attempts sent while every slot was busy.
+    /// Number of attempts whose deadline is within the run.
+    arrived_count: usize,
+    /// Number of attempts sent while every slot of the upstream was busy.
     sent_to_busy_slots: usize,
-    sent: usize,
+    sent_count: usize,
 }
 
 impl StreamReport {
-    /// Returns a latency quantile in milliseconds. Attempts without an answer before their deadline count as infinite.
-    fn quantile(&mut self, share: f64) -> f64 {
+    /// Returns the latency in milliseconds that a `fraction` of the attempts do not exceed. Attempts without an answer
+    /// before their deadline count as infinite.
+    fn quantile(&mut self, fraction: f64) -> f64 {
         self.latencies.sort_unstable();
-        let rank = (self.arrived as f64 * share) as usize;
+        let rank = (self.arrived_count as f64 * fraction) as usize;
         let latency = self.latencies.get(rank);
         latency.map_or(f64::INFINITY, |latency| *latency as f64 / 1e3)
     }
 
     fn share_answered(&self) -> f64 {
-        self.latencies.len() as f64 / self.arrived as f64
+        self.latencies.len() as f64 / self.arrived_count as f64
     }
 }
 
@@ -68,7 +70,7 @@
     Answered {
         connection: u32,
         work: u32,
-        sent: u64,
+        sent_at_us: u64,
     },
     Tick,
 }
@@ -77,18 +79,22 @@
     state: RelayState,
     topology: TopologyView,
     config: DeclaredConfig,
-    arrivals: ChaCha8Rng,
-    services: ChaCha8Rng,
+    arrival_rng: ChaCha8Rng,
+    service_rng: ChaCha8Rng,
     streams: Vec<LoadStream>,
     reports: Vec<StreamReport>,
-    now: u64,
+    /// Virtual time in microseconds.
+    now_us: u64,
     /// End of the run in microseconds. Attempts whose deadline is later are not counted.
-    ends: u64,
+    end_us: u64,
+    /// Scheduled events, each with its time in microseconds and its number, which orders events of the same time.
     events: BinaryHeap<Reverse<(u64, u64, PolicyEvent)>>,
-    order: u64,
+    event_count: u64,
+    /// Times in microseconds at which the slots of the upstream are free.
     slots: BinaryHeap<Reverse<u64>>,
-    works: BTreeMap<u32, (usize, u64)>,
-    submitted: u64,
+    /// Stream and arrival time in microseconds of each attempt.
+    streams_by_work: BTreeMap<u32, (usize, u64)>,
+    submitted_count: u64,
     actions: Vec<RelayAction>,
 }
 
@@ -97,7 +103,7 @@
         let vm = "10.0.0.1".parse().unwrap();
         let zone: crate::ident::ZoneName = "zone-a".parse().unwrap();
         let service: ServiceName = "tender-00".parse().unwrap();
-        let own = VmEntry {
+        let own_vm = VmEntry {
             vm,
             zone: zone.clone(),
             incarnation: None,
@@ -110,40 +116,40 @@
             leaving: false,
         };
         let mut config = DeclaredConfig::default();
-        let declared = ServiceEntry {
+        let service_entry = ServiceEntry {
             name: service.clone(),
             connections: 25,
             drain: Duration::from_secs(1),
         };
-        config.services.insert(service, declared);
+        config.services.insert(service, service_entry);
         Self {
             state: RelayState::new(vm, switches),
-            topology: TopologyView::new([own], [upstream]),
+            topology: TopologyView::new([own_vm], [upstream]),
             config,
-            arrivals: ChaCha8Rng::seed_from_u64(5),
-            services: ChaCha8Rng::seed_from_u64(6),
+            arrival_rng: ChaCha8Rng::seed_from_u64(5),
+            service_rng: ChaCha8Rng::seed_from_u64(6),
             reports: vec![StreamReport::default(); streams.len()],
             streams,
-            now: 0,
-            ends: 0,
+            now_us: 0,
+            end_us: 0,
             events: BinaryHeap::new(),
-            order: 0,
+            event_count: 0,
             slots: (0..slots).map(|_| Reverse(0)).collect(),
-            works: BTreeMap::new(),
-            submitted: 0,
+            streams_by_work: BTreeMap::new(),
+            submitted_count: 0,
             actions: Vec::new(),
         }
     }
 
     fn run(mut self, seconds: u64) -> Vec<StreamReport> {
-        self.ends = seconds * 1_000_000;
+        self.end_us = seconds * 1_000_000;
         for stream in 0..self.streams.len() {
             self.schedule(0, PolicyEvent::Arrive { stream });
         }
         self.schedule(10_000, PolicyEvent::Tick);
-        while let Some(Reverse((at, _, event))) = self.events.pop() {
-            self.now = at;
-            if at > self.ends {
+        while let Some(Reverse((at_us, _, event))) = self.events.pop() {
+            self.now_us = at_us;
+            if at_us > self.end_us {
                 break;
             }
             self.handle(event);
@@ -152,30 +158,30 @@
         self.reports
     }
 
-    fn schedule(&mut self, after: u64, event: PolicyEvent) {
-        self.order += 1;
+    fn schedule(&mut self, delay_us: u64, event: PolicyEvent) {
+        self.event_count += 1;
         self.events
-            .push(Reverse((self.now + after, self.order, event)));
+            .push(Reverse((self.now_us + delay_us, self.event_count, event)));
     }
 
-    fn time(&self) -> Duration {
-        Duration::from_micros(self.now)
+    fn elapsed_time(&self) -> Duration {
+        Duration::from_micros(self.now_us)
     }
 
     fn handle(&mut self, event: PolicyEvent) {
-        let now = self.time();
+        let now = self.elapsed_time();
         match event {
             PolicyEvent::Arrive { stream } => self.arrive(stream),
             PolicyEvent::Opened { connection } => {
                 let connection = ConnectionId::from_u32(connection);
                 let status = OpenStatus::Ready;
                 let event = ConnectionEvent::Opened { status };
-                self.state.connection_event(now, connection, event);
+                self.state.handle_connection_event(now, connection, event);
             }
             PolicyEvent::Answered {
                 connection,
                 work,
-                sent,
+                sent_at_us,
             } => {
                 let answer = UpstreamAnswer {
                     verdict: ShardVerdict::Rows {
@@ -183,12 +189,12 @@
                         body: Bytes::new(),
                     },
                     draining: false,
-                    served: Duration::from_micros(self.now - sent),
+                    service_time: Duration::from_micros(self.now_us - sent_at_us),
                 };
                 let work = WorkId::from_u32(work);
                 let event = ConnectionEvent::Answered { work, answer };
                 self.state
-                    .connection_event(now, ConnectionId::from_u32(connection), event);
+                    .handle_connection_event(now, ConnectionId::from_u32(connection), event);
             }
             PolicyEvent::Tick => {
                 self.state.tick(now);
@@ -199,32 +205,36 @@
 
     fn arrive(&mut self, stream: usize) {
         let load = self.streams[stream];
-        let rate = (load.rate)(self.now as f64 / 1e6);
-        let pause = -f64::ln(1.0 - self.arrivals.random::<f64>()) / f64::max(rate, 0.1);
-        self.schedule((pause * 1e6) as u64, PolicyEvent::Arrive { stream });
+        let rate = (load.rate)(self.now_us as f64 / 1e6);
+        let gap_s = -f64::ln(1.0 - self.arrival_rng.random::<f64>()) / f64::max(rate, 0.1);
+        self.schedule((gap_s * 1e6) as u64, PolicyEvent::Arrive { stream });
         let session = SessionId::new("10.0.0.1".parse().unwrap(), IncarnationNumber(1));
         let request = WorkRequest {
             key: AttemptKey {
                 session,
-                query: self.submitted,
+                query: self.submitted_count,
                 attempt: 0,
             },
             upstream: upstream(),
             organisation: OrganisationId::from_u32(load.organisation),
             class: ClassId::from_u32(load.class),
-            deadline: self.time() + Duration::from_micros(load.within),
-            fingerprint: RequestFingerprint(self.submitted),
+            deadline: self.elapsed_time() + Duration::from_micros(load.remaining_us),
+            fingerprint: RequestFingerprint(self.submitted_count),
             suspicion: WorkSuspicion::Clear,
         };
-        self.submitted += 1;
+        self.submitted_count += 1;
         let views = ViewPair {
             topology: &self.topology,
             config: &self.config,
         };
-        let counts = self.now + load.within <= self.ends;
-        self.reports[stream].arrived += usize::from(counts);
-        let work = self.state.submit(self.time(), views, &request).unwrap();
-        self.works.insert(work.as_u32(), (stream, self.now));
+        let is_counted = self.now_us + load.remaining_us <= self.end_us;
+        self.reports[stream].arrived_count += usize::from(is_counted);
+        let work = self
+            .state
+            .submit(self.elapsed_time(), views, &request)
+            .unwrap();
+        self.streams_by_work
+            .insert(work.as_u32(), (stream, self.now_us));
     }
 
     fn run_actions(&mut self) {
@@ -246,11 +256,12 @@
                 connection, work, ..
             } => self.send(connection.as_u32(), work.as_u32()),
             RelayAction::Finish { work, verdict } => {
-                let (stream, arrived) = self.works[&work.as_u32()];
-                let latency = self.now - arrived;
-                let within = self.streams[stream].within;
-                let counts = arrived + within <= self.ends && latency <= within;
-                if counts && matches!(verdict, ShardVerdict::Rows { .. }) {
+                let (stream, arrived_at_us) = self.streams_by_work[&work.as_u32()];
+                let latency = self.now_us - arrived_at_us;
+                let remaining_us = self.streams[stream].remaining_us;
+                let is_counted =
+                    arrived_at_us + remaining_us <= self.end_us && latency <= remaining_us;
+                if is_counted && matches!(verdict, ShardVerdict::Rows { .. }) {
                     self.reports[stream].latencies.push(latency);
                 }
             }
@@ -258,27 +269,32 @@
         }
     }
 
-    /// Serves attempts first in, first out over the slots; one in a hundred takes ten times as long.
+    /// Sends an attempt to the modelled upstream, whose slots serve attempts first in, first out. One attempt in a
+    /// hundred takes ten times as long as it otherwise would.
     fn send(&mut self, connection: u32, work: u32) {
-        let (stream, _) = self.works[&work];
-        let normal: f64 = (0..12).map(|_| self.services.random::<f64>()).sum::<f64>() - 6.0;
-        let straggler = if self.services.random::<f64>() < 0.01 {
+        let (stream, _) = self.streams_by_work[&work];
+        let normal_sample: f64 = (0..12)
+            .map(|_| self.service_rng.random::<f64>())
+            .sum::<f64>()
+            - 6.0;
+        let straggler_factor = if self.service_rng.random::<f64>() < 0.01 {
             10.0
         } else {
             1.0
         };
-        let taken = self.streams[stream].service * (normal * 0.3).exp() * straggler;
-        let Reverse(free) = self.slots.pop().unwrap();
-        self.reports[stream].sent += 1;
-        self.reports[stream].sent_to_busy_slots += usize::from(free > self.now);
-        let done = u64::max(free, self.now) + taken as u64;
-        self.slots.push(Reverse(done));
+        let service_us =
+            self.streams[stream].median_service_us * (normal_sample * 0.3).exp() * straggler_factor;
+        let Reverse(free_at_us) = self.slots.pop().unwrap();
+        self.reports[stream].sent_count += 1;
+        self.reports[stream].sent_to_busy_slots += usize::from(free_at_us > self.now_us);
+        let done_at_us = u64::max(free_at_us, self.now_us) + service_us as u64;
+        self.slots.push(Reverse(done_at_us));
         let event = PolicyEvent::Answered {
             connection,
             work,
-            sent: self.now,
+            sent_at_us: self.now_us,
         };
-        self.schedule(done - self.now, event);
+        self.schedule(done_at_us - self.now_us, event);
     }
 }
 
@@ -288,6 +304,7 @@
 
 /// The baseline for comparison: order of arrival, limited only by the connection share.
 const BASELINE: (QueueOrder, LimitMode) = (QueueOrder::Arrival, LimitMode::Static);
+/// The policy under test: least slack first, limited by the adaptive concurrency limit.
 const POLICY: (QueueOrder, LimitMode) = (QueueOrder::Slack, LimitMode::Adaptive);
 
 /// Runs the streams on an upstream with two slots. `cargo test policy -- --nocapture` prints the results.
@@ -309,7 +326,7 @@
             report.quantile(0.99),
             report.share_answered(),
             report.latencies.len() as f64 / seconds as f64,
-            report.sent_to_busy_slots as f64 / report.sent as f64,
+            report.sent_to_busy_slots as f64 / report.sent_count as f64,
         );
     }
     reports
@@ -317,18 +334,18 @@
 
 #[gtest]
 fn bursty_organisation_does_not_delay_others() {
-    let steady = |organisation| LoadStream {
+    let steady_stream = |organisation| LoadStream {
         organisation,
         class: 0,
         rate: |_| 20.0,
-        service: 8_000.0,
-        within: 300_000,
+        median_service_us: 8_000.0,
+        remaining_us: 300_000,
     };
     let burst = LoadStream {
-        rate: |at| if at % 10.0 < 2.0 { 500.0 } else { 10.0 },
-        ..steady(9)
+        rate: |seconds| if seconds % 10.0 < 2.0 { 500.0 } else { 10.0 },
+        ..steady_stream(9)
     };
-    let streams = [steady(0), steady(1), steady(2), burst];
+    let streams = [steady_stream(0), steady_stream(1), steady_stream(2), burst];
     let baseline = run_policy(BASELINE, &streams, 60);
     let mut reports = run_policy(POLICY, &streams, 60);
     for number in 0..3 {
@@ -344,15 +361,15 @@
         organisation: 0,
         class: 0,
         rate: |_| 60.0,
-        service: 2_000.0,
-        within: 100_000,
+        median_service_us: 2_000.0,
+        remaining_us: 100_000,
     };
     let bulk = LoadStream {
         organisation: 1,
         class: 1,
         rate: |_| 40.0,
-        service: 30_000.0,
-        within: 2_000_000,
+        median_service_us: 30_000.0,
+        remaining_us: 2_000_000,
     };
     let baseline = run_policy(BASELINE, &[lookup, bulk], 60);
     let mut reports = run_policy(POLICY, &[lookup, bulk], 60);
@@ -362,40 +379,41 @@
     expect_that!(reports[1].share_answered(), ge(0.995));
 }
 
-/// Compares the clamp with least slack alone. The results are printed and not asserted; docs/design/relay.md discusses
-/// them.
+/// Compares runs with the clamp on the depth of looser classes with runs that only send the attempt with the least
+/// slack first. The results are printed and not asserted; docs/design/relay.md discusses them.
 #[gtest]
 fn compare_clamp_with_least_slack() {
     let lookup = |rate| LoadStream {
         organisation: 0,
         class: 0,
         rate,
-        service: 2_000.0,
-        within: 100_000,
+        median_service_us: 2_000.0,
+        remaining_us: 100_000,
     };
     let bulk = |rate| LoadStream {
         organisation: 1,
         class: 1,
         rate,
-        service: 30_000.0,
-        within: 2_000_000,
+        median_service_us: 30_000.0,
+        remaining_us: 2_000_000,
     };
     let loads: [ArrivalRate; 3] = [|_| 24.0, |_| 40.0, |_| 66.0];
     for rate in loads {
         // Milliseconds of work per second, divided over two slots; the mean service time is 1.14 times the median.
         let load = (60.0 * 2.0 + rate(0.0) * 30.0) * 1.14 / 2_000.0;
-        // Without the clamp; with targets for the 99th percentile of the classes; for the 90th, as in io.latency.
+        // Without the clamp; with the clamp and targets for the 99th percentile; with targets for the 90th percentile,
+        // as in io.latency.
         for late_share in [None, Some(0.01), Some(0.1)] {
             let switches = ExperimentSwitches {
                 clamp: late_share.is_some(),
                 ..Default::default()
             };
             for slots in [2, 6] {
-                let scaled = |stream: LoadStream| LoadStream {
-                    service: stream.service * slots as f64 / 2.0,
+                let scale_service = |stream: LoadStream| LoadStream {
+                    median_service_us: stream.median_service_us * slots as f64 / 2.0,
                     ..stream
                 };
-                let streams = vec![scaled(lookup(|_| 60.0)), scaled(bulk(rate))];
+                let streams = vec![scale_service(lookup(|_| 60.0)), scale_service(bulk(rate))];
                 let mut simulation = PolicySimulation::new(switches, slots, streams);
                 let late_share = late_share.unwrap_or_default();
                 simulation
@@ -421,19 +439,19 @@
         organisation: 0,
         class: 0,
         rate,
-        service: 8_000.0 / 1.14,
-        within: 150_000,
+        median_service_us: 8_000.0 / 1.14,
+        remaining_us: 150_000,
     };
-    let mut peak = 0;
+    let mut max_answered_count = 0;
     // 50, 80, 95, 130 and 200 % of the capacity of two slots.
     let rates: [ArrivalRate; 5] = [|_| 119.0, |_| 190.0, |_| 226.0, |_| 309.0, |_| 476.0];
     for rate in rates {
         run_policy(BASELINE, &[stream(rate)], 30);
         let reports = run_policy(POLICY, &[stream(rate)], 30);
-        let goodput = reports[0].latencies.len();
-        peak = usize::max(peak, goodput);
+        let answered_count = reports[0].latencies.len();
+        max_answered_count = usize::max(max_answered_count, answered_count);
         if rate(0.0) > 300.0 {
-            expect_that!(goodput * 100, ge(peak * 95));
+            expect_that!(answered_count * 100, ge(max_answered_count * 95));
         }
     }
 }
--- a/crates/ebonyfork/src/relay/pool.rs
+++ b/crates/ebonyfork/src/relay/pool.rs
@@ -1,21 +1,23 @@
 //! The connection pool of one upstream: which connections are open or idle, and when another may be opened.
 //!
-//! The number of connections, including those being opened, never exceeds the share. The most recently used idle
-//! connection is taken first, so that the others can reach the idle limit and close. Pure: connections to open and
-//! close are issued as actions through the [`RelayTables`].
+//! The number of connections, including those being opened, never exceeds the connection share. The most recently used
+//! idle connection is taken first, so that the others can reach the idle timeout and close. Pure: connections to open
+//! and close are issued as actions through the [`RelayTables`].
 
 use std::time::Duration;
 
 use crate::relay::action::{RelayAction, RelayTables};
 use crate::relay::ids::{ConnectionId, UpstreamId};
 
-/// An idle connection is closed after this time, before a typical upstream would close it while a request is being
-/// sent.
-pub(super) const IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// Time after which an idle connection is closed. It is short enough that a typical upstream does not close the
+/// connection first, while a request is being sent on it.
+pub(super) const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Initial backoff after a failed attempt to open a connection. It doubles up to [`MAX_OPEN_BACKOFF`].
-const OPEN_BACKOFF: Duration = Duration::from_millis(10);
+const INITIAL_OPEN_BACKOFF: Duration = Duration::from_millis(10);
+/// Maximum backoff after a failed attempt to open a connection.
 const MAX_OPEN_BACKOFF: Duration = Duration::from_secs(1);
 
+/// An open connection without an attempt in flight.
 #[derive(Debug, Clone, Copy)]
 struct IdleConnection {
     connection: ConnectionId,
@@ -26,138 +28,154 @@
 #[derive(Debug)]
 pub(super) struct ConnectionPool {
     upstream: UpstreamId,
-    /// Maximum number of connections.
-    share: u32,
-    idle: Vec<IdleConnection>,
-    /// Connections that were opened and whose end was not reported yet.
-    open: u32,
-    /// Connections being opened.
-    opening: u32,
-    /// Consecutive failures to open a connection.
-    failures: u32,
-    /// No connection is opened before this time.
+    /// Maximum number of connections to the upstream that this VM may hold for attempts.
+    connection_share: u32,
+    /// The idle connections; the most recently used one is last.
+    idle_connections: Vec<IdleConnection>,
+    /// Number of connections that were opened and whose end was not reported yet.
+    open_count: u32,
+    /// Number of connections being opened.
+    opening_count: u32,
+    /// Number of consecutive failures to open a connection.
+    consecutive_failures: u32,
+    /// Earliest time at which the next connection may be opened.
     retry_at: Duration,
 }
 
 impl ConnectionPool {
-    /// Creates a pool without connections and with a share of zero.
+    /// Creates a pool without connections and with a connection share of zero.
     pub(super) fn new(upstream: UpstreamId) -> Self {
         Self {
             upstream,
-            share: 0,
-            idle: Vec::new(),
-            open: 0,
-            opening: 0,
-            failures: 0,
+            connection_share: 0,
+            idle_connections: Vec::new(),
+            open_count: 0,
+            opening_count: 0,
+            consecutive_failures: 0,
             retry_at: Duration::ZERO,
         }
     }
 
-    pub(super) fn share(&self) -> u32 {
-        self.share
+    pub(super) fn connection_share(&self) -> u32 {
+        self.connection_share
     }
 
     /// Returns the number of connections that are open or being opened.
-    pub(super) fn total(&self) -> u32 {
-        self.open + self.opening
+    pub(super) fn connection_count(&self) -> u32 {
+        self.open_count + self.opening_count
     }
 
     /// Returns the number of idle connections.
-    pub(super) fn idle(&self) -> usize {
-        self.idle.len()
+    pub(super) fn idle_count(&self) -> usize {
+        self.idle_connections.len()
     }
 
     /// Returns whether no connection is open and the last attempt to open one failed less than its backoff ago.
     pub(super) fn is_unreachable(&self, now: Duration) -> bool {
-        self.open == 0 && now < self.retry_at
+        self.open_count == 0 && now < self.retry_at
     }
 
-    /// Replaces the share and closes idle connections beyond it.
-    pub(super) fn set_share(&mut self, share: u32, tables: &mut RelayTables) {
-        self.share = share;
+    /// Replaces the connection share and closes idle connections beyond it.
+    pub(super) fn set_connection_share(&mut self, connection_share: u32, tables: &mut RelayTables) {
+        self.connection_share = connection_share;
         self.close_surplus(tables);
     }
 
     /// Adds a connection that was opened, as idle.
-    pub(super) fn opened(&mut self, now: Duration, connection: ConnectionId) {
-        self.opening -= 1;
-        self.open += 1;
-        self.failures = 0;
+    pub(super) fn add_opened(&mut self, now: Duration, connection: ConnectionId) {
+        self.opening_count -= 1;
+        self.open_count += 1;
+        self.consecutive_failures = 0;
         self.retry_at = now;
         self.put_back(now, connection);
     }
 
     /// Removes a connection that could not be opened, and starts the backoff.
-    pub(super) fn open_failed(
+    pub(super) fn remove_failed(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.opening -= 1;
+        self.opening_count -= 1;
         tables.forget_connection(connection);
-        let backoff = OPEN_BACKOFF * (1 << u32::min(self.failures, 10));
-        self.failures += 1;
+        let backoff = INITIAL_OPEN_BACKOFF * (1 << u32::min(self.consecutive_failures, 10));
+        self.consecutive_failures += 1;
         self.retry_at = now + Duration::min(backoff, MAX_OPEN_BACKOFF);
     }
 
     /// Removes a connection that has ended.
-    pub(super) fn ended(&mut self, connection: ConnectionId, tables: &mut RelayTables) {
-        self.idle.retain(|idle| idle.connection != connection);
-        self.open -= 1;
+    pub(super) fn remove_ended(&mut self, connection: ConnectionId, tables: &mut RelayTables) {
+        self.idle_connections
+            .retain(|idle_connection| idle_connection.connection != connection);
+        self.open_count -= 1;
         tables.forget_connection(connection);
     }
 
-    /// Takes the most recently used idle connection.
-    pub(super) fn take(&mut self) -> Option<ConnectionId> {
-        self.idle.pop().map(|idle| idle.connection)
+    /// Removes and returns the most recently used idle connection.
+    pub(super) fn take_idle(&mut self) -> Option<ConnectionId> {
+        self.idle_connections
+            .pop()
+            .map(|idle_connection| idle_connection.connection)
     }
 
     /// Makes a connection idle again.
     pub(super) fn put_back(&mut self, now: Duration, connection: ConnectionId) {
         let idle_since = now;
-        self.idle.push(IdleConnection {
+        self.idle_connections.push(IdleConnection {
             connection,
             idle_since,
         });
     }
 
-    /// Opens connections until `wanted` are being opened, within the share. Does nothing while a connection is idle or
-    /// during the backoff.
-    pub(super) fn open_needed(&mut self, now: Duration, wanted: u32, tables: &mut RelayTables) {
-        if now < self.retry_at || !self.idle.is_empty() {
+    /// Opens connections until `wanted_count` are being opened, within the connection share. Does nothing while a
+    /// connection is idle or during the backoff.
+    pub(super) fn open_needed(
+        &mut self,
+        now: Duration,
+        wanted_count: u32,
+        tables: &mut RelayTables,
+    ) {
+        if now < self.retry_at || !self.idle_connections.is_empty() {
             return;
         }
-        while self.opening < wanted && self.total() < self.share {
-            self.opening += 1;
-            tables.open(self.upstream);
+        while self.opening_count < wanted_count && self.connection_count() < self.connection_share {
+            self.opening_count += 1;
+            tables.open_connection(self.upstream);
         }
     }
 
-    /// Closes idle connections beyond the share.
+    /// Closes idle connections beyond the connection share.
     pub(super) fn close_surplus(&mut self, tables: &mut RelayTables) {
-        let mut surplus = self.total().saturating_sub(self.share);
-        while surplus > 0
-            && let Some(connection) = self.take()
+        let mut surplus_count = self
+            .connection_count()
+            .saturating_sub(self.connection_share);
+        while surplus_count > 0
+            && let Some(connection) = self.take_idle()
         {
             tables.actions.push(RelayAction::Close { connection });
-            surplus -= 1;
+            surplus_count -= 1;
         }
     }
 
-    /// Closes connections that have reached the idle limit.
+    /// Closes connections that have reached the idle timeout.
     pub(super) fn close_timed_out(&mut self, now: Duration, tables: &mut RelayTables) {
-        let keep = |idle: &IdleConnection| idle.idle_since + IDLE_LIMIT > now;
-        for idle in self.idle.iter().filter(|idle| !keep(idle)) {
-            let connection = idle.connection;
+        let is_kept =
+            |idle_connection: &IdleConnection| idle_connection.idle_since + IDLE_TIMEOUT > now;
+        for idle_connection in self
+            .idle_connections
+            .iter()
+            .filter(|idle_connection| !is_kept(idle_connection))
+        {
+            let connection = idle_connection.connection;
             tables.actions.push(RelayAction::Close { connection });
         }
-        self.idle.retain(keep);
+        self.idle_connections.retain(is_kept);
     }
 
     /// Closes all idle connections.
     pub(super) fn close_idle(&mut self, tables: &mut RelayTables) {
-        for IdleConnection { connection, .. } in self.idle.drain(..) {
+        for IdleConnection { connection, .. } in self.idle_connections.drain(..) {
             tables.actions.push(RelayAction::Close { connection });
         }
     }
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -26,12 +26,12 @@
 pub const QUEUE_LIMIT: usize = 1_024;
 /// Maximum number of attempts of one organisation waiting for one upstream.
 pub const ORGANISATION_LIMIT: usize = QUEUE_LIMIT / 2;
-/// How far an organisation's virtual time may be ahead of another's, in attempts of mean cost, before its attempts have
-/// to wait regardless of their urgency.
+/// Maximum lead of a lane's virtual time over that of the lane furthest behind, in attempts of mean cost, with which
+/// its attempts are still sent in the order of their slack. Beyond it they wait, however urgent they are.
 pub const FAIR_QUANTUM: u64 = 4;
 /// Number of usual service times that an attempt should have left before its deadline when it is sent.
 pub const START_MARGIN: u64 = 2;
-/// Number of lanes without a backlog from which on one is reused for another organisation.
+/// Number of idle lanes from which on an idle lane is reused for another organisation.
 const IDLE_LANE_LIMIT: usize = 64;
 
 /// A waiting attempt.
@@ -39,13 +39,13 @@
 pub struct QueueEntry {
     /// The attempt.
     pub work: WorkId,
-    /// The organisation that it belongs to.
+    /// The organisation that the attempt belongs to.
     pub organisation: OrganisationId,
-    /// Its class.
+    /// The class of the attempt.
     pub class: ClassId,
-    /// Time at which its caller stops waiting.
+    /// Time at which the caller stops waiting, since process start.
     pub deadline: Duration,
-    /// Expected service time at the upstream; counts against the organisation's share.
+    /// Expected service time at the upstream, which counts against the organisation's share of the upstream.
     pub cost: Duration,
 }
 
@@ -65,20 +65,27 @@
     position: u32,
 }
 
+/// A waiting attempt in the heap of its lane.
 #[derive(Debug, Clone, Copy)]
 struct LaneEntry {
-    /// Latest start in microseconds, or zero in order of arrival; then the arrival number.
+    /// The key by which the heap is ordered: the latest start in microseconds since process start, or zero if the queue
+    /// is in order of arrival, and the number of the arrival.
     key: (u64, u64),
     work: WorkId,
     class: ClassId,
     deadline: Duration,
+    /// Expected service time in microseconds.
     cost: u64,
 }
 
+/// The waiting attempts of one organisation, or of all organisations if the queue is in order of arrival.
 #[derive(Debug)]
 struct QueueLane {
     organisation: OrganisationId,
+    /// Binary heap with the least key first.
     heap: Vec<LaneEntry>,
+    /// Sum of the costs, in microseconds, of the attempts taken from the lane, raised to the queue's virtual time
+    /// whenever the lane becomes active.
     virtual_time: u64,
 }
 
@@ -112,13 +119,19 @@
 pub struct RelayQueue {
     order: QueueOrder,
     lanes: PrimaryMap<LaneId, QueueLane>,
-    by_organisation: SecondaryMap<OrganisationId, PackedOption<LaneId>>,
-    active: Vec<LaneId>,
-    idle: Vec<LaneId>,
+    lanes_by_organisation: SecondaryMap<OrganisationId, PackedOption<LaneId>>,
+    /// Lanes with waiting attempts.
+    active_lanes: Vec<LaneId>,
+    /// Lanes without waiting attempts.
+    idle_lanes: Vec<LaneId>,
     slots: SecondaryMap<WorkId, QueueSlot>,
+    /// Number of waiting attempts.
     length: usize,
-    arrivals: u64,
+    /// Number of attempts ever pushed.
+    arrival_count: u64,
+    /// Greatest virtual time that a lane had when an attempt was taken from it, in microseconds.
     virtual_time: u64,
+    /// Exponentially weighted mean of the costs, in microseconds.
     mean_cost: u64,
 }
 
@@ -128,12 +141,12 @@
         Self {
             order,
             lanes: PrimaryMap::new(),
-            by_organisation: SecondaryMap::new(),
-            active: Vec::new(),
-            idle: Vec::new(),
+            lanes_by_organisation: SecondaryMap::new(),
+            active_lanes: Vec::new(),
+            idle_lanes: Vec::new(),
             slots: SecondaryMap::new(),
             length: 0,
-            arrivals: 0,
+            arrival_count: 0,
             virtual_time: 0,
             mean_cost: 0,
         }
@@ -149,9 +162,9 @@
         self.length == 0
     }
 
-    /// Queues an attempt. If its lane becomes too long, the attempt with the most slack in that lane is removed; if the
-    /// whole queue becomes too long, that of the longest lane is, so that one organisation's backlog can't keep the
-    /// attempts of others out.
+    /// Queues an attempt. If its lane becomes too long, the attempt with the most slack in that lane is removed. If the
+    /// whole queue becomes too long, the attempt with the most slack in the longest lane is removed, so that one
+    /// organisation's backlog can't keep the attempts of others out.
     pub fn push(&mut self, entry: QueueEntry) -> PushResult {
         let lane = self.lane_for(entry.organisation);
         if self.lanes[lane].heap.is_empty() {
@@ -162,47 +175,49 @@
             0 => cost,
             mean => (mean * 15 + cost) / 16,
         };
-        self.arrivals += 1;
+        self.arrival_count += 1;
         let latest_start = match self.order {
             QueueOrder::Slack => {
                 (entry.deadline.as_micros() as u64).saturating_sub(cost * START_MARGIN)
             }
             QueueOrder::Arrival => 0,
         };
-        let stored = LaneEntry {
-            key: (latest_start, self.arrivals),
+        let lane_entry = LaneEntry {
+            key: (latest_start, self.arrival_count),
             work: entry.work,
             class: entry.class,
             deadline: entry.deadline,
             cost,
         };
-        self.insert(lane, stored);
+        self.insert_entry(lane, lane_entry);
         if self.lanes[lane].heap.len() > self.lane_limit() {
             return PushResult::Evicted(self.evict(lane));
         }
         if self.length > QUEUE_LIMIT {
-            let longest = self.longest_lane().unwrap_or(lane);
-            return PushResult::Evicted(self.evict(longest));
+            let longest_lane = self.longest_lane().unwrap_or(lane);
+            return PushResult::Evicted(self.evict(longest_lane));
         }
         PushResult::Queued
     }
 
-    /// Removes and returns the next attempt to send, where `room` is the number that may be sent now. Skips a lane
-    /// while `allows` returns false for the class of its head. Attempts that are too late are moved to `expired`: those
-    /// past their deadline, and those past their latest start while at least `room` others wait.
+    /// Removes and returns the next attempt to send, where `send_capacity` is the number that may be sent now. Skips a
+    /// lane while `allows` returns false for the class of its head. Attempts that are too late are moved to
+    /// `expired_work`: those past their deadline, and those past their latest start while at least `send_capacity`
+    /// others wait.
     pub fn pop(
         &mut self,
         now: Duration,
-        room: usize,
+        send_capacity: usize,
         allows: impl Fn(ClassId) -> bool,
-        expired: &mut Vec<WorkId>,
+        expired_work: &mut Vec<WorkId>,
     ) -> Option<WorkId> {
         while let Some(lane) = self.next_lane(&allows) {
             let head = self.lanes[lane].heap[0];
             self.remove_at(lane, 0);
-            let late = self.order == QueueOrder::Slack && head.key.0 < now.as_micros() as u64;
-            if head.deadline <= now || late && self.length >= room {
-                expired.push(head.work);
+            let is_past_start =
+                self.order == QueueOrder::Slack && head.key.0 < now.as_micros() as u64;
+            if head.deadline <= now || is_past_start && self.length >= send_capacity {
+                expired_work.push(head.work);
                 continue;
             }
             self.virtual_time = u64::max(self.virtual_time, self.lanes[lane].virtual_time);
@@ -222,38 +237,38 @@
         true
     }
 
-    /// Moves every attempt whose deadline has passed to `expired`. Those of a lane ordered by slack that are not at its
-    /// head may remain.
-    pub fn drop_expired(&mut self, now: Duration, expired: &mut Vec<WorkId>) {
+    /// Moves every attempt whose deadline has passed to `expired_work`. If lanes
+    /// are ordered by slack, expired attempts that are not at the head of their lane may remain.
+    pub fn drop_expired(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
         let mut index = 0;
-        while index < self.active.len() {
-            let lane = self.active[index];
-            self.drop_expired_in(lane, now, expired);
+        while index < self.active_lanes.len() {
+            let lane = self.active_lanes[index];
+            self.drop_expired_in(lane, now, expired_work);
             if !self.lanes[lane].heap.is_empty() {
                 index += 1;
             }
         }
     }
 
-    /// Moves all attempts to `taken`.
-    pub fn drain(&mut self, taken: &mut Vec<WorkId>) {
-        while let Some(lane) = self.active.last().copied() {
+    /// Moves all attempts to `removed_work`.
+    pub fn drain(&mut self, removed_work: &mut Vec<WorkId>) {
+        while let Some(lane) = self.active_lanes.last().copied() {
             let work = self.lanes[lane].heap[0].work;
             self.remove_at(lane, 0);
-            taken.push(work);
+            removed_work.push(work);
         }
     }
 
     /// Drops the expired attempts of one lane. In a heap ordered by slack they are nearly always at the head, so only
     /// the head is checked; in order of arrival they may be anywhere.
-    fn drop_expired_in(&mut self, lane: LaneId, now: Duration, expired: &mut Vec<WorkId>) {
+    fn drop_expired_in(&mut self, lane: LaneId, now: Duration, expired_work: &mut Vec<WorkId>) {
         match self.order {
             QueueOrder::Slack => {
                 while let Some(head) = self.lanes[lane].heap.first().copied()
                     && head.deadline <= now
                 {
                     self.remove_at(lane, 0);
-                    expired.push(head.work);
+                    expired_work.push(head.work);
                 }
             }
             QueueOrder::Arrival => {
@@ -264,7 +279,7 @@
                         continue;
                     }
                     self.remove_at(lane, position);
-                    expired.push(entry.work);
+                    expired_work.push(entry.work);
                     // The entry swapped into this position may come from anywhere in the heap.
                     position = 0;
                 }
@@ -286,7 +301,7 @@
             QueueOrder::Slack => organisation,
             QueueOrder::Arrival => OrganisationId::from_u32(0),
         };
-        if let Some(lane) = self.by_organisation[organisation].expand() {
+        if let Some(lane) = self.lanes_by_organisation[organisation].expand() {
             return lane;
         }
         let lane = match self.reclaim_lane() {
@@ -299,96 +314,99 @@
         };
         self.lanes[lane].organisation = organisation;
         self.lanes[lane].virtual_time = self.virtual_time;
-        self.by_organisation[organisation] = lane.into();
-        self.idle.push(lane);
+        self.lanes_by_organisation[organisation] = lane.into();
+        self.idle_lanes.push(lane);
         lane
     }
 
-    /// Releases and returns an idle lane for reuse. Its organisation must not be ahead of its share: forgetting the
-    /// lane would otherwise discard what the organisation owes.
+    /// Releases and returns an idle lane for reuse, if enough lanes are idle. Only a lane whose virtual time is not
+    /// ahead of the queue's is reused: otherwise its organisation would lose the record of having used more than its
+    /// share.
     fn reclaim_lane(&mut self) -> Option<LaneId> {
-        if self.idle.len() < IDLE_LANE_LIMIT {
+        if self.idle_lanes.len() < IDLE_LANE_LIMIT {
             return None;
         }
-        let limit = self.virtual_time;
-        let reclaimable = |lane: &LaneId| self.lanes[*lane].virtual_time <= limit;
-        let position = self.idle.iter().position(reclaimable)?;
-        let lane = self.idle.swap_remove(position);
-        self.by_organisation[self.lanes[lane].organisation] = PackedOption::default();
+        let queue_virtual_time = self.virtual_time;
+        let is_reclaimable = |lane: &LaneId| self.lanes[*lane].virtual_time <= queue_virtual_time;
+        let position = self.idle_lanes.iter().position(is_reclaimable)?;
+        let lane = self.idle_lanes.swap_remove(position);
+        self.lanes_by_organisation[self.lanes[lane].organisation] = PackedOption::default();
         Some(lane)
     }
 
-    /// Marks a lane as having a backlog.
+    /// Marks a lane as active, and raises its virtual time to that of the queue.
     fn activate(&mut self, lane: LaneId) {
-        self.idle.retain(|other| *other != lane);
-        self.active.push(lane);
-        let state = &mut self.lanes[lane];
-        state.virtual_time = u64::max(state.virtual_time, self.virtual_time);
+        self.idle_lanes.retain(|other| *other != lane);
+        self.active_lanes.push(lane);
+        let lane_state = &mut self.lanes[lane];
+        lane_state.virtual_time = u64::max(lane_state.virtual_time, self.virtual_time);
     }
 
-    /// Returns the lane whose head is sent next: the least slack among the lanes that are not ahead of their share.
+    /// Returns the lane whose head is sent next: the head with the least slack among the lanes whose virtual time is
+    /// within [`FAIR_QUANTUM`] of the least one.
     fn next_lane(&self, allows: &impl Fn(ClassId) -> bool) -> Option<LaneId> {
-        let mut least = u64::MAX;
-        for lane in self.active.iter().copied() {
-            let state = &self.lanes[lane];
-            if allows(state.heap[0].class) {
-                least = u64::min(least, state.virtual_time);
+        let mut least_virtual_time = u64::MAX;
+        for lane in self.active_lanes.iter().copied() {
+            let lane_state = &self.lanes[lane];
+            if allows(lane_state.heap[0].class) {
+                least_virtual_time = u64::min(least_virtual_time, lane_state.virtual_time);
             }
         }
-        let horizon = least.saturating_add(FAIR_QUANTUM * self.mean_cost);
-        let mut chosen = None;
-        for lane in self.active.iter().copied() {
-            let state = &self.lanes[lane];
-            let LaneEntry { key, class, .. } = state.heap[0];
-            let worse = chosen.is_some_and(|(best, _)| best <= key);
-            if state.virtual_time > horizon || worse || !allows(class) {
+        let max_virtual_time = least_virtual_time.saturating_add(FAIR_QUANTUM * self.mean_cost);
+        let mut chosen_head = None;
+        for lane in self.active_lanes.iter().copied() {
+            let lane_state = &self.lanes[lane];
+            let LaneEntry { key, class, .. } = lane_state.heap[0];
+            let follows_chosen = chosen_head.is_some_and(|(chosen_key, _)| chosen_key <= key);
+            if lane_state.virtual_time > max_virtual_time || follows_chosen || !allows(class) {
                 continue;
             }
-            chosen = Some((key, lane));
+            chosen_head = Some((key, lane));
         }
-        chosen.map(|(_, lane)| lane)
+        chosen_head.map(|(_, lane)| lane)
     }
 
     fn longest_lane(&self) -> Option<LaneId> {
-        let length = |lane: &LaneId| self.lanes[*lane].heap.len();
-        self.active.iter().copied().max_by_key(length)
+        let lane_length = |lane: &LaneId| self.lanes[*lane].heap.len();
+        self.active_lanes.iter().copied().max_by_key(lane_length)
     }
 
-    /// Removes the attempt with the most slack. It is a leaf of the heap, so only the second half is searched.
+    /// Removes and returns the attempt with the most slack in a lane. It is a leaf of the heap, so only the second half
+    /// of the heap is searched.
     fn evict(&mut self, lane: LaneId) -> WorkId {
         let heap = &self.lanes[lane].heap;
-        let mut worst = heap.len() - 1;
+        let mut most_slack_position = heap.len() - 1;
         for position in heap.len() / 2..heap.len() {
-            if heap[position].key > heap[worst].key {
-                worst = position;
+            if heap[position].key > heap[most_slack_position].key {
+                most_slack_position = position;
             }
         }
-        let work = heap[worst].work;
-        self.remove_at(lane, worst);
+        let work = heap[most_slack_position].work;
+        self.remove_at(lane, most_slack_position);
         work
     }
 
-    fn insert(&mut self, lane: LaneId, entry: LaneEntry) {
+    fn insert_entry(&mut self, lane: LaneId, entry: LaneEntry) {
         let heap = &mut self.lanes[lane].heap;
         heap.push(entry);
-        let last = heap.len() - 1;
+        let last_position = heap.len() - 1;
         self.length += 1;
-        self.sift_up(lane, last);
+        self.sift_up(lane, last_position);
     }
 
     fn remove_at(&mut self, lane: LaneId, position: usize) {
         let heap = &mut self.lanes[lane].heap;
-        let removed = heap.swap_remove(position);
-        let (length, moved) = (heap.len(), position < heap.len());
-        self.slots[removed.work] = QueueSlot::default();
+        let removed_entry = heap.swap_remove(position);
+        let (length, has_moved) = (heap.len(), position < heap.len());
+        self.slots[removed_entry.work] = QueueSlot::default();
         self.length -= 1;
-        if moved {
+        if has_moved {
             let position = self.sift_up(lane, position);
             self.sift_down(lane, position);
         }
         if length == 0 {
-            self.active.retain(|other| *other != lane);
-            self.idle.push(lane);
+            self.active_lanes.retain(|other| *other != lane);
+            self.idle_lanes.push(lane);
         }
     }
 
@@ -400,8 +418,8 @@
                 break;
             }
             heap.swap(parent, position);
-            let moved = heap[position].work;
-            self.slots[moved].position = position as u32;
+            let moved_work = heap[position].work;
+            self.slots[moved_work].position = position as u32;
             position = parent;
         }
         let work = heap[position].work;
@@ -415,20 +433,20 @@
     fn sift_down(&mut self, lane: LaneId, mut position: usize) {
         let heap = &mut self.lanes[lane].heap;
         loop {
-            let mut least = position;
+            let mut least_position = position;
             for child in [2 * position + 1, 2 * position + 2] {
-                if child < heap.len() && heap[child].key < heap[least].key {
-                    least = child;
+                if child < heap.len() && heap[child].key < heap[least_position].key {
+                    least_position = child;
                 }
             }
-            if least == position {
+            if least_position == position {
                 return;
             }
-            heap.swap(least, position);
-            for moved in [least, position] {
-                self.slots[heap[moved].work].position = moved as u32;
+            heap.swap(least_position, position);
+            for moved_position in [least_position, position] {
+                self.slots[heap[moved_position].work].position = moved_position as u32;
             }
-            position = least;
+            position = least_position;
         }
     }
 }
--- a/crates/ebonyfork/src/relay/queue_tests.rs
+++ b/crates/ebonyfork/src/relay/queue_tests.rs
@@ -17,12 +17,12 @@
 }
 
 fn pop_all(queue: &mut RelayQueue, now: Duration) -> Vec<u32> {
-    let mut expired = Vec::new();
-    let mut order = Vec::new();
-    while let Some(work) = queue.pop(now, 1, |_| true, &mut expired) {
-        order.push(work.as_u32());
+    let mut expired_work = Vec::new();
+    let mut popped_work = Vec::new();
+    while let Some(work) = queue.pop(now, 1, |_| true, &mut expired_work) {
+        popped_work.push(work.as_u32());
     }
-    order
+    popped_work
 }
 
 #[gtest]
@@ -40,47 +40,50 @@
     for work in 0..400 {
         queue.push(entry(work, 0, 100));
     }
-    let mut expired = Vec::new();
-    for _served in 0..50 {
-        queue.pop(Duration::ZERO, 1, |_| true, &mut expired);
+    let mut expired_work = Vec::new();
+    for _attempt in 0..50 {
+        queue.pop(Duration::ZERO, 1, |_| true, &mut expired_work);
     }
     // The newly active organisation has more slack than the whole backlog, but waits for only a few of its attempts.
     for work in 1_000..1_010 {
         queue.push(entry(work, 1, 900));
     }
-    let order = pop_all(&mut queue, Duration::ZERO);
-    let last = order.iter().position(|work| *work == 1_009).unwrap();
-    expect_that!(last, le(2 * 10 + 2 * FAIR_QUANTUM as usize));
+    let popped_work = pop_all(&mut queue, Duration::ZERO);
+    let last_position = popped_work.iter().position(|work| *work == 1_009).unwrap();
+    expect_that!(last_position, le(2 * 10 + 2 * FAIR_QUANTUM as usize));
 }
 
 #[gtest]
 fn idle_organisation_earns_no_credit() {
     let mut queue = RelayQueue::new(QueueOrder::Slack);
-    let mut expired = Vec::new();
+    let mut expired_work = Vec::new();
     queue.push(entry(0, 1, 100));
-    queue.pop(Duration::ZERO, 1, |_| true, &mut expired);
+    queue.pop(Duration::ZERO, 1, |_| true, &mut expired_work);
     for work in 1..200 {
         queue.push(entry(work, 0, 100));
-        queue.pop(Duration::ZERO, 1, |_| true, &mut expired);
+        queue.pop(Duration::ZERO, 1, |_| true, &mut expired_work);
     }
     for work in 0..40 {
         queue.push(entry(1_000 + work, 0, 100));
         queue.push(entry(2_000 + work, 1, 100));
     }
-    let order = pop_all(&mut queue, Duration::ZERO);
-    let late = order[..40].iter().filter(|work| **work >= 2_000).count();
-    expect_that!(late, all![ge(15), le(25)]);
+    let popped_work = pop_all(&mut queue, Duration::ZERO);
+    let second_organisation_count = popped_work[..40]
+        .iter()
+        .filter(|work| **work >= 2_000)
+        .count();
+    expect_that!(second_organisation_count, all![ge(15), le(25)]);
 }
 
 #[gtest]
 fn backlog_of_one_organisation_does_not_block_others() {
     let mut queue = RelayQueue::new(QueueOrder::Slack);
-    let mut refused = Vec::new();
+    let mut evicted_work = Vec::new();
     for work in 0..QUEUE_LIMIT as u32 {
         for organisation in 0..3 {
-            let pushed = entry(3 * work + organisation, organisation, 100 + u64::from(work));
-            if let PushResult::Evicted(work) = queue.push(pushed) {
-                refused.push(work.as_u32());
+            let new_entry = entry(3 * work + organisation, organisation, 100 + u64::from(work));
+            if let PushResult::Evicted(work) = queue.push(new_entry) {
+                evicted_work.push(work.as_u32());
             }
         }
     }
@@ -101,7 +104,7 @@
     Drain,
 }
 
-fn steps() -> impl Strategy<Value = Vec<QueueStep>> {
+fn queue_steps() -> impl Strategy<Value = Vec<QueueStep>> {
     let step = prop_oneof![
         8 => (0..5_u32, 0..400_u64)
             .prop_map(|(organisation, deadline)| QueueStep::Push { organisation, deadline }),
@@ -117,8 +120,8 @@
 /// after its deadline, and each leaves the queue in exactly one way.
 fn check_steps(order: QueueOrder, steps: &[QueueStep]) {
     let mut queue = RelayQueue::new(order);
-    let mut waiting = BTreeSet::new();
-    let mut out = Vec::new();
+    let mut waiting_work = BTreeSet::new();
+    let mut removed_work = Vec::new();
     let mut deadlines = Vec::new();
     for (number, step) in steps.iter().enumerate() {
         let now = Duration::from_millis(number as u64);
@@ -129,37 +132,38 @@
             } => {
                 let work = deadlines.len() as u32;
                 deadlines.push(Duration::from_millis(*deadline));
-                assert!(waiting.insert(work));
+                assert!(waiting_work.insert(work));
                 if let PushResult::Evicted(work) = queue.push(entry(work, *organisation, *deadline))
                 {
-                    assert!(waiting.remove(&work.as_u32()));
+                    assert!(waiting_work.remove(&work.as_u32()));
                 }
             }
             QueueStep::Pop => {
-                let sent = queue.pop(now, 1, |_| true, &mut out);
-                assert!(sent.is_some() || waiting.len() == out.len());
-                if let Some(sent) = sent {
-                    assert!(deadlines[sent.as_u32() as usize] > now);
-                    out.push(sent);
+                let popped_work = queue.pop(now, 1, |_| true, &mut removed_work);
+                assert!(popped_work.is_some() || waiting_work.len() == removed_work.len());
+                if let Some(popped_work) = popped_work {
+                    assert!(deadlines[popped_work.as_u32() as usize] > now);
+                    removed_work.push(popped_work);
                 }
             }
             QueueStep::Cancel(work) => {
-                let known = WorkId::from_u32(*work);
-                assert_eq!(queue.cancel(known), waiting.remove(work));
+                let work_id = WorkId::from_u32(*work);
+                assert_eq!(queue.cancel(work_id), waiting_work.remove(work));
             }
             QueueStep::Expire => {
-                queue.drop_expired(now, &mut out);
-                let left = |work: &u32| {
-                    deadlines[*work as usize] > now || out.contains(&WorkId::from_u32(*work))
+                queue.drop_expired(now, &mut removed_work);
+                let may_remain = |work: &u32| {
+                    deadlines[*work as usize] > now
+                        || removed_work.contains(&WorkId::from_u32(*work))
                 };
-                assert!(waiting.iter().all(left));
+                assert!(waiting_work.iter().all(may_remain));
             }
-            QueueStep::Drain => queue.drain(&mut out),
+            QueueStep::Drain => queue.drain(&mut removed_work),
         }
-        for work in out.drain(..) {
-            assert!(waiting.remove(&work.as_u32()), "{work} came out twice");
+        for work in removed_work.drain(..) {
+            assert!(waiting_work.remove(&work.as_u32()), "{work} came out twice");
         }
-        assert_eq!(queue.len(), waiting.len());
+        assert_eq!(queue.len(), waiting_work.len());
     }
 }
 
@@ -177,5 +181,5 @@
         check_steps(QueueOrder::Arrival, &steps);
         Ok(())
     };
-    runner.run(&steps(), run).unwrap();
+    runner.run(&queue_steps(), run).unwrap();
 }
--- a/crates/ebonyfork/src/relay/service.rs
+++ b/crates/ebonyfork/src/relay/service.rs
@@ -6,11 +6,11 @@
 
 use crate::relay::ids::ClassId;
 
-/// Service time assumed before the first sample.
+/// Service time assumed before the first answer.
 const INITIAL_ESTIMATE: Duration = Duration::from_millis(5);
 /// Weight of a new sample in an exponentially weighted mean.
-const MEAN_WEIGHT: f64 = 1.0 / 32.0;
-/// Step of the median estimate per sample, in log space.
+const SAMPLE_WEIGHT: f64 = 1.0 / 32.0;
+/// Change of the median estimate per sample, in log space.
 const MEDIAN_STEP: f64 = 0.02;
 
 /// Service time estimates of one upstream, overall and per class.
@@ -19,30 +19,33 @@
 /// moderate outlier.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
+    /// Exponentially weighted mean of each class.
     classes: SecondaryMap<ClassId, Option<f64>>,
+    /// Exponentially weighted mean over all classes.
     mean: Option<f64>,
+    /// Estimated median over all classes.
     median: Option<f64>,
 }
 
 impl ServiceTimes {
-    /// Records a sample and returns its logarithm, adjusted for the difference between its class and the mean of all
-    /// classes.
-    pub(super) fn record(&mut self, class: ClassId, served: Duration) -> f64 {
-        let sample = log_micros(served);
+    /// Records the service time of an attempt and returns its logarithm, adjusted for the difference between the mean
+    /// of its class and the mean of all classes.
+    pub(super) fn record_sample(&mut self, class: ClassId, service_time: Duration) -> f64 {
+        let sample = log_micros(service_time);
         let median = self.median.get_or_insert(sample);
         *median += MEDIAN_STEP.copysign(sample - *median);
-        let class = update_mean(&mut self.classes[class], sample);
-        let all = update_mean(&mut self.mean, sample);
-        sample - class + all
+        let class_mean = update_mean(&mut self.classes[class], sample);
+        let overall_mean = update_mean(&mut self.mean, sample);
+        sample - class_mean + overall_mean
     }
 
     /// Returns the expected service time of an attempt of a class.
-    pub(super) fn expected(&self, class: ClassId) -> Duration {
-        let known = self.classes[class].or(self.median);
-        known.map_or(INITIAL_ESTIMATE, from_log_micros)
+    pub(super) fn expected_time(&self, class: ClassId) -> Duration {
+        let estimate = self.classes[class].or(self.median);
+        estimate.map_or(INITIAL_ESTIMATE, from_log_micros)
     }
 
-    /// Returns the estimated median over all classes.
+    /// Returns the estimated median service time over all classes.
     pub(super) fn median(&self) -> Duration {
         self.median.map_or(INITIAL_ESTIMATE, from_log_micros)
     }
@@ -51,15 +54,15 @@
 /// Moves a mean towards a sample and returns its previous value.
 fn update_mean(mean: &mut Option<f64>, sample: f64) -> f64 {
     let mean = mean.get_or_insert(sample);
-    let before = *mean;
-    *mean += (sample - before) * MEAN_WEIGHT;
-    before
+    let previous_mean = *mean;
+    *mean += (sample - previous_mean) * SAMPLE_WEIGHT;
+    previous_mean
 }
 
-fn log_micros(span: Duration) -> f64 {
-    f64::max(1.0, span.as_micros() as f64).ln()
+fn log_micros(time: Duration) -> f64 {
+    f64::max(1.0, time.as_micros() as f64).ln()
 }
 
-fn from_log_micros(value: f64) -> Duration {
-    Duration::from_micros(value.exp() as u64)
+fn from_log_micros(log_time: f64) -> Duration {
+    Duration::from_micros(log_time.exp() as u64)
 }
--- a/crates/ebonyfork/src/relay/settings.rs
+++ b/crates/ebonyfork/src/relay/settings.rs
@@ -10,10 +10,15 @@
 use crate::settings::ExperimentSwitches;
 use crate::views::NodeViews;
 
+/// Returns whether a request is quarantined and has to be refused.
 type RefusalCheck = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
+/// Reports the loss of an upstream to the quarantine.
 type LossReport = dyn Fn(UpstreamLoss) + Send + Sync;
+/// Returns how the quarantine treats a request.
 type StandingCheck = dyn Fn(RequestFingerprint) -> RequestStanding + Send + Sync;
+/// Reports to the quarantine that a suspected request was answered, with the time since the attempt was sent.
 type AnswerReport = dyn Fn(RequestFingerprint, Duration) + Send + Sync;
+/// Reports to the topology that an upstream said it is leaving.
 type LeavingReport = dyn Fn(UpstreamAddress) + Send + Sync;
 
 /// Settings of a relay.
@@ -63,8 +68,9 @@
         self
     }
 
-    /// Calls `refuses` for each batch before it is queued and for each attempt before it is sent, and `report_loss`
-    /// when connections broke with attempts in flight.
+    /// Connects the relay to the quarantine. `refuses` returns whether a request is quarantined; the relay calls it for
+    /// each batch before it queues the attempts, and again for each attempt before it sends it. The relay calls
+    /// `report_loss` when connections to an upstream broke while attempts were in flight on them.
     #[must_use]
     pub fn with_quarantine(
         mut self,
@@ -76,8 +82,12 @@
         self
     }
 
-    /// Calls `standing` for each attempt when it is submitted and before it is sent, sends attempts of suspects alone,
-    /// and calls `report_answer` when one was answered with rows, with the time since it was sent.
+    /// Lets the relay isolate requests that are suspected of crashing upstreams. `standing` returns how the quarantine
+    /// treats a request; the relay calls it when an attempt is submitted, unless the entry has marked the attempt as
+    /// [`AfterLoss`](crate::relay::AttemptPurpose::AfterLoss), and again before it sends the attempt. An attempt of a
+    /// suspected request is sent only while nothing else is in flight at the upstream, so that a loss of the upstream
+    /// can be attributed to that request. When such an attempt was answered with rows, the relay calls `report_answer`
+    /// with the request and the time since the attempt was sent, so that the quarantine can clear the request.
     #[must_use]
     pub fn with_suspicion(
         mut self,
@@ -89,7 +99,7 @@
         self
     }
 
-    /// Calls `report` for each upstream that says it is leaving.
+    /// Makes the relay call `report` with each upstream that says it is leaving.
     #[must_use]
     pub fn with_leaving_report(
         mut self,
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -21,7 +21,7 @@
 /// Connection limit assumed for a service that no configuration revision declares yet.
 const DEFAULT_CONNECTIONS: u32 = 6;
 
-/// Largest connection share from which no connection is reserved for cancellations.
+/// Largest number of connections of a VM to an upstream of which none is reserved for cancellations.
 const MAX_SHARE_WITHOUT_CANCELLER: u32 = 2;
 
 /// Identifies an attempt by the peer's session, the query number and the attempt number.
@@ -76,11 +76,11 @@
     Broken { work: WorkId },
     /// The relay closed the connection because the attempt got no answer within the grace period after its deadline.
     Dropped { work: WorkId },
-    /// The connection ended while idle.
+    /// The connection ended while no attempt was in flight on it.
     Closed,
 }
 
-/// The views that a relay reads.
+/// The topology and the configuration, as far as a relay reads them.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ViewPair<'a> {
     pub(super) topology: &'a TopologyView,
@@ -94,11 +94,11 @@
     switches: ExperimentSwitches,
     upstreams: PrimaryMap<UpstreamId, UpstreamState>,
     /// Ids of removed upstreams, available for reuse.
-    free_upstreams: Vec<UpstreamId>,
-    by_address: FxHashMap<UpstreamAddress, UpstreamId>,
-    by_key: FxHashMap<AttemptKey, WorkId>,
-    /// Reverse of `by_key`.
-    keys: FxHashMap<WorkId, AttemptKey>,
+    free_upstream_ids: Vec<UpstreamId>,
+    upstreams_by_address: FxHashMap<UpstreamAddress, UpstreamId>,
+    work_by_key: FxHashMap<AttemptKey, WorkId>,
+    /// Reverse of `work_by_key`.
+    keys_by_work: FxHashMap<WorkId, AttemptKey>,
     organisations: FxHashMap<OrganisationName, OrganisationId>,
     classes: FxHashMap<ClassName, ClassId>,
     tables: RelayTables,
@@ -110,17 +110,17 @@
             vm,
             switches,
             upstreams: PrimaryMap::new(),
-            free_upstreams: Vec::new(),
-            by_address: FxHashMap::default(),
-            by_key: FxHashMap::default(),
-            keys: FxHashMap::default(),
+            free_upstream_ids: Vec::new(),
+            upstreams_by_address: FxHashMap::default(),
+            work_by_key: FxHashMap::default(),
+            keys_by_work: FxHashMap::default(),
             organisations: FxHashMap::default(),
             classes: FxHashMap::default(),
             tables: RelayTables::default(),
         }
     }
 
-    pub(super) fn organisation(&mut self, name: &OrganisationName) -> OrganisationId {
+    pub(super) fn intern_organisation(&mut self, name: &OrganisationName) -> OrganisationId {
         if let Some(organisation) = self.organisations.get(name) {
             return *organisation;
         }
@@ -129,7 +129,7 @@
         organisation
     }
 
-    pub(super) fn class(&mut self, name: &ClassName, config: &DeclaredConfig) -> ClassId {
+    pub(super) fn intern_class(&mut self, name: &ClassName, config: &DeclaredConfig) -> ClassId {
         if let Some(class) = self.classes.get(name) {
             return *class;
         }
@@ -147,21 +147,21 @@
         views: ViewPair<'_>,
         request: &WorkRequest,
     ) -> Option<WorkId> {
-        if self.by_key.contains_key(&request.key) {
+        if self.work_by_key.contains_key(&request.key) {
             return None;
         }
-        let upstream = self.upstream(now, views, request.upstream);
+        let upstream = self.find_or_add_upstream(now, views, request.upstream);
         let work = self.tables.add_work(WorkItem {
             upstream,
             organisation: request.organisation,
             class: request.class,
-            arrived: now,
+            arrived_at: now,
             deadline: request.deadline,
             fingerprint: request.fingerprint,
             suspicion: request.suspicion,
         });
-        self.by_key.insert(request.key, work);
-        self.keys.insert(work, request.key);
+        self.work_by_key.insert(request.key, work);
+        self.keys_by_work.insert(work, request.key);
         self.upstreams[upstream].submit(now, work, &mut self.tables);
         self.forget_released();
         Some(work)
@@ -169,7 +169,7 @@
 
     /// Cancels an attempt. Does nothing if it is no longer held.
     pub(super) fn cancel(&mut self, now: Duration, key: AttemptKey) {
-        let work = self.by_key.get(&key).copied();
+        let work = self.work_by_key.get(&key).copied();
         let Some((work, item)) = work.and_then(|work| Some((work, self.tables.item(work)?))) else {
             return;
         };
@@ -186,7 +186,7 @@
         self.forget_released();
     }
 
-    /// Requeues an attempt for which a [`RelayAction::Send`] was issued, as a suspect that is sent alone.
+    /// Requeues an attempt for which a [`RelayAction::Send`] was issued, as one of a suspected request.
     pub(super) fn isolate(&mut self, now: Duration, work: WorkId) {
         let Some(item) = self.tables.item(work) else {
             return;
@@ -195,22 +195,23 @@
         self.forget_released();
     }
 
-    /// Returns whether an attempt belongs to a suspected request and is sent alone.
+    /// Returns whether an attempt belongs to a suspected request and is sent only while nothing else is in flight at
+    /// the upstream.
     pub(super) fn is_suspect(&self, work: WorkId) -> bool {
         let item = self.tables.item(work);
         item.is_some_and(|item| item.is_suspect())
     }
 
     /// Requeues an attempt for which a [`RelayAction::Send`] was issued but whose connection was gone.
-    pub(super) fn unsent(&mut self, now: Duration, work: WorkId) {
+    pub(super) fn requeue_unsent(&mut self, now: Duration, work: WorkId) {
         let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[item.upstream].unsent(now, work, &mut self.tables);
+        self.upstreams[item.upstream].requeue_unsent(now, work, &mut self.tables);
         self.forget_released();
     }
 
-    pub(super) fn connection_event(
+    pub(super) fn handle_connection_event(
         &mut self,
         now: Duration,
         connection: ConnectionId,
@@ -221,16 +222,16 @@
         };
         let (state, tables) = (&mut self.upstreams[upstream], &mut self.tables);
         match event {
-            ConnectionEvent::Opened { status } => state.opened(now, connection, status, tables),
-            ConnectionEvent::OpenFailed => state.open_failed(now, connection, tables),
-            ConnectionEvent::Unsent { work } => state.unsent(now, work, tables),
-            ConnectionEvent::Overdue { work } => state.overdue(work, tables),
+            ConnectionEvent::Opened { status } => state.on_opened(now, connection, status, tables),
+            ConnectionEvent::OpenFailed => state.on_open_failed(now, connection, tables),
+            ConnectionEvent::Unsent { work } => state.requeue_unsent(now, work, tables),
+            ConnectionEvent::Overdue { work } => state.on_overdue(work, tables),
             ConnectionEvent::Answered { work, answer } => {
-                state.answered(now, work, answer, tables);
+                state.on_answer(now, work, answer, tables);
             }
-            ConnectionEvent::Broken { work } => state.broken(now, connection, work, tables),
-            ConnectionEvent::Dropped { work } => state.dropped(now, connection, work, tables),
-            ConnectionEvent::Closed => state.closed(now, connection, tables),
+            ConnectionEvent::Broken { work } => state.on_broken(now, connection, work, tables),
+            ConnectionEvent::Dropped { work } => state.on_dropped(now, connection, work, tables),
+            ConnectionEvent::Closed => state.on_closed(now, connection, tables),
         }
         self.forget_released();
     }
@@ -253,15 +254,16 @@
             self.tables.latency_targets[*class] = latency_target(views.config, name);
         }
         let (upstreams, tables) = (&mut self.upstreams, &mut self.tables);
-        let (vm, switches, free_upstreams) = (self.vm, self.switches, &mut self.free_upstreams);
-        self.by_address.retain(|address, upstream| {
+        let (vm, switches, free_upstream_ids) =
+            (self.vm, self.switches, &mut self.free_upstream_ids);
+        self.upstreams_by_address.retain(|address, upstream| {
             let state = &mut upstreams[*upstream];
-            state.apply(now, params(vm, switches, views, *address), tables);
-            let keep = views.topology.upstreams.contains_key(address) || !state.is_unused();
-            if !keep {
-                free_upstreams.push(*upstream);
+            state.apply_params(now, upstream_params(vm, switches, views, *address), tables);
+            let is_kept = views.topology.upstreams.contains_key(address) || !state.is_unused();
+            if !is_kept {
+                free_upstream_ids.push(*upstream);
             }
-            keep
+            is_kept
         });
         self.forget_released();
     }
@@ -271,36 +273,39 @@
         self.upstreams[upstream].address()
     }
 
-    /// Returns whether the connection share includes one connection for cancellations.
+    /// Returns whether this VM may hold a connection to the upstream for cancellations.
     pub(super) fn may_cancel(&self, upstream: UpstreamId) -> bool {
         self.upstreams[upstream].may_cancel()
     }
 
     pub(super) fn load(&self, now: Duration, address: UpstreamAddress) -> Option<UpstreamLoad> {
-        let upstream = self.by_address.get(&address)?;
+        let upstream = self.upstreams_by_address.get(&address)?;
         Some(self.upstreams[*upstream].load(now))
     }
 
     pub(super) fn loads(&self, now: Duration) -> Vec<UpstreamLoad> {
-        let known = self.by_address.values();
-        known
+        let upstream_ids = self.upstreams_by_address.values();
+        upstream_ids
             .map(|upstream| self.upstreams[*upstream].load(now))
             .collect()
     }
 
-    /// Returns the number of connections that are open or being opened, over all upstreams.
-    pub(super) fn connections(&self) -> u32 {
+    /// Returns the number of connections that are open or being opened, summed over all upstreams.
+    pub(super) fn connection_count(&self) -> u32 {
         self.upstreams
             .values()
-            .map(UpstreamState::connections)
+            .map(UpstreamState::connection_count)
             .sum()
     }
 
-    /// Returns the number of waiting attempts and the number of attempts in flight, over all upstreams.
+    /// Returns the number of waiting attempts and the number of attempts in flight, summed over all upstreams.
     pub(super) fn occupancy(&self) -> (usize, usize) {
         let states = self.upstreams.values();
-        states.fold((0, 0), |(queued, sent), state| {
-            (queued + state.queued(), sent + state.in_flight())
+        states.fold((0, 0), |(waiting_count, in_flight), state| {
+            (
+                waiting_count + state.waiting_count(),
+                in_flight + state.in_flight(),
+            )
         })
     }
 
@@ -309,33 +314,33 @@
         actions.append(&mut self.tables.actions);
     }
 
-    fn upstream(
+    fn find_or_add_upstream(
         &mut self,
         now: Duration,
         views: ViewPair<'_>,
         address: UpstreamAddress,
     ) -> UpstreamId {
-        if let Some(upstream) = self.by_address.get(&address) {
+        if let Some(upstream) = self.upstreams_by_address.get(&address) {
             return *upstream;
         }
-        let reused = self.free_upstreams.pop();
-        let upstream = reused.unwrap_or_else(|| self.upstreams.next_key());
+        let reused_id = self.free_upstream_ids.pop();
+        let upstream = reused_id.unwrap_or_else(|| self.upstreams.next_key());
         let mut state = UpstreamState::new(upstream, address, self.switches);
-        let params = params(self.vm, self.switches, views, address);
-        state.apply(now, params, &mut self.tables);
-        if reused.is_some() {
+        let upstream_params = upstream_params(self.vm, self.switches, views, address);
+        state.apply_params(now, upstream_params, &mut self.tables);
+        if reused_id.is_some() {
             self.upstreams[upstream] = state;
         } else {
             self.upstreams.push(state);
         }
-        self.by_address.insert(address, upstream);
+        self.upstreams_by_address.insert(address, upstream);
         upstream
     }
 
     fn forget_released(&mut self) {
         for work in self.tables.released.drain(..) {
-            if let Some(key) = self.keys.remove(&work) {
-                self.by_key.remove(&key);
+            if let Some(key) = self.keys_by_work.remove(&work) {
+                self.work_by_key.remove(&key);
             }
         }
     }
@@ -351,7 +356,7 @@
 }
 
 /// Derives the parameters of one upstream from the views.
-fn params(
+fn upstream_params(
     vm: VmAddress,
     switches: ExperimentSwitches,
     views: ViewPair<'_>,
@@ -359,22 +364,22 @@
 ) -> UpstreamParams {
     let Some(entry) = views.topology.upstreams.get(&address) else {
         return UpstreamParams {
-            share: 0,
-            cancelling: false,
+            connection_share: 0,
+            has_cancel_connection: false,
             leaving: true,
         };
     };
     let service = views.config.services.get(&entry.service);
     let limit = service.map_or(DEFAULT_CONNECTIONS, |service| service.connections);
-    let share = match switches.ownership {
+    let connections = match switches.ownership {
         OwnershipMode::Owner => connection_share(views.topology, vm, address, limit),
         OwnershipMode::Direct => direct_share(views.topology, limit),
     };
-    // One connection of the share is reserved for cancellations, if enough remain for attempts.
-    let cancelling = u32::from(share > MAX_SHARE_WITHOUT_CANCELLER);
+    // One connection is reserved for cancellations, if enough remain for attempts.
+    let cancel_connections = u32::from(connections > MAX_SHARE_WITHOUT_CANCELLER);
     UpstreamParams {
-        share: share - cancelling,
-        cancelling: cancelling == 1,
+        connection_share: connections - cancel_connections,
+        has_cancel_connection: cancel_connections == 1,
         leaving: entry.leaving,
     }
 }
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -13,9 +13,11 @@
 use crate::settings::LimitMode;
 use crate::topology::{UpstreamEntry, VmEntry};
 
-const CONNECTIONS: u32 = 25;
-/// A third of the connections, minus the one for cancellations.
-const SHARE: usize = 7;
+/// Number of connections that the service accepts from all VMs.
+const SERVICE_CONNECTIONS: u32 = 25;
+/// Number of connections that the relay may use for attempts: a third of [`SERVICE_CONNECTIONS`], minus the one for
+/// cancellations.
+const ATTEMPT_CONNECTIONS: usize = 7;
 
 /// The relay's decision state, with connections simulated by the test.
 struct RelayFixture {
@@ -26,15 +28,19 @@
     actions: Vec<RelayAction>,
     verdicts: BTreeMap<u64, ShardVerdict>,
     queries_by_work: BTreeMap<WorkId, u64>,
-    opening: Vec<ConnectionId>,
-    busy: Vec<(ConnectionId, WorkId)>,
-    closing: Vec<ConnectionId>,
-    /// Connections that were opened and have not ended.
-    open: usize,
-    cancels: usize,
+    /// Connections that the relay has asked to open.
+    opening_connections: Vec<ConnectionId>,
+    /// Connections with an attempt in flight, in the order of sending.
+    busy_connections: Vec<(ConnectionId, WorkId)>,
+    /// Connections that the relay has asked to close.
+    closing_connections: Vec<ConnectionId>,
+    /// Number of connections that were opened and have not ended.
+    open_count: usize,
+    cancel_count: usize,
     losses: Vec<UpstreamLoss>,
-    answered: Vec<RequestFingerprint>,
-    submitted: u64,
+    /// Requests whose answers the relay has reported to the quarantine.
+    answers: Vec<RequestFingerprint>,
+    submitted_count: u64,
 }
 
 fn upstream() -> UpstreamAddress {
@@ -46,7 +52,7 @@
 }
 
 fn topology(leaving: bool) -> TopologyView {
-    let own = VmEntry {
+    let own_vm = VmEntry {
         vm: vm(),
         zone: "zone-a".parse().unwrap(),
         incarnation: None,
@@ -58,7 +64,7 @@
         service: "tender-00".parse().unwrap(),
         leaving,
     };
-    TopologyView::new([own], [upstream])
+    TopologyView::new([own_vm], [upstream])
 }
 
 fn rows() -> ShardVerdict {
@@ -74,7 +80,7 @@
         let name: crate::ident::ServiceName = "tender-00".parse().unwrap();
         let service = ServiceEntry {
             name: name.clone(),
-            connections: CONNECTIONS,
+            connections: SERVICE_CONNECTIONS,
             drain: Duration::from_secs(1),
         };
         config.services.insert(name, service);
@@ -90,14 +96,14 @@
             actions: Vec::new(),
             verdicts: BTreeMap::new(),
             queries_by_work: BTreeMap::new(),
-            opening: Vec::new(),
-            busy: Vec::new(),
-            closing: Vec::new(),
-            open: 0,
-            cancels: 0,
+            opening_connections: Vec::new(),
+            busy_connections: Vec::new(),
+            closing_connections: Vec::new(),
+            open_count: 0,
+            cancel_count: 0,
             losses: Vec::new(),
-            answered: Vec::new(),
-            submitted: 0,
+            answers: Vec::new(),
+            submitted_count: 0,
         }
     }
 
@@ -110,19 +116,19 @@
         }
     }
 
-    fn submit(&mut self, organisation: u32, within: u64) -> u64 {
-        self.submit_as(organisation, within, WorkSuspicion::Clear)
+    fn submit(&mut self, organisation: u32, remaining_ms: u64) -> u64 {
+        self.submit_as(organisation, remaining_ms, WorkSuspicion::Clear)
     }
 
-    fn submit_as(&mut self, organisation: u32, within: u64, suspicion: WorkSuspicion) -> u64 {
-        let query = self.submitted;
-        self.submitted += 1;
+    fn submit_as(&mut self, organisation: u32, remaining_ms: u64, suspicion: WorkSuspicion) -> u64 {
+        let query = self.submitted_count;
+        self.submitted_count += 1;
         let request = WorkRequest {
             key: Self::key(query),
             upstream: upstream(),
             organisation: OrganisationId::from_u32(organisation),
             class: ClassId::from_u32(0),
-            deadline: self.now + Duration::from_millis(within),
+            deadline: self.now + Duration::from_millis(remaining_ms),
             fingerprint: RequestFingerprint(query),
             suspicion,
         };
@@ -132,56 +138,57 @@
         };
         let work = self.state.submit(self.now, views, &request).unwrap();
         self.queries_by_work.insert(work, query);
-        self.run();
+        self.run_issued_actions();
         query
     }
 
     fn cancel(&mut self, query: u64) {
         self.state.cancel(self.now, Self::key(query));
-        self.run();
+        self.run_issued_actions();
     }
 
-    fn report(&mut self, connection: ConnectionId, event: ConnectionEvent) {
+    fn report_event(&mut self, connection: ConnectionId, event: ConnectionEvent) {
         match event {
-            ConnectionEvent::Opened { .. } => self.open += 1,
+            ConnectionEvent::Opened { .. } => self.open_count += 1,
             ConnectionEvent::Broken { .. }
             | ConnectionEvent::Dropped { .. }
-            | ConnectionEvent::Closed => self.open -= 1,
+            | ConnectionEvent::Closed => self.open_count -= 1,
             _ => {}
         }
-        self.state.connection_event(self.now, connection, event);
-        self.run();
+        self.state
+            .handle_connection_event(self.now, connection, event);
+        self.run_issued_actions();
     }
 
     fn open_all(&mut self) {
-        while let Some(connection) = self.opening.pop() {
+        while let Some(connection) = self.opening_connections.pop() {
             let status = OpenStatus::Ready;
-            self.report(connection, ConnectionEvent::Opened { status });
+            self.report_event(connection, ConnectionEvent::Opened { status });
         }
     }
 
-    fn answer(&mut self, busy: usize, verdict: ShardVerdict, draining: bool) {
-        let (connection, work) = self.busy.swap_remove(busy);
+    fn answer(&mut self, position: usize, verdict: ShardVerdict, draining: bool) {
+        let (connection, work) = self.busy_connections.swap_remove(position);
         let answer = UpstreamAnswer {
             verdict,
             draining,
-            served: Duration::from_millis(5),
+            service_time: Duration::from_millis(5),
         };
-        self.report(connection, ConnectionEvent::Answered { work, answer });
+        self.report_event(connection, ConnectionEvent::Answered { work, answer });
     }
 
-    fn break_one(&mut self, busy: usize) {
-        let (connection, work) = self.busy.swap_remove(busy);
-        self.report(connection, ConnectionEvent::Broken { work });
+    fn break_connection(&mut self, position: usize) {
+        let (connection, work) = self.busy_connections.swap_remove(position);
+        self.report_event(connection, ConnectionEvent::Broken { work });
     }
 
     /// Marks the request of the last attempt to be sent as a suspect before the attempt reaches its connection.
     fn isolate(&mut self) {
-        let Some((_connection, work)) = self.busy.pop() else {
+        let Some((_connection, work)) = self.busy_connections.pop() else {
             return;
         };
         self.state.isolate(self.now, work);
-        self.run();
+        self.run_issued_actions();
     }
 
     fn set_leaving(&mut self, leaving: bool) {
@@ -191,37 +198,40 @@
             config: &self.config,
         };
         self.state.apply_views(self.now, views);
-        self.run();
+        self.run_issued_actions();
     }
 
-    fn tick(&mut self, by: u64) {
-        self.now += Duration::from_millis(by);
+    fn tick(&mut self, elapsed_ms: u64) {
+        self.now += Duration::from_millis(elapsed_ms);
         self.state.tick(self.now);
-        self.run();
+        self.run_issued_actions();
     }
 
-    fn run(&mut self) {
+    fn run_issued_actions(&mut self) {
         let mut actions = std::mem::take(&mut self.actions);
         self.state.take_actions(&mut actions);
         for action in actions.drain(..) {
             self.run_action(action);
         }
         self.actions = actions;
-        let held = self.opening.len() + self.open;
-        assert!(held <= SHARE, "{held} connections");
+        let connection_count = self.opening_connections.len() + self.open_count;
+        assert!(
+            connection_count <= ATTEMPT_CONNECTIONS,
+            "{connection_count} connections"
+        );
         let suspects = self
-            .busy
+            .busy_connections
             .iter()
             .filter(|(_, work)| self.state.is_suspect(*work));
-        let alone = suspects.count() == 0 || self.busy.len() == 1;
-        assert!(alone, "a suspect was sent together with other attempts");
-        assert!(self.state.connections() as usize == held);
+        let is_alone = suspects.count() == 0 || self.busy_connections.len() == 1;
+        assert!(is_alone, "a suspect was sent together with other attempts");
+        assert!(self.state.connection_count() as usize == connection_count);
     }
 
     fn run_action(&mut self, action: RelayAction) {
         match action {
-            RelayAction::Open { connection, .. } => self.opening.push(connection),
-            RelayAction::Close { connection } => self.closing.push(connection),
+            RelayAction::Open { connection, .. } => self.opening_connections.push(connection),
+            RelayAction::Close { connection } => self.closing_connections.push(connection),
             RelayAction::Send {
                 connection, work, ..
             } => {
@@ -230,25 +240,30 @@
                     !self.verdicts.contains_key(&query),
                     "{query} sent after its verdict"
                 );
-                assert!(!self.busy.iter().any(|(other, _)| *other == connection));
-                self.busy.push((connection, work));
+                assert!(
+                    !self
+                        .busy_connections
+                        .iter()
+                        .any(|(other_connection, _)| *other_connection == connection)
+                );
+                self.busy_connections.push((connection, work));
             }
-            RelayAction::CancelSent { .. } => self.cancels += 1,
+            RelayAction::CancelSent { .. } => self.cancel_count += 1,
             RelayAction::Finish { work, verdict } => {
                 let query = self.queries_by_work[&work];
-                let previous = self.verdicts.insert(query, verdict);
-                assert_eq!(previous, None, "{query} finished twice");
+                let previous_verdict = self.verdicts.insert(query, verdict);
+                assert_eq!(previous_verdict, None, "{query} finished twice");
             }
             RelayAction::ReportLoss(loss) => self.losses.push(loss),
-            RelayAction::ReportAnswer { fingerprint, .. } => self.answered.push(fingerprint),
+            RelayAction::ReportAnswer { fingerprint, .. } => self.answers.push(fingerprint),
             RelayAction::ReportLeaving(_) => {}
         }
     }
 
-    /// Answers all attempts in flight and lets the remaining ones expire.
+    /// Answers all attempts in flight and lets the waiting ones expire.
     fn finish(&mut self) {
         self.open_all();
-        while !self.busy.is_empty() {
+        while !self.busy_connections.is_empty() {
             self.answer(0, rows(), false);
             self.open_all();
         }
@@ -257,10 +272,10 @@
 }
 
 #[derive(Debug, Clone)]
-enum Step {
+enum RelayStep {
     Submit {
         organisation: u32,
-        within: u64,
+        remaining_ms: u64,
     },
     Cancel(u64),
     Opened(OpenStatus),
@@ -279,85 +294,86 @@
     Tick(u64),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
+fn relay_steps() -> impl Strategy<Value = Vec<RelayStep>> {
     let verdict = prop_oneof![
         4 => Just(rows()),
         1 => Just(ShardVerdict::NotRun(RefusalReason::Shed)),
         1 => Just(ShardVerdict::VersionGone { newest: SnapshotVersion(2) }),
     ];
     let step = prop_oneof![
-        12 => (0..4_u32, 0..300_u64).prop_map(|(organisation, within)| Step::Submit { organisation, within }),
-        3 => (0..150_u64).prop_map(Step::Cancel),
-        6 => Just(Step::Opened(OpenStatus::Ready)),
-        1 => Just(Step::Opened(OpenStatus::Draining)),
-        1 => Just(Step::Opened(OpenStatus::DrainingHint)),
-        1 => Just(Step::OpenFailed),
+        12 => (0..4_u32, 0..300_u64)
+            .prop_map(|(organisation, remaining_ms)| RelayStep::Submit { organisation, remaining_ms }),
+        3 => (0..150_u64).prop_map(RelayStep::Cancel),
+        6 => Just(RelayStep::Opened(OpenStatus::Ready)),
+        1 => Just(RelayStep::Opened(OpenStatus::Draining)),
+        1 => Just(RelayStep::Opened(OpenStatus::DrainingHint)),
+        1 => Just(RelayStep::OpenFailed),
         8 => (verdict, prop::bool::weighted(0.02))
-            .prop_map(|(verdict, draining)| Step::Answered { verdict, draining }),
-        1 => Just(Step::Unsent),
-        1 => Just(Step::Overdue),
-        1 => Just(Step::Broken),
-        1 => Just(Step::Dropped),
-        1 => Just(Step::Closed),
-        2 => Just(Step::Isolate),
-        1 => prop::bool::weighted(0.3).prop_map(Step::Leaving),
-        3 => (1..100_u64).prop_map(Step::Tick),
+            .prop_map(|(verdict, draining)| RelayStep::Answered { verdict, draining }),
+        1 => Just(RelayStep::Unsent),
+        1 => Just(RelayStep::Overdue),
+        1 => Just(RelayStep::Broken),
+        1 => Just(RelayStep::Dropped),
+        1 => Just(RelayStep::Closed),
+        2 => Just(RelayStep::Isolate),
+        1 => prop::bool::weighted(0.3).prop_map(RelayStep::Leaving),
+        3 => (1..100_u64).prop_map(RelayStep::Tick),
     ];
     prop::collection::vec(step, 0..250)
 }
 
-fn apply_step(fixture: &mut RelayFixture, step: Step) {
+fn apply_step(fixture: &mut RelayFixture, step: RelayStep) {
     match step {
-        Step::Submit {
+        RelayStep::Submit {
             organisation,
-            within,
+            remaining_ms,
         } => {
-            let suspicion = match within % 5 {
+            let suspicion = match remaining_ms % 5 {
                 0 => WorkSuspicion::Suspect,
                 1 => WorkSuspicion::AfterLoss,
                 _ => WorkSuspicion::Clear,
             };
-            fixture.submit_as(organisation, within, suspicion);
+            fixture.submit_as(organisation, remaining_ms, suspicion);
         }
-        Step::Isolate if !fixture.busy.is_empty() => fixture.isolate(),
-        Step::Cancel(query) => fixture.cancel(query),
-        Step::Opened(status) => {
-            if let Some(connection) = fixture.opening.pop() {
-                fixture.report(connection, ConnectionEvent::Opened { status });
+        RelayStep::Isolate if !fixture.busy_connections.is_empty() => fixture.isolate(),
+        RelayStep::Cancel(query) => fixture.cancel(query),
+        RelayStep::Opened(status) => {
+            if let Some(connection) = fixture.opening_connections.pop() {
+                fixture.report_event(connection, ConnectionEvent::Opened { status });
             }
         }
-        Step::OpenFailed => {
-            if let Some(connection) = fixture.opening.pop() {
-                fixture.report(connection, ConnectionEvent::OpenFailed);
+        RelayStep::OpenFailed => {
+            if let Some(connection) = fixture.opening_connections.pop() {
+                fixture.report_event(connection, ConnectionEvent::OpenFailed);
             }
         }
-        Step::Closed => {
-            if let Some(connection) = fixture.closing.pop() {
-                fixture.report(connection, ConnectionEvent::Closed);
+        RelayStep::Closed => {
+            if let Some(connection) = fixture.closing_connections.pop() {
+                fixture.report_event(connection, ConnectionEvent::Closed);
             }
         }
-        Step::Leaving(leaving) => fixture.set_leaving(leaving),
-        Step::Tick(by) => fixture.tick(by),
-        step if !fixture.busy.is_empty() => apply_busy_step(fixture, step),
+        RelayStep::Leaving(leaving) => fixture.set_leaving(leaving),
+        RelayStep::Tick(elapsed_ms) => fixture.tick(elapsed_ms),
+        step if !fixture.busy_connections.is_empty() => apply_busy_step(fixture, step),
         _ => {}
     }
 }
 
-fn apply_busy_step(fixture: &mut RelayFixture, step: Step) {
-    let (connection, work) = fixture.busy[0];
+fn apply_busy_step(fixture: &mut RelayFixture, step: RelayStep) {
+    let (connection, work) = fixture.busy_connections[0];
     match step {
-        Step::Answered { verdict, draining } => fixture.answer(0, verdict, draining),
-        Step::Overdue => fixture.report(connection, ConnectionEvent::Overdue { work }),
-        Step::Broken => fixture.break_one(0),
-        Step::Dropped => {
-            fixture.report(connection, ConnectionEvent::Overdue { work });
-            fixture.busy.swap_remove(0);
-            fixture.report(connection, ConnectionEvent::Dropped { work });
+        RelayStep::Answered { verdict, draining } => fixture.answer(0, verdict, draining),
+        RelayStep::Overdue => fixture.report_event(connection, ConnectionEvent::Overdue { work }),
+        RelayStep::Broken => fixture.break_connection(0),
+        RelayStep::Dropped => {
+            fixture.report_event(connection, ConnectionEvent::Overdue { work });
+            fixture.busy_connections.swap_remove(0);
+            fixture.report_event(connection, ConnectionEvent::Dropped { work });
         }
-        Step::Unsent => {
-            fixture.busy.swap_remove(0);
-            fixture.report(connection, ConnectionEvent::Unsent { work });
-            fixture.report(connection, ConnectionEvent::Closed);
+        RelayStep::Unsent => {
+            fixture.busy_connections.swap_remove(0);
+            fixture.report_event(connection, ConnectionEvent::Unsent { work });
+            fixture.report_event(connection, ConnectionEvent::Closed);
         }
         _ => {}
     }
@@ -372,66 +388,66 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[11; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let run = |steps: Vec<Step>| {
+    let check_steps = |steps: Vec<RelayStep>| {
         let mut fixture = RelayFixture::new(LimitMode::Adaptive);
         for step in steps {
             apply_step(&mut fixture, step);
         }
         fixture.finish();
-        let finished: BTreeSet<u64> = fixture.verdicts.keys().copied().collect();
-        assert_eq!(finished, (0..fixture.submitted).collect());
+        let finished_queries: BTreeSet<u64> = fixture.verdicts.keys().copied().collect();
+        assert_eq!(finished_queries, (0..fixture.submitted_count).collect());
         assert_eq!(fixture.state.occupancy(), (0, 0));
         Ok(())
     };
-    runner.run(&steps(), run).unwrap();
+    runner.run(&relay_steps(), check_steps).unwrap();
 }
 
 #[gtest]
 fn sent_attempt_is_never_reported_as_not_run() {
     let mut fixture = RelayFixture::new(LimitMode::Adaptive);
-    let (first, second) = (fixture.submit(0, 100), fixture.submit(0, 100));
-    let third = fixture.submit(0, 100);
+    let (first_query, second_query) = (fixture.submit(0, 100), fixture.submit(0, 100));
+    let third_query = fixture.submit(0, 100);
     fixture.open_all();
-    fixture.cancel(first);
-    fixture.cancel(third);
-    fixture.break_one(1);
+    fixture.cancel(first_query);
+    fixture.cancel(third_query);
+    fixture.break_connection(1);
     let failed = |reason| ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason,
     };
     expect_that!(
-        fixture.verdicts[&first],
+        fixture.verdicts[&first_query],
         eq(&failed(FailureReason::Cancelled))
     );
     expect_that!(
-        fixture.verdicts[&second],
+        fixture.verdicts[&second_query],
         eq(&failed(FailureReason::Broken))
     );
-    let cancelled = ShardVerdict::NotRun(RefusalReason::Cancelled);
-    expect_that!(fixture.verdicts[&third], eq(&cancelled));
-    expect_that!(fixture.cancels, eq(1));
+    let cancelled_verdict = ShardVerdict::NotRun(RefusalReason::Cancelled);
+    expect_that!(fixture.verdicts[&third_query], eq(&cancelled_verdict));
+    expect_that!(fixture.cancel_count, eq(1));
 }
 
 #[gtest]
 fn leaving_upstream_gets_no_further_attempts() {
-    for by_answer in [true, false] {
+    for announced_in_answer in [true, false] {
         let mut fixture = RelayFixture::new(LimitMode::Adaptive);
         let queries: Vec<u64> = (0..6).map(|_| fixture.submit(0, 100)).collect();
         fixture.open_all();
-        let sent = fixture.busy.len();
-        if by_answer {
+        let sent_count = fixture.busy_connections.len();
+        if announced_in_answer {
             fixture.answer(0, rows(), true);
         } else {
             fixture.set_leaving(true);
         }
-        let leaving = ShardVerdict::NotRun(RefusalReason::Leaving);
-        let handed_back = fixture
+        let leaving_verdict = ShardVerdict::NotRun(RefusalReason::Leaving);
+        let refused_verdicts = fixture
             .verdicts
             .values()
-            .filter(|verdict| **verdict == leaving);
-        expect_that!(handed_back.count(), eq(queries.len() - sent));
-        let late = fixture.submit(0, 100);
-        expect_that!(fixture.verdicts[&late], eq(&leaving));
+            .filter(|verdict| **verdict == leaving_verdict);
+        expect_that!(refused_verdicts.count(), eq(queries.len() - sent_count));
+        let late_query = fixture.submit(0, 100);
+        expect_that!(fixture.verdicts[&late_query], eq(&leaving_verdict));
     }
 }
 
@@ -448,12 +464,12 @@
     fixture.state.apply_views(fixture.now, views);
     expect_that!(fixture.state.loads(fixture.now).len(), eq(1));
     fixture.answer(0, rows(), false);
-    while let Some(connection) = fixture.closing.pop() {
-        fixture.report(connection, ConnectionEvent::Closed);
+    while let Some(connection) = fixture.closing_connections.pop() {
+        fixture.report_event(connection, ConnectionEvent::Closed);
     }
     fixture.tick(5_000);
-    while let Some(connection) = fixture.closing.pop() {
-        fixture.report(connection, ConnectionEvent::Closed);
+    while let Some(connection) = fixture.closing_connections.pop() {
+        fixture.report_event(connection, ConnectionEvent::Closed);
     }
     let views = ViewPair {
         topology: &fixture.topology,
@@ -470,10 +486,10 @@
         fixture.submit(0, 100);
     }
     fixture.open_all();
-    expect_that!(fixture.busy.len(), eq(2));
-    fixture.break_one(0);
+    expect_that!(fixture.busy_connections.len(), eq(2));
+    fixture.break_connection(0);
     expect_that!(fixture.losses.len(), eq(0));
-    fixture.break_one(0);
+    fixture.break_connection(0);
     expect_that!(fixture.losses.len(), eq(1));
     expect_that!(fixture.losses[0].in_flight.len(), eq(2));
 }
@@ -490,26 +506,26 @@
     ]
     .map(|suspicion| fixture.submit_as(0, 100, suspicion));
     fixture.open_all();
-    let busy = |fixture: &RelayFixture| {
-        let queries_by_work = fixture
-            .busy
+    let queries_in_flight = |fixture: &RelayFixture| {
+        let queries = fixture
+            .busy_connections
             .iter()
             .map(|(_, work)| fixture.queries_by_work[work]);
-        queries_by_work.collect::<Vec<_>>()
+        queries.collect::<Vec<_>>()
     };
-    expect_that!(busy(&fixture), elements_are![eq(&queries[0])]);
+    expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[0])]);
     fixture.answer(0, rows(), false);
     fixture.open_all();
     expect_that!(
-        fixture.answered,
+        fixture.answers,
         elements_are![eq(&RequestFingerprint(queries[0]))]
     );
-    expect_that!(busy(&fixture).len(), eq(2));
+    expect_that!(queries_in_flight(&fixture).len(), eq(2));
     fixture.answer(0, rows(), false);
-    expect_that!(busy(&fixture).len(), eq(1));
+    expect_that!(queries_in_flight(&fixture).len(), eq(1));
     fixture.answer(0, rows(), false);
-    expect_that!(busy(&fixture), elements_are![eq(&queries[1])]);
-    fixture.break_one(0);
+    expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[1])]);
+    fixture.break_connection(0);
     fixture.open_all();
     expect_that!(fixture.losses[0].in_flight.len(), eq(1));
     expect_that!(fixture.losses[0].in_flight[0].fingerprint.0, eq(queries[1]));
@@ -521,19 +537,19 @@
     for _query in 0..4 {
         fixture.submit(0, 100);
     }
-    while let Some(connection) = fixture.opening.pop() {
-        fixture.report(connection, ConnectionEvent::OpenFailed);
+    while let Some(connection) = fixture.opening_connections.pop() {
+        fixture.report_event(connection, ConnectionEvent::OpenFailed);
     }
-    let unreachable = ShardVerdict::NotRun(RefusalReason::Unreachable);
+    let unreachable_verdict = ShardVerdict::NotRun(RefusalReason::Unreachable);
     expect_that!(
         fixture
             .verdicts
             .values()
-            .filter(|verdict| **verdict == unreachable)
+            .filter(|verdict| **verdict == unreachable_verdict)
             .count(),
         eq(4)
     );
     fixture.tick(2_000);
     fixture.submit(0, 100);
-    expect_that!(fixture.opening.len(), eq(1));
+    expect_that!(fixture.opening_connections.len(), eq(1));
 }
