--- a/crates/ebonyfork/src/relay/suspects.rs
+++ b/crates/ebonyfork/src/relay/suspects.rs
@@ -1,5 +1,6 @@
-//! The waiting attempts of requests that are suspected of crashing upstreams. Each is sent only when nothing else is in
-//! flight at the upstream, so that a loss during that time can be attributed to it. Pure.
+//! The waiting attempts of requests that are suspected of crashing upstreams, called *suspects* here. Each is sent only
+//! when nothing else is in flight at the upstream, so that a loss of the upstream during that time can be attributed to
+//! the suspect. Pure.
 //!
 //! Between two suspects, as many other attempts are sent as the concurrency limit allows at once, so that a large
 //! number of suspects does not block the regular queue.
@@ -10,8 +11,9 @@
 use crate::relay::ids::WorkId;
 
 /// Maximum number of suspects waiting at one upstream.
-const WAITING_LIMIT: usize = 64;
+const SUSPECT_LIMIT: usize = 64;
 
+/// A waiting attempt of a suspected request.
 #[derive(Debug, Clone, Copy)]
 struct WaitingSuspect {
     work: WorkId,
@@ -21,77 +23,79 @@
 /// The suspects waiting at one upstream, in order of arrival.
 #[derive(Debug, Default)]
 pub(super) struct SuspectQueue {
-    waiting: VecDeque<WaitingSuspect>,
-    /// Number of other attempts to send before the next suspect.
-    others_first: u32,
+    waiting_suspects: VecDeque<WaitingSuspect>,
+    /// Number of attempts from the regular queue to send before the next suspect.
+    others_before_suspect: u32,
 }
 
 impl SuspectQueue {
-    /// Adds an attempt. Returns false if the queue is full.
+    /// Adds an attempt of a suspected request. Returns false if the queue is full.
     pub(super) fn push(&mut self, work: WorkId, deadline: Duration) -> bool {
-        if self.waiting.len() == WAITING_LIMIT {
+        if self.waiting_suspects.len() == SUSPECT_LIMIT {
             return false;
         }
-        self.waiting.push_back(WaitingSuspect { work, deadline });
+        self.waiting_suspects
+            .push_back(WaitingSuspect { work, deadline });
         true
     }
 
-    /// Returns whether the next attempt to send is a suspect; `alone` means that no other attempts wait.
-    pub(super) fn is_due(&self, alone: bool) -> bool {
-        !self.waiting.is_empty() && (alone || self.others_first == 0)
+    /// Returns whether the next attempt to send is a suspect; `no_others_wait` means that the regular
+    /// queue is empty.
+    pub(super) fn is_due(&self, no_others_wait: bool) -> bool {
+        !self.waiting_suspects.is_empty() && (no_others_wait || self.others_before_suspect == 0)
     }
 
-    /// Records that another attempt was sent.
-    pub(super) fn note_other_sent(&mut self) {
-        self.others_first = self.others_first.saturating_sub(1);
+    /// Records that an attempt from the regular queue was sent.
+    pub(super) fn record_other_sent(&mut self) {
+        self.others_before_suspect = self.others_before_suspect.saturating_sub(1);
     }
 
-    /// Removes and returns the next suspect; `others_first` is the number of other attempts to send before the one
-    /// after it. Suspects whose deadline has passed are moved to `expired`.
+    /// Removes and returns the next suspect; `others_before_suspect` is the number of attempts from the regular queue
+    /// to send before the suspect after it. Suspects whose deadline has passed are moved to `expired_work`.
     pub(super) fn pop(
         &mut self,
         now: Duration,
-        others_first: u32,
-        expired: &mut Vec<WorkId>,
+        others_before_suspect: u32,
+        expired_work: &mut Vec<WorkId>,
     ) -> Option<WorkId> {
-        self.others_first = others_first;
-        while let Some(suspect) = self.waiting.pop_front() {
+        self.others_before_suspect = others_before_suspect;
+        while let Some(suspect) = self.waiting_suspects.pop_front() {
             if suspect.deadline > now {
                 return Some(suspect.work);
             }
-            expired.push(suspect.work);
+            expired_work.push(suspect.work);
         }
         None
     }
 
     /// Removes an attempt and returns whether it was waiting.
     pub(super) fn cancel(&mut self, work: WorkId) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|suspect| suspect.work != work);
-        self.waiting.len() < before
+        let previous_len = self.waiting_suspects.len();
+        self.waiting_suspects.retain(|suspect| suspect.work != work);
+        self.waiting_suspects.len() < previous_len
     }
 
-    /// Moves the attempts whose deadline has passed to `expired`.
-    pub(super) fn drop_expired(&mut self, now: Duration, expired: &mut Vec<WorkId>) {
-        self.waiting.retain(|suspect| {
-            let keep = suspect.deadline > now;
-            if !keep {
-                expired.push(suspect.work);
+    /// Moves the attempts whose deadline has passed to `expired_work`.
+    pub(super) fn drop_expired(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
+        self.waiting_suspects.retain(|suspect| {
+            let is_kept = suspect.deadline > now;
+            if !is_kept {
+                expired_work.push(suspect.work);
             }
-            keep
+            is_kept
         });
     }
 
-    /// Moves all attempts to `taken`.
-    pub(super) fn drain(&mut self, taken: &mut Vec<WorkId>) {
-        taken.extend(self.waiting.drain(..).map(|suspect| suspect.work));
+    /// Moves all attempts to `removed_work`.
+    pub(super) fn drain(&mut self, removed_work: &mut Vec<WorkId>) {
+        removed_work.extend(self.waiting_suspects.drain(..).map(|suspect| suspect.work));
     }
 
     pub(super) fn len(&self) -> usize {
-        self.waiting.len()
+        self.waiting_suspects.len()
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.waiting_suspects.is_empty()
     }
 }
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -2,9 +2,9 @@
 //! affect the rest.
 //!
 //! Pure: every function takes the time since process start and appends the resulting actions to a [`RelayTables`]. Each
-//! attempt gets exactly one verdict: a refusal while it waits, or the outcome of sending it. An attempt that was given
-//! up after it was sent still counts against the concurrency limit until the upstream answers or its connection ends,
-//! so that the number in flight is never underestimated.
+//! attempt gets exactly one verdict: a refusal while it waits, or the outcome of sending it. An attempt that was
+//! cancelled or expired after it was sent still counts against the concurrency limit until the upstream answers or its
+//! connection ends, so that the number in flight is never underestimated.
 
 mod dispatch;
 
@@ -24,10 +24,11 @@
 use crate::relay::suspects::SuspectQueue;
 use crate::settings::ExperimentSwitches;
 
-/// How long a draining upstream gets no attempts, unless the topology lists it as leaving.
+/// How long no attempts are sent to an upstream after an answer with the draining header. If the topology lists the
+/// upstream as leaving, it gets no attempts for as long as it is listed.
 const DRAINING_HOLD: Duration = Duration::from_secs(30);
-/// How long an upstream whose status body says that it is draining gets no attempts; the next new connection asks for
-/// its status again.
+/// How long no attempts are sent to an upstream after its status body said that it is draining. The next connection
+/// that is opened afterwards asks for its status again.
 const DRAINING_HINT_HOLD: Duration = Duration::from_secs(2);
 
 /// An upstream's answer to one attempt.
@@ -37,7 +38,7 @@
     /// Whether the answer carries the draining header.
     pub(super) draining: bool,
     /// Time from sending the request to the end of the answer.
-    pub(super) served: Duration,
+    pub(super) service_time: Duration,
 }
 
 /// An attempt in flight at the upstream.
@@ -46,13 +47,14 @@
     work: WorkId,
     item: WorkItem,
     connection: ConnectionId,
-    /// Attempts in flight when this one was sent, itself included.
+    /// Number of attempts in flight at the upstream when this one was sent, itself included.
     in_flight: u32,
     epoch: LimitEpoch,
-    /// When it was sent.
+    /// When the attempt was sent.
     sent_at: Duration,
-    /// Whether its verdict was already given because it was cancelled or overdue.
-    given_up: bool,
+    /// Whether the entry already has a verdict for this attempt, because the attempt was cancelled or its deadline
+    /// passed while it was in flight.
+    has_verdict: bool,
 }
 
 /// The queue, limits, connections and attempts of one upstream.
@@ -63,29 +65,31 @@
     queue: RelayQueue,
     suspects: SuspectQueue,
     limit: ConcurrencyLimit,
-    service: ServiceTimes,
-    /// Per-class depth limits, if the clamp experiment is on.
+    service_times: ServiceTimes,
+    /// Limits on the attempts in flight per class, if the clamp experiment is on.
     clamp: Option<ClassClamp>,
     pool: ConnectionPool,
-    /// Whether one connection of the share carries cancellations.
-    cancelling: bool,
+    /// Whether this VM may hold a further connection for cancellations.
+    has_cancel_connection: bool,
+    /// Whether the upstream is leaving or not in the topology.
     leaving: bool,
     /// End of the period in which nothing is sent because the upstream itself said that it is draining.
     draining_until: Duration,
-    sent: Vec<SentWork>,
+    /// The attempts in flight.
+    sent_work: Vec<SentWork>,
     /// The connections that broke within the current loss window.
-    loss: Option<LossWindow>,
-    /// Buffer for attempts removed from the queues; empty between calls.
-    taken: Vec<WorkId>,
+    loss_window: Option<LossWindow>,
+    /// Buffer for attempts removed from the queues; empty between calls and kept for its allocation.
+    removed_work: Vec<WorkId>,
 }
 
 /// The parameters of one upstream that are derived from the views.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct UpstreamParams {
     /// Connections to the upstream that this VM may hold for attempts, without the one for cancellations.
-    pub(super) share: u32,
+    pub(super) connection_share: u32,
     /// Whether this VM may hold a further connection for cancellations.
-    pub(super) cancelling: bool,
+    pub(super) has_cancel_connection: bool,
     /// Whether the upstream is leaving or not in the topology.
     pub(super) leaving: bool,
 }
@@ -102,29 +106,30 @@
             queue: RelayQueue::new(switches.queue),
             suspects: SuspectQueue::default(),
             limit: ConcurrencyLimit::new(switches.limit, 0),
-            service: ServiceTimes::default(),
+            service_times: ServiceTimes::default(),
             clamp: switches.clamp.then(ClassClamp::default),
             pool: ConnectionPool::new(id),
-            cancelling: false,
+            has_cancel_connection: false,
             leaving: false,
             draining_until: Duration::ZERO,
-            sent: Vec::new(),
-            loss: None,
-            taken: Vec::new(),
+            sent_work: Vec::new(),
+            loss_window: None,
+            removed_work: Vec::new(),
         }
     }
 
     /// Applies parameters derived from changed views.
-    pub(super) fn apply(
+    pub(super) fn apply_params(
         &mut self,
         now: Duration,
         params: UpstreamParams,
         tables: &mut RelayTables,
     ) {
-        self.cancelling = params.cancelling;
+        self.has_cancel_connection = params.has_cancel_connection;
         self.leaving = params.leaving;
-        self.limit.set_share(params.share);
-        self.pool.set_share(params.share, tables);
+        self.limit.set_connection_share(params.connection_share);
+        self.pool
+            .set_connection_share(params.connection_share, tables);
         if params.leaving {
             self.pool.close_idle(tables);
         }
@@ -136,7 +141,7 @@
         let Some(item) = tables.item(work) else {
             return;
         };
-        if let Some(reason) = self.refusal(now, &item) {
+        if let Some(reason) = self.refusal_reason(now, &item) {
             tables.refuse(work, reason);
             return;
         }
@@ -152,23 +157,23 @@
             organisation: item.organisation,
             class: item.class,
             deadline: item.deadline,
-            cost: self.service.expected(item.class),
+            cost: self.service_times.expected_time(item.class),
         };
-        if let PushResult::Evicted(evicted) = self.queue.push(entry) {
-            tables.refuse(evicted, RefusalReason::QueueFull);
+        if let PushResult::Evicted(evicted_work) = self.queue.push(entry) {
+            tables.refuse(evicted_work, RefusalReason::QueueFull);
         }
         self.dispatch(now, tables);
     }
 
     /// Returns why an attempt can't be queued now, if there is a reason.
-    fn refusal(&self, now: Duration, item: &WorkItem) -> Option<RefusalReason> {
+    fn refusal_reason(&self, now: Duration, item: &WorkItem) -> Option<RefusalReason> {
         if self.is_leaving(now) {
             return Some(RefusalReason::Leaving);
         }
         if item.deadline <= now {
             return Some(RefusalReason::Expired);
         }
-        if self.pool.share() == 0 {
+        if self.pool.connection_share() == 0 {
             return Some(RefusalReason::NotOwner);
         }
         if self.pool.is_unreachable(now) {
@@ -183,24 +188,28 @@
             tables.refuse(work, RefusalReason::Cancelled);
             return;
         }
-        self.give_up(work, FailureReason::Cancelled, tables);
+        self.finish_early(work, FailureReason::Cancelled, tables);
         self.dispatch(now, tables);
     }
 
-    /// Gives up an attempt whose deadline passed while it was in flight.
-    pub(super) fn overdue(&mut self, work: WorkId, tables: &mut RelayTables) {
-        self.give_up(work, FailureReason::Timeout, tables);
+    /// Fails an attempt whose deadline passed while it was in flight.
+    pub(super) fn on_overdue(&mut self, work: WorkId, tables: &mut RelayTables) {
+        self.finish_early(work, FailureReason::Timeout, tables);
     }
 
-    /// Gives an in-flight attempt its verdict before the upstream answers, and asks the upstream to cancel it.
-    fn give_up(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
-        let Some(sent) = self.sent.iter_mut().find(|sent| sent.work == work) else {
+    /// Gives an in-flight attempt its verdict before the upstream answers, and asks the upstream to cancel the attempt.
+    fn finish_early(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
+        let Some(sent_work) = self
+            .sent_work
+            .iter_mut()
+            .find(|sent_work| sent_work.work == work)
+        else {
             return;
         };
-        if sent.given_up {
+        if sent_work.has_verdict {
             return;
         }
-        sent.given_up = true;
+        sent_work.has_verdict = true;
         let upstream = self.id;
         tables
             .actions
@@ -209,14 +218,14 @@
     }
 
     /// Handles a connection that was opened.
-    pub(super) fn opened(
+    pub(super) fn on_opened(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         status: OpenStatus,
         tables: &mut RelayTables,
     ) {
-        self.pool.opened(now, connection);
+        self.pool.add_opened(now, connection);
         match status {
             OpenStatus::Ready => {}
             OpenStatus::Draining => self.mark_draining(now, tables),
@@ -229,35 +238,35 @@
     }
 
     /// Handles a connection that could not be opened; nothing was sent on it.
-    pub(super) fn open_failed(
+    pub(super) fn on_open_failed(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.pool.open_failed(now, connection, tables);
-        if self.pool.total() == 0 {
+        self.pool.remove_failed(now, connection, tables);
+        if self.pool.connection_count() == 0 {
             self.refuse_queued(RefusalReason::Unreachable, tables);
         }
     }
 
     /// Handles the end of an idle connection.
-    pub(super) fn closed(
+    pub(super) fn on_closed(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.pool.ended(connection, tables);
+        self.pool.remove_ended(connection, tables);
         self.dispatch(now, tables);
     }
 
     /// Requeues an attempt that did not reach its connection.
-    pub(super) fn unsent(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(sent) = self.take_unanswered(work) else {
+    pub(super) fn requeue_unsent(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
+        let Some(sent_work) = self.take_unanswered(work) else {
             return;
         };
-        if sent.given_up {
+        if sent_work.has_verdict {
             tables.release(work);
             return;
         }
@@ -272,10 +281,10 @@
         reason: RefusalReason,
         tables: &mut RelayTables,
     ) {
-        let Some(sent) = self.take_unanswered(work) else {
+        let Some(sent_work) = self.take_unanswered(work) else {
             return;
         };
-        self.pool.put_back(now, sent.connection);
+        self.pool.put_back(now, sent_work.connection);
         tables.refuse(work, reason);
         self.dispatch(now, tables);
     }
@@ -283,11 +292,11 @@
     /// Requeues an attempt that was not handed to its connection because its request has become a suspect; it is sent
     /// alone later.
     pub(super) fn isolate(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(sent) = self.take_unanswered(work) else {
+        let Some(sent_work) = self.take_unanswered(work) else {
             return;
         };
-        self.pool.put_back(now, sent.connection);
-        if sent.given_up {
+        self.pool.put_back(now, sent_work.connection);
+        if sent_work.has_verdict {
             tables.release(work);
             self.dispatch(now, tables);
             return;
@@ -297,31 +306,31 @@
     }
 
     /// Handles the answer to an attempt; its connection becomes idle again.
-    pub(super) fn answered(
+    pub(super) fn on_answer(
         &mut self,
         now: Duration,
         work: WorkId,
         answer: UpstreamAnswer,
         tables: &mut RelayTables,
     ) {
-        let Some(sent) = self.take_sent(work) else {
+        let Some(sent_work) = self.take_sent(work) else {
             return;
         };
-        self.pool.put_back(now, sent.connection);
-        self.record_answer(now, &sent, &answer);
-        if !sent.given_up {
-            record_time_spent(&mut self.clamp, now, &sent.item, tables);
+        self.pool.put_back(now, sent_work.connection);
+        self.record_answer(now, &sent_work, &answer);
+        if !sent_work.has_verdict {
+            record_time_spent(&mut self.clamp, now, &sent_work.item, tables);
         }
-        if sent.item.is_suspect() && matches!(answer.verdict, ShardVerdict::Rows { .. }) {
+        if sent_work.item.is_suspect() && matches!(answer.verdict, ShardVerdict::Rows { .. }) {
             tables.actions.push(RelayAction::ReportAnswer {
-                fingerprint: sent.item.fingerprint,
-                flight: now.saturating_sub(sent.sent_at),
+                fingerprint: sent_work.item.fingerprint,
+                flight: now.saturating_sub(sent_work.sent_at),
             });
         }
         if answer.draining {
             self.mark_draining(now, tables);
         }
-        if !sent.given_up {
+        if !sent_work.has_verdict {
             tables.finish(work, answer.verdict);
         }
         tables.release(work);
@@ -330,56 +339,62 @@
     }
 
     /// Handles a connection that broke while an attempt was in flight on it.
-    pub(super) fn broken(
+    pub(super) fn on_broken(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         work: WorkId,
         tables: &mut RelayTables,
     ) {
-        self.pool.ended(connection, tables);
+        self.pool.remove_ended(connection, tables);
         // The idle connections most likely lead to the same lost process: an attempt sent on them would break as well,
         // without having run.
         self.pool.close_idle(tables);
-        if let Some(sent) = self.take_unanswered(work) {
-            if !sent.given_up {
+        if let Some(sent_work) = self.take_unanswered(work) {
+            if !sent_work.has_verdict {
                 tables.fail(work, FailureReason::Broken);
             }
             tables.release(work);
-            self.record_loss(now, &sent, tables);
+            self.record_loss(now, &sent_work, tables);
         }
-        if self.sent.is_empty() {
+        if self.sent_work.is_empty() {
             self.limit.restart(now);
         }
         self.dispatch(now, tables);
     }
 
-    /// Handles a connection that the relay closed because an attempt that was given up got no answer.
-    pub(super) fn dropped(
+    /// Handles a connection that the relay closed because the attempt on it got no answer within the grace period after
+    /// its deadline.
+    pub(super) fn on_dropped(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         work: WorkId,
         tables: &mut RelayTables,
     ) {
-        self.pool.ended(connection, tables);
+        self.pool.remove_ended(connection, tables);
         if self.take_unanswered(work).is_some() {
             tables.release(work);
         }
         self.dispatch(now, tables);
     }
 
-    /// Does the work that depends on time alone.
+    /// Refuses expired attempts, advances the clamp, reports a loss whose window has ended, closes connections that
+    /// have been idle for too long, and sends what may be sent.
     pub(super) fn tick(&mut self, now: Duration, tables: &mut RelayTables) {
-        self.queue.drop_expired(now, &mut self.taken);
-        self.suspects.drop_expired(now, &mut self.taken);
+        self.queue.drop_expired(now, &mut self.removed_work);
+        self.suspects.drop_expired(now, &mut self.removed_work);
         self.refuse_expired(now, tables);
         if let Some(clamp) = &mut self.clamp {
-            clamp.advance(now, self.limit.settled(), |class| {
+            clamp.advance(now, self.limit.base_limit(), |class| {
                 tables.latency_targets[class]
             });
         }
-        if self.loss.as_ref().is_some_and(|window| window.is_over(now)) {
+        if self
+            .loss_window
+            .as_ref()
+            .is_some_and(|window| window.is_over(now))
+        {
             self.report_loss(now, tables);
         }
         self.pool.close_timed_out(now, tables);
@@ -388,39 +403,40 @@
 
     /// Returns whether [`Self::tick`] may have work to do.
     pub(super) fn needs_tick(&self) -> bool {
-        self.queued() > 0 || self.pool.idle() > 0 || self.loss.is_some()
+        self.waiting_count() > 0 || self.pool.idle_count() > 0 || self.loss_window.is_some()
     }
 
-    /// Returns whether there are no attempts and no connections.
+    /// Returns whether the upstream has no attempts, waiting or in flight, and no connections.
     pub(super) fn is_unused(&self) -> bool {
-        self.queued() == 0 && self.sent.is_empty() && self.connections() == 0
+        self.waiting_count() == 0 && self.sent_work.is_empty() && self.connection_count() == 0
     }
 
     /// Returns the number of waiting attempts.
-    pub(super) fn queued(&self) -> usize {
+    pub(super) fn waiting_count(&self) -> usize {
         self.queue.len() + self.suspects.len()
     }
 
-    /// Returns the number of attempts in flight, including those given up.
+    /// Returns the number of attempts in flight, including those that already have a verdict.
     pub(super) fn in_flight(&self) -> usize {
-        self.sent.len()
+        self.sent_work.len()
     }
 
     /// Returns the number of connections that are open or being opened.
-    pub(super) fn connections(&self) -> u32 {
-        self.pool.total()
+    pub(super) fn connection_count(&self) -> u32 {
+        self.pool.connection_count()
     }
 
     /// Returns the load that is reported to entries.
     pub(super) fn load(&self, now: Duration) -> UpstreamLoad {
-        let limit = u32::max(1, self.limit.settled());
-        let service = self.service.median();
-        let ahead = (self.queued() + self.sent.len() + 1).saturating_sub(limit as usize);
-        let wait = service * ahead as u32 / limit;
+        let limit = u32::max(1, self.limit.base_limit());
+        let median_service = self.service_times.median();
+        let attempts_ahead =
+            (self.waiting_count() + self.sent_work.len() + 1).saturating_sub(limit as usize);
+        let wait = median_service * attempts_ahead as u32 / limit;
         UpstreamLoad {
             upstream: self.address,
             wait_us: wait.as_micros() as u32,
-            service_us: service.as_micros() as u32,
+            service_us: median_service.as_micros() as u32,
             limit: limit as u16,
             leaving: self.is_leaving(now),
         }
@@ -431,46 +447,54 @@
     }
 
     pub(super) fn may_cancel(&self) -> bool {
-        self.cancelling
+        self.has_cancel_connection
     }
 
     pub(super) fn is_leaving(&self, now: Duration) -> bool {
         self.leaving || now < self.draining_until
     }
 
-    /// Removes an attempt that ended without a service time.
+    /// Removes and returns an attempt that is no longer in flight and ended without a service time.
     fn take_unanswered(&mut self, work: WorkId) -> Option<SentWork> {
-        let sent = self.take_sent(work)?;
-        self.limit.record_lost(sent.epoch, sent.in_flight);
-        Some(sent)
+        let sent_work = self.take_sent(work)?;
+        self.limit.record_lost(sent_work.epoch, sent_work.in_flight);
+        Some(sent_work)
     }
 
     fn take_sent(&mut self, work: WorkId) -> Option<SentWork> {
-        let position = self.sent.iter().position(|sent| sent.work == work)?;
-        Some(self.sent.swap_remove(position))
+        let position = self
+            .sent_work
+            .iter()
+            .position(|sent_work| sent_work.work == work)?;
+        Some(self.sent_work.swap_remove(position))
     }
 
     /// Updates the service times and the concurrency limit from an answer.
-    fn record_answer(&mut self, now: Duration, sent: &SentWork, answer: &UpstreamAnswer) {
+    fn record_answer(&mut self, now: Duration, sent_work: &SentWork, answer: &UpstreamAnswer) {
         match answer.verdict {
             ShardVerdict::Rows { .. } => {
-                let log_service_time = self.service.record(sent.item.class, answer.served);
+                let log_service_time = self
+                    .service_times
+                    .record_sample(sent_work.item.class, answer.service_time);
                 let sample = LimitSample {
-                    epoch: sent.epoch,
-                    in_flight: sent.in_flight,
+                    epoch: sent_work.epoch,
+                    in_flight: sent_work.in_flight,
                     log_service_time,
                     has_backlog: !self.queue.is_empty(),
                 };
                 self.limit.record(now, sample);
             }
-            ShardVerdict::NotRun(RefusalReason::Shed) if !sent.given_up && !answer.draining => {
-                self.limit.shed(now, sent.epoch);
+            ShardVerdict::NotRun(RefusalReason::Shed)
+                if !sent_work.has_verdict && !answer.draining =>
+            {
+                self.limit.record_shed(now, sent_work.epoch);
             }
-            _ => self.limit.record_lost(sent.epoch, sent.in_flight),
+            _ => self.limit.record_lost(sent_work.epoch, sent_work.in_flight),
         }
     }
 
-    /// Stops sending after the upstream said that it is draining.
+    /// Stops sending for [`DRAINING_HOLD`] after an answer with the draining header, and reports that the upstream is
+    /// leaving if it was not already on hold.
     fn mark_draining(&mut self, now: Duration, tables: &mut RelayTables) {
         if self.draining_until <= now {
             let address = self.address;
@@ -482,17 +506,17 @@
 
     /// Adds a broken connection to the current loss window. The loss is reported at once if nothing else is in flight,
     /// because then nothing more can belong to it.
-    fn record_loss(&mut self, now: Duration, sent: &SentWork, tables: &mut RelayTables) {
-        let window = self.loss.get_or_insert_with(|| LossWindow::new(now));
-        window.add(sent.item.lost_request(), sent.sent_at);
-        if self.sent.is_empty() {
+    fn record_loss(&mut self, now: Duration, sent_work: &SentWork, tables: &mut RelayTables) {
+        let window = self.loss_window.get_or_insert_with(|| LossWindow::new(now));
+        window.add(sent_work.item.lost_request(), sent_work.sent_at);
+        if self.sent_work.is_empty() {
             self.report_loss(now, tables);
         }
     }
 
     fn report_loss(&mut self, now: Duration, tables: &mut RelayTables) {
-        if let Some(window) = self.loss.take() {
-            let loss = window.finish(self.address, now);
+        if let Some(window) = self.loss_window.take() {
+            let loss = window.into_loss(self.address, now);
             tables.actions.push(RelayAction::ReportLoss(loss));
         }
     }
@@ -507,6 +531,6 @@
 ) {
     let target = tables.latency_targets[item.class];
     if let (Some(clamp), Some(target)) = (clamp, target) {
-        clamp.record(item.class, target, now.saturating_sub(item.arrived));
+        clamp.record(item.class, target, now.saturating_sub(item.arrived_at));
     }
 }
--- a/crates/ebonyfork/src/relay/upstream/dispatch.rs
+++ b/crates/ebonyfork/src/relay/upstream/dispatch.rs
@@ -1,4 +1,5 @@
-//! Selects the next attempt to send, from the queue and the suspects of one upstream, within its limit and connections.
+//! Selects the next attempt to send, from the queue and the suspects of one upstream, within its concurrency limit and
+//! its idle connections.
 
 use std::time::Duration;
 
@@ -20,58 +21,68 @@
     }
 
     /// Sends one attempt and returns true, or returns false if none may be sent now. A suspect is sent only when
-    /// nothing else is in flight, and nothing else is sent while it is in flight, so that a loss can be attributed to
-    /// it.
+    /// nothing else is in flight, and nothing else is sent while it is in flight, so that a loss of the upstream can be
+    /// attributed to the suspect.
     fn send_next(&mut self, now: Duration, tables: &mut RelayTables) -> bool {
-        let free = (self.limit.current() as usize).saturating_sub(self.sent.len());
-        let room = usize::min(free, self.pool.idle());
-        if room == 0 || self.sent.iter().any(|sent| sent.item.is_suspect()) {
+        let free_places =
+            (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
+        let send_capacity = usize::min(free_places, self.pool.idle_count());
+        if send_capacity == 0
+            || self
+                .sent_work
+                .iter()
+                .any(|sent_work| sent_work.item.is_suspect())
+        {
             return false;
         }
-        let next = if self.suspects.is_due(self.queue.is_empty()) {
-            if !self.sent.is_empty() {
+        let next_work = if self.suspects.is_due(self.queue.is_empty()) {
+            if !self.sent_work.is_empty() {
                 return false;
             }
-            let others_first = self.limit.current();
-            self.suspects.pop(now, others_first, &mut self.taken)
+            let others_before_suspect = self.limit.current_limit();
+            self.suspects
+                .pop(now, others_before_suspect, &mut self.removed_work)
         } else {
-            self.suspects.note_other_sent();
-            let (clamp, sent) = (&self.clamp, &self.sent);
-            let allows = |class: ClassId| {
+            self.suspects.record_other_sent();
+            let (clamp, sent_work) = (&self.clamp, &self.sent_work);
+            let allows_class = |class: ClassId| {
                 clamp.as_ref().is_none_or(|clamp| {
-                    let same = sent.iter().filter(|sent| sent.item.class == class);
-                    clamp.allows(class, same.count() as u32)
+                    let same_class = sent_work
+                        .iter()
+                        .filter(|sent_work| sent_work.item.class == class);
+                    clamp.allows(class, same_class.count() as u32)
                 })
             };
-            self.queue.pop(now, room, allows, &mut self.taken)
+            self.queue
+                .pop(now, send_capacity, allows_class, &mut self.removed_work)
         };
-        let Some(work) = next else {
+        let Some(work) = next_work else {
             return false;
         };
         self.send(now, work, tables);
         true
     }
 
-    /// Sends an attempt on the most recently used connection, so that the other connections can reach their idle limit
-    /// and close.
+    /// Sends an attempt on the most recently used idle connection, so that the other connections can reach their idle
+    /// timeout and close.
     fn send(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
         let Some(item) = tables.item(work) else {
             return;
         };
-        let Some(connection) = self.pool.take() else {
+        let Some(connection) = self.pool.take_idle() else {
             return;
         };
-        let in_flight = self.sent.len() as u32 + 1;
+        let in_flight = self.sent_work.len() as u32 + 1;
         let epoch = self.limit.epoch();
         self.limit.record_sent(in_flight);
-        self.sent.push(SentWork {
+        self.sent_work.push(SentWork {
             work,
             item,
             connection,
             in_flight,
             epoch,
             sent_at: now,
-            given_up: false,
+            has_verdict: false,
         });
         let upstream = self.id;
         tables.actions.push(RelayAction::Send {
@@ -83,26 +94,27 @@
 
     /// Opens as many connections as the queue and the limit can use.
     fn open_needed(&mut self, now: Duration, tables: &mut RelayTables) {
-        let room = (self.limit.current() as usize).saturating_sub(self.sent.len());
-        let waiting = self.queue.len() + usize::from(!self.suspects.is_empty());
-        let wanted = usize::min(waiting, room) as u32;
-        self.pool.open_needed(now, wanted, tables);
+        let send_capacity =
+            (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
+        let waiting_count = self.queue.len() + usize::from(!self.suspects.is_empty());
+        let wanted_connections = usize::min(waiting_count, send_capacity) as u32;
+        self.pool.open_needed(now, wanted_connections, tables);
     }
 
-    /// Refuses the attempts in `taken` as expired.
+    /// Refuses the attempts in `removed_work` as expired.
     pub(super) fn refuse_expired(&mut self, now: Duration, tables: &mut RelayTables) {
-        for work in &self.taken {
+        for work in &self.removed_work {
             if let Some(item) = tables.item(*work) {
                 record_time_spent(&mut self.clamp, now, &item, tables);
             }
         }
-        tables.refuse_all(&mut self.taken, RefusalReason::Expired);
+        tables.refuse_all(&mut self.removed_work, RefusalReason::Expired);
     }
 
     /// Refuses all waiting attempts.
     pub(super) fn refuse_queued(&mut self, reason: RefusalReason, tables: &mut RelayTables) {
-        self.queue.drain(&mut self.taken);
-        self.suspects.drain(&mut self.taken);
-        tables.refuse_all(&mut self.taken, reason);
+        self.queue.drain(&mut self.removed_work);
+        self.suspects.drain(&mut self.removed_work);
+        tables.refuse_all(&mut self.removed_work, reason);
     }
 }
