--- a/crates/ebonyfork/src/quarantine/entry.rs
+++ b/crates/ebonyfork/src/quarantine/entry.rs
@@ -6,7 +6,7 @@
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
 
-/// How a request is treated.
+/// How the quarantine treats a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestStanding {
     /// The request runs normally.
@@ -24,13 +24,14 @@
     pub fingerprint: RequestFingerprint,
     /// Time from sending the request to the loss.
     pub flight: Duration,
-    /// Whether the sender already knew that the request had lost an upstream. It counts as a repeated loss even if this
-    /// table has not heard of the earlier one.
+    /// Whether the sender already knew of an earlier loss of an upstream with the request in flight. This loss then
+    /// counts as a repeated one even if this table has no record of the earlier one.
     pub after_loss: bool,
 }
 
 impl LostRequest {
-    /// Creates the entry for a request that was sent `flight` before the loss.
+    /// Creates the report of a request that was sent `flight` before the loss, by a sender that knew of no earlier
+    /// loss.
     pub fn new(fingerprint: RequestFingerprint, flight: Duration) -> Self {
         Self {
             fingerprint,
@@ -40,7 +41,7 @@
     }
 }
 
-/// A change in how a request is treated.
+/// A decision of the quarantine that changes how a request is treated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QuarantineDecision {
     /// The request runs in isolation from now on.
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -16,10 +16,10 @@
 use crate::quarantine::notice::QuarantineNotice;
 use crate::quarantine::table::QuarantineTable;
 
-/// Maximum number of suspects whose last admission is stored; at this number all are discarded.
+/// Maximum number of suspects whose last admission is stored; when it is reached, all stored admissions are discarded.
 const ADMISSION_LIMIT: usize = 8_192;
-/// Minimum interval between removals of outdated records.
-const SWEEP_PERIOD: Duration = Duration::from_mins(1);
+/// Minimum interval between two removals of outdated records by [`QuarantineHandle::admit`].
+const REMOVAL_INTERVAL: Duration = Duration::from_mins(1);
 
 /// The quarantine of one process. Cheap to clone.
 ///
@@ -39,10 +39,10 @@
 
 #[derive(Debug)]
 struct QuarantineShared {
-    started: Instant,
+    started_at: Instant,
     state: Mutex<QuarantineState>,
     /// Whether the table has no records. In this usual case requests are admitted without taking the lock.
-    empty: AtomicBool,
+    table_is_empty: AtomicBool,
     /// Signals that notices may be queued.
     notices_ready: Notify,
     metrics: QuarantineMetrics,
@@ -51,10 +51,10 @@
 #[derive(Debug)]
 struct QuarantineState {
     table: QuarantineTable,
-    /// Time of each suspect's last admission here, used when a loss is reported without the times of sending.
-    last_admitted: FxHashMap<RequestFingerprint, Duration>,
+    /// When each suspect was last admitted by this process, used when a loss is reported without the times of sending.
+    last_admissions: FxHashMap<RequestFingerprint, Duration>,
     /// Time of the last removal of outdated records.
-    last_sweep: Duration,
+    last_removal_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -79,13 +79,13 @@
     pub fn new() -> Self {
         let state = QuarantineState {
             table: QuarantineTable::new(rand::random()),
-            last_admitted: FxHashMap::default(),
-            last_sweep: Duration::ZERO,
+            last_admissions: FxHashMap::default(),
+            last_removal_at: Duration::ZERO,
         };
         let shared = QuarantineShared {
-            started: Instant::now(),
+            started_at: Instant::now(),
             state: Mutex::new(state),
-            empty: AtomicBool::new(true),
+            table_is_empty: AtomicBool::new(true),
             notices_ready: Notify::new(),
             metrics: QuarantineMetrics::default(),
         };
@@ -102,7 +102,7 @@
     /// Returns how a request that is about to be sent is treated. A suspect may be sent only to an upstream at which no
     /// other suspect is in flight, and to one upstream at a time.
     pub fn admit(&self, fingerprint: RequestFingerprint) -> RequestStanding {
-        if self.shared.empty.load(Ordering::Acquire) {
+        if self.shared.table_is_empty.load(Ordering::Acquire) {
             return RequestStanding::Clear;
         }
         let now = self.now();
@@ -115,8 +115,8 @@
                 self.shared.metrics.refusals.inc();
             }
         }
-        state.sweep(now);
-        self.publish(state, &[]);
+        state.remove_outdated_if_due(now);
+        self.finish_update(state, &[]);
         if standing == RequestStanding::Quarantined {
             log::info!(target: "ebonyfork::decision", "quarantine refuse request={fingerprint}");
         }
@@ -128,54 +128,59 @@
     /// or else before any loss.
     pub fn report_loss(&self, upstream: UpstreamAddress, in_flight: &[RequestFingerprint]) {
         let now = self.now();
-        let mut lost = Vec::with_capacity(in_flight.len());
+        let mut lost_requests = Vec::with_capacity(in_flight.len());
         let state = self.lock();
         for fingerprint in in_flight {
-            let last_admitted = state.last_admitted.get(fingerprint);
-            let flight =
-                last_admitted.map_or(now, |last_admitted| now.saturating_sub(*last_admitted));
-            lost.push(LostRequest::new(*fingerprint, flight));
+            let last_admission = state.last_admissions.get(fingerprint);
+            let flight = last_admission.map_or(now, |admitted_at| now.saturating_sub(*admitted_at));
+            lost_requests.push(LostRequest::new(*fingerprint, flight));
         }
         drop(state);
-        self.report_loss_at(upstream, &lost, Duration::ZERO);
+        self.report_loss_at(upstream, &lost_requests, Duration::ZERO);
     }
 
     /// Reports the loss of an upstream `age` ago with these requests in flight, each with the time since it was sent.
     /// Call this once per lost upstream, with all requests that were in flight there.
-    pub fn report_loss_at(&self, upstream: UpstreamAddress, lost: &[LostRequest], age: Duration) {
+    pub fn report_loss_at(
+        &self,
+        upstream: UpstreamAddress,
+        lost_requests: &[LostRequest],
+        age: Duration,
+    ) {
         self.shared.metrics.losses.inc();
-        if lost.is_empty() {
+        if lost_requests.is_empty() {
             return;
         }
-        let at = self.now().saturating_sub(age);
+        let lost_at = self.now().saturating_sub(age);
         let mut state = self.lock();
-        let decisions = state.table.report_loss(upstream, lost, at);
-        self.publish(state, &decisions);
+        let decisions = state.table.report_loss(upstream, lost_requests, lost_at);
+        self.finish_update(state, &decisions);
     }
 
-    /// Reports that an attempt sent `flight` ago was answered, which clears a suspect. Takes no lock while the table
-    /// has no records.
+    /// Reports that an attempt sent `flight` ago was answered, which clears the request of earlier losses. Takes no
+    /// lock while the table has no records.
     pub fn report_answer(&self, fingerprint: RequestFingerprint, flight: Duration) {
-        if self.shared.empty.load(Ordering::Acquire) {
+        if self.shared.table_is_empty.load(Ordering::Acquire) {
             return;
         }
         let now = self.now();
         let mut state = self.lock();
         let decisions = state.table.report_answer(fingerprint, flight, now);
-        self.publish(state, &decisions);
+        self.finish_update(state, &decisions);
     }
 
-    /// Lifts the quarantine or suspicion of a request for an operator. Returns false if it is under neither.
+    /// Lifts the quarantine or suspicion of a request for an operator. Returns false if the request is neither
+    /// quarantined nor suspected.
     pub fn lift(&self, fingerprint: RequestFingerprint) -> bool {
         let now = self.now();
         let mut state = self.lock();
-        let lifted = state.table.lift(fingerprint, now);
-        if lifted {
+        let is_lifted = state.table.lift(fingerprint, now);
+        if is_lifted {
             self.shared.metrics.lifted.inc();
             log::info!(target: "ebonyfork::decision", "quarantine lift request={fingerprint}");
         }
-        self.publish(state, &[]);
-        lifted
+        self.finish_update(state, &[]);
+        is_lifted
     }
 
     /// Returns the quarantined requests, ordered by fingerprint.
@@ -192,7 +197,7 @@
         let entries = state.table.entries(now).len();
         self.shared.metrics.entries.set(entries as i64);
         let notices = state.table.take_notices(now);
-        self.publish(state, &[]);
+        self.finish_update(state, &[]);
         notices
     }
 
@@ -203,7 +208,7 @@
         self.lock().table.all_notices(now)
     }
 
-    /// Waits until notices may be queued.
+    /// Waits until notices may be queued to be taken by [`Self::take_notices`].
     pub async fn wait_for_notices(&self) {
         self.shared.notices_ready.notified().await;
     }
@@ -213,7 +218,7 @@
         let now = self.now();
         let mut state = self.lock();
         let decisions = state.table.merge(notice, now);
-        self.publish(state, &decisions);
+        self.finish_update(state, &decisions);
     }
 
     /// Registers the metrics.
@@ -251,7 +256,7 @@
     }
 
     fn now(&self) -> Duration {
-        self.shared.started.elapsed()
+        self.shared.started_at.elapsed()
     }
 
     fn lock(&self) -> MutexGuard<'_, QuarantineState> {
@@ -259,11 +264,18 @@
         state.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts and logs decisions, and wakes the task that waits for notices.
-    fn publish(&self, state: MutexGuard<'_, QuarantineState>, decisions: &[QuarantineDecision]) {
+    /// Releases the lock after a possible change of the table: records whether the table is empty, counts and logs the
+    /// decisions, and wakes the task that waits for notices.
+    fn finish_update(
+        &self,
+        state: MutexGuard<'_, QuarantineState>,
+        decisions: &[QuarantineDecision],
+    ) {
         let has_notices = state.table.has_notices();
-        let empty = state.table.is_empty();
-        self.shared.empty.store(empty, Ordering::Release);
+        let is_empty = state.table.is_empty();
+        self.shared
+            .table_is_empty
+            .store(is_empty, Ordering::Release);
         drop(state);
         for decision in decisions {
             self.shared.metrics.count(decision);
@@ -276,18 +288,18 @@
 }
 
 impl QuarantineState {
-    fn sweep(&mut self, now: Duration) {
-        if now > self.last_sweep + SWEEP_PERIOD {
-            self.last_sweep = now;
+    fn remove_outdated_if_due(&mut self, now: Duration) {
+        if now > self.last_removal_at + REMOVAL_INTERVAL {
+            self.last_removal_at = now;
             self.table.remove_outdated(now);
         }
     }
 
     fn record_admission(&mut self, fingerprint: RequestFingerprint, now: Duration) {
-        if self.last_admitted.len() >= ADMISSION_LIMIT {
-            self.last_admitted.clear();
+        if self.last_admissions.len() >= ADMISSION_LIMIT {
+            self.last_admissions.clear();
         }
-        self.last_admitted.insert(fingerprint, now);
+        self.last_admissions.insert(fingerprint, now);
     }
 }
 
--- a/crates/ebonyfork/src/quarantine/handle_tests.rs
+++ b/crates/ebonyfork/src/quarantine/handle_tests.rs
@@ -7,19 +7,19 @@
 async fn second_loss_quarantines_until_an_operator_lifts_it() {
     let quarantine = QuarantineHandle::new();
     let request = RequestFingerprint(9);
-    for server in ["10.0.0.1:80", "10.0.0.2:80"] {
+    for upstream in ["10.0.0.1:80", "10.0.0.2:80"] {
         tokio::time::advance(Duration::from_millis(5)).await;
         assert_that!(quarantine.refuses(request), eq(false));
         tokio::time::advance(Duration::from_millis(5)).await;
-        quarantine.report_loss(server.parse().unwrap(), &[request]);
+        quarantine.report_loss(upstream.parse().unwrap(), &[request]);
     }
     assert_that!(quarantine.refuses(request), eq(true));
     assert_that!(quarantine.entries().len(), eq(1));
-    let other = QuarantineHandle::new();
+    let other_vm = QuarantineHandle::new();
     for notice in quarantine.take_notices() {
-        other.merge(notice);
+        other_vm.merge(notice);
     }
-    assert_that!(other.refuses(request), eq(true));
+    assert_that!(other_vm.refuses(request), eq(true));
     assert_that!(quarantine.lift(request), eq(true));
     assert_that!(quarantine.refuses(request), eq(false));
 }
@@ -36,5 +36,8 @@
     assert_that!(quarantine.wait_for_notices().now_or_never(), none());
     tokio::time::advance(Duration::from_hours(2)).await;
     assert_that!(quarantine.admit(request), eq(RequestStanding::Clear));
-    assert_that!(quarantine.shared.empty.load(Ordering::Acquire), eq(true));
+    assert_that!(
+        quarantine.shared.table_is_empty.load(Ordering::Acquire),
+        eq(true)
+    );
 }
--- a/crates/ebonyfork/src/quarantine/notice.rs
+++ b/crates/ebonyfork/src/quarantine/notice.rs
@@ -7,14 +7,14 @@
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
 
-/// Random id of a loss, a quarantine or a lift, by which a notice that arrives twice is recognised.
+/// Random id of the loss, quarantine or lift that a notice reports, by which a second notice of it is recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct NoticeId(pub u64);
 
-/// A change in the quarantine. Times are sent as ages, because the clocks of two VMs differ. The ages are updated
-/// whenever the notice is forwarded, so the receiver's error is the network delay only, and events always appear more
-/// recent than they are.
+/// A notice by which one VM tells the others of a change in its quarantine. Times are sent as ages, because the clocks
+/// of two VMs differ. The ages are updated whenever the notice is forwarded, so the receiver's error is the network
+/// delay only, and events always appear more recent than they are.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuarantineNotice {
     /// A request was in flight when an upstream was lost.
@@ -28,7 +28,7 @@
         /// Time since the loss.
         age: Duration,
     },
-    /// A suspect that was sent after the losses was answered: it did not cause them.
+    /// An attempt of a suspected request that was sent after the losses was answered: the request did not cause them.
     Cleared {
         /// The request.
         fingerprint: RequestFingerprint,
@@ -37,7 +37,7 @@
     },
     /// A request is refused from now on.
     Quarantined {
-        /// Id of the quarantine; an extension keeps the id.
+        /// Id of the quarantine; the extension of a quarantine keeps its id.
         id: NoticeId,
         /// The request.
         fingerprint: RequestFingerprint,
@@ -47,10 +47,10 @@
         ambiguous: bool,
         /// Time since the request was quarantined.
         age: Duration,
-        /// Time until the quarantine expires.
+        /// Time until the quarantine expires if it is not extended.
         remaining: Duration,
     },
-    /// An operator lifted the quarantine or suspicion; earlier evidence no longer counts.
+    /// An operator lifted the quarantine or suspicion of a request; earlier losses and quarantines no longer count.
     Lifted {
         /// Id of the lift.
         id: NoticeId,
@@ -68,7 +68,7 @@
         /// Granularity of the expiry time in the number: expiry times that differ by less count as equal, because ages
         /// become inexact as a notice travels.
         const TERM_STEP_S: u64 = 30;
-        let (tag, id, term) = match self {
+        let (tag, id, term_s) = match self {
             Self::Suspected {
                 id, fingerprint, ..
             } => (0, id.0 ^ fingerprint.0, 0),
@@ -76,10 +76,10 @@
                 fingerprint,
                 losses,
             } => {
-                let losses = losses
+                let loss_id_sum = losses
                     .iter()
                     .fold(0, |sum: u64, loss| sum.wrapping_add(loss.0));
-                (1, fingerprint.0 ^ losses, 0)
+                (1, fingerprint.0 ^ loss_id_sum, 0)
             }
             Self::Quarantined {
                 id, age, remaining, ..
@@ -87,7 +87,7 @@
             Self::Lifted { id, .. } => (3, id.0, 0),
         };
         let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
-        for part in [tag, id, (term + TERM_STEP_S / 2) / TERM_STEP_S] {
+        for part in [tag, id, (term_s + TERM_STEP_S / 2) / TERM_STEP_S] {
             hasher.update(&part.to_le_bytes());
         }
         hasher.digest()
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -1,4 +1,5 @@
-//! The state of one request: the losses that count against it, those that were cleared, and whether it is quarantined.
+//! What one process knows about one request: the losses that count against it, those that an answer has cleared it of,
+//! and whether it is quarantined.
 
 use std::time::Duration;
 
@@ -15,36 +16,41 @@
 /// outranks notices whose events appear up to this long after it.
 pub(super) const MAX_NOTICE_DELAY: Duration = Duration::from_secs(5);
 
-/// A loss that counts against a request.
+/// The loss of an upstream while a request was in flight there, which makes the request a suspect.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LossRecord {
     pub(super) id: NoticeId,
     pub(super) upstream: UpstreamAddress,
-    pub(super) at: Duration,
+    /// When the upstream was lost; too recent by up to [`MAX_NOTICE_DELAY`] if another VM observed the loss.
+    pub(super) lost_at: Duration,
     /// When the request was sent to that upstream; known only for losses that this process observed.
-    pub(super) sent: Option<Duration>,
+    pub(super) sent_at: Option<Duration>,
 }
 
-/// The quarantine of a request.
+/// The quarantine of a request, which may have expired.
 #[derive(Debug, Clone)]
 pub(super) struct ActiveQuarantine {
     pub(super) id: NoticeId,
     pub(super) lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
     pub(super) ambiguous: bool,
-    pub(super) decided: Duration,
-    pub(super) until: Duration,
+    /// When the request was quarantined.
+    pub(super) quarantined_at: Duration,
+    /// When the quarantine expires if it is not extended.
+    pub(super) expires_at: Duration,
 }
 
 /// What one process knows about a request.
 #[derive(Debug, Default)]
 pub(super) struct RequestRecord {
+    /// Losses that count against the request until they are older than [`SUSPICION_WINDOW`].
     pub(super) losses: SmallVec<[LossRecord; 2]>,
-    /// Losses that an answer has cleared; notices of them may still arrive.
-    pub(super) cleared: SmallVec<[NoticeId; 2]>,
+    /// Losses that no longer count because a later attempt was answered. They are kept because notices of them may
+    /// still arrive.
+    pub(super) cleared_losses: SmallVec<[NoticeId; 2]>,
     pub(super) quarantine: Option<ActiveQuarantine>,
-    /// Time of the last lift by an operator.
-    pub(super) lifted: Option<Duration>,
-    /// Time of the last change, which decides what is evicted first.
+    /// When an operator last lifted the quarantine or suspicion of the request.
+    pub(super) lifted_at: Option<Duration>,
+    /// When the record last changed, which decides the order of eviction.
     pub(super) changed_at: Duration,
 }
 
@@ -58,7 +64,7 @@
             id: self.id,
             fingerprint,
             upstream: self.upstream,
-            age: now.saturating_sub(self.at),
+            age: now.saturating_sub(self.lost_at),
         }
     }
 }
@@ -74,8 +80,8 @@
             fingerprint,
             lost_upstreams: self.lost_upstreams.clone(),
             ambiguous: self.ambiguous,
-            age: now.saturating_sub(self.decided),
-            remaining: self.until.saturating_sub(now),
+            age: now.saturating_sub(self.quarantined_at),
+            remaining: self.expires_at.saturating_sub(now),
         }
     }
 }
@@ -92,45 +98,50 @@
         }
     }
 
-    /// Returns the quarantine unless it has expired.
+    /// Returns the quarantine of the request if there is one that has not expired at `now`.
     pub(super) fn quarantine_at(&self, now: Duration) -> Option<&ActiveQuarantine> {
         let quarantine = self.quarantine.as_ref();
-        quarantine.filter(|quarantine| quarantine.until > now)
+        quarantine.filter(|quarantine| quarantine.expires_at > now)
     }
 
-    /// Returns the losses that still count against the request.
+    /// Returns the losses that count against the request at `now`.
     pub(super) fn recent_losses(&self, now: Duration) -> impl Iterator<Item = &LossRecord> {
         let losses = self.losses.iter();
-        losses.filter(move |loss| loss.at + SUSPICION_WINDOW > now)
+        losses.filter(move |loss| loss.lost_at + SUSPICION_WINDOW > now)
     }
 
-    /// Returns whether the loss is already recorded, counting or cleared.
+    /// Returns whether a loss is already recorded, either as counting against the request or as cleared by an answer.
     pub(super) fn knows_loss(&self, id: NoticeId) -> bool {
-        self.cleared.contains(&id) || self.losses.iter().any(|loss| loss.id == id)
+        self.cleared_losses.contains(&id) || self.losses.iter().any(|loss| loss.id == id)
     }
 
     /// Returns whether an attempt that this process sent after one loss has lost its upstream as well.
     pub(super) fn is_repeated(&self, now: Duration) -> bool {
-        for later in self.recent_losses(now) {
-            let Some(sent) = later.sent else {
+        for later_loss in self.recent_losses(now) {
+            let Some(sent_at) = later_loss.sent_at else {
                 continue;
             };
-            if self.recent_losses(now).any(|earlier| earlier.at < sent) {
+            if self
+                .recent_losses(now)
+                .any(|earlier_loss| earlier_loss.lost_at < sent_at)
+            {
                 return true;
             }
         }
         false
     }
 
-    /// Returns whether evidence from time `at` was lifted. Unless the time is `exact`, it comes from another VM's
-    /// notice and may be too recent by up to [`MAX_NOTICE_DELAY`].
-    pub(super) fn is_lifted(&self, at: Duration, exact: bool) -> bool {
-        let delay = if exact {
+    /// Returns whether a loss or quarantine at `event_at` no longer counts because an operator lifted the quarantine or
+    /// suspicion afterwards. Unless `is_exact`, the time comes from another VM's notice and may be too recent by up to
+    /// [`MAX_NOTICE_DELAY`].
+    pub(super) fn predates_lift(&self, event_at: Duration, is_exact: bool) -> bool {
+        let max_delay = if is_exact {
             Duration::ZERO
         } else {
             MAX_NOTICE_DELAY
         };
-        self.lifted.is_some_and(|lifted| at <= lifted + delay)
+        self.lifted_at
+            .is_some_and(|lifted_at| event_at <= lifted_at + max_delay)
     }
 
     /// Extends the quarantine if at least a tenth of its term has passed, and returns the notice of the extension. An
@@ -141,20 +152,20 @@
         now: Duration,
     ) -> Option<QuarantineNotice> {
         let quarantine = self.quarantine.as_mut()?;
-        let extended = now + QUARANTINE_TERM;
-        if quarantine.ambiguous || quarantine.until + QUARANTINE_TERM / 10 > extended {
+        let extended_expiry = now + QUARANTINE_TERM;
+        if quarantine.ambiguous || quarantine.expires_at + QUARANTINE_TERM / 10 > extended_expiry {
             return None;
         }
-        quarantine.until = extended;
+        quarantine.expires_at = extended_expiry;
         self.changed_at = now;
         Some(quarantine.notice(fingerprint, now))
     }
 
-    /// Clears the losses that happened before `sent`, and returns their ids.
-    pub(super) fn clear_before(&mut self, sent: Duration) -> SmallVec<[NoticeId; 2]> {
+    /// Stops counting the losses that happened before `sent_at` against the request, and returns their ids.
+    pub(super) fn clear_before(&mut self, sent_at: Duration) -> SmallVec<[NoticeId; 2]> {
         let mut losses = SmallVec::new();
         for loss in &self.losses {
-            if loss.at < sent {
+            if loss.lost_at < sent_at {
                 losses.push(loss.id);
             }
         }
@@ -164,22 +175,22 @@
         losses
     }
 
-    /// Stops counting a loss against the request. Returns false if it was already cleared.
+    /// Stops counting a loss against the request. Returns false if the loss was already cleared.
     pub(super) fn clear_loss(&mut self, id: NoticeId) -> bool {
         self.losses.retain(|loss| loss.id != id);
-        if self.cleared.contains(&id) {
+        if self.cleared_losses.contains(&id) {
             return false;
         }
-        if self.cleared.len() == LOSS_LIMIT {
-            self.cleared.remove(0);
+        if self.cleared_losses.len() == LOSS_LIMIT {
+            self.cleared_losses.remove(0);
         }
-        self.cleared.push(id);
+        self.cleared_losses.push(id);
         true
     }
 
-    /// Ends the quarantine and removes all losses, as an operator decided at time `at`.
-    pub(super) fn lift(&mut self, at: Duration, now: Duration) {
-        self.lifted = Some(at);
+    /// Ends the quarantine and removes all losses, as an operator decided at `lifted_at`.
+    pub(super) fn lift(&mut self, lifted_at: Duration, now: Duration) {
+        self.lifted_at = Some(lifted_at);
         self.quarantine = None;
         self.losses.clear();
         self.changed_at = now;
--- a/crates/ebonyfork/src/quarantine/spread.rs
+++ b/crates/ebonyfork/src/quarantine/spread.rs
@@ -21,9 +21,9 @@
 
 /// Merges the notices of other members until gossip ends.
 pub async fn receive_notices(members: MemberHandle, quarantine: QuarantineHandle) {
-    let mut received = members.notices();
+    let mut receiver = members.notices();
     loop {
-        let notice = match received.recv().await {
+        let notice = match receiver.recv().await {
             Ok(notice) => notice,
             Err(RecvError::Lagged(lost)) => {
                 log::warn!("gossip receiver lagged, {lost} notices lost");
@@ -32,7 +32,7 @@
             Err(RecvError::Closed) => return,
         };
         match postcard::from_bytes::<QuarantineNotice>(&notice.payload) {
-            Ok(change) => quarantine.merge(change.with_elapsed(notice.age())),
+            Ok(quarantine_notice) => quarantine.merge(quarantine_notice.with_elapsed(notice.age())),
             Err(error) => log::warn!("invalid gossip notice {:016x}: {error}", notice.number),
         }
     }
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -22,20 +22,22 @@
     ActiveQuarantine, LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, RequestRecord,
 };
 
-/// How long a loss counts against the requests that were in flight.
+/// How long a loss counts against the requests that were in flight at the lost upstream.
 pub const SUSPICION_WINDOW: Duration = Duration::from_hours(1);
 /// How long a request stays quarantined after the last attempt to send it.
 pub const QUARANTINE_TERM: Duration = Duration::from_hours(1);
-/// Maximum number of records; beyond it those that changed least recently are evicted.
+/// Maximum number of requests with a record; beyond it the records that changed least recently are evicted.
 const RECORD_LIMIT: usize = 8_192;
 /// Maximum number of queued notices; beyond it the oldest is dropped.
-const OUTGOING_LIMIT: usize = 4_096;
+const NOTICE_LIMIT: usize = 4_096;
 
 /// The suspects and quarantined requests known to one process.
 #[derive(Debug)]
 pub struct QuarantineTable {
     records: FxHashMap<RequestFingerprint, RequestRecord>,
-    outgoing: VecDeque<PendingNotice>,
+    /// Notices that wait to be sent to other VMs.
+    outgoing_notices: VecDeque<PendingNotice>,
+    /// Generator of the ids of notices.
     rng: ChaCha8Rng,
 }
 
@@ -51,12 +53,12 @@
     pub fn new(seed: u64) -> Self {
         Self {
             records: FxHashMap::default(),
-            outgoing: VecDeque::new(),
+            outgoing_notices: VecDeque::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Returns how a request is treated now.
+    /// Returns how a request is treated at `now`.
     pub fn standing(&self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
         let Some(record) = self.records.get(&fingerprint) else {
             return RequestStanding::Clear;
@@ -101,39 +103,39 @@
     pub fn report_loss(
         &mut self,
         upstream: UpstreamAddress,
-        lost: &[LostRequest],
+        lost_requests: &[LostRequest],
         now: Duration,
     ) -> Vec<QuarantineDecision> {
         let mut decisions = Vec::new();
-        let id = self.next_id();
-        let mut quarantined = SmallVec::<[RequestFingerprint; 2]>::new();
-        for request in lost {
+        let id = self.random_id();
+        let mut repeated_requests = SmallVec::<[RequestFingerprint; 2]>::new();
+        for request in lost_requests {
             let fingerprint = request.fingerprint;
             let loss = LossRecord {
                 id,
                 upstream,
-                at: now,
-                sent: Some(now.saturating_sub(request.flight)),
+                lost_at: now,
+                sent_at: Some(now.saturating_sub(request.flight)),
             };
             if !self.add_loss(fingerprint, loss, now, &mut decisions) {
                 continue;
             }
-            self.queue_suspected(fingerprint, loss, now);
+            self.queue_loss_notice(fingerprint, loss, now);
             let record = &self.records[&fingerprint];
-            let repeated = request.after_loss || record.is_repeated(now);
-            if repeated && !quarantined.contains(&fingerprint) {
-                quarantined.push(fingerprint);
+            let is_repeated_loss = request.after_loss || record.is_repeated(now);
+            if is_repeated_loss && !repeated_requests.contains(&fingerprint) {
+                repeated_requests.push(fingerprint);
             }
         }
-        let ambiguous = quarantined.len() > 1;
-        for fingerprint in quarantined {
+        let ambiguous = repeated_requests.len() > 1;
+        for fingerprint in repeated_requests {
             self.quarantine(fingerprint, ambiguous, now, &mut decisions);
         }
         decisions
     }
 
-    /// Handles the answer to an attempt that was sent `flight` ago: the request did not cause the losses before that
-    /// time.
+    /// Handles the answer to an attempt that was sent `flight` ago: clears the request of the losses before the attempt
+    /// was sent, because the request did not cause them.
     pub fn report_answer(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -144,8 +146,8 @@
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return decisions;
         };
-        let sent = now.saturating_sub(flight);
-        let losses = record.clear_before(sent);
+        let sent_at = now.saturating_sub(flight);
+        let losses = record.clear_before(sent_at);
         if losses.is_empty() {
             return decisions;
         }
@@ -161,12 +163,13 @@
         decisions
     }
 
-    /// Lifts the quarantine or suspicion of a request. Returns false if it is under neither.
+    /// Lifts the quarantine or suspicion of a request. Returns false if the request is neither quarantined nor
+    /// suspected.
     pub fn lift(&mut self, fingerprint: RequestFingerprint, now: Duration) -> bool {
         if self.standing(fingerprint, now) == RequestStanding::Clear {
             return false;
         }
-        let id = self.next_id();
+        let id = self.random_id();
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.lift(now, now);
         }
@@ -191,15 +194,15 @@
                 fingerprint: *fingerprint,
                 lost_upstreams: quarantine.lost_upstreams.clone(),
                 ambiguous: quarantine.ambiguous,
-                age: now.saturating_sub(quarantine.decided),
-                remaining: quarantine.until.saturating_sub(now),
+                age: now.saturating_sub(quarantine.quarantined_at),
+                remaining: quarantine.expires_at.saturating_sub(now),
             });
         }
         entries.sort_by_key(|entry| entry.fingerprint);
         entries
     }
 
-    /// Returns the number of suspects.
+    /// Returns the number of requests that are suspects at `now`.
     pub fn suspect_count(&self, now: Duration) -> usize {
         let suspects = self.records.values();
         suspects
@@ -207,24 +210,24 @@
             .count()
     }
 
-    /// Returns whether there are no records, so that every request is clear.
+    /// Returns whether there are no records, so that every request runs normally.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     /// Returns whether notices are queued.
     pub fn has_notices(&self) -> bool {
-        !self.outgoing.is_empty()
+        !self.outgoing_notices.is_empty()
     }
 
     /// Takes the notices queued since the last call, this process's own and forwarded ones, with updated ages.
     pub fn take_notices(&mut self, now: Duration) -> Vec<QuarantineNotice> {
-        let mut notices = Vec::with_capacity(self.outgoing.len());
-        for pending in self.outgoing.drain(..) {
+        let mut notices = Vec::with_capacity(self.outgoing_notices.len());
+        for pending_notice in self.outgoing_notices.drain(..) {
             notices.push(
-                pending
+                pending_notice
                     .notice
-                    .with_elapsed(now.saturating_sub(pending.queued_at)),
+                    .with_elapsed(now.saturating_sub(pending_notice.queued_at)),
             );
         }
         notices
@@ -250,8 +253,8 @@
                 let loss = LossRecord {
                     id: *id,
                     upstream: *upstream,
-                    at: now.saturating_sub(*age),
-                    sent: None,
+                    lost_at: now.saturating_sub(*age),
+                    sent_at: None,
                 };
                 *age < SUSPICION_WINDOW && self.merge_loss(fingerprint, loss, now, &mut decisions)
             }
@@ -270,8 +273,8 @@
                     id: *id,
                     lost_upstreams: lost_upstreams.clone(),
                     ambiguous: *ambiguous,
-                    decided: now.saturating_sub(*age),
-                    until: now + (*remaining).min(QUARANTINE_TERM),
+                    quarantined_at: now.saturating_sub(*age),
+                    expires_at: now + (*remaining).min(QUARANTINE_TERM),
                 };
                 self.merge_quarantine(fingerprint, quarantine, now, &mut decisions)
             }
@@ -285,23 +288,26 @@
         decisions
     }
 
-    /// Removes losses and records that no longer count.
+    /// Removes losses that no longer count, and records that have neither losses nor a quarantine and have not changed
+    /// for so long that no notice of a loss before the change can still count.
     pub fn remove_outdated(&mut self, now: Duration) {
         self.records.retain(|_fingerprint, record| {
             record
                 .losses
-                .retain(|loss| loss.at + SUSPICION_WINDOW > now);
+                .retain(|loss| loss.lost_at + SUSPICION_WINDOW > now);
             record.changed_at + SUSPICION_WINDOW + MAX_NOTICE_DELAY > now
                 || !record.losses.is_empty()
                 || record.quarantine_at(now).is_some()
         });
     }
 
-    fn next_id(&mut self) -> NoticeId {
+    fn random_id(&mut self) -> NoticeId {
         NoticeId(self.rng.random())
     }
 
-    /// Records a loss. Returns false if it was already known, cleared or lifted.
+    /// Records a loss against a request. Returns false and records nothing if the loss is already recorded, if an
+    /// answer has cleared the request of it, or if an operator lifted the quarantine or suspicion of the request after
+    /// it.
     fn add_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -309,8 +315,9 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
-        if record.knows_loss(loss.id) || record.is_lifted(loss.at, loss.sent.is_some()) {
+        let record = self.find_or_add_record(fingerprint, now);
+        if record.knows_loss(loss.id) || record.predates_lift(loss.lost_at, loss.sent_at.is_some())
+        {
             return false;
         }
         if record.standing(now) == RequestStanding::Clear {
@@ -324,8 +331,8 @@
         true
     }
 
-    /// Merges a loss that another VM observed, and quarantines the request if it is a repeated one. Returns false if
-    /// the loss was not new.
+    /// Merges a loss that another VM observed, and quarantines the request if an attempt that this
+    /// process sent after that loss has lost its upstream as well. Returns false if the loss was not new.
     fn merge_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -342,7 +349,8 @@
         true
     }
 
-    /// Merges the clearing of losses. Returns false if all were already cleared.
+    /// Merges a notice that an answer has cleared the request of `losses`. Returns false if all of them were already
+    /// cleared.
     fn merge_cleared(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -350,20 +358,21 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
-        let before = record.standing(now);
+        let record = self.find_or_add_record(fingerprint, now);
+        let previous_standing = record.standing(now);
         let mut is_new = false;
         for loss in losses {
             is_new |= record.clear_loss(*loss);
         }
-        let after = record.standing(now);
-        if before != RequestStanding::Clear && after == RequestStanding::Clear {
+        let new_standing = record.standing(now);
+        if previous_standing != RequestStanding::Clear && new_standing == RequestStanding::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         is_new
     }
 
-    /// Merges another VM's quarantine or its extension. Returns false if it was lifted or adds nothing.
+    /// Merges another VM's quarantine of a request, or the extension of one. Returns false if an operator has lifted
+    /// the quarantine, or if it does not expire noticeably later than the known one.
     fn merge_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -371,13 +380,14 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
-        if record.is_lifted(quarantine.decided, false) {
+        let record = self.find_or_add_record(fingerprint, now);
+        if record.predates_lift(quarantine.quarantined_at, false) {
             return false;
         }
-        if let Some(known) = record.quarantine_at(now) {
-            // Two VMs may quarantine on the same evidence; a hardly longer term is not worth forwarding.
-            if quarantine.until <= known.until + MAX_NOTICE_DELAY {
+        if let Some(known_quarantine) = record.quarantine_at(now) {
+            // Two VMs may quarantine a request on the same evidence; a quarantine that expires hardly later is not
+            // worth forwarding.
+            if quarantine.expires_at <= known_quarantine.expires_at + MAX_NOTICE_DELAY {
                 return false;
             }
         } else {
@@ -391,30 +401,31 @@
         true
     }
 
-    /// Merges another VM's lift. Returns false if a lift of about that time or later is already known.
+    /// Merges a lift by an operator of another VM. Returns false if a lift of about that time or later is already
+    /// known.
     fn merge_lift(
         &mut self,
         fingerprint: RequestFingerprint,
-        at: Duration,
+        lifted_at: Duration,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
+        let record = self.find_or_add_record(fingerprint, now);
         if record
-            .lifted
-            .is_some_and(|lifted| lifted + MAX_NOTICE_DELAY >= at)
+            .lifted_at
+            .is_some_and(|known_lift| known_lift + MAX_NOTICE_DELAY >= lifted_at)
         {
             return false;
         }
-        let before = record.standing(now);
-        record.lift(at, now);
-        if before != RequestStanding::Clear {
+        let previous_standing = record.standing(now);
+        record.lift(lifted_at, now);
+        if previous_standing != RequestStanding::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         true
     }
 
-    /// Quarantines a request, unless it already is.
+    /// Quarantines a request, unless it already is quarantined.
     fn quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -422,7 +433,7 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) {
-        let id = self.next_id();
+        let id = self.random_id();
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
@@ -439,8 +450,8 @@
             id,
             lost_upstreams,
             ambiguous,
-            decided: now,
-            until: now + QUARANTINE_TERM,
+            quarantined_at: now,
+            expires_at: now + QUARANTINE_TERM,
         };
         let notice = quarantine.notice(fingerprint, now);
         record.quarantine = Some(quarantine);
@@ -453,7 +464,11 @@
     }
 
     /// Returns the record of a request, creating it if needed.
-    fn record(&mut self, fingerprint: RequestFingerprint, now: Duration) -> &mut RequestRecord {
+    fn find_or_add_record(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: Duration,
+    ) -> &mut RequestRecord {
         if self.records.len() >= RECORD_LIMIT && !self.records.contains_key(&fingerprint) {
             self.evict_records(now);
         }
@@ -471,18 +486,21 @@
         if self.records.len() < RECORD_LIMIT {
             return;
         }
-        let mut order = Vec::with_capacity(self.records.len());
+        let mut eviction_order = Vec::with_capacity(self.records.len());
         for (fingerprint, record) in &self.records {
-            let quarantined = record.quarantine_at(now).is_some();
-            order.push((quarantined, record.changed_at, *fingerprint));
+            let is_quarantined = record.quarantine_at(now).is_some();
+            eviction_order.push((is_quarantined, record.changed_at, *fingerprint));
         }
-        order.sort_unstable();
-        for (_convicted, _touched, fingerprint) in order.iter().take(RECORD_LIMIT / 8) {
+        eviction_order.sort_unstable();
+        for (_is_quarantined, _changed_at, fingerprint) in
+            eviction_order.iter().take(RECORD_LIMIT / 8)
+        {
             self.records.remove(fingerprint);
         }
     }
 
-    fn queue_suspected(
+    /// Queues the notice of a loss to be sent to other VMs.
+    fn queue_loss_notice(
         &mut self,
         fingerprint: RequestFingerprint,
         loss: LossRecord,
@@ -494,10 +512,10 @@
 
     /// Queues a notice to be sent to other VMs.
     fn queue_notice(&mut self, notice: QuarantineNotice, now: Duration) {
-        if self.outgoing.len() == OUTGOING_LIMIT {
-            self.outgoing.pop_front();
+        if self.outgoing_notices.len() == NOTICE_LIMIT {
+            self.outgoing_notices.pop_front();
         }
-        self.outgoing.push_back(PendingNotice {
+        self.outgoing_notices.push_back(PendingNotice {
             notice,
             queued_at: now,
         });
--- a/crates/ebonyfork/src/quarantine/table_tests.rs
+++ b/crates/ebonyfork/src/quarantine/table_tests.rs
@@ -14,13 +14,15 @@
 const HARMLESS: RequestFingerprint = RequestFingerprint(2);
 const OTHER: RequestFingerprint = RequestFingerprint(3);
 
-fn lost(fingerprint: RequestFingerprint, flight: u64) -> LostRequest {
+fn lost_request(fingerprint: RequestFingerprint, flight: u64) -> LostRequest {
     LostRequest::new(fingerprint, ms(flight))
 }
 
-/// An event at a relay. The first number is its time in milliseconds.
+/// An event at a relay. Its first number is the time of the event in milliseconds.
 enum RelayEvent {
+    /// The loss of the upstream of that number, with the requests in flight and the milliseconds since each was sent.
     Loss(u64, u8, &'static [(RequestFingerprint, u64)]),
+    /// The answer to a request, with the milliseconds since the attempt was sent.
     Answer(u64, RequestFingerprint, u64),
 }
 
@@ -98,34 +100,34 @@
             [Suspect, Clear],
         ),
     ];
-    for (name, events, [crashing, harmless]) in cases {
+    for (case_name, events, [crashing_standing, harmless_standing]) in cases {
         let mut table = QuarantineTable::new(1);
         let mut now = Duration::ZERO;
-        for step in *events {
-            match step {
-                Loss(at, server, requests) => {
-                    now = ms(*at);
+        for event in *events {
+            match event {
+                Loss(at_ms, number, requests) => {
+                    now = ms(*at_ms);
                     let requests: Vec<_> = requests
                         .iter()
-                        .map(|(request, flight)| lost(*request, *flight))
+                        .map(|(request, flight)| lost_request(*request, *flight))
                         .collect();
-                    table.report_loss(upstream(*server), &requests, now);
+                    table.report_loss(upstream(*number), &requests, now);
                 }
-                Answer(at, request, flight) => {
-                    now = ms(*at);
+                Answer(at_ms, request, flight) => {
+                    now = ms(*at_ms);
                     table.report_answer(*request, ms(*flight), now);
                 }
             }
         }
         expect_that!(
             table.standing(CRASHING, now),
-            eq(*crashing),
-            "{name}: crashing request"
+            eq(*crashing_standing),
+            "{case_name}: crashing request"
         );
         expect_that!(
             table.standing(HARMLESS, now),
-            eq(*harmless),
-            "{name}: harmless request"
+            eq(*harmless_standing),
+            "{case_name}: harmless request"
         );
     }
 }
@@ -136,7 +138,7 @@
 }
 
 impl TablePair {
-    const DELAY: Duration = Duration::from_millis(20);
+    const NOTICE_DELAY: Duration = Duration::from_millis(20);
 
     fn new() -> Self {
         Self {
@@ -145,29 +147,32 @@
     }
 
     fn exchange(&mut self, now: Duration) -> usize {
-        let [first, second] = &mut self.tables;
-        let (to_second, to_first) = (first.take_notices(now), second.take_notices(now));
-        let count = to_second.len() + to_first.len();
-        for notice in to_second {
-            second.merge(notice, now + Self::DELAY);
+        let [first_table, second_table] = &mut self.tables;
+        let (notices_to_second, notices_to_first) = (
+            first_table.take_notices(now),
+            second_table.take_notices(now),
+        );
+        let notice_count = notices_to_second.len() + notices_to_first.len();
+        for notice in notices_to_second {
+            second_table.merge(notice, now + Self::NOTICE_DELAY);
         }
-        for notice in to_first {
-            first.merge(notice, now + Self::DELAY);
+        for notice in notices_to_first {
+            first_table.merge(notice, now + Self::NOTICE_DELAY);
         }
-        count
+        notice_count
     }
 }
 
 #[gtest]
 fn notices_reach_the_other_vm_and_are_not_repeated() {
     let mut pair = TablePair::new();
-    pair.tables[0].report_loss(upstream(1), &[lost(CRASHING, 5)], ms(100));
+    pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
     pair.exchange(ms(100));
     expect_that!(
         pair.tables[1].standing(CRASHING, ms(130)),
         eq(RequestStanding::Suspect)
     );
-    pair.tables[1].report_loss(upstream(2), &[lost(CRASHING, 5)], ms(200));
+    pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(200));
     pair.exchange(ms(200));
     for table in &pair.tables {
         expect_that!(
@@ -183,8 +188,8 @@
 #[gtest]
 fn concurrent_losses_on_two_vms_quarantine_no_request() {
     let mut pair = TablePair::new();
-    pair.tables[0].report_loss(upstream(1), &[lost(HARMLESS, 5)], ms(100));
-    pair.tables[1].report_loss(upstream(2), &[lost(HARMLESS, 30)], ms(125));
+    pair.tables[0].report_loss(upstream(1), &[lost_request(HARMLESS, 5)], ms(100));
+    pair.tables[1].report_loss(upstream(2), &[lost_request(HARMLESS, 30)], ms(125));
     pair.exchange(ms(125));
     for table in &pair.tables {
         expect_that!(
@@ -197,8 +202,8 @@
 #[gtest]
 fn delayed_notice_still_leads_to_quarantine() {
     let mut pair = TablePair::new();
-    pair.tables[0].report_loss(upstream(1), &[lost(CRASHING, 5)], ms(100));
-    pair.tables[1].report_loss(upstream(2), &[lost(CRASHING, 5)], ms(2_000));
+    pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
+    pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(2_000));
     pair.exchange(ms(3_000));
     expect_that!(
         pair.tables[1].standing(CRASHING, ms(3_030)),
@@ -209,21 +214,21 @@
 #[gtest]
 fn lift_outranks_older_notices() {
     let mut pair = TablePair::new();
-    let [first, second] = &mut pair.tables;
-    first.report_loss(upstream(1), &[lost(CRASHING, 5)], ms(100));
-    first.report_loss(upstream(2), &[lost(CRASHING, 5)], ms(200));
-    let old = first.take_notices(ms(200));
-    expect_that!(first.lift(CRASHING, ms(60_000)), eq(true));
-    expect_that!(first.lift(CRASHING, ms(60_001)), eq(false));
-    for notice in first.take_notices(ms(60_010)) {
-        second.merge(notice, ms(60_020));
+    let [first_table, second_table] = &mut pair.tables;
+    first_table.report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
+    first_table.report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(200));
+    let old_notices = first_table.take_notices(ms(200));
+    expect_that!(first_table.lift(CRASHING, ms(60_000)), eq(true));
+    expect_that!(first_table.lift(CRASHING, ms(60_001)), eq(false));
+    for notice in first_table.take_notices(ms(60_010)) {
+        second_table.merge(notice, ms(60_020));
     }
-    for notice in old {
-        let late = notice.with_elapsed(ms(59_900));
-        second.merge(late, ms(60_100));
+    for notice in old_notices {
+        let late_notice = notice.with_elapsed(ms(59_900));
+        second_table.merge(late_notice, ms(60_100));
     }
     expect_that!(
-        second.standing(CRASHING, ms(60_200)),
+        second_table.standing(CRASHING, ms(60_200)),
         eq(RequestStanding::Clear)
     );
 }
@@ -231,37 +236,40 @@
 #[gtest]
 fn quarantine_expires_unless_the_request_is_sent_again() {
     let mut table = QuarantineTable::new(1);
-    table.report_loss(upstream(1), &[lost(CRASHING, 5)], ms(10));
-    table.report_loss(upstream(2), &[lost(CRASHING, 5)], ms(30));
-    let half = ms(30) + QUARANTINE_TERM / 2;
+    table.report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(10));
+    table.report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(30));
+    let half_term = ms(30) + QUARANTINE_TERM / 2;
     expect_that!(
-        table.admit(CRASHING, half),
+        table.admit(CRASHING, half_term),
         eq(RequestStanding::Quarantined)
     );
-    let renewed = ms(30) + QUARANTINE_TERM;
+    let first_expiry = ms(30) + QUARANTINE_TERM;
     expect_that!(
-        table.admit(CRASHING, renewed),
+        table.admit(CRASHING, first_expiry),
         eq(RequestStanding::Quarantined)
     );
-    let idle = renewed + QUARANTINE_TERM;
-    expect_that!(table.standing(CRASHING, idle), eq(RequestStanding::Clear));
+    let renewed_expiry = first_expiry + QUARANTINE_TERM;
+    expect_that!(
+        table.standing(CRASHING, renewed_expiry),
+        eq(RequestStanding::Clear)
+    );
 }
 
 #[gtest]
 fn table_is_bounded_and_keeps_quarantined_requests() {
     let mut table = QuarantineTable::new(1);
-    table.report_loss(upstream(1), &[lost(CRASHING, 5)], ms(10));
-    table.report_loss(upstream(2), &[lost(CRASHING, 5)], ms(30));
+    table.report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(10));
+    table.report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(30));
     for number in 0..20_000 {
-        let at = ms(100 + number);
+        let lost_at = ms(100 + number);
         table.report_loss(
             upstream(3),
-            &[lost(RequestFingerprint(1_000 + number), 5)],
-            at,
+            &[lost_request(RequestFingerprint(1_000 + number), 5)],
+            lost_at,
         );
     }
     expect_that!(table.records.len(), le(RECORD_LIMIT));
-    expect_that!(table.outgoing.len(), le(OUTGOING_LIMIT));
+    expect_that!(table.outgoing_notices.len(), le(NOTICE_LIMIT));
     expect_that!(
         table.standing(CRASHING, ms(30_000)),
         eq(RequestStanding::Quarantined)
