--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -233,7 +233,8 @@
         notices
     }
 
-    /// Returns notices of the whole state, for a VM that has just started.
+    /// Returns notices of everything that another VM has to know to decide as this one does, for a VM that has just
+    /// started.
     pub fn all_notices(&self, now: Duration) -> Vec<QuarantineNotice> {
         let mut notices = Vec::new();
         for (fingerprint, record) in &self.records {
--- a/crates/ebonyfork/src/relay/action.rs
+++ b/crates/ebonyfork/src/relay/action.rs
@@ -99,7 +99,7 @@
     /// Latency target of each class, or `None` if the configuration declares none.
     pub(super) latency_targets: SecondaryMap<ClassId, Option<LatencyTarget>>,
     /// Attempts released since this list was last drained.
-    pub(super) released: Vec<WorkId>,
+    pub(super) released_work: Vec<WorkId>,
 }
 
 impl RelayTables {
@@ -128,7 +128,7 @@
     pub(super) fn release(&mut self, work: WorkId) {
         if self.items[work].take().is_some() {
             self.free_work_ids.push(work);
-            self.released.push(work);
+            self.released_work.push(work);
         }
     }
 
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -175,11 +175,11 @@
                 fingerprint: batch.fingerprint,
                 suspicion: self.suspicion(&batch, target),
             };
-            self.submit_one(views, &request, pending_attempt, address);
+            self.submit_attempt(views, &request, pending_attempt, address);
         }
     }
 
-    fn submit_one(
+    fn submit_attempt(
         &mut self,
         views: ViewPair<'_>,
         request: &WorkRequest,
--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -4,8 +4,8 @@
 //!
 //! Time is divided into windows. A class misses its target in a window if its share of late attempts exceeds what its
 //! percentile allows. Every class with a looser target then loses half of its depth, down to one attempt in flight. A
-//! window in which no class misses its target, because all meet it or because the tight class is idle, restores one
-//! attempt.
+//! window in which no class misses its target, because all meet it or because the class with the tight target is idle,
+//! raises the depths again by one attempt.
 //!
 //! Pure. Enabled by [`crate::settings::ExperimentSwitches::clamp`].
 
@@ -16,11 +16,11 @@
 use crate::relay::ids::ClassId;
 
 /// Length of a window.
-const WINDOW: Duration = Duration::from_millis(250);
+const WINDOW_LENGTH: Duration = Duration::from_millis(250);
 /// Fraction of a class's target latency that an attempt may spend at one upstream, queueing included.
 const TARGET_FRACTION: f64 = 0.5;
 /// Minimum number of attempts of a class in a window for its target to be evaluated.
-const MIN_ATTEMPTS: u32 = 5;
+const MIN_ATTEMPTS_PER_WINDOW: u32 = 5;
 
 /// The latency target that operators declare for a class.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -76,7 +76,7 @@
         if now < self.window_end {
             return;
         }
-        self.window_end = now + WINDOW;
+        self.window_end = now + WINDOW_LENGTH;
         let tightest_missed_target = self.tightest_missed_target(&target);
         for (class, window) in self.classes.iter_mut() {
             let has_looser_target = match (tightest_missed_target, target(class)) {
@@ -109,8 +109,8 @@
                 continue;
             };
             let allowed_late = f64::from(window.attempts) * target.late_share;
-            let is_missed =
-                window.attempts >= MIN_ATTEMPTS && f64::from(window.late_attempts) > allowed_late;
+            let is_missed = window.attempts >= MIN_ATTEMPTS_PER_WINDOW
+                && f64::from(window.late_attempts) > allowed_late;
             if is_missed && tightest_latency.is_none_or(|latency| target.latency < latency) {
                 tightest_latency = Some(target.latency);
             }
--- a/crates/ebonyfork/src/relay/clamp_tests.rs
+++ b/crates/ebonyfork/src/relay/clamp_tests.rs
@@ -42,10 +42,10 @@
                 );
             }
         }
-        now += WINDOW;
+        now += WINDOW_LENGTH;
         clamp.advance(now, 6, target);
-        let allowed = (0..6).filter(|in_flight| clamp.allows(loose_class, *in_flight));
-        expect_that!(allowed.count(), eq(depth), "{spent_ms:?}");
+        let allowed_depths = (0..6).filter(|in_flight| clamp.allows(loose_class, *in_flight));
+        expect_that!(allowed_depths.count(), eq(depth), "{spent_ms:?}");
         expect_that!(clamp.allows(tight_class, 5), eq(true));
     }
 }
--- a/crates/ebonyfork/src/relay/decision.rs
+++ b/crates/ebonyfork/src/relay/decision.rs
@@ -6,24 +6,21 @@
 
 const LOG_TARGET: &str = "ebonyfork::decision";
 
-pub(super) fn log_dispatch(relay: VmAddress, pending_attempt: &PendingAttempt) {
+pub(super) fn log_dispatch(vm: VmAddress, pending_attempt: &PendingAttempt) {
     if !log::log_enabled!(target: LOG_TARGET, log::Level::Info) {
         return;
     }
     let wait_time = pending_attempt.submitted_at.elapsed();
     log::info!(
         target: LOG_TARGET,
-        "relay={relay} query={} attempt={} shard={} upstream={} decision=send reason={:?} waited={wait_time:?}",
-        pending_attempt.attempt().query, pending_attempt.target.attempt, pending_attempt.target.shard, pending_attempt.target.upstream,
+        "relay={vm} query={} attempt={} shard={} upstream={} decision=send reason={:?} waited={wait_time:?}",
+        pending_attempt.attempt().query, pending_attempt.target.attempt, pending_attempt.target.shard,
+        pending_attempt.target.upstream,
         pending_attempt.target.purpose
     );
 }
 
-pub(super) fn log_verdict(
-    relay: VmAddress,
-    pending_attempt: &PendingAttempt,
-    verdict: &ShardVerdict,
-) {
+pub(super) fn log_verdict(vm: VmAddress, pending_attempt: &PendingAttempt, verdict: &ShardVerdict) {
     let (decision, reason): (_, &dyn std::fmt::Debug) = match verdict {
         ShardVerdict::NotRun(reason) => ("refuse", reason),
         ShardVerdict::Failed { reason, .. } => ("fail", reason),
@@ -37,13 +34,14 @@
     }
     log::info!(
         target: LOG_TARGET,
-        "relay={relay} query={} attempt={} shard={} upstream={} decision={decision} reason={reason:?}",
-        pending_attempt.attempt().query, pending_attempt.target.attempt, pending_attempt.target.shard, pending_attempt.target.upstream
+        "relay={vm} query={} attempt={} shard={} upstream={} decision={decision} reason={reason:?}",
+        pending_attempt.attempt().query, pending_attempt.target.attempt, pending_attempt.target.shard,
+        pending_attempt.target.upstream
     );
 }
 
 pub(super) fn log_refusal(
-    relay: VmAddress,
+    vm: VmAddress,
     session: Option<SessionId>,
     batch: &SubmitBatch,
     target: &ShardTarget,
@@ -55,7 +53,7 @@
     let session = session.map(|session| session.to_string());
     log::info!(
         target: LOG_TARGET,
-        "relay={relay} query={}.q{} attempt={} shard={} upstream={} decision=refuse reason={reason:?}",
+        "relay={vm} query={}.q{} attempt={} shard={} upstream={} decision=refuse reason={reason:?}",
         session.unwrap_or_default(), batch.query, target.attempt, target.shard, target.upstream
     );
 }
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -1,12 +1,12 @@
 //! The concurrency limit of one upstream: how many attempts may be in flight there at once.
 //!
 //! An upstream runs as many attempts in parallel as it has slots, and the number of slots is not known. Another attempt
-//! in flight is useful while it adds throughput: with free slots the service time does not change; without one, it
-//! grows by the factor (n + 1) / n, because every attempt waits a little longer. The limit is therefore found by
-//! *trials*. While the limit is used up (the upstream is *saturated*), a trial alternates for a short time, in blocks,
-//! between two neighbouring limits, and a sequential test on the difference between the mean log service times decides
-//! whether the higher one found a free slot. Because the blocks are close in time, a slowdown or warm-up of the whole
-//! upstream affects both limits and decides nothing; because of the logarithm and the clamping, neither do single
+//! in flight is useful while it adds throughput: with free slots the service time does not change; with all n slots
+//! busy, it grows by the factor (n + 1) / n, because every attempt waits a little longer. The limit is therefore found
+//! by *trials*. While the limit is used up (the upstream is *saturated*), a trial alternates for a short time, in
+//! blocks, between two neighbouring limits, and a sequential test on the difference between the mean log service times
+//! decides whether the higher one found a free slot. Because the blocks are close in time, a slowdown or warm-up of the
+//! whole upstream affects both limits and decides nothing; because of the logarithm and the clamping, neither do single
 //! stragglers.
 //!
 //! A trial exceeds the limit by one attempt, for as few answers as the noise allows. Between trials the limit does not
@@ -25,15 +25,18 @@
 /// Initial pause between two trials. It doubles while trials confirm the limit, up to the longer of [`MAX_PAUSE`] and
 /// [`MAX_PAUSE_FACTOR`] times the duration of the last trial: where noise makes trials long, they run rarely.
 const INITIAL_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum pause between two trials, unless the last trial was long; see [`INITIAL_PAUSE`].
 const MAX_PAUSE: Duration = Duration::from_secs(30);
+/// Maximum pause between two trials, as a multiple of the duration of the last trial; see [`INITIAL_PAUSE`].
 const MAX_PAUSE_FACTOR: u32 = 64;
 /// A pause lasts at least this many times as long as the trial before it, up to [`MIN_PAUSE_LIMIT`].
 const MIN_PAUSE_FACTOR: u32 = 8;
+/// Upper limit of the minimum pause that follows from [`MIN_PAUSE_FACTOR`].
 const MIN_PAUSE_LIMIT: Duration = Duration::from_secs(2);
-/// Number of rejected upward trials after which a limit that did not grow is compared with one less. Downward trials
-/// cost throughput, so they are rare.
+/// Number of upward trials that must have ended with the lower limit before a limit that did not grow is compared with
+/// one less. Downward trials cost throughput, so they are rare.
 const REJECTIONS_PER_DOWN_TRIAL: u32 = 8;
-/// A trial without a saturated answer for this long is aborted.
+/// Time after which a trial is aborted if it has received no answer to an attempt that used up the limit.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Identifies the attempts that were sent while the limit had one value.
@@ -91,7 +94,9 @@
     epoch: LimitEpoch,
     /// The epoch of the attempts whose answers count. `epoch` moves past it once a block of a trial is full.
     sampled_epoch: LimitEpoch,
+    /// The running trial.
     trial: Option<LimitTrial>,
+    /// Direction of the running or the next trial.
     direction: TrialDirection,
     /// Whether the limit has grown, or was reset, since a downward trial last confirmed it.
     growth_unverified: bool,
@@ -259,7 +264,7 @@
             return;
         };
         self.last_sample_at = now;
-        let verdict = trial.record(sample.log_service_time);
+        let verdict = trial.record_sample(sample.log_service_time);
         let low_limit = trial.low_limit();
         if trial.is_block_empty() {
             self.next_epoch();
--- a/crates/ebonyfork/src/relay/message.rs
+++ b/crates/ebonyfork/src/relay/message.rs
@@ -175,7 +175,7 @@
     pub wait_us: u32,
     /// Median service time at the upstream, in microseconds.
     pub service_us: u32,
-    /// The concurrency limit in force, in attempts.
+    /// The concurrency limit of the upstream in attempts, without the additional attempt of a running trial.
     pub limit: u16,
     /// Whether the upstream is leaving and gets no new attempts.
     pub leaving: bool,
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -338,7 +338,7 @@
     }
 
     fn forget_released(&mut self) {
-        for work in self.tables.released.drain(..) {
+        for work in self.tables.released_work.drain(..) {
             if let Some(key) = self.keys_by_work.remove(&work) {
                 self.work_by_key.remove(&key);
             }
--- a/crates/ebonyfork/src/relay/suspects.rs
+++ b/crates/ebonyfork/src/relay/suspects.rs
@@ -39,8 +39,8 @@
         true
     }
 
-    /// Returns whether the next attempt to send is a suspect; `no_others_wait` means that the regular
-    /// queue is empty.
+    /// Returns whether the next attempt to send is a suspect; `no_others_wait` means that the regular queue
+    /// is empty.
     pub(super) fn is_due(&self, no_others_wait: bool) -> bool {
         !self.waiting_suspects.is_empty() && (no_others_wait || self.others_before_suspect == 0)
     }
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -27,7 +27,8 @@
 const MAX_VARIANCE: f64 = 3.0;
 /// Number of cycles after which the sign of the evidence decides the trial, however weak the evidence is.
 const MAX_CYCLES: u32 = 60;
-/// Maximum distance of one sample from the mean of the previous block, in log space: a factor of four.
+/// Maximum distance of one log service time from the mean of the previous block: a factor of four. Log service times
+/// further away are clamped to it.
 const SAMPLE_CLAMP: f64 = 1.386;
 
 /// Whether the upstream had a free slot for the additional attempt that the higher limit of a trial admits.
@@ -71,12 +72,12 @@
 pub(super) struct LimitTrial {
     /// The lower of the two limits.
     low_limit: u32,
-    /// The answers in the current block.
-    block: BlockSums,
+    /// Log service times recorded in the current block.
+    block_sums: BlockSums,
     /// Number of attempts sent for the current block that are in flight or were answered.
     sent_count: u32,
     /// Mean log service time of the first block in the current cycle, once that block has ended.
-    first_mean: Option<f64>,
+    first_block_mean: Option<f64>,
     /// Whether the current block is under the higher limit.
     in_high_block: bool,
     /// Number of completed cycles.
@@ -97,9 +98,9 @@
     pub(super) fn new(low_limit: u32) -> Self {
         Self {
             low_limit,
-            block: BlockSums::default(),
+            block_sums: BlockSums::default(),
             sent_count: 0,
-            first_mean: None,
+            first_block_mean: None,
             in_high_block: false,
             cycle_count: 0,
             evidence: 0.0,
@@ -158,33 +159,33 @@
 
     /// Records the log service time of an attempt of the current block, and returns the verdict once the trial is
     /// decided.
-    pub(super) fn record(&mut self, log_service_time: f64) -> Option<TrialVerdict> {
+    pub(super) fn record_sample(&mut self, log_service_time: f64) -> Option<TrialVerdict> {
         let clamp_centre = *self.clamp_centre.get_or_insert(log_service_time);
-        self.block.add(
+        self.block_sums.add(
             (log_service_time - clamp_centre).clamp(-SAMPLE_CLAMP, SAMPLE_CLAMP) + clamp_centre,
         );
         let block_size = self.block_size();
-        let needed = block_size - block_size / TRIM_DIVISOR;
-        if self.block.count < needed {
+        let needed_samples = block_size - block_size / TRIM_DIVISOR;
+        if self.block_sums.count < needed_samples {
             return None;
         }
-        let block = std::mem::take(&mut self.block);
+        let finished_block = std::mem::take(&mut self.block_sums);
         self.sent_count = 0;
-        self.clamp_centre = Some(block.mean());
-        self.squared_deviations += block.squared_deviations();
-        self.degrees_of_freedom += block.count - 1;
-        let Some(first_mean) = self.first_mean.take() else {
-            self.first_mean = Some(block.mean());
+        self.clamp_centre = Some(finished_block.mean());
+        self.squared_deviations += finished_block.squared_deviations();
+        self.degrees_of_freedom += finished_block.count - 1;
+        let Some(first_block_mean) = self.first_block_mean.take() else {
+            self.first_block_mean = Some(finished_block.mean());
             self.in_high_block = !self.in_high_block;
             return None;
         };
         // A cycle starts under the limit under which the last one ended.
         let difference = if self.in_high_block {
-            block.mean() - first_mean
+            finished_block.mean() - first_block_mean
         } else {
-            first_mean - block.mean()
+            first_block_mean - finished_block.mean()
         };
-        self.add_cycle(difference, f64::from(needed))
+        self.add_cycle(difference, f64::from(needed_samples))
     }
 
     /// Adds the difference between the means of a cycle's two blocks to the evidence, and returns the verdict if that
@@ -199,9 +200,9 @@
         let max_deviation = f64::max(CYCLE_CLAMP, variance.sqrt());
         self.evidence += (difference / step - 0.5).clamp(-max_deviation, max_deviation);
         self.cycle_count += 1;
-        let noise = f64::min(variance, MAX_VARIANCE);
-        let needed = f64::max(DECISION_LOG_ODDS * noise, MIN_EVIDENCE);
-        let is_decided = self.evidence.abs() >= needed && self.cycle_count >= MIN_CYCLES;
+        let capped_variance = f64::min(variance, MAX_VARIANCE);
+        let needed_evidence = f64::max(DECISION_LOG_ODDS * capped_variance, MIN_EVIDENCE);
+        let is_decided = self.evidence.abs() >= needed_evidence && self.cycle_count >= MIN_CYCLES;
         if !is_decided && self.cycle_count < MAX_CYCLES {
             return None;
         }
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -432,10 +432,10 @@
         let median_service = self.service_times.median();
         let attempts_ahead =
             (self.waiting_count() + self.sent_work.len() + 1).saturating_sub(limit as usize);
-        let wait = median_service * attempts_ahead as u32 / limit;
+        let expected_wait = median_service * attempts_ahead as u32 / limit;
         UpstreamLoad {
             upstream: self.address,
-            wait_us: wait.as_micros() as u32,
+            wait_us: expected_wait.as_micros() as u32,
             service_us: median_service.as_micros() as u32,
             limit: limit as u16,
             leaving: self.is_leaving(now),
--- a/crates/ebonyfork/src/relay/upstream/dispatch.rs
+++ b/crates/ebonyfork/src/relay/upstream/dispatch.rs
@@ -24,9 +24,9 @@
     /// nothing else is in flight, and nothing else is sent while it is in flight, so that a loss of the upstream can be
     /// attributed to the suspect.
     fn send_next(&mut self, now: Duration, tables: &mut RelayTables) -> bool {
-        let free_places =
+        let unused_limit =
             (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
-        let send_capacity = usize::min(free_places, self.pool.idle_count());
+        let send_capacity = usize::min(unused_limit, self.pool.idle_count());
         if send_capacity == 0
             || self
                 .sent_work
@@ -47,10 +47,10 @@
             let (clamp, sent_work) = (&self.clamp, &self.sent_work);
             let allows_class = |class: ClassId| {
                 clamp.as_ref().is_none_or(|clamp| {
-                    let same_class = sent_work
+                    let same_class_attempts = sent_work
                         .iter()
                         .filter(|sent_work| sent_work.item.class == class);
-                    clamp.allows(class, same_class.count() as u32)
+                    clamp.allows(class, same_class_attempts.count() as u32)
                 })
             };
             self.queue
