--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -41,7 +41,7 @@
     pub(super) batch: Arc<SubmitBatch>,
     pub(super) target: ShardTarget,
     pub(super) submitted_at: Instant,
-    /// When the attempt was handed to its connection, or `None` while it waits.
+    /// When the attempt was last handed to a connection, or `None` if it never was.
     pub(super) sent_at: Option<Instant>,
 }
 
@@ -217,12 +217,12 @@
     }
 
     fn refuse_batch(&self, link: &LinkSender, batch: &SubmitBatch, reason: RefusalReason) {
-        let mut outcomes = OutcomeBatch::default();
+        let mut outcome_batch = OutcomeBatch::default();
         for target in &batch.targets {
             let verdict = ShardVerdict::NotRun(reason);
             decision::log_refusal(self.settings.vm, link.peer(), batch, target, reason);
             self.metrics.count_verdict(&batch.class, &verdict);
-            outcomes.outcomes.push(ShardOutcome {
+            outcome_batch.outcomes.push(ShardOutcome {
                 query: batch.query,
                 attempt: target.attempt,
                 upstream: target.upstream,
@@ -231,7 +231,7 @@
                 served_us: 0,
             });
         }
-        send_outcomes(link, outcomes);
+        send_outcomes(link, outcome_batch);
     }
 
     /// Executes the issued actions until there are none left, because some of them issue further ones.
--- a/crates/ebonyfork/src/relay/answer_tests.rs
+++ b/crates/ebonyfork/src/relay/answer_tests.rs
@@ -18,18 +18,18 @@
 /// Checks the verdict for each kind of answer. An attempt counts as not run only if the upstream stated so explicitly.
 #[gtest]
 fn verdict_claims_no_more_than_the_upstream_stated() {
-    let rows = ShardVerdict::Rows {
+    let rows_verdict = ShardVerdict::Rows {
         version: SnapshotVersion(18),
         body: Bytes::from_static(br#"{"rows":["a"]}"#),
     };
-    let unknown = |reason| failed(RunState::Unknown, reason);
+    let failed_unknown = |reason| failed(RunState::Unknown, reason);
     let version = [("x-index-version", "18")];
-    let moved = ShardVerdict::Moved {
+    let moved_verdict = ShardVerdict::Moved {
         service: "notice-01".parse().unwrap(),
     };
     let newest = SnapshotVersion(18);
     let cases: [AnswerCase<'_>; 11] = [
-        (200, &version, r#"{"rows":["a"]}"#, rows),
+        (200, &version, r#"{"rows":["a"]}"#, rows_verdict),
         (
             200,
             &[],
@@ -43,13 +43,13 @@
             failed(RunState::Ran, FailureReason::Malformed),
         ),
         (409, &version, "", ShardVerdict::VersionGone { newest }),
-        (409, &[], "", unknown(FailureReason::Malformed)),
-        (421, &[("x-moved-to", "notice-01")], "", moved),
+        (409, &[], "", failed_unknown(FailureReason::Malformed)),
+        (421, &[("x-moved-to", "notice-01")], "", moved_verdict),
         (
             421,
             &[("x-moved-to", "No Name")],
             "",
-            unknown(FailureReason::Malformed),
+            failed_unknown(FailureReason::Malformed),
         ),
         (
             503,
@@ -57,12 +57,16 @@
             "",
             ShardVerdict::NotRun(RefusalReason::Shed),
         ),
-        (503, &[], "", unknown(FailureReason::Status)),
-        (500, &[], "", unknown(FailureReason::Status)),
-        (404, &[], "", unknown(FailureReason::Status)),
+        (503, &[], "", failed_unknown(FailureReason::Status)),
+        (500, &[], "", failed_unknown(FailureReason::Status)),
+        (404, &[], "", failed_unknown(FailureReason::Status)),
     ];
-    for (status, headers, body, expected) in cases {
+    for (status, headers, body, expected_verdict) in cases {
         let verdict = read_answer(answer(status, headers, body));
-        expect_that!(verdict, eq(&expected), "{status} {headers:?} {body}");
+        expect_that!(
+            verdict,
+            eq(&expected_verdict),
+            "{status} {headers:?} {body}"
+        );
     }
 }
--- a/crates/ebonyfork/src/relay/canceller.rs
+++ b/crates/ebonyfork/src/relay/canceller.rs
@@ -1,5 +1,5 @@
-//! Tells an upstream which attempts are no longer wanted, on a dedicated connection, which is taken from the
-//! VM's connection share.
+//! Tells an upstream which attempts are no longer wanted, on a dedicated connection, which is taken from the VM's
+//! connection share.
 //!
 //! Best effort: if a cancellation does not reach the upstream in time, the attempt ends at its deadline.
 
--- a/crates/ebonyfork/src/relay/clamp_tests.rs
+++ b/crates/ebonyfork/src/relay/clamp_tests.rs
@@ -5,7 +5,7 @@
 #[gtest]
 fn looser_class_loses_depth_while_a_tighter_one_is_late() {
     let (tight_class, loose_class) = (ClassId::from_u32(0), ClassId::from_u32(1));
-    let target = |class: ClassId| {
+    let target_of = |class: ClassId| {
         let latency = [100, 2_000].get(class.as_u32() as usize)?;
         Some(LatencyTarget {
             latency: Duration::from_millis(*latency),
@@ -30,20 +30,20 @@
     for (spent_ms, depth) in windows {
         clamp.record(
             loose_class,
-            target(loose_class).unwrap(),
+            target_of(loose_class).unwrap(),
             Duration::from_millis(300),
         );
         for _attempt in 0..10 {
             if let Some(spent_ms) = spent_ms {
                 clamp.record(
                     tight_class,
-                    target(tight_class).unwrap(),
+                    target_of(tight_class).unwrap(),
                     Duration::from_millis(spent_ms),
                 );
             }
         }
         now += WINDOW_LENGTH;
-        clamp.advance(now, 6, target);
+        clamp.advance(now, 6, target_of);
         let allowed_depths = (0..6).filter(|in_flight| clamp.allows(loose_class, *in_flight));
         expect_that!(allowed_depths.count(), eq(depth), "{spent_ms:?}");
         expect_that!(clamp.allows(tight_class, 5), eq(true));
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -127,9 +127,9 @@
     // The sum of twelve uniform samples approximates a normal distribution.
     let normal_sample: f64 = (0..12).map(|_| rng.random::<f64>()).sum::<f64>() - 6.0;
     let is_straggler = rng.random::<f64>() * 100.0 < model.straggler_percent;
-    let factor = if is_straggler { 10.0 } else { 1.0 };
+    let straggler_factor = if is_straggler { 10.0 } else { 1.0 };
     let slowness = (model.slowness)(start_us as f64 / 1e6);
-    (8_000.0 * (normal_sample * model.log_std_dev).exp() * factor * slowness) as u64
+    (8_000.0 * (normal_sample * model.log_std_dev).exp() * straggler_factor * slowness) as u64
 }
 
 #[gtest]
--- a/crates/ebonyfork/src/relay/message.rs
+++ b/crates/ebonyfork/src/relay/message.rs
@@ -79,7 +79,7 @@
 /// Why an attempt has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RefusalReason {
-    /// The upstream stated that it shed the attempt.
+    /// The upstream stated explicitly that it has not run the attempt, because it sheds load.
     Shed,
     /// The relay's queue was full.
     QueueFull,
--- a/crates/ebonyfork/src/relay/metrics.rs
+++ b/crates/ebonyfork/src/relay/metrics.rs
@@ -177,8 +177,8 @@
         self.connections.set(i64::from(connections));
     }
 
-    pub(super) fn set_occupancy(&self, (queued, in_flight): (usize, usize)) {
-        self.queued.set(queued as i64);
+    pub(super) fn set_occupancy(&self, (waiting_count, in_flight): (usize, usize)) {
+        self.queued.set(waiting_count as i64);
         self.in_flight.set(in_flight as i64);
     }
 }
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -204,8 +204,8 @@
     }
 
     fn arrive(&mut self, stream: usize) {
-        let load = self.streams[stream];
-        let rate = (load.rate)(self.now_us as f64 / 1e6);
+        let stream_load = self.streams[stream];
+        let rate = (stream_load.rate)(self.now_us as f64 / 1e6);
         let gap_s = -f64::ln(1.0 - self.arrival_rng.random::<f64>()) / f64::max(rate, 0.1);
         self.schedule((gap_s * 1e6) as u64, PolicyEvent::Arrive { stream });
         let session = SessionId::new("10.0.0.1".parse().unwrap(), IncarnationNumber(1));
@@ -216,9 +216,9 @@
                 attempt: 0,
             },
             upstream: upstream(),
-            organisation: OrganisationId::from_u32(load.organisation),
-            class: ClassId::from_u32(load.class),
-            deadline: self.elapsed_time() + Duration::from_micros(load.remaining_us),
+            organisation: OrganisationId::from_u32(stream_load.organisation),
+            class: ClassId::from_u32(stream_load.class),
+            deadline: self.elapsed_time() + Duration::from_micros(stream_load.remaining_us),
             fingerprint: RequestFingerprint(self.submitted_count),
             suspicion: WorkSuspicion::Clear,
         };
@@ -227,7 +227,7 @@
             topology: &self.topology,
             config: &self.config,
         };
-        let is_counted = self.now_us + load.remaining_us <= self.end_us;
+        let is_counted = self.now_us + stream_load.remaining_us <= self.end_us;
         self.reports[stream].arrived_count += usize::from(is_counted);
         let work = self
             .state
@@ -319,9 +319,9 @@
         ..Default::default()
     };
     let mut reports = PolicySimulation::new(switches, 2, streams.to_vec()).run(seconds);
-    for (number, report) in reports.iter_mut().enumerate() {
+    for (stream_number, report) in reports.iter_mut().enumerate() {
         println!(
-            "{queue:?} {limit:?} stream {number}: p50 {:.1} ms, p99 {:.1} ms, in time {:.4}, goodput {:.1}/s, beyond {:.4}",
+            "{queue:?} {limit:?} stream {stream_number}: p50 {:.1} ms, p99 {:.1} ms, in time {:.4}, goodput {:.1}/s, beyond {:.4}",
             report.quantile(0.5),
             report.quantile(0.99),
             report.share_answered(),
@@ -341,39 +341,44 @@
         median_service_us: 8_000.0,
         remaining_us: 300_000,
     };
-    let burst = LoadStream {
+    let bursty_stream = LoadStream {
         rate: |seconds| if seconds % 10.0 < 2.0 { 500.0 } else { 10.0 },
         ..steady_stream(9)
     };
-    let streams = [steady_stream(0), steady_stream(1), steady_stream(2), burst];
-    let baseline = run_policy(BASELINE, &streams, 60);
+    let streams = [
+        steady_stream(0),
+        steady_stream(1),
+        steady_stream(2),
+        bursty_stream,
+    ];
+    let baseline_reports = run_policy(BASELINE, &streams, 60);
     let mut reports = run_policy(POLICY, &streams, 60);
-    for number in 0..3 {
-        expect_that!(baseline[number].share_answered(), le(0.9));
-        expect_that!(reports[number].share_answered(), ge(0.999));
-        expect_that!(reports[number].quantile(0.99), le(100.0));
+    for stream_number in 0..3 {
+        expect_that!(baseline_reports[stream_number].share_answered(), le(0.9));
+        expect_that!(reports[stream_number].share_answered(), ge(0.999));
+        expect_that!(reports[stream_number].quantile(0.99), le(100.0));
     }
 }
 
 #[gtest]
 fn bulk_class_does_not_delay_lookups() {
-    let lookup = LoadStream {
+    let lookup_stream = LoadStream {
         organisation: 0,
         class: 0,
         rate: |_| 60.0,
         median_service_us: 2_000.0,
         remaining_us: 100_000,
     };
-    let bulk = LoadStream {
+    let bulk_stream = LoadStream {
         organisation: 1,
         class: 1,
         rate: |_| 40.0,
         median_service_us: 30_000.0,
         remaining_us: 2_000_000,
     };
-    let baseline = run_policy(BASELINE, &[lookup, bulk], 60);
-    let mut reports = run_policy(POLICY, &[lookup, bulk], 60);
-    expect_that!(baseline[0].share_answered(), le(0.95));
+    let baseline_reports = run_policy(BASELINE, &[lookup_stream, bulk_stream], 60);
+    let mut reports = run_policy(POLICY, &[lookup_stream, bulk_stream], 60);
+    expect_that!(baseline_reports[0].share_answered(), le(0.95));
     expect_that!(reports[0].share_answered(), ge(0.995));
     expect_that!(reports[0].quantile(0.99), le(60.0));
     expect_that!(reports[1].share_answered(), ge(0.995));
@@ -383,14 +388,14 @@
 /// slack first. The results are printed and not asserted; docs/design/relay.md discusses them.
 #[gtest]
 fn compare_clamp_with_least_slack() {
-    let lookup = |rate| LoadStream {
+    let lookup_stream = |rate| LoadStream {
         organisation: 0,
         class: 0,
         rate,
         median_service_us: 2_000.0,
         remaining_us: 100_000,
     };
-    let bulk = |rate| LoadStream {
+    let bulk_stream = |rate| LoadStream {
         organisation: 1,
         class: 1,
         rate,
@@ -400,7 +405,7 @@
     let loads: [ArrivalRate; 3] = [|_| 24.0, |_| 40.0, |_| 66.0];
     for rate in loads {
         // Milliseconds of work per second, divided over two slots; the mean service time is 1.14 times the median.
-        let load = (60.0 * 2.0 + rate(0.0) * 30.0) * 1.14 / 2_000.0;
+        let slot_load = (60.0 * 2.0 + rate(0.0) * 30.0) * 1.14 / 2_000.0;
         // Without the clamp; with the clamp and targets for the 99th percentile; with targets for the 90th percentile,
         // as in io.latency.
         for late_share in [None, Some(0.01), Some(0.1)] {
@@ -413,15 +418,18 @@
                     median_service_us: stream.median_service_us * slots as f64 / 2.0,
                     ..stream
                 };
-                let streams = vec![scale_service(lookup(|_| 60.0)), scale_service(bulk(rate))];
+                let streams = vec![
+                    scale_service(lookup_stream(|_| 60.0)),
+                    scale_service(bulk_stream(rate)),
+                ];
                 let mut simulation = PolicySimulation::new(switches, slots, streams);
                 let late_share = late_share.unwrap_or_default();
                 simulation
                     .state
                     .set_latency_targets(&[(100, late_share), (2_000, late_share)]);
-                for (number, report) in simulation.run(120).iter_mut().enumerate() {
+                for (stream_number, report) in simulation.run(120).iter_mut().enumerate() {
                     println!(
-                        "load {load:.2} slots {slots} clamp {late_share} stream {number}: p50 {:.1} p99 {:.1} p99.9 {:.1} ms, in time {:.4}",
+                        "load {slot_load:.2} slots {slots} clamp {late_share} stream {stream_number}: p50 {:.1} p99 {:.1} p99.9 {:.1} ms, in time {:.4}",
                         report.quantile(0.5),
                         report.quantile(0.99),
                         report.quantile(0.999),
@@ -459,8 +467,8 @@
 impl RelayState {
     /// Sets the latency targets of the classes, as milliseconds and allowed late share.
     fn set_latency_targets(&mut self, latency_targets: &[(u64, f64)]) {
-        for (number, (latency, late_share)) in latency_targets.iter().enumerate() {
-            let class = ClassId::from_u32(number as u32);
+        for (class_number, (latency, late_share)) in latency_targets.iter().enumerate() {
+            let class = ClassId::from_u32(class_number as u32);
             self.tables.latency_targets[class] = Some(LatencyTarget {
                 latency: Duration::from_millis(*latency),
                 late_share: *late_share,
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -110,10 +110,10 @@
 /// queue.push(entry(0, 90));
 /// queue.push(entry(1, 30));
 /// queue.push(entry(2, 5));
-/// let mut expired = Vec::new();
-/// let first = queue.pop(Duration::from_millis(10), 1, |_class| true, &mut expired);
-/// assert_eq!(first, Some(WorkId::from_u32(1)));
-/// assert_eq!(expired, [WorkId::from_u32(2)]);
+/// let mut expired_work = Vec::new();
+/// let first_work = queue.pop(Duration::from_millis(10), 1, |_class| true, &mut expired_work);
+/// assert_eq!(first_work, Some(WorkId::from_u32(1)));
+/// assert_eq!(expired_work, [WorkId::from_u32(2)]);
 /// ```
 #[derive(Debug)]
 pub struct RelayQueue {
@@ -336,7 +336,7 @@
 
     /// Marks a lane as active, and raises its virtual time to that of the queue.
     fn activate(&mut self, lane: LaneId) {
-        self.idle_lanes.retain(|other| *other != lane);
+        self.idle_lanes.retain(|other_lane| *other_lane != lane);
         self.active_lanes.push(lane);
         let lane_state = &mut self.lanes[lane];
         lane_state.virtual_time = u64::max(lane_state.virtual_time, self.virtual_time);
@@ -405,7 +405,7 @@
             self.sift_down(lane, position);
         }
         if length == 0 {
-            self.active_lanes.retain(|other| *other != lane);
+            self.active_lanes.retain(|other_lane| *other_lane != lane);
             self.idle_lanes.push(lane);
         }
     }
--- a/crates/ebonyfork/src/relay/queue_tests.rs
+++ b/crates/ebonyfork/src/relay/queue_tests.rs
@@ -176,10 +176,10 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let run = |steps: Vec<QueueStep>| {
+    let check_both_orders = |steps: Vec<QueueStep>| {
         check_steps(QueueOrder::Slack, &steps);
         check_steps(QueueOrder::Arrival, &steps);
         Ok(())
     };
-    runner.run(&queue_steps(), run).unwrap();
+    runner.run(&queue_steps(), check_both_orders).unwrap();
 }
