--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -29,7 +29,7 @@
 use crate::gateway::route_check::check_route;
 use crate::gateway::run::{RunReport, RunTarget, run_request};
 use crate::gateway::stream_activity::{ActivityStream, StreamActivity};
-use crate::quarantine::RequestStanding;
+use crate::quarantine::QuarantineStatus;
 
 /// Idle and header time of connections while no configuration states them.
 const TIME_ASSUMED: Duration = Duration::from_secs(15);
@@ -266,12 +266,12 @@
     let body = read_body(body, table.limits().body_bytes, finish_by).await?;
     let request = ForwardRequest::new(names, parts, body, id, received, finish_by)
         .with_caller_time(time.total(before));
-    let standing = core.quarantine.admit(request.fingerprint);
-    if standing == RequestStanding::Quarantined {
+    let quarantine_status = core.quarantine.admit(request.fingerprint);
+    if quarantine_status == QuarantineStatus::Quarantined {
         return Err(RefusalReason::Quarantined);
     }
     let target = run_target(core, &route)?;
-    Ok(run_request(core, &route, target, Rc::new(request), standing).await)
+    Ok(run_request(core, &route, target, Rc::new(request), quarantine_status).await)
 }
 
 /// Length of a request's head on the wire, in bytes.
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -11,12 +11,12 @@
 use crate::gateway::policy::latency::{AttemptKind, millis};
 use crate::gateway::policy::postpone::{ShardLikelihood, is_hopeless, postponed_shards};
 use crate::gateway::settings::PlaceDistance;
-use crate::quarantine::RequestStanding;
+use crate::quarantine::QuarantineStatus;
 
 impl QueryRun {
-    pub(super) fn begin(&mut self, standing: RequestStanding) {
+    pub(super) fn begin(&mut self, quarantine_status: QuarantineStatus) {
         let shards = self.state.shards().len();
-        if standing == RequestStanding::Suspect && shards > 1 {
+        if quarantine_status == QuarantineStatus::Suspect && shards > 1 {
             // It may crash what runs it: one shard shows it before the others are put at risk.
             let probe = rand::random_range(0..shards);
             self.suspicion = RunSuspicion::of_suspect(shards, probe);
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -34,7 +34,7 @@
 use crate::gateway::reply::CallerReply;
 use crate::gateway::request::ForwardRequest;
 use crate::gateway::route::{GatherTerms, RepeatKind, RouteEntry};
-use crate::quarantine::RequestStanding;
+use crate::quarantine::QuarantineStatus;
 
 use self::attempt::{AttemptSet, LiveAttempt};
 use self::group::{PartialDuty, ShardGroup};
@@ -120,11 +120,11 @@
     route: &Rc<RouteEntry>,
     target: RunTarget,
     request: Rc<ForwardRequest>,
-    standing: RequestStanding,
+    quarantine_status: QuarantineStatus,
 ) -> RunReport {
     let mut run = QueryRun::new(core, route, target, request);
     run.await_upstreams().await;
-    run.begin(standing);
+    run.begin(quarantine_status);
     let end = run.drive().await;
     run.finish(end)
 }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -110,7 +110,7 @@
 
 async fn run(core: &Rc<GatewayCore>, attempts: usize) -> RunReport {
     let (route, target) = one(attempts);
-    run_request(core, &route, target, request(LONG), RequestStanding::Clear).await
+    run_request(core, &route, target, request(LONG), QuarantineStatus::Clear).await
 }
 
 /// The route's bound on upstreams holds whatever becomes of the attempts, and for each shard by itself.
@@ -153,7 +153,14 @@
         };
         let route = route(2, RouteTarget::Gather(terms.clone()));
         let target = RunTarget::Gather(terms);
-        run_request(&core, &route, target, request(LONG), RequestStanding::Clear).await;
+        run_request(
+            &core,
+            &route,
+            target,
+            request(LONG),
+            QuarantineStatus::Clear,
+        )
+        .await;
         for shard in &all {
             let reached = shard
                 .iter()
@@ -245,7 +252,7 @@
                 ..RouteEntry::clone(&route)
             });
             let mut run = QueryRun::new(&core, &route, target, request(LONG));
-            run.begin(RequestStanding::Clear);
+            run.begin(QuarantineStatus::Clear);
             for after_ms in [1, 40, 100, 450, 2_000, 8_000] {
                 let time = run.request.received + Duration::from_millis(after_ms);
                 run.look_for_stragglers(time);
@@ -384,7 +391,7 @@
         let core = core();
         let known = upstreams(&core, "s0", 2, ScriptedReply::Answer(16)).await;
         let (route, target) = gather_route(&["s0", "s1", "s2"], 0.9);
-        let clear = RequestStanding::Clear;
+        let clear = QuarantineStatus::Clear;
         let report = run_request(&core, &route, target, request(LONG), clear).await;
         expect_that!(report.reply.status().as_u16(), eq(503));
         expect_that!(report.reply.headers().contains_key("retry-after"), eq(true));
@@ -409,7 +416,7 @@
             let request = request(Duration::from_millis(patience));
             let running = tokio::task::spawn_local({
                 let core = Rc::clone(&core);
-                let clear = RequestStanding::Clear;
+                let clear = QuarantineStatus::Clear;
                 async move { run_request(&core, &route, target, request, clear).await }
             });
             tokio::time::sleep(Duration::from_millis(200)).await;
@@ -493,7 +500,7 @@
         }
         let (route, target) = gather_route(&services, 1.0);
         let request = request(Duration::from_millis(600));
-        run_request(&core, &route, target, request, RequestStanding::Clear).await;
+        run_request(&core, &route, target, request, QuarantineStatus::Clear).await;
         for other in &others {
             expect_that!(other.log.borrow().requests.len(), ge(1));
         }
@@ -515,7 +522,7 @@
         }
         let (route, target) = gather_route(&services, 1.0);
         let request = request(Duration::from_secs(2));
-        let report = run_request(&core, &route, target, request, RequestStanding::Clear).await;
+        let report = run_request(&core, &route, target, request, QuarantineStatus::Clear).await;
         expect_that!(report.reply.status().as_u16(), eq(502));
         let reached = crashing
             .iter()
@@ -542,7 +549,7 @@
             &route,
             target.clone(),
             request(Duration::from_millis(600)),
-            RequestStanding::Clear,
+            QuarantineStatus::Clear,
         );
         let second = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -552,7 +559,7 @@
                 &route,
                 target.clone(),
                 request,
-                RequestStanding::Clear,
+                QuarantineStatus::Clear,
             )
             .await
         };
@@ -627,7 +634,7 @@
                 };
                 let route = at_home(&route, &["south"]);
                 let request = request(Duration::from_millis(900));
-                run_request(&core, &route, target, request, RequestStanding::Clear).await;
+                run_request(&core, &route, target, request, QuarantineStatus::Clear).await;
                 expect_that!(arrivals(&other), eq(0), "{reply:?} gathered={gathered}");
                 expect_that!(arrivals(&home), ge(1), "{reply:?} gathered={gathered}");
             }
@@ -654,8 +661,14 @@
             }
             let route = at_home(&route, &[home]);
             let began = now();
-            let report =
-                run_request(&core, &route, target, request(LONG), RequestStanding::Clear).await;
+            let report = run_request(
+                &core,
+                &route,
+                target,
+                request(LONG),
+                QuarantineStatus::Clear,
+            )
+            .await;
             if evacuated {
                 expect_that!(now() - began, lt(Duration::from_millis(100)));
             }
@@ -689,7 +702,7 @@
                 &route,
                 target.clone(),
                 request(Duration::from_millis(900)),
-                RequestStanding::Clear,
+                QuarantineStatus::Clear,
             )
         };
         let second = async {
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -27,7 +27,7 @@
 use crate::node::status::StatusReader;
 use crate::once::{OnceHandle, session_successor};
 use crate::operator::{OperatorService, serve_operators};
-use crate::quarantine::{QuarantineHandle, RequestStanding};
+use crate::quarantine::{QuarantineHandle, QuarantineStatus};
 use crate::query::QueryRequest;
 use crate::relay::{RelayHandle, RelaySettings};
 use crate::revision::RevisionHandle;
@@ -264,7 +264,7 @@
             .with_experiment(self.settings.experiment)
             .with_quarantine(move |fingerprint| quarantine.refuses(fingerprint))
             .with_suspicion(move |fingerprint| {
-                suspicion.admit(fingerprint) == RequestStanding::Suspect
+                suspicion.admit(fingerprint) == QuarantineStatus::Suspect
             });
         let pool = self.pool.clone();
         EntryHandle::start(settings, move |vm, message| pool.send(vm, message))
@@ -284,7 +284,7 @@
     fn start_relay(&self, views: &NodeViews, topology: TopologyHandle) -> RelayHandle {
         let refusing = self.quarantine.clone();
         let reporting = self.quarantine.clone();
-        let (standing, answering) = (self.quarantine.clone(), self.quarantine.clone());
+        let (status_source, answering) = (self.quarantine.clone(), self.quarantine.clone());
         let settings =
             RelaySettings::new(self.settings.vm, self.settings.zone.clone(), views.clone())
                 .with_experiment(self.settings.experiment)
@@ -293,7 +293,7 @@
                     move |loss| reporting.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
                 )
                 .with_suspicion(
-                    move |fingerprint| standing.admit(fingerprint),
+                    move |fingerprint| status_source.admit(fingerprint),
                     move |fingerprint, flight| answering.report_answer(fingerprint, flight),
                 )
                 .with_leaving_report(move |upstream| topology.note_leaving(upstream));
--- a/crates/ebonyfork/src/quarantine/entry.rs
+++ b/crates/ebonyfork/src/quarantine/entry.rs
@@ -8,7 +8,7 @@
 
 /// How the quarantine treats a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum RequestStanding {
+pub enum QuarantineStatus {
     /// The request runs normally.
     Clear,
     /// The request runs, but only at an upstream where no other suspect is in flight, and at one upstream at a time.
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -12,7 +12,9 @@
 use tokio::time::Instant;
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
-use crate::quarantine::entry::{LostRequest, QuarantineDecision, QuarantineEntry, RequestStanding};
+use crate::quarantine::entry::{
+    LostRequest, QuarantineDecision, QuarantineEntry, QuarantineStatus,
+};
 use crate::quarantine::notice::QuarantineNotice;
 use crate::quarantine::table::QuarantineTable;
 
@@ -96,31 +98,31 @@
 
     /// Returns whether a request that is about to be sent is refused.
     pub fn refuses(&self, fingerprint: RequestFingerprint) -> bool {
-        self.admit(fingerprint) == RequestStanding::Quarantined
+        self.admit(fingerprint) == QuarantineStatus::Quarantined
     }
 
     /// Returns how a request that is about to be sent is treated. A suspect may be sent only to an upstream at which no
     /// other suspect is in flight, and to one upstream at a time.
-    pub fn admit(&self, fingerprint: RequestFingerprint) -> RequestStanding {
+    pub fn admit(&self, fingerprint: RequestFingerprint) -> QuarantineStatus {
         if self.shared.table_is_empty.load(Ordering::Acquire) {
-            return RequestStanding::Clear;
+            return QuarantineStatus::Clear;
         }
         let now = self.now();
         let mut state = self.lock();
-        let standing = state.table.admit(fingerprint, now);
-        match standing {
-            RequestStanding::Clear => {}
-            RequestStanding::Suspect => state.record_admission(fingerprint, now),
-            RequestStanding::Quarantined => {
+        let quarantine_status = state.table.admit(fingerprint, now);
+        match quarantine_status {
+            QuarantineStatus::Clear => {}
+            QuarantineStatus::Suspect => state.record_admission(fingerprint, now),
+            QuarantineStatus::Quarantined => {
                 self.shared.metrics.refusals.inc();
             }
         }
         state.remove_outdated_if_due(now);
         self.finish_update(state, &[]);
-        if standing == RequestStanding::Quarantined {
+        if quarantine_status == QuarantineStatus::Quarantined {
             log::info!(target: "ebonyfork::decision", "quarantine refuse request={fingerprint}");
         }
-        standing
+        quarantine_status
     }
 
     /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_loss_at`] if the times of
--- a/crates/ebonyfork/src/quarantine/handle_tests.rs
+++ b/crates/ebonyfork/src/quarantine/handle_tests.rs
@@ -32,10 +32,10 @@
     quarantine.report_loss("10.0.0.1:80".parse().unwrap(), &[request]);
     assert_that!(quarantine.wait_for_notices().now_or_never(), some(eq(())));
     assert_that!(quarantine.take_notices().len(), eq(1));
-    assert_that!(quarantine.admit(request), eq(RequestStanding::Suspect));
+    assert_that!(quarantine.admit(request), eq(QuarantineStatus::Suspect));
     assert_that!(quarantine.wait_for_notices().now_or_never(), none());
     tokio::time::advance(Duration::from_hours(2)).await;
-    assert_that!(quarantine.admit(request), eq(RequestStanding::Clear));
+    assert_that!(quarantine.admit(request), eq(QuarantineStatus::Clear));
     assert_that!(
         quarantine.shared.table_is_empty.load(Ordering::Acquire),
         eq(true)
--- a/crates/ebonyfork/src/quarantine/mod.rs
+++ b/crates/ebonyfork/src/quarantine/mod.rs
@@ -19,7 +19,7 @@
 mod spread;
 mod table;
 
-pub use entry::{LostRequest, QuarantineDecision, QuarantineEntry, RequestStanding};
+pub use entry::{LostRequest, QuarantineDecision, QuarantineEntry, QuarantineStatus};
 pub use handle::QuarantineHandle;
 pub use notice::{NoticeId, QuarantineNotice};
 pub use spread::{publish_notices, receive_notices};
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
-use crate::quarantine::entry::RequestStanding;
+use crate::quarantine::entry::QuarantineStatus;
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
 use crate::quarantine::table::{QUARANTINE_TERM, SUSPICION_WINDOW};
 
@@ -88,13 +88,13 @@
 
 impl RequestRecord {
     /// Returns how the request is treated at `now`.
-    pub(super) fn standing(&self, now: Duration) -> RequestStanding {
+    pub(super) fn quarantine_status(&self, now: Duration) -> QuarantineStatus {
         if self.quarantine_at(now).is_some() {
-            RequestStanding::Quarantined
+            QuarantineStatus::Quarantined
         } else if self.recent_losses(now).next().is_some() {
-            RequestStanding::Suspect
+            QuarantineStatus::Suspect
         } else {
-            RequestStanding::Clear
+            QuarantineStatus::Clear
         }
     }
 
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -16,7 +16,9 @@
 use smallvec::SmallVec;
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
-use crate::quarantine::entry::{LostRequest, QuarantineDecision, QuarantineEntry, RequestStanding};
+use crate::quarantine::entry::{
+    LostRequest, QuarantineDecision, QuarantineEntry, QuarantineStatus,
+};
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
 use crate::quarantine::record::{
     ActiveQuarantine, LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, RequestRecord,
@@ -59,26 +61,30 @@
     }
 
     /// Returns how a request is treated at `now`.
-    pub fn standing(&self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
+    pub fn quarantine_status(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Duration,
+    ) -> QuarantineStatus {
         let Some(record) = self.records.get(&fingerprint) else {
-            return RequestStanding::Clear;
+            return QuarantineStatus::Clear;
         };
-        record.standing(now)
+        record.quarantine_status(now)
     }
 
     /// Returns how a request that is about to be sent is treated. A refusal extends the quarantine, so that it does not
     /// expire while a caller keeps sending the request.
-    pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
+    pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Duration) -> QuarantineStatus {
         let Some(record) = self.records.get_mut(&fingerprint) else {
-            return RequestStanding::Clear;
+            return QuarantineStatus::Clear;
         };
-        let standing = record.standing(now);
-        if standing == RequestStanding::Quarantined
+        let quarantine_status = record.quarantine_status(now);
+        if quarantine_status == QuarantineStatus::Quarantined
             && let Some(notice) = record.extend(fingerprint, now)
         {
             self.queue_notice(notice, now);
         }
-        standing
+        quarantine_status
     }
 
     /// Handles the loss of an upstream at `now` with these requests in flight.
@@ -89,15 +95,15 @@
     /// use std::time::Duration;
     ///
     /// use ebonyfork::ident::RequestFingerprint;
-    /// use ebonyfork::quarantine::{LostRequest, QuarantineTable, RequestStanding};
+    /// use ebonyfork::quarantine::{LostRequest, QuarantineStatus, QuarantineTable};
     ///
     /// let mut table = QuarantineTable::new(1);
     /// let request = RequestFingerprint(7);
     /// let lost = LostRequest::new(request, Duration::from_millis(2));
     /// table.report_loss("10.0.0.1:80".parse()?, &[lost], Duration::from_secs(1));
-    /// assert_eq!(table.standing(request, Duration::from_secs(1)), RequestStanding::Suspect);
+    /// assert_eq!(table.quarantine_status(request, Duration::from_secs(1)), QuarantineStatus::Suspect);
     /// table.report_loss("10.0.0.2:80".parse()?, &[lost], Duration::from_secs(2));
-    /// assert_eq!(table.standing(request, Duration::from_secs(2)), RequestStanding::Quarantined);
+    /// assert_eq!(table.quarantine_status(request, Duration::from_secs(2)), QuarantineStatus::Quarantined);
     /// # Ok::<(), ebonyfork::ident::IdentError>(())
     /// ```
     pub fn report_loss(
@@ -152,7 +158,7 @@
             return decisions;
         }
         record.changed_at = now;
-        if record.standing(now) == RequestStanding::Clear {
+        if record.quarantine_status(now) == QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         let notice = QuarantineNotice::Cleared {
@@ -166,7 +172,7 @@
     /// Lifts the quarantine or suspicion of a request. Returns false if the request is neither quarantined nor
     /// suspected.
     pub fn lift(&mut self, fingerprint: RequestFingerprint, now: Duration) -> bool {
-        if self.standing(fingerprint, now) == RequestStanding::Clear {
+        if self.quarantine_status(fingerprint, now) == QuarantineStatus::Clear {
             return false;
         }
         let id = self.random_id();
@@ -206,7 +212,7 @@
     pub fn suspect_count(&self, now: Duration) -> usize {
         let suspects = self.records.values();
         suspects
-            .filter(|record| record.standing(now) == RequestStanding::Suspect)
+            .filter(|record| record.quarantine_status(now) == QuarantineStatus::Suspect)
             .count()
     }
 
@@ -321,7 +327,7 @@
         {
             return false;
         }
-        if record.standing(now) == RequestStanding::Clear {
+        if record.quarantine_status(now) == QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Suspect(fingerprint));
         }
         if record.losses.len() == LOSS_LIMIT {
@@ -360,13 +366,13 @@
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
         let record = self.find_or_add_record(fingerprint, now);
-        let previous_standing = record.standing(now);
+        let previous_status = record.quarantine_status(now);
         let mut is_new = false;
         for loss in losses {
             is_new |= record.clear_loss(*loss);
         }
-        let new_standing = record.standing(now);
-        if previous_standing != RequestStanding::Clear && new_standing == RequestStanding::Clear {
+        let new_status = record.quarantine_status(now);
+        if previous_status != QuarantineStatus::Clear && new_status == QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         is_new
@@ -418,9 +424,9 @@
         {
             return false;
         }
-        let previous_standing = record.standing(now);
+        let previous_status = record.quarantine_status(now);
         record.lift(lifted_at, now);
-        if previous_standing != RequestStanding::Clear {
+        if previous_status != QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         true
--- a/crates/ebonyfork/src/quarantine/table_tests.rs
+++ b/crates/ebonyfork/src/quarantine/table_tests.rs
@@ -28,9 +28,9 @@
 
 #[gtest]
 fn only_requests_sent_after_a_loss_are_quarantined() {
+    use QuarantineStatus::{Clear, Quarantined, Suspect};
     use RelayEvent::{Answer, Loss};
-    use RequestStanding::{Clear, Quarantined, Suspect};
-    let cases: &[(&str, &[RelayEvent], [RequestStanding; 2])] = &[
+    let cases: &[(&str, &[RelayEvent], [QuarantineStatus; 2])] = &[
         (
             "one loss",
             &[Loss(10, 1, &[(CRASHING, 5), (HARMLESS, 5)])],
@@ -100,7 +100,7 @@
             [Suspect, Clear],
         ),
     ];
-    for (case_name, events, [crashing_standing, harmless_standing]) in cases {
+    for (case_name, events, [crashing_status, harmless_status]) in cases {
         let mut table = QuarantineTable::new(1);
         let mut now = Duration::ZERO;
         for event in *events {
@@ -120,13 +120,13 @@
             }
         }
         expect_that!(
-            table.standing(CRASHING, now),
-            eq(*crashing_standing),
+            table.quarantine_status(CRASHING, now),
+            eq(*crashing_status),
             "{case_name}: crashing request"
         );
         expect_that!(
-            table.standing(HARMLESS, now),
-            eq(*harmless_standing),
+            table.quarantine_status(HARMLESS, now),
+            eq(*harmless_status),
             "{case_name}: harmless request"
         );
     }
@@ -169,15 +169,15 @@
     pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
     pair.exchange(ms(100));
     expect_that!(
-        pair.tables[1].standing(CRASHING, ms(130)),
-        eq(RequestStanding::Suspect)
+        pair.tables[1].quarantine_status(CRASHING, ms(130)),
+        eq(QuarantineStatus::Suspect)
     );
     pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(200));
     pair.exchange(ms(200));
     for table in &pair.tables {
         expect_that!(
-            table.standing(CRASHING, ms(230)),
-            eq(RequestStanding::Quarantined)
+            table.quarantine_status(CRASHING, ms(230)),
+            eq(QuarantineStatus::Quarantined)
         );
         expect_that!(table.entries(ms(230))[0].lost_upstreams.len(), eq(2));
     }
@@ -193,8 +193,8 @@
     pair.exchange(ms(125));
     for table in &pair.tables {
         expect_that!(
-            table.standing(HARMLESS, ms(150)),
-            eq(RequestStanding::Suspect)
+            table.quarantine_status(HARMLESS, ms(150)),
+            eq(QuarantineStatus::Suspect)
         );
     }
 }
@@ -206,8 +206,8 @@
     pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(2_000));
     pair.exchange(ms(3_000));
     expect_that!(
-        pair.tables[1].standing(CRASHING, ms(3_030)),
-        eq(RequestStanding::Quarantined)
+        pair.tables[1].quarantine_status(CRASHING, ms(3_030)),
+        eq(QuarantineStatus::Quarantined)
     );
 }
 
@@ -228,8 +228,8 @@
         second_table.merge(late_notice, ms(60_100));
     }
     expect_that!(
-        second_table.standing(CRASHING, ms(60_200)),
-        eq(RequestStanding::Clear)
+        second_table.quarantine_status(CRASHING, ms(60_200)),
+        eq(QuarantineStatus::Clear)
     );
 }
 
@@ -241,17 +241,17 @@
     let half_term = ms(30) + QUARANTINE_TERM / 2;
     expect_that!(
         table.admit(CRASHING, half_term),
-        eq(RequestStanding::Quarantined)
+        eq(QuarantineStatus::Quarantined)
     );
     let first_expiry = ms(30) + QUARANTINE_TERM;
     expect_that!(
         table.admit(CRASHING, first_expiry),
-        eq(RequestStanding::Quarantined)
+        eq(QuarantineStatus::Quarantined)
     );
     let renewed_expiry = first_expiry + QUARANTINE_TERM;
     expect_that!(
-        table.standing(CRASHING, renewed_expiry),
-        eq(RequestStanding::Clear)
+        table.quarantine_status(CRASHING, renewed_expiry),
+        eq(QuarantineStatus::Clear)
     );
 }
 
@@ -271,7 +271,7 @@
     expect_that!(table.records.len(), le(RECORD_LIMIT));
     expect_that!(table.outgoing_notices.len(), le(NOTICE_LIMIT));
     expect_that!(
-        table.standing(CRASHING, ms(30_000)),
-        eq(RequestStanding::Quarantined)
+        table.quarantine_status(CRASHING, ms(30_000)),
+        eq(QuarantineStatus::Quarantined)
     );
 }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -12,7 +12,7 @@
 use xtra::{Context, Handler, WeakAddress};
 
 use crate::ident::{AttemptId, QueryId, SessionId, UpstreamAddress};
-use crate::quarantine::RequestStanding;
+use crate::quarantine::QuarantineStatus;
 use crate::relay::action::{RelayAction, WorkSuspicion};
 use crate::relay::answer::shard_request;
 use crate::relay::canceller::{CANCEL_QUEUE_LIMIT, run_canceller};
@@ -210,9 +210,9 @@
         if target.purpose == AttemptPurpose::AfterLoss {
             return WorkSuspicion::AfterLoss;
         }
-        match (self.settings.standing)(batch.fingerprint) {
-            RequestStanding::Clear => WorkSuspicion::Clear,
-            RequestStanding::Suspect | RequestStanding::Quarantined => WorkSuspicion::Suspect,
+        match (self.settings.quarantine_status)(batch.fingerprint) {
+            QuarantineStatus::Clear => WorkSuspicion::Clear,
+            QuarantineStatus::Suspect | QuarantineStatus::Quarantined => WorkSuspicion::Suspect,
         }
     }
 
@@ -304,8 +304,9 @@
                 .refuse_unsent(now, work, RefusalReason::Quarantined);
             return;
         }
-        let standing = (self.settings.standing)(pending_attempt.batch.fingerprint);
-        if standing == RequestStanding::Suspect && !self.state.is_suspect(work) {
+        let quarantine_status =
+            (self.settings.quarantine_status)(pending_attempt.batch.fingerprint);
+        if quarantine_status == QuarantineStatus::Suspect && !self.state.is_suspect(work) {
             self.state.isolate(now, work);
             return;
         }
--- a/crates/ebonyfork/src/relay/settings.rs
+++ b/crates/ebonyfork/src/relay/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::ident::{RequestFingerprint, UpstreamAddress, VmAddress, ZoneName};
-use crate::quarantine::RequestStanding;
+use crate::quarantine::QuarantineStatus;
 use crate::relay::loss::UpstreamLoss;
 use crate::settings::ExperimentSwitches;
 use crate::views::NodeViews;
@@ -15,7 +15,7 @@
 /// Reports the loss of an upstream to the quarantine.
 type LossReport = dyn Fn(UpstreamLoss) + Send + Sync;
 /// Returns how the quarantine treats a request.
-type StandingCheck = dyn Fn(RequestFingerprint) -> RequestStanding + Send + Sync;
+type StatusCheck = dyn Fn(RequestFingerprint) -> QuarantineStatus + Send + Sync;
 /// Reports to the quarantine that a suspected request was answered, with the time since the attempt was sent.
 type AnswerReport = dyn Fn(RequestFingerprint, Duration) + Send + Sync;
 /// Reports to the topology that an upstream said it is leaving.
@@ -30,7 +30,7 @@
     pub(super) experiment: ExperimentSwitches,
     pub(super) refuses: Arc<RefusalCheck>,
     pub(super) report_loss: Arc<LossReport>,
-    pub(super) standing: Arc<StandingCheck>,
+    pub(super) quarantine_status: Arc<StatusCheck>,
     pub(super) report_answer: Arc<AnswerReport>,
     pub(super) report_leaving: Arc<LeavingReport>,
 }
@@ -55,7 +55,7 @@
             experiment: ExperimentSwitches::default(),
             refuses: Arc::new(|_fingerprint| false),
             report_loss: Arc::new(|_loss| ()),
-            standing: Arc::new(|_fingerprint| RequestStanding::Clear),
+            quarantine_status: Arc::new(|_fingerprint| QuarantineStatus::Clear),
             report_answer: Arc::new(|_fingerprint, _flight| ()),
             report_leaving: Arc::new(|_upstream| ()),
         }
@@ -82,19 +82,20 @@
         self
     }
 
-    /// Lets the relay isolate requests that are suspected of crashing upstreams. `standing` returns how the quarantine
-    /// treats a request; the relay calls it when an attempt is submitted, unless the entry has marked the attempt as
-    /// [`AfterLoss`](crate::relay::AttemptPurpose::AfterLoss), and again before it sends the attempt. An attempt of a
-    /// suspected request is sent only while nothing else is in flight at the upstream, so that a loss of the upstream
-    /// can be attributed to that request. When such an attempt was answered with rows, the relay calls `report_answer`
-    /// with the request and the time since the attempt was sent, so that the quarantine can clear the request.
+    /// Lets the relay isolate requests that are suspected of crashing upstreams. `quarantine_status` returns how the
+    /// quarantine treats a request; the relay calls it when an attempt is submitted, unless the entry has marked the
+    /// attempt as [`AfterLoss`](crate::relay::AttemptPurpose::AfterLoss), and again before it sends the attempt. An
+    /// attempt of a suspected request is sent only while nothing else is in flight at the upstream, so that a loss of
+    /// the upstream can be attributed to that request. When such an attempt was answered with rows, the relay calls
+    /// `report_answer` with the request and the time since the attempt was sent, so that the quarantine can clear the
+    /// request.
     #[must_use]
     pub fn with_suspicion(
         mut self,
-        standing: impl Fn(RequestFingerprint) -> RequestStanding + Send + Sync + 'static,
+        quarantine_status: impl Fn(RequestFingerprint) -> QuarantineStatus + Send + Sync + 'static,
         report_answer: impl Fn(RequestFingerprint, Duration) + Send + Sync + 'static,
     ) -> Self {
-        self.standing = Arc::new(standing);
+        self.quarantine_status = Arc::new(quarantine_status);
         self.report_answer = Arc::new(report_answer);
         self
     }
