--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -16,26 +16,30 @@
 use smallvec::SmallVec;
 
 use crate::ident::{RequestFingerprint, UpstreamAddress};
-use crate::quarantine::entry::{LostRequest, QuarantineDecision, QuarantineEntry, RequestStanding};
+use crate::quarantine::entry::{
+    LostRequest, QuarantineDecision, QuarantineEntry, QuarantineStatus,
+};
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
 use crate::quarantine::record::{
     ActiveQuarantine, LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, RequestRecord,
 };
 
-/// How long a loss counts against the requests that were in flight.
+/// How long a loss counts against the requests that were in flight at the lost upstream.
 pub const SUSPICION_WINDOW: Duration = Duration::from_hours(1);
 /// How long a request stays quarantined after the last attempt to send it.
 pub const QUARANTINE_TERM: Duration = Duration::from_hours(1);
-/// Maximum number of records; beyond it those that changed least recently are evicted.
+/// Maximum number of requests with a record; beyond it the records that changed least recently are evicted.
 const RECORD_LIMIT: usize = 8_192;
 /// Maximum number of queued notices; beyond it the oldest is dropped.
-const OUTGOING_LIMIT: usize = 4_096;
+const NOTICE_LIMIT: usize = 4_096;
 
 /// The suspects and quarantined requests known to one process.
 #[derive(Debug)]
 pub struct QuarantineTable {
     records: FxHashMap<RequestFingerprint, RequestRecord>,
-    outgoing: VecDeque<PendingNotice>,
+    /// Notices that wait to be sent to other VMs.
+    outgoing_notices: VecDeque<PendingNotice>,
+    /// Generator of the ids of notices.
     rng: ChaCha8Rng,
 }
 
@@ -51,32 +55,36 @@
     pub fn new(seed: u64) -> Self {
         Self {
             records: FxHashMap::default(),
-            outgoing: VecDeque::new(),
+            outgoing_notices: VecDeque::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Returns how a request is treated now.
-    pub fn standing(&self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
+    /// Returns how a request is treated at `now`.
+    pub fn quarantine_status(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Duration,
+    ) -> QuarantineStatus {
         let Some(record) = self.records.get(&fingerprint) else {
-            return RequestStanding::Clear;
+            return QuarantineStatus::Clear;
         };
-        record.standing(now)
+        record.quarantine_status(now)
     }
 
     /// Returns how a request that is about to be sent is treated. A refusal extends the quarantine, so that it does not
     /// expire while a caller keeps sending the request.
-    pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Duration) -> RequestStanding {
+    pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Duration) -> QuarantineStatus {
         let Some(record) = self.records.get_mut(&fingerprint) else {
-            return RequestStanding::Clear;
+            return QuarantineStatus::Clear;
         };
-        let standing = record.standing(now);
-        if standing == RequestStanding::Quarantined
+        let quarantine_status = record.quarantine_status(now);
+        if quarantine_status == QuarantineStatus::Quarantined
             && let Some(notice) = record.extend(fingerprint, now)
         {
             self.queue_notice(notice, now);
         }
-        standing
+        quarantine_status
     }
 
     /// Handles the loss of an upstream at `now` with these requests in flight.
@@ -87,53 +95,53 @@
     /// use std::time::Duration;
     ///
     /// use ebonyfork::ident::RequestFingerprint;
-    /// use ebonyfork::quarantine::{LostRequest, QuarantineTable, RequestStanding};
+    /// use ebonyfork::quarantine::{LostRequest, QuarantineStatus, QuarantineTable};
     ///
     /// let mut table = QuarantineTable::new(1);
     /// let request = RequestFingerprint(7);
     /// let lost = LostRequest::new(request, Duration::from_millis(2));
     /// table.report_loss("10.0.0.1:80".parse()?, &[lost], Duration::from_secs(1));
-    /// assert_eq!(table.standing(request, Duration::from_secs(1)), RequestStanding::Suspect);
+    /// assert_eq!(table.quarantine_status(request, Duration::from_secs(1)), QuarantineStatus::Suspect);
     /// table.report_loss("10.0.0.2:80".parse()?, &[lost], Duration::from_secs(2));
-    /// assert_eq!(table.standing(request, Duration::from_secs(2)), RequestStanding::Quarantined);
+    /// assert_eq!(table.quarantine_status(request, Duration::from_secs(2)), QuarantineStatus::Quarantined);
     /// # Ok::<(), ebonyfork::ident::IdentError>(())
     /// ```
     pub fn report_loss(
         &mut self,
         upstream: UpstreamAddress,
-        lost: &[LostRequest],
+        lost_requests: &[LostRequest],
         now: Duration,
     ) -> Vec<QuarantineDecision> {
         let mut decisions = Vec::new();
-        let id = self.next_id();
-        let mut quarantined = SmallVec::<[RequestFingerprint; 2]>::new();
-        for request in lost {
+        let id = self.random_id();
+        let mut repeated_requests = SmallVec::<[RequestFingerprint; 2]>::new();
+        for request in lost_requests {
             let fingerprint = request.fingerprint;
             let loss = LossRecord {
                 id,
                 upstream,
-                at: now,
-                sent: Some(now.saturating_sub(request.flight)),
+                lost_at: now,
+                sent_at: Some(now.saturating_sub(request.flight)),
             };
             if !self.add_loss(fingerprint, loss, now, &mut decisions) {
                 continue;
             }
-            self.queue_suspected(fingerprint, loss, now);
+            self.queue_loss_notice(fingerprint, loss, now);
             let record = &self.records[&fingerprint];
-            let repeated = request.after_loss || record.is_repeated(now);
-            if repeated && !quarantined.contains(&fingerprint) {
-                quarantined.push(fingerprint);
+            let is_repeated_loss = request.after_loss || record.is_repeated(now);
+            if is_repeated_loss && !repeated_requests.contains(&fingerprint) {
+                repeated_requests.push(fingerprint);
             }
         }
-        let ambiguous = quarantined.len() > 1;
-        for fingerprint in quarantined {
+        let ambiguous = repeated_requests.len() > 1;
+        for fingerprint in repeated_requests {
             self.quarantine(fingerprint, ambiguous, now, &mut decisions);
         }
         decisions
     }
 
-    /// Handles the answer to an attempt that was sent `flight` ago: the request did not cause the losses before that
-    /// time.
+    /// Handles the answer to an attempt that was sent `flight` ago: clears the request of the losses before the attempt
+    /// was sent, because the request did not cause them.
     pub fn report_answer(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -144,13 +152,13 @@
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return decisions;
         };
-        let sent = now.saturating_sub(flight);
-        let losses = record.clear_before(sent);
+        let sent_at = now.saturating_sub(flight);
+        let losses = record.clear_before(sent_at);
         if losses.is_empty() {
             return decisions;
         }
         record.changed_at = now;
-        if record.standing(now) == RequestStanding::Clear {
+        if record.quarantine_status(now) == QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         let notice = QuarantineNotice::Cleared {
@@ -161,12 +169,13 @@
         decisions
     }
 
-    /// Lifts the quarantine or suspicion of a request. Returns false if it is under neither.
+    /// Lifts the quarantine or suspicion of a request. Returns false if the request is neither quarantined nor
+    /// suspected.
     pub fn lift(&mut self, fingerprint: RequestFingerprint, now: Duration) -> bool {
-        if self.standing(fingerprint, now) == RequestStanding::Clear {
+        if self.quarantine_status(fingerprint, now) == QuarantineStatus::Clear {
             return false;
         }
-        let id = self.next_id();
+        let id = self.random_id();
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.lift(now, now);
         }
@@ -191,46 +200,47 @@
                 fingerprint: *fingerprint,
                 lost_upstreams: quarantine.lost_upstreams.clone(),
                 ambiguous: quarantine.ambiguous,
-                age: now.saturating_sub(quarantine.decided),
-                remaining: quarantine.until.saturating_sub(now),
+                age: now.saturating_sub(quarantine.quarantined_at),
+                remaining: quarantine.expires_at.saturating_sub(now),
             });
         }
         entries.sort_by_key(|entry| entry.fingerprint);
         entries
     }
 
-    /// Returns the number of suspects.
+    /// Returns the number of requests that are suspects at `now`.
     pub fn suspect_count(&self, now: Duration) -> usize {
         let suspects = self.records.values();
         suspects
-            .filter(|record| record.standing(now) == RequestStanding::Suspect)
+            .filter(|record| record.quarantine_status(now) == QuarantineStatus::Suspect)
             .count()
     }
 
-    /// Returns whether there are no records, so that every request is clear.
+    /// Returns whether there are no records, so that every request runs normally.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
     /// Returns whether notices are queued.
     pub fn has_notices(&self) -> bool {
-        !self.outgoing.is_empty()
+        !self.outgoing_notices.is_empty()
     }
 
     /// Takes the notices queued since the last call, this process's own and forwarded ones, with updated ages.
     pub fn take_notices(&mut self, now: Duration) -> Vec<QuarantineNotice> {
-        let mut notices = Vec::with_capacity(self.outgoing.len());
-        for pending in self.outgoing.drain(..) {
+        let mut notices = Vec::with_capacity(self.outgoing_notices.len());
+        for pending_notice in self.outgoing_notices.drain(..) {
             notices.push(
-                pending
+                pending_notice
                     .notice
-                    .with_elapsed(now.saturating_sub(pending.queued_at)),
+                    .with_elapsed(now.saturating_sub(pending_notice.queued_at)),
             );
         }
         notices
     }
 
-    /// Returns notices of the whole state, for a VM that has just started.
+    /// Returns notices of everything that another VM has to know to decide as this one does, for a VM that has just
+    /// started.
     pub fn all_notices(&self, now: Duration) -> Vec<QuarantineNotice> {
         let mut notices = Vec::new();
         for (fingerprint, record) in &self.records {
@@ -250,8 +260,8 @@
                 let loss = LossRecord {
                     id: *id,
                     upstream: *upstream,
-                    at: now.saturating_sub(*age),
-                    sent: None,
+                    lost_at: now.saturating_sub(*age),
+                    sent_at: None,
                 };
                 *age < SUSPICION_WINDOW && self.merge_loss(fingerprint, loss, now, &mut decisions)
             }
@@ -270,8 +280,8 @@
                     id: *id,
                     lost_upstreams: lost_upstreams.clone(),
                     ambiguous: *ambiguous,
-                    decided: now.saturating_sub(*age),
-                    until: now + (*remaining).min(QUARANTINE_TERM),
+                    quarantined_at: now.saturating_sub(*age),
+                    expires_at: now + (*remaining).min(QUARANTINE_TERM),
                 };
                 self.merge_quarantine(fingerprint, quarantine, now, &mut decisions)
             }
@@ -285,23 +295,26 @@
         decisions
     }
 
-    /// Removes losses and records that no longer count.
+    /// Removes losses that no longer count, and records that have neither losses nor a quarantine and have not changed
+    /// for so long that no notice of a loss before the change can still count.
     pub fn remove_outdated(&mut self, now: Duration) {
         self.records.retain(|_fingerprint, record| {
             record
                 .losses
-                .retain(|loss| loss.at + SUSPICION_WINDOW > now);
+                .retain(|loss| loss.lost_at + SUSPICION_WINDOW > now);
             record.changed_at + SUSPICION_WINDOW + MAX_NOTICE_DELAY > now
                 || !record.losses.is_empty()
                 || record.quarantine_at(now).is_some()
         });
     }
 
-    fn next_id(&mut self) -> NoticeId {
+    fn random_id(&mut self) -> NoticeId {
         NoticeId(self.rng.random())
     }
 
-    /// Records a loss. Returns false if it was already known, cleared or lifted.
+    /// Records a loss against a request. Returns false and records nothing if the loss is already recorded, if an
+    /// answer has cleared the request of it, or if an operator lifted the quarantine or suspicion of the request after
+    /// it.
     fn add_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -309,11 +322,12 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
-        if record.knows_loss(loss.id) || record.is_lifted(loss.at, loss.sent.is_some()) {
+        let record = self.find_or_add_record(fingerprint, now);
+        if record.knows_loss(loss.id) || record.predates_lift(loss.lost_at, loss.sent_at.is_some())
+        {
             return false;
         }
-        if record.standing(now) == RequestStanding::Clear {
+        if record.quarantine_status(now) == QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Suspect(fingerprint));
         }
         if record.losses.len() == LOSS_LIMIT {
@@ -324,8 +338,8 @@
         true
     }
 
-    /// Merges a loss that another VM observed, and quarantines the request if it is a repeated one. Returns false if
-    /// the loss was not new.
+    /// Merges a loss that another VM observed, and quarantines the request if an attempt that this
+    /// process sent after that loss has lost its upstream as well. Returns false if the loss was not new.
     fn merge_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -342,7 +356,8 @@
         true
     }
 
-    /// Merges the clearing of losses. Returns false if all were already cleared.
+    /// Merges a notice that an answer has cleared the request of `losses`. Returns false if all of them were already
+    /// cleared.
     fn merge_cleared(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -350,20 +365,21 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
-        let before = record.standing(now);
+        let record = self.find_or_add_record(fingerprint, now);
+        let previous_status = record.quarantine_status(now);
         let mut is_new = false;
         for loss in losses {
             is_new |= record.clear_loss(*loss);
         }
-        let after = record.standing(now);
-        if before != RequestStanding::Clear && after == RequestStanding::Clear {
+        let new_status = record.quarantine_status(now);
+        if previous_status != QuarantineStatus::Clear && new_status == QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         is_new
     }
 
-    /// Merges another VM's quarantine or its extension. Returns false if it was lifted or adds nothing.
+    /// Merges another VM's quarantine of a request, or the extension of one. Returns false if an operator has lifted
+    /// the quarantine, or if it does not expire noticeably later than the known one.
     fn merge_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -371,13 +387,14 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
-        if record.is_lifted(quarantine.decided, false) {
+        let record = self.find_or_add_record(fingerprint, now);
+        if record.predates_lift(quarantine.quarantined_at, false) {
             return false;
         }
-        if let Some(known) = record.quarantine_at(now) {
-            // Two VMs may quarantine on the same evidence; a hardly longer term is not worth forwarding.
-            if quarantine.until <= known.until + MAX_NOTICE_DELAY {
+        if let Some(known_quarantine) = record.quarantine_at(now) {
+            // Two VMs may quarantine a request on the same evidence; a quarantine that expires hardly later is not
+            // worth forwarding.
+            if quarantine.expires_at <= known_quarantine.expires_at + MAX_NOTICE_DELAY {
                 return false;
             }
         } else {
@@ -391,30 +408,31 @@
         true
     }
 
-    /// Merges another VM's lift. Returns false if a lift of about that time or later is already known.
+    /// Merges a lift by an operator of another VM. Returns false if a lift of about that time or later is already
+    /// known.
     fn merge_lift(
         &mut self,
         fingerprint: RequestFingerprint,
-        at: Duration,
+        lifted_at: Duration,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
-        let record = self.record(fingerprint, now);
+        let record = self.find_or_add_record(fingerprint, now);
         if record
-            .lifted
-            .is_some_and(|lifted| lifted + MAX_NOTICE_DELAY >= at)
+            .lifted_at
+            .is_some_and(|known_lift| known_lift + MAX_NOTICE_DELAY >= lifted_at)
         {
             return false;
         }
-        let before = record.standing(now);
-        record.lift(at, now);
-        if before != RequestStanding::Clear {
+        let previous_status = record.quarantine_status(now);
+        record.lift(lifted_at, now);
+        if previous_status != QuarantineStatus::Clear {
             decisions.push(QuarantineDecision::Clear(fingerprint));
         }
         true
     }
 
-    /// Quarantines a request, unless it already is.
+    /// Quarantines a request, unless it already is quarantined.
     fn quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -422,7 +440,7 @@
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) {
-        let id = self.next_id();
+        let id = self.random_id();
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
         };
@@ -439,8 +457,8 @@
             id,
             lost_upstreams,
             ambiguous,
-            decided: now,
-            until: now + QUARANTINE_TERM,
+            quarantined_at: now,
+            expires_at: now + QUARANTINE_TERM,
         };
         let notice = quarantine.notice(fingerprint, now);
         record.quarantine = Some(quarantine);
@@ -453,7 +471,11 @@
     }
 
     /// Returns the record of a request, creating it if needed.
-    fn record(&mut self, fingerprint: RequestFingerprint, now: Duration) -> &mut RequestRecord {
+    fn find_or_add_record(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: Duration,
+    ) -> &mut RequestRecord {
         if self.records.len() >= RECORD_LIMIT && !self.records.contains_key(&fingerprint) {
             self.evict_records(now);
         }
@@ -471,18 +493,21 @@
         if self.records.len() < RECORD_LIMIT {
             return;
         }
-        let mut order = Vec::with_capacity(self.records.len());
+        let mut eviction_order = Vec::with_capacity(self.records.len());
         for (fingerprint, record) in &self.records {
-            let quarantined = record.quarantine_at(now).is_some();
-            order.push((quarantined, record.changed_at, *fingerprint));
+            let is_quarantined = record.quarantine_at(now).is_some();
+            eviction_order.push((is_quarantined, record.changed_at, *fingerprint));
         }
-        order.sort_unstable();
-        for (_convicted, _touched, fingerprint) in order.iter().take(RECORD_LIMIT / 8) {
+        eviction_order.sort_unstable();
+        for (_is_quarantined, _changed_at, fingerprint) in
+            eviction_order.iter().take(RECORD_LIMIT / 8)
+        {
             self.records.remove(fingerprint);
         }
     }
 
-    fn queue_suspected(
+    /// Queues the notice of a loss to be sent to other VMs.
+    fn queue_loss_notice(
         &mut self,
         fingerprint: RequestFingerprint,
         loss: LossRecord,
@@ -494,10 +519,10 @@
 
     /// Queues a notice to be sent to other VMs.
     fn queue_notice(&mut self, notice: QuarantineNotice, now: Duration) {
-        if self.outgoing.len() == OUTGOING_LIMIT {
-            self.outgoing.pop_front();
+        if self.outgoing_notices.len() == NOTICE_LIMIT {
+            self.outgoing_notices.pop_front();
         }
-        self.outgoing.push_back(PendingNotice {
+        self.outgoing_notices.push_back(PendingNotice {
             notice,
             queued_at: now,
         });
