--- a/crates/ebonyfork/src/gateway/route_check/message.rs
+++ b/crates/ebonyfork/src/gateway/route_check/message.rs
@@ -1,15 +1,15 @@
-//! Messages between VMs that compare a route.
+//! Messages with which two VMs compare a route in their configurations.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 
-/// A message of a route check.
+/// A request or response of a route check.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteCheckMessage {
-    /// Requests the state of a route in the receiver's configuration in force.
+    /// Asks for the receiver's configuration version in force and for the fingerprint of a route in it.
     Request {
-        /// Number of the request.
-        number: u64,
+        /// Number that the sender assigned to the request, unique within its process. The response repeats it.
+        request_number: u64,
         /// The route's host.
         host: CompactString,
         /// The route's path prefix.
@@ -17,9 +17,9 @@
     },
     /// Answers a [`RouteCheckMessage::Request`].
     Response {
-        /// Number of the request.
-        number: u64,
-        /// The configuration version in force; 0 if there is none.
+        /// The number stated in the request.
+        request_number: u64,
+        /// The sender's configuration version in force; 0 if there is none.
         version: u64,
         /// Fingerprint of the route and of all routes whose path prefixes extend its own; none if there is no such
         /// route.
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -6,9 +6,9 @@
 //! are unchanged. Any other request is refused as not run: the caller retries on another VM, which has the current
 //! route.
 //!
-//! The same applies while the copy is up to date but other VMs have had a newer version for longer than the change
-//! bound: the store was restored from an older copy without that version, and this VM started since or had not received
-//! the version before.
+//! The same applies while the copy is up to date but other VMs have had a newer version for longer than a change may
+//! take to be in force: the store was restored from an older copy without that version, and this VM started since or
+//! had not received the version before.
 //!
 //! Only VMs that read the store directly announce their version in gossip, so a route is always checked with one of
 //! these.
@@ -32,45 +32,47 @@
 /// and less than the latency target of every class so far.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Checks that a route is unchanged in the newest configuration, as far as this VM can find out.
+/// Checks with another VM that a route is the same in the newest configuration version that other VMs have in force.
+/// Returns [`RefusalReason::OldConfig`] if the route differs there or could not be compared.
 pub async fn check_route(
     core: &GatewayCore,
     table: &RouteTable,
     route: &RouteEntry,
 ) -> Result<(), RefusalReason> {
     let checks = &core.route_checks;
-    let outdated = core.has_old_config();
-    let (newest, vm) = match checks.freshness(table.version(), &route.name, outdated) {
+    let may_be_outdated = core.has_old_config();
+    let (newest_version, vm) = match checks.freshness(table.version(), &route.name, may_be_outdated)
+    {
         RouteFreshness::Current => return Ok(()),
         RouteFreshness::Unknown => return Err(RefusalReason::OldConfig),
-        RouteFreshness::CheckWith { newest, vm } => (newest, vm),
+        RouteFreshness::CheckWith { newest_version, vm } => (newest_version, vm),
     };
-    let (number, response) = checks.register_request();
+    let (request_number, response) = checks.register_request();
     let request = RouteCheckMessage::Request {
-        number,
+        request_number,
         host: route.host.clone(),
         prefix: route.prefix.clone(),
     };
-    let asked_at = now();
-    let sent = core.delegates.tell(vm, PeerMessage::RouteCheck(request));
-    let response = if sent {
+    let requested_at = now();
+    let is_sent = core.delegates.tell(vm, PeerMessage::RouteCheck(request));
+    let response = if is_sent {
         tokio::time::timeout(RESPONSE_TIMEOUT, response).await
     } else {
         Ok(Ok(RouteState::default()))
     };
     // Without a response, or with one from a VM that has no newer version, the check is inconclusive.
     let response = response.ok().and_then(Result::ok).unwrap_or_default();
-    let same = response.scope_mark == table.scope_mark(&route.host, &route.prefix);
-    let is_conclusive = response.version >= newest && response.scope_mark.is_some();
+    let is_same = response.scope_mark == table.scope_mark(&route.host, &route.prefix);
+    let is_conclusive = response.version >= newest_version && response.scope_mark.is_some();
     log::info!(
         target: "ebonyfork::decision",
-        "route check route={} version={} newest={newest} vm={vm} answered={} same={same} took_ms={}",
+        "route check route={} version={} newest={newest_version} vm={vm} answered={} same={is_same} took_ms={}",
         route.name,
         table.version(),
         response.version,
-        now().saturating_duration_since(asked_at).as_millis()
+        now().saturating_duration_since(requested_at).as_millis()
     );
-    if is_conclusive && same {
+    if is_conclusive && is_same {
         checks.record_match(&route.name, response.version);
         return Ok(());
     }
@@ -81,7 +83,7 @@
 pub fn take_message(core: &GatewayCore, from: &LinkSender, message: RouteCheckMessage) {
     match message {
         RouteCheckMessage::Request {
-            number,
+            request_number,
             host,
             prefix,
         } => {
@@ -92,7 +94,7 @@
             });
             let response = response.unwrap_or_default();
             let response = RouteCheckMessage::Response {
-                number,
+                request_number,
                 version: response.version.0,
                 scope_mark: response.scope_mark,
             };
@@ -104,12 +106,12 @@
             }
         }
         RouteCheckMessage::Response {
-            number,
+            request_number,
             version,
             scope_mark,
         } => core
             .route_checks
-            .complete_request(number, version, scope_mark),
+            .complete_request(request_number, version, scope_mark),
     }
 }
 
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -14,8 +14,10 @@
 use crate::ident::{IncarnationNumber, RevisionNumber, SessionId, VmAddress, ZoneName};
 use crate::membership::{MemberDigest, MemberEntry, MemberSnapshot, MemberState};
 
-fn vm(last: u8) -> VmAddress {
-    format!("127.0.0.{last}").parse().expect("a valid address")
+fn vm(host_number: u8) -> VmAddress {
+    format!("127.0.0.{host_number}")
+        .parse()
+        .expect("a valid address")
 }
 
 fn zone() -> ZoneName {
@@ -50,7 +52,7 @@
     RouteTable::new(ConfigVersion(version), routes, [], limits)
 }
 
-/// Returns what gossip states about the second VM.
+/// Returns gossip's members: the second VM alone, in a given state and with a given version in force.
 fn members(version: u64, state: MemberState) -> MemberSnapshot {
     MemberSnapshot::new([MemberEntry {
         vm: vm(2),
@@ -64,69 +66,69 @@
     }])
 }
 
-/// Two linked VMs; the first one's copy of the store is stale.
+/// Two VMs that are linked to each other. The first one's copy of the store is stale, because it has never been read.
 struct TwoVms {
-    first: Rc<GatewayCore>,
-    second: Rc<GatewayCore>,
+    first_core: Rc<GatewayCore>,
+    second_core: Rc<GatewayCore>,
     tasks: Vec<JoinSet<()>>,
 }
 
 impl TwoVms {
     async fn start() -> Self {
         let mut listeners = Vec::new();
-        let first = TcpListener::bind((vm(1).0, 0)).await.expect("a free port");
-        let port = first.local_addr().expect("a bound address").port();
-        listeners.push(first);
-        let second = TcpListener::bind((vm(2).0, port)).await;
-        listeners.push(second.expect("the same port"));
+        let first_listener = TcpListener::bind((vm(1).0, 0)).await.expect("a free port");
+        let port = first_listener.local_addr().expect("a bound address").port();
+        listeners.push(first_listener);
+        let second_listener = TcpListener::bind((vm(2).0, port)).await;
+        listeners.push(second_listener.expect("the same port"));
         let mut cores = Vec::new();
         let mut tasks = Vec::new();
-        for (last, listener) in (1..).zip(listeners) {
+        for (host_number, listener) in (1..).zip(listeners) {
             let core = Rc::new(GatewayCore::new(settings(), dialect()));
-            let session = SessionId::new(vm(last), IncarnationNumber(1));
+            let session = SessionId::new(vm(host_number), IncarnationNumber(1));
             let (pool, events) = open_links(session, port, CancellationToken::new());
             core.delegates.set_pool(pool.clone());
-            let mut set = JoinSet::new();
-            set.spawn_local(accept_links(pool, listener));
-            set.spawn_local(follow_links(Rc::clone(&core), events));
+            let mut vm_tasks = JoinSet::new();
+            vm_tasks.spawn_local(accept_links(pool, listener));
+            vm_tasks.spawn_local(follow_links(Rc::clone(&core), events));
             cores.push(core);
-            tasks.push(set);
+            tasks.push(vm_tasks);
         }
-        let second = cores.remove(1);
-        let first = cores.remove(0);
+        let second_core = cores.remove(1);
+        let first_core = cores.remove(0);
         Self {
-            first,
-            second,
+            first_core,
+            second_core,
             tasks,
         }
     }
 
-    fn put(&self, own: RouteTable, other: RouteTable) {
-        let newest = other.version().0;
-        self.first.adopt_table(own);
-        self.second.adopt_table(other);
-        let members = members(newest, MemberState::Alive);
-        self.first
+    fn put_tables(&self, first_table: RouteTable, second_table: RouteTable) {
+        let newest_version = second_table.version().0;
+        self.first_core.adopt_table(first_table);
+        self.second_core.adopt_table(second_table);
+        let members = members(newest_version, MemberState::Alive);
+        self.first_core
             .route_checks
             .note_members(&members, vm(1), &zone());
     }
 
     async fn check(&self, path: &str) -> Result<(), RefusalReason> {
-        let table = self.first.table().expect("a table");
+        let table = self.first_core.table().expect("a table");
         let route = table.find("t.example", path).map(Rc::clone);
-        check_route(&self.first, &table, &route.expect("a route")).await
+        check_route(&self.first_core, &table, &route.expect("a route")).await
     }
 }
 
-/// A VM must not serve a route that has changed once it knows that its configuration is outdated. A VM knew for 8 s
-/// that its copy was stale and that a newer version was in force elsewhere, but still served its old routes, although
-/// it could have found out which ones had changed.
+/// A VM that knows that its copy is stale and that another VM has a newer version in force must not serve a route that
+/// changed in it. Without a check with that VM it serves its old routes until its copy is up to date again, 8 s in one
+/// case.
 #[gtest]
 #[tokio::test]
 async fn a_stale_route_that_has_changed_is_refused() {
     let test = async {
         let vms = TwoVms::start().await;
-        vms.put(
+        vms.put_tables(
             table(
                 10,
                 &[("/a/", "s"), ("/b/", "s"), ("/c/", "s"), ("/d/", "s")],
@@ -142,14 +144,14 @@
             ),
         );
         expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
-        let refused = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/b/1").await, refused, "moved");
-        let refused = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/c/1").await, refused, "removed");
-        let refused = err(eq(RefusalReason::OldConfig));
+        let old_config = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/b/1").await, old_config, "moved");
+        let old_config = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/c/1").await, old_config, "removed");
+        let old_config = err(eq(RefusalReason::OldConfig));
         expect_that!(
             vms.check("/d/e/1").await,
-            refused,
+            old_config,
             "a longer prefix matches now"
         );
     };
@@ -161,14 +163,16 @@
 async fn a_route_is_checked_once_per_version() {
     let test = async {
         let mut vms = TwoVms::start().await;
-        vms.put(table(10, &[("/a/", "s")]), table(14, &[("/a/", "s")]));
+        vms.put_tables(table(10, &[("/a/", "s")]), table(14, &[("/a/", "s")]));
         expect_that!(vms.check("/a/1").await, ok(eq(())));
         vms.tasks.remove(1).shutdown().await;
         expect_that!(vms.check("/a/2").await, ok(eq(())), "known to be unchanged");
-        let later = members(15, MemberState::Alive);
-        vms.first.route_checks.note_members(&later, vm(1), &zone());
-        let refused = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/a/3").await, refused, "no response");
+        let newer_members = members(15, MemberState::Alive);
+        vms.first_core
+            .route_checks
+            .note_members(&newer_members, vm(1), &zone());
+        let old_config = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/a/3").await, old_config, "no response");
     };
     LocalSet::new().run_until(test).await;
 }
@@ -180,10 +184,10 @@
 async fn without_a_newer_version_elsewhere_every_route_is_served() {
     let test = async {
         let vms = TwoVms::start().await;
-        vms.put(table(14, &[("/a/", "s")]), table(14, &[("/a/", "moved")]));
-        expect_that!(vms.first.relay.is_stale(), eq(true));
+        vms.put_tables(table(14, &[("/a/", "s")]), table(14, &[("/a/", "moved")]));
+        expect_that!(vms.first_core.relay.is_stale(), eq(true));
         expect_that!(vms.check("/a/1").await, ok(eq(())));
-        let checks = &vms.first.route_checks;
+        let checks = &vms.first_core.route_checks;
         checks.note_members(&members(15, MemberState::Failed), vm(1), &zone());
         expect_that!(
             vms.check("/a/1").await,
@@ -191,58 +195,64 @@
             "announced by a failed VM"
         );
         checks.note_members(&members(15, MemberState::Alive), vm(1), &zone());
-        vms.first.relay.note_proof(now());
+        vms.first_core.relay.note_proof(now());
         expect_that!(vms.check("/a/1").await, ok(eq(())), "not overdue yet");
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A store was restored without the newest version, and a VM that started at that time served the routes of the
-/// previous one.
+/// A store restored from an older copy may lack the newest version. A VM that starts then reads the previous version
+/// from an up-to-date copy, and must not serve its routes unchecked once the newest version is overdue.
 #[gtest]
 #[tokio::test]
 async fn a_version_lost_by_the_store_is_noticed_once_overdue() {
     let test = async {
         let vms = TwoVms::start().await;
-        let lost = [("/a/", "s"), ("/b/", "moved"), ("/c/", "new")];
-        vms.put(table(10, &[("/a/", "s"), ("/b/", "s")]), table(14, &lost));
-        vms.first.relay.note_proof(now());
-        vms.first.note_own_version();
+        let lost_routes = [("/a/", "s"), ("/b/", "moved"), ("/c/", "new")];
+        vms.put_tables(
+            table(10, &[("/a/", "s"), ("/b/", "s")]),
+            table(14, &lost_routes),
+        );
+        vms.first_core.relay.note_proof(now());
+        vms.first_core.note_own_version();
         expect_that!(vms.check("/b/1").await, ok(eq(())), "not overdue yet");
-        expect_that!(vms.first.no_route(), eq(RefusalReason::NoRoute));
-        let since = now().checked_sub(settings().change_bound);
-        let Some(since) = since else { return };
-        vms.first
+        expect_that!(vms.first_core.no_route(), eq(RefusalReason::NoRoute));
+        let behind_since = now().checked_sub(settings().change_bound);
+        let Some(behind_since) = behind_since else {
+            return;
+        };
+        vms.first_core
             .route_checks
-            .note_own_version(ConfigVersion(9), since);
-        vms.first
+            .note_own_version(ConfigVersion(9), behind_since);
+        vms.first_core
             .route_checks
-            .note_own_version(ConfigVersion(10), since);
+            .note_own_version(ConfigVersion(10), behind_since);
         expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
-        let refused = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/b/1").await, refused, "moved");
-        expect_that!(vms.first.no_route(), eq(RefusalReason::OldConfig));
-        vms.first.adopt_table(table(14, &lost));
+        let old_config = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/b/1").await, old_config, "moved");
+        expect_that!(vms.first_core.no_route(), eq(RefusalReason::OldConfig));
+        vms.first_core.adopt_table(table(14, &lost_routes));
         expect_that!(vms.check("/b/1").await, ok(eq(())), "written again");
-        expect_that!(vms.first.no_route(), eq(RefusalReason::NoRoute));
+        expect_that!(vms.first_core.no_route(), eq(RefusalReason::NoRoute));
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// A request whose caller had left, or that timed out, was never dropped if the VM that was asked did not respond.
+/// A pending request must be dropped after its caller disconnected or its timeout expired, even if the VM that was
+/// asked never responds: otherwise such requests accumulate.
 #[gtest]
 #[tokio::test]
 async fn abandoned_requests_are_dropped() {
     let test = async {
         let mut vms = TwoVms::start().await;
-        vms.put(table(10, &[("/a/", "s")]), table(14, &[("/a/", "s")]));
+        vms.put_tables(table(10, &[("/a/", "s")]), table(14, &[("/a/", "s")]));
         vms.tasks.remove(1).shutdown().await;
         for _request in 0..3 {
-            let asking = vms.check("/a/1");
-            let left = tokio::time::timeout(Duration::from_millis(5), asking).await;
-            expect_that!(left.is_err(), eq(true), "the caller has left");
+            let route_check = vms.check("/a/1");
+            let outcome = tokio::time::timeout(Duration::from_millis(5), route_check).await;
+            expect_that!(outcome.is_err(), eq(true), "the caller has left");
         }
-        expect_that!(vms.first.route_checks.pending_requests(), eq(1));
+        expect_that!(vms.first_core.route_checks.pending_requests(), eq(1));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -1,4 +1,4 @@
-//! Tracks the configuration versions of other VMs, and the routes known to be the same there.
+//! Tracks the configuration versions of other VMs, the routes known to be the same in them, and pending route checks.
 
 use std::cell::{Cell, RefCell};
 use std::time::{Duration, Instant};
@@ -12,69 +12,80 @@
 use crate::ident::{VmAddress, ZoneName};
 use crate::membership::{MemberEntry, MemberSnapshot, MemberState};
 
-/// The version and route that a VM has in force; the default means that it knows nothing.
+/// Another VM's response to a route check. The default stands for a VM without a configuration, and for one
+/// that did not respond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct RouteState {
+    /// The VM's configuration version in force; 0 if there is none.
     pub(super) version: ConfigVersion,
+    /// Fingerprint of the route and of all routes whose path prefixes extend its own; none if there is no such route.
     pub(super) scope_mark: Option<u64>,
 }
 
 /// Whether a route may be served without a check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RouteFreshness {
-    /// No newer version is known, or the route is the same there.
+    /// This VM's version is known to be current, no newer version is known, or the route is the same in the newer one.
     Current,
     /// The route has to be checked with a VM that has a newer version.
     CheckWith {
-        newest: ConfigVersion,
+        /// The newest version that another VM has in force.
+        newest_version: ConfigVersion,
+        /// A VM that has it in force.
         vm: VmAddress,
     },
-    /// There is a newer version, but no VM to check with.
+    /// Another VM had a newer version in force, but no VM to check with is known.
     Unknown,
 }
 
-/// Knowledge of other VMs' configurations, and pending route checks.
+/// The configuration versions that other VMs have in force, the routes known to match them, and pending route checks.
 #[derive(Debug, Default)]
 pub struct RouteChecks {
     /// The newest version that another VM has in force.
-    newest: Cell<ConfigVersion>,
-    /// This VM's version in force while another VM has a newer one, and since when.
-    behind: Cell<Option<(ConfigVersion, Instant)>>,
-    /// The VMs that have the newest version, limited to the own zone if any of them is in it.
+    newest_version: Cell<ConfigVersion>,
+    /// This VM's version in force while another VM has a newer one, and since when that has been so.
+    behind_since: Cell<Option<(ConfigVersion, Instant)>>,
+    /// The VMs that have the newest version in force; only those in this VM's zone if there are any.
     holders: RefCell<SmallVec<[VmAddress; 8]>>,
-    /// Routes that are the same in another VM's version as in this VM's own.
-    matching: RefCell<FxHashMap<RouteName, ConfigVersion>>,
-    pending: RefCell<FxHashMap<u64, oneshot::Sender<RouteState>>>,
-    next: Cell<u64>,
+    /// Routes that are the same in another VM's version as in this VM's own, each with that other version.
+    matching_routes: RefCell<FxHashMap<RouteName, ConfigVersion>>,
+    /// Requests without a response, by number, each with the sender that wakes its check.
+    pending_requests: RefCell<FxHashMap<u64, oneshot::Sender<RouteState>>>,
+    /// Number of the next request.
+    next_number: Cell<u64>,
     /// The version that this VM announces to others.
-    announced: watch::Sender<ConfigVersion>,
+    announced_version: watch::Sender<ConfigVersion>,
 }
 
 impl RouteChecks {
-    /// Announces the version in force here to other VMs.
+    /// Sets the version to announce to other VMs, unless a newer one is announced already.
     pub fn announce_version(&self, version: ConfigVersion) {
-        self.announced.send_if_modified(|announced| {
-            let newer = version > *announced;
+        self.announced_version.send_if_modified(|announced| {
+            let is_newer = version > *announced;
             *announced = version.max(*announced);
-            newer
+            is_newer
         });
     }
 
-    /// Subscribes to the version to announce to other VMs.
+    /// Returns a receiver of the version to announce to other VMs.
     pub fn announced_version(&self) -> watch::Receiver<ConfigVersion> {
-        self.announced.subscribe()
+        self.announced_version.subscribe()
     }
 
-    /// Records the versions that other VMs have in force.
+    /// Records the newest version that the live members of gossip other than `own` have in force, and the VMs to check
+    /// routes with; VMs in `zone` are preferred.
     pub fn note_members(&self, members: &MemberSnapshot, own: VmAddress, zone: &ZoneName) {
-        let others = members.members().iter();
-        let usable: SmallVec<[_; 128]> = others
+        let member_entries = members.members().iter();
+        let live_members: SmallVec<[_; 128]> = member_entries
             .filter(|member| member.vm != own && member.state == MemberState::Alive)
             .collect();
-        let newest = usable.iter().map(|member| member.digest.revision.0).max();
-        let newest = newest.unwrap_or_default();
-        let holds = |member: &&&MemberEntry| member.digest.revision.0 == newest;
-        let holders: SmallVec<[_; 8]> = usable.iter().filter(holds).collect();
+        let newest_version = live_members
+            .iter()
+            .map(|member| member.digest.revision.0)
+            .max();
+        let newest_version = newest_version.unwrap_or_default();
+        let has_newest = |member: &&&MemberEntry| member.digest.revision.0 == newest_version;
+        let holders: SmallVec<[_; 8]> = live_members.iter().filter(has_newest).collect();
         let has_local_holder = holders.iter().any(|member| member.zone == *zone);
         let mut holders_to_ask = self.holders.borrow_mut();
         holders_to_ask.clear();
@@ -84,66 +95,72 @@
             }
             holders_to_ask.push(member.vm);
         }
-        self.newest.set(ConfigVersion(newest));
+        self.newest_version.set(ConfigVersion(newest_version));
     }
 
-    /// Records the version in force here.
+    /// Records this VM's version in force, and since when another VM has had a newer one.
     pub fn note_own_version(&self, own: ConfigVersion, now: Instant) {
-        let since = match self.behind.get() {
+        let since = match self.behind_since.get() {
             Some((version, since)) if version == own => since,
             _ => now,
         };
-        let behind = self.newest.get() > own;
-        self.behind.set(behind.then_some((own, since)));
+        let is_behind = self.newest_version.get() > own;
+        self.behind_since.set(is_behind.then_some((own, since)));
     }
 
-    /// Returns whether other VMs have had a newer version in force for longer than the change bound `bound`. If the
-    /// store still held that version, this VM would have received it by then.
-    pub fn is_overdue(&self, own: ConfigVersion, now: Instant, bound: Duration) -> bool {
-        let behind = self.behind.get();
-        behind.is_some_and(|(version, since)| version == own && now >= since + bound)
+    /// Returns whether another VM has had a newer version than `own` in force for at least `max_delay`, the time within
+    /// which a change must be in force everywhere. If the store still held that version, this VM would have it by then.
+    pub fn is_overdue(&self, own: ConfigVersion, now: Instant, max_delay: Duration) -> bool {
+        let behind_since = self.behind_since.get();
+        behind_since.is_some_and(|(version, since)| version == own && now >= since + max_delay)
     }
 
-    /// Returns whether a route of the version in force may be served; `outdated` states whether that version may not be
-    /// the newest one.
+    /// Returns whether a route of this VM's version `own` may be served without a check. `may_be_outdated` states
+    /// whether a newer version than `own` may exist.
     pub(super) fn freshness(
         &self,
         own: ConfigVersion,
         route: &RouteName,
-        outdated: bool,
+        may_be_outdated: bool,
     ) -> RouteFreshness {
-        let newest = self.newest.get();
-        if !outdated || newest <= own {
+        let newest_version = self.newest_version.get();
+        if !may_be_outdated || newest_version <= own {
             return RouteFreshness::Current;
         }
-        let known = self.matching.borrow().get(route).copied();
-        if known.is_some_and(|matching| matching >= newest) {
+        let matching_version = self.matching_routes.borrow().get(route).copied();
+        if matching_version.is_some_and(|version| version >= newest_version) {
             return RouteFreshness::Current;
         }
         // A random choice keeps requests from all waiting for one VM that does not respond.
         match self.holders.borrow().choose(&mut rand::rng()) {
-            Some(vm) => RouteFreshness::CheckWith { newest, vm: *vm },
+            Some(vm) => RouteFreshness::CheckWith {
+                newest_version,
+                vm: *vm,
+            },
             None => RouteFreshness::Unknown,
         }
     }
 
-    /// Records that a route is the same in another VM's version as in this VM's own.
+    /// Records that a route is the same in the version `version` of another VM as in this VM's own.
     pub(super) fn record_match(&self, route: &RouteName, version: ConfigVersion) {
-        self.matching.borrow_mut().insert(route.clone(), version);
+        self.matching_routes
+            .borrow_mut()
+            .insert(route.clone(), version);
     }
 
-    /// Drops all matches, because a new version in force here may differ from the one that they were recorded for.
+    /// Drops all recorded matches, because the routes of a new version in force on this VM may differ from those that
+    /// were compared.
     pub fn clear_matches(&self) {
-        self.matching.borrow_mut().clear();
+        self.matching_routes.borrow_mut().clear();
     }
 
-    /// Registers a request and returns its number and the receiver of the response. Requests that nobody waits for any
-    /// more are dropped, since a caller may have gone and the VM that was asked may never respond.
+    /// Registers a request and returns its number and the receiver of the response. Drops earlier requests whose check
+    /// has ended, because their caller disconnected or their timeout expired: the VM that was asked may never respond.
     pub(super) fn register_request(&self) -> (u64, oneshot::Receiver<RouteState>) {
-        let number = self.next.get();
-        self.next.set(number + 1);
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let (sender, response) = oneshot::channel();
-        let mut pending = self.pending.borrow_mut();
+        let mut pending = self.pending_requests.borrow_mut();
         pending.retain(|_number, sender| !sender.is_closed());
         pending.insert(number, sender);
         (number, response)
@@ -152,19 +169,19 @@
     /// Returns the number of requests without a response.
     #[cfg(test)]
     pub(super) fn pending_requests(&self) -> usize {
-        self.pending.borrow().len()
+        self.pending_requests.borrow().len()
     }
 
     /// Delivers a response to the request with this number, if it is still pending.
     pub(super) fn complete_request(&self, number: u64, version: u64, scope_mark: Option<u64>) {
-        let Some(sender) = self.pending.borrow_mut().remove(&number) else {
+        let Some(sender) = self.pending_requests.borrow_mut().remove(&number) else {
             return;
         };
         let response = RouteState {
             version: ConfigVersion(version),
             scope_mark,
         };
-        // The request may have ended in the meantime.
-        let _ended = sender.send(response);
+        // The receiver is gone if the check timed out or its caller disconnected.
+        let _check_ended = sender.send(response);
     }
 }
