--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -121,7 +121,7 @@
     }
 
     fn format_age(&self) -> String {
-        let age = self.core.relay.proof_age();
+        let age = self.core.relay.copy_age();
         age.map_or_else(|| "never".to_owned(), |age| age.as_millis().to_string())
     }
 
@@ -179,11 +179,11 @@
                 }
             }
             let mut received = traffic.received();
-            let age = self.core.relay.proof_age().unwrap_or(self.timings.limit);
-            if age > self.timings.reread {
+            let age = self.core.relay.copy_age().unwrap_or(self.timings.limit);
+            if age > self.timings.full_read_age {
                 feed.read_anew();
             }
-            feed.set_wait(self.timings.wait(age + feed.until_next_watch()));
+            feed.set_wait(self.timings.watch_time(age + feed.until_next_watch()));
             // A call stays open over many checks, because cancelling it would cost another call.
             let step = feed.step();
             tokio::pin!(step);
@@ -192,7 +192,7 @@
                 tokio::select! {
                     completed = &mut step => break completed,
                     () = tokio::time::sleep_until(next_wake) => {
-                        next_check = now() + self.timings.period;
+                        next_check = now() + self.timings.poll_interval;
                         self.report_age(ChangeSource::Store);
                         let before = std::mem::replace(&mut received, traffic.received());
                         // Another source would have to send from the start what is being received.
@@ -217,13 +217,13 @@
         }
         // Only the last page of a read proves anything.
         let Some(proof) = step.proof else { return };
-        let (since, revision) = (step.since, step.revision);
+        let (base_revision, revision) = (step.since, step.revision);
         self.log_behind(&step);
         let change = match step.change {
             Some(MirrorChange::Replaced(items)) => CopyChange::Full { items, revision },
-            changed => CopyChange::Changes {
-                events: changed.map_or_else(Vec::new, MirrorChange::into_events),
-                since,
+            store_change => CopyChange::Changes {
+                events: store_change.map_or_else(Vec::new, MirrorChange::into_events),
+                base_revision,
                 revision,
             },
         };
@@ -237,7 +237,7 @@
             // Not expected, because the feed resumes from the copy. Without a proof the copy becomes stale, another
             // source brings it up to date, and the feed resumes from there.
             Err(gap) => log::error!(
-                "store changes after {since} leave a gap after {}: {gap:?}",
+                "store changes after {base_revision} leave a gap after {}: {gap:?}",
                 self.complete_revision()
             ),
         }
@@ -276,7 +276,7 @@
                     }
                 }
                 () = tokio::time::sleep_until(next_wake) => {
-                    next_check = now() + self.timings.period;
+                    next_check = now() + self.timings.poll_interval;
                     self.report_age(ChangeSource::Vm(vm));
                     let chosen = self.select_source(ChangeSource::Vm(vm));
                     if chosen != ChangeSource::Vm(vm) && !self.should_keep_following(&following) {
@@ -305,17 +305,18 @@
         }
         let members = self.members.borrow();
         let state = members.get(following.vm).map(|member| member.state);
-        state == Some(MemberState::Suspect) && following.is_responsive(time, self.timings.period)
+        state == Some(MemberState::Suspect)
+            && following.is_responsive(time, self.timings.poll_interval)
     }
 
     /// Polls a followed VM for changes and for the age of its proof.
     fn poll_vm(&self, following: &mut VmFollowing) -> Result<(), SourceFault> {
         let time = now();
-        following.check(time, self.timings.period, self.core.relay.is_stale())?;
-        let held = held_values(&self.core.relay.copy());
+        following.check(time, self.timings.poll_interval, self.core.relay.is_stale())?;
+        let held_values = held_values(&self.core.relay.copy());
         let follow = MirrorMessage::Follow {
-            known: self.complete_revision(),
-            held,
+            known_revision: self.complete_revision(),
+            held_values,
             poll: following.polls.record(time),
         };
         self.send_to_vm(following.vm, follow)
@@ -336,10 +337,10 @@
             MirrorMessage::Chunk {
                 transfer,
                 offset,
-                total,
+                total_bytes,
                 bytes,
             } => {
-                let position = (offset as usize, total as usize);
+                let position = (offset as usize, total_bytes as usize);
                 self.handle_chunk(following, transfer, position, &bytes)
             }
             MirrorMessage::State { poll, state } => self.handle_state(following, poll, state),
@@ -368,7 +369,7 @@
         };
         let ack = MirrorMessage::Ack {
             transfer,
-            bytes: acked as u32,
+            received_bytes: acked as u32,
         };
         self.send_to_vm(following.vm, ack)
     }
@@ -419,16 +420,19 @@
         state: SourceState,
     ) -> Result<(), SourceFault> {
         following.responded_at = Some(now());
-        let (revision, proof_ms) = match state {
-            SourceState::UpToDate { revision, proof_ms } => (revision, proof_ms),
+        let (revision, up_to_date_ms) = match state {
+            SourceState::UpToDate {
+                revision,
+                up_to_date_ms,
+            } => (revision, up_to_date_ms),
             SourceState::Sending => return Ok(()),
             SourceState::Stale => return Err(SourceFault::Stale),
         };
         if revision > self.complete_revision() {
             return Err(SourceFault::Gap);
         }
-        if let Some(proof) = following.polls.proof(poll, proof_ms) {
-            self.core.relay.note_proof(proof);
+        if let Some(up_to_date_at) = following.polls.up_to_date_at(poll, up_to_date_ms) {
+            self.core.relay.note_proof(up_to_date_at);
             self.store_failing_since = None;
         }
         Ok(())
@@ -436,7 +440,7 @@
 
     /// Reports the age of the copy in metrics, and logs each change between stale and up to date once.
     fn report_age(&mut self, source: ChangeSource) {
-        let age = self.core.relay.proof_age();
+        let age = self.core.relay.copy_age();
         self.core.metrics.note_copy(age, self.complete_revision());
         let stale = self.core.relay.is_stale();
         if stale == self.logged_stale {
--- a/crates/ebonyfork/src/gateway/follow/taker_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker_tests.rs
@@ -29,7 +29,7 @@
 fn changed(event: StoreEvent, revision: u64) -> CopyChange {
     CopyChange::Changes {
         events: vec![event],
-        since: StoreRevision::new(0),
+        base_revision: StoreRevision::new(0),
         revision: StoreRevision::new(revision),
     }
 }
@@ -166,7 +166,7 @@
     expect_that!(zones(), eq(1));
     let again = evacuation.clone().with_era(StoreEra(1));
     let again = CopyChange::Changes {
-        since: StoreRevision::new(4).with_era(StoreEra(1)),
+        base_revision: StoreRevision::new(4).with_era(StoreEra(1)),
         revision: again.revision,
         events: vec![StoreEvent::Written(again)],
     };
@@ -186,7 +186,7 @@
     };
     let removed = CopyChange::Changes {
         events: vec![removed.with_era(StoreEra(3))],
-        since: StoreRevision::new(6).with_era(StoreEra(3)),
+        base_revision: StoreRevision::new(6).with_era(StoreEra(3)),
         revision: StoreRevision::new(7).with_era(StoreEra(3)),
     };
     expect_that!(applier.apply(removed), ok(eq(())));
--- a/crates/ebonyfork/src/gateway/mirror/content.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content.rs
@@ -1,7 +1,8 @@
 //! Encodes what one VM sends another about the store: the full copy, or the changes since a revision.
 //!
-//! Long values are sent as patches on the value that the receiver holds, so a receiver states what it holds with each
-//! poll. The result is compressed as a whole, because the entries of upstreams resemble one another.
+//! Long values are sent as patches on the version that the receiver holds, so a receiver states with each poll which
+//! versions it holds. The encoded message is compressed as a whole, because the entries of upstreams resemble one
+//! another.
 
 use bytes::Bytes;
 use compact_str::CompactString;
@@ -14,7 +15,8 @@
 use super::pack::{PackError, compress, expand};
 use crate::store::{StoreEvent, StoreItem, StoreRevision};
 
-/// Contents below this length are sent uncompressed: a change of an upstream's entry has about 300 bytes.
+/// Minimum size in bytes of a message that is compressed: a change of an upstream's entry has about 300 bytes and is
+/// sent as it is.
 const COMPRESSION_MIN_BYTES: usize = 1024;
 
 /// Key and revision of a long value that a VM holds.
@@ -38,7 +40,7 @@
         /// The cause.
         source: postcard::Error,
     },
-    /// Compression or decompression failed.
+    /// A message or value could not be compressed or decompressed.
     #[snafu(display("{key}: {source}"))]
     Pack {
         /// The value's key; empty for the message itself.
@@ -47,16 +49,16 @@
         source: PackError,
     },
     /// A patch applies to a value that this VM does not hold.
-    #[snafu(display("{key}: base revision {base} is not held"))]
+    #[snafu(display("{key}: base revision {base_revision} is not held"))]
     MissingBase {
         /// The key of the value.
         key: CompactString,
         /// The revision of the missing base value.
-        base: StoreRevision,
+        base_revision: StoreRevision,
     },
 }
 
-/// A value as it is sent.
+/// A value as it is encoded for the receiver.
 #[derive(Debug, Serialize, Deserialize)]
 enum SentValue {
     /// The complete value.
@@ -67,16 +69,23 @@
     Patched(Vec<ValuePatch>),
 }
 
-/// A change as it is sent.
+/// The write or removal of a key as it is encoded for the receiver.
 #[derive(Debug, Serialize, Deserialize)]
 enum SentEvent {
+    /// The key was written.
     Written {
+        /// The key.
         key: CompactString,
+        /// The revision of the write.
         revision: StoreRevision,
+        /// The new value.
         value: SentValue,
     },
+    /// The key was removed.
     Removed {
+        /// The key.
         key: CompactString,
+        /// The revision of the removal.
         revision: StoreRevision,
     },
 }
@@ -84,68 +93,71 @@
 /// The content of a message: a full copy or changes.
 #[derive(Debug, Serialize, Deserialize)]
 struct MirrorContent {
+    /// The changes, or a write of every item for a full copy.
     events: Vec<SentEvent>,
     /// The revision that the changes follow, exclusive; none for a full copy.
-    since: Option<StoreRevision>,
+    base_revision: Option<StoreRevision>,
     /// The last revision that the content covers, inclusive.
     revision: StoreRevision,
 }
 
-/// An encoded message, which may be compressed.
+/// An encoded [`MirrorContent`], which may be compressed.
 #[derive(Debug, Serialize, Deserialize)]
 struct ContentFrame {
-    /// Length of the message after decompression; none if `bytes` are not compressed.
-    expanded: Option<u32>,
+    /// Size in bytes of the content after decompression; none if `bytes` are not compressed.
+    expanded_size: Option<u32>,
+    /// The encoded content.
     bytes: Bytes,
 }
 
-/// Returns the long values of a copy.
+/// Returns the keys and revisions of the long values in a copy.
 pub fn held_values(copy: &StoreCopy) -> HeldValues {
-    let long = copy
+    let long_items = copy
         .items()
         .filter(|item| item.value.len() >= LONG_VALUE_BYTES);
-    let held = long.map(|item| HeldValue {
+    let held_values = long_items.map(|item| HeldValue {
         key: item.key.clone(),
         revision: item.revision,
     });
-    held.collect()
+    held_values.collect()
 }
 
-/// Encodes what a VM lacks that has applied every change up to the revision `known` and holds the long values `held`.
+/// Encodes what a VM lacks that has applied every change up to `known_revision` and holds the long values
+/// `held_values`.
 pub fn encode_content(
     copy: &StoreCopy,
-    known: StoreRevision,
-    held: &[HeldValue],
+    known_revision: StoreRevision,
+    held_values: &[HeldValue],
 ) -> Result<Bytes, ContentError> {
-    let changes = copy.changes_since(known);
-    let since = changes.is_some().then_some(known);
+    let changes = copy.changes_since(known_revision);
+    let base_revision = changes.is_some().then_some(known_revision);
     let events = changes.unwrap_or_else(|| {
         let items = copy.items().cloned();
         items.map(StoreEvent::Written).collect()
     });
-    let mut sent = Vec::with_capacity(events.len());
+    let mut sent_events = Vec::with_capacity(events.len());
     for event in events {
-        sent.push(encode_event(copy, held, event));
+        sent_events.push(encode_event(copy, held_values, event));
     }
     let content = MirrorContent {
-        events: sent,
-        since,
+        events: sent_events,
+        base_revision,
         revision: copy.complete_revision(),
     };
     encode_frame(&content)
 }
 
 fn encode_frame(content: &MirrorContent) -> Result<Bytes, ContentError> {
-    let plain = postcard::to_stdvec(content).context(MalformedSnafu)?;
-    let frame = if plain.len() < COMPRESSION_MIN_BYTES {
+    let plain_bytes = postcard::to_stdvec(content).context(MalformedSnafu)?;
+    let frame = if plain_bytes.len() < COMPRESSION_MIN_BYTES {
         ContentFrame {
-            expanded: None,
-            bytes: plain.into(),
+            expanded_size: None,
+            bytes: plain_bytes.into(),
         }
     } else {
-        let bytes = compress(&[], &plain).context(PackSnafu { key: "" })?;
+        let bytes = compress(&[], &plain_bytes).context(PackSnafu { key: "" })?;
         ContentFrame {
-            expanded: Some(plain.len() as u32),
+            expanded_size: Some(plain_bytes.len() as u32),
             bytes,
         }
     };
@@ -153,10 +165,10 @@
     Ok(bytes.into())
 }
 
-fn encode_event(copy: &StoreCopy, held: &[HeldValue], event: StoreEvent) -> SentEvent {
+fn encode_event(copy: &StoreCopy, held_values: &[HeldValue], event: StoreEvent) -> SentEvent {
     match event {
         StoreEvent::Written(item) => SentEvent::Written {
-            value: encode_value(copy, held, &item),
+            value: encode_value(copy, held_values, &item),
             key: item.key,
             revision: item.revision,
         },
@@ -164,19 +176,21 @@
     }
 }
 
-fn encode_value(copy: &StoreCopy, held: &[HeldValue], item: &StoreItem) -> SentValue {
-    let held = held.iter().find(|held| held.key == item.key);
-    let Some(base) = held.map(|held| held.revision) else {
+fn encode_value(copy: &StoreCopy, held_values: &[HeldValue], item: &StoreItem) -> SentValue {
+    let held_value = held_values.iter().find(|held| held.key == item.key);
+    let Some(base_revision) = held_value.map(|held| held.revision) else {
         return SentValue::Plain(item.value.clone());
     };
-    if base == item.revision {
+    if base_revision == item.revision {
         return SentValue::Held;
     }
-    let chain = copy.history().between(&item.key, base, item.revision);
-    let Some(chain) = chain else {
+    let patches = copy
+        .patch_history()
+        .between(&item.key, base_revision, item.revision);
+    let Some(patches) = patches else {
         return SentValue::Plain(item.value.clone());
     };
-    SentValue::Patched(chain.into_iter().cloned().collect())
+    SentValue::Patched(patches.into_iter().cloned().collect())
 }
 
 /// Decodes content from another VM; patches are applied to the values in `copy`.
@@ -187,7 +201,7 @@
         events.push(decode_event(copy, event)?);
     }
     let revision = content.revision;
-    let Some(since) = content.since else {
+    let Some(base_revision) = content.base_revision else {
         let items = events.into_iter().filter_map(|event| match event {
             StoreEvent::Written(item) => Some(item),
             StoreEvent::Removed { .. } => None,
@@ -197,18 +211,18 @@
     };
     Ok(CopyChange::Changes {
         events,
-        since,
+        base_revision,
         revision,
     })
 }
 
 fn decode_frame(bytes: &[u8]) -> Result<MirrorContent, ContentError> {
     let frame: ContentFrame = postcard::from_bytes(bytes).context(MalformedSnafu)?;
-    let plain = match frame.expanded {
+    let plain_bytes = match frame.expanded_size {
         None => frame.bytes,
         Some(size) => expand(&[], &frame.bytes, size as usize).context(PackSnafu { key: "" })?,
     };
-    postcard::from_bytes(&plain).context(MalformedSnafu)
+    postcard::from_bytes(&plain_bytes).context(MalformedSnafu)
 }
 
 fn decode_event(copy: &StoreCopy, event: SentEvent) -> Result<StoreEvent, ContentError> {
@@ -222,28 +236,30 @@
             value,
         } => (key, revision, value),
     };
-    let local = copy.get(&key);
-    if let Some(local) = local.filter(|local| local.revision >= revision) {
-        // This VM has already read a newer value directly from the store.
-        return Ok(StoreEvent::Written(local.clone()));
+    let local_item = copy.get(&key);
+    if let Some(local_item) = local_item.filter(|item| item.revision >= revision) {
+        // This VM already holds this version of the value, or a newer one that it read directly from the store.
+        return Ok(StoreEvent::Written(local_item.clone()));
     }
     let value = match value {
         SentValue::Plain(value) => value,
         SentValue::Held => {
             return MissingBaseSnafu {
                 key,
-                base: revision,
+                base_revision: revision,
             }
             .fail();
         }
         SentValue::Patched(patches) => {
-            let base = patches.first().map_or(revision, |patch| patch.base);
-            let local = local.filter(|local| local.revision == base);
-            let local = local.with_context(|| MissingBaseSnafu {
+            let base_revision = patches
+                .first()
+                .map_or(revision, |patch| patch.base_revision);
+            let local_item = local_item.filter(|item| item.revision == base_revision);
+            let local_item = local_item.with_context(|| MissingBaseSnafu {
                 key: key.clone(),
-                base,
+                base_revision,
             })?;
-            apply_patches(local, &patches)?
+            apply_patches(local_item, &patches)?
         }
     };
     Ok(StoreEvent::Written(StoreItem {
@@ -253,12 +269,12 @@
     }))
 }
 
-fn apply_patches(base: &StoreItem, patches: &[ValuePatch]) -> Result<Bytes, ContentError> {
-    let mut value = base.value.clone();
+fn apply_patches(base_item: &StoreItem, patches: &[ValuePatch]) -> Result<Bytes, ContentError> {
+    let mut value = base_item.value.clone();
     for patch in patches {
-        let expanded = expand(&value, &patch.bytes, patch.size);
-        value = expanded.context(PackSnafu {
-            key: base.key.clone(),
+        let patched_value = expand(&value, &patch.bytes, patch.size);
+        value = patched_value.context(PackSnafu {
+            key: base_item.key.clone(),
         })?;
     }
     Ok(value)
--- a/crates/ebonyfork/src/gateway/mirror/content_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content_tests.rs
@@ -20,11 +20,11 @@
     item("config", &routes(count), revision)
 }
 
-fn apply(copy: &mut StoreCopy, items: &[StoreItem], since: u64, revision: u64) {
+fn apply(copy: &mut StoreCopy, items: &[StoreItem], base_revision: u64, revision: u64) {
     let events = items.iter().cloned().map(StoreEvent::Written).collect();
     let change = CopyChange::Changes {
         events,
-        since: StoreRevision::new(since),
+        base_revision: StoreRevision::new(base_revision),
         revision: StoreRevision::new(revision),
     };
     copy.apply(change);
@@ -40,11 +40,12 @@
     copy
 }
 
-/// Sends a copy the changes that it lacks; returns the length of the content.
-fn send(from: &StoreCopy, to: &mut StoreCopy) -> usize {
-    let content = encode_content(from, to.complete_revision(), &held_values(to)).unwrap();
-    let change = decode_content(to, &content).unwrap();
-    let outcome = to.apply(change);
+/// Sends the changes that the copy `follower` lacks from the copy `source`; returns the size of the encoded content.
+fn send(source: &StoreCopy, follower: &mut StoreCopy) -> usize {
+    let content =
+        encode_content(source, follower.complete_revision(), &held_values(follower)).unwrap();
+    let change = decode_content(follower, &content).unwrap();
+    let outcome = follower.apply(change);
     expect_that!(outcome.result, ok(eq(())));
     content.len()
 }
@@ -53,12 +54,12 @@
     copy.items().collect()
 }
 
-/// A change of one route among 2,850 used to send 0.49 MB to each follower.
+/// A follower is sent a patch of the configuration and not all of it: 2,850 routes are 0.49 MB for each follower.
 #[gtest]
 fn adding_one_route_sends_a_small_patch() {
     let mut source = copy_of(&[config(2_850, 3), item("upstream/a", "s", 4)], 10);
     let mut follower = copy_of(&[], 0);
-    let everything = send(&source, &mut follower);
+    let full_size = send(&source, &mut follower);
     apply(&mut source, &[config(2_851, 11)], 10, 11);
     apply(
         &mut source,
@@ -66,29 +67,30 @@
         11,
         13,
     );
-    let changes = send(&source, &mut follower);
+    let change_size = send(&source, &mut follower);
     expect_that!(items(&follower), eq(&items(&source)));
-    expect_that!(everything, lt(routes(2_850).len() / 4));
-    expect_that!(changes, lt(1_000));
+    expect_that!(full_size, lt(routes(2_850).len() / 4));
+    expect_that!(change_size, lt(1_000));
 }
 
 /// Two VMs hold different values at the same revision number of different eras, so neither a patch nor
 /// `SentValue::Held` may be sent.
 #[gtest]
 fn a_value_of_another_era_is_not_treated_as_held() {
-    let era = StoreEra(1);
+    let later_era = StoreEra(1);
     let mut source = copy_of(&[config(2_850, 3)], 10);
     let mut follower = copy_of(&[config(2_850, 3)], 10);
     source.apply(CopyChange::Full {
-        items: vec![config(2_800, 3).with_era(era)],
-        revision: StoreRevision::new(3).with_era(era),
+        items: vec![config(2_800, 3).with_era(later_era)],
+        revision: StoreRevision::new(3).with_era(later_era),
     });
     send(&source, &mut follower);
     expect_that!(items(&follower), eq(&items(&source)));
     expect_that!(follower.complete_revision(), eq(source.complete_revision()));
 }
 
-/// After the store lost its history everything is read again, but values that a follower holds are not sent again.
+/// After the store lost its history, a source reads everything again and sends its followers a full copy. Long values
+/// that a follower states as held are left out of it.
 #[gtest]
 fn a_held_value_is_not_sent_again() {
     let mut source = copy_of(&[config(2_850, 3)], 10);
@@ -126,18 +128,18 @@
 fn a_patch_on_a_missing_base_is_an_error() {
     let mut source = copy_of(&[config(200, 3)], 10);
     apply(&mut source, &[config(201, 12)], 10, 12);
-    let held = [HeldValue {
+    let stated_values = [HeldValue {
         key: "config".into(),
         revision: StoreRevision::new(3),
     }];
-    let content = encode_content(&source, StoreRevision::new(10), &held).unwrap();
-    let stranger = copy_of(&[config(200, 2)], 10);
+    let content = encode_content(&source, StoreRevision::new(10), &stated_values).unwrap();
+    let other_copy = copy_of(&[config(200, 2)], 10);
     expect_that!(
-        decode_content(&stranger, &content),
+        decode_content(&other_copy, &content),
         err(pat!(ContentError::MissingBase { .. }))
     );
     expect_that!(
-        decode_content(&stranger, b"none"),
+        decode_content(&other_copy, b"none"),
         err(pat!(ContentError::Malformed { .. }))
     );
 }
--- a/crates/ebonyfork/src/gateway/mirror/copy.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy.rs
@@ -18,11 +18,12 @@
 use super::history::PatchHistory;
 use crate::store::{StoreEvent, StoreItem, StoreRevision};
 
-/// Maximum number of keys in the log of changes for VMs that are slightly behind, at about 64 bytes each. The log holds
-/// only the key of a change; the value is in the copy. The capacity covers half a day at 11,000 changes a day, or all
-/// upstreams of a shard at once.
+/// Maximum number of keys in the log of recent changes, at about 64 bytes each. Followers that lack no more than these
+/// changes are sent no full copy. The log holds only the key and revision of a change; the value is in the copy. The
+/// capacity covers half a day at 11,000 changes a day, or all upstreams of a shard at once.
 const MAX_LOGGED_CHANGES: usize = 4_096;
-/// Length from which a value is sent as patches. Entries of upstreams have about 300 bytes and are sent in full.
+/// Size in bytes from which a value is long, so that it is sent as patches. Entries of upstreams have about 300 bytes
+/// and are sent in full.
 pub const LONG_VALUE_BYTES: usize = 4 * 1024;
 
 /// A change to apply to a copy.
@@ -40,13 +41,13 @@
         /// The newest change of each key that changed.
         events: Vec<StoreEvent>,
         /// The revision that the changes follow, exclusive.
-        since: StoreRevision,
+        base_revision: StoreRevision,
         /// The last revision that the changes cover, inclusive.
         revision: StoreRevision,
     },
 }
 
-/// The changes start after the copy's complete revision, so the changes in between are missing.
+/// The error that changes start after the copy's complete revision, so that the changes in between are missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CopyGap;
 
@@ -59,26 +60,31 @@
     pub result: Result<(), CopyGap>,
 }
 
-/// Changes that arrived together: their keys and revisions.
+/// The keys and revisions of changes that were applied together.
 #[derive(Debug)]
 struct ChangeBatch {
-    keys: Vec<(CompactString, StoreRevision)>,
-    since: StoreRevision,
+    /// Each key that changed, with the revision of its newest change.
+    changed_keys: Vec<(CompactString, StoreRevision)>,
+    /// The revision that the changes follow, exclusive.
+    base_revision: StoreRevision,
 }
 
 /// A copy of the store.
 #[derive(Debug, Default)]
 pub struct StoreCopy {
+    /// The existing items by key.
     items: BTreeMap<CompactString, StoreItem>,
     /// Keys known to have been removed after `complete_revision`, with the revision of the removal.
-    removed: FxHashMap<CompactString, StoreRevision>,
+    removals: FxHashMap<CompactString, StoreRevision>,
+    /// The revision up to which every change has been applied.
     complete_revision: StoreRevision,
     /// The most recent changes up to `complete_revision`, without a gap.
-    log: VecDeque<ChangeBatch>,
+    change_log: VecDeque<ChangeBatch>,
+    /// Number of keys in `change_log`.
     logged_keys: usize,
     /// Patches between successive versions of long values.
-    history: PatchHistory,
-    /// Whether patches are recorded: only while another VM follows.
+    patches: PatchHistory,
+    /// Whether patches are recorded: only while another VM follows this one.
     keeps_patches: bool,
 }
 
@@ -99,49 +105,50 @@
     }
 
     /// Returns the patches between versions of long values.
-    pub fn history(&self) -> &PatchHistory {
-        &self.history
+    pub fn patch_history(&self) -> &PatchHistory {
+        &self.patches
     }
 
     /// Sets whether patches of long values are recorded.
-    pub fn keep_patches(&mut self, keeps: bool) {
-        self.keeps_patches = keeps;
+    pub fn keep_patches(&mut self, enabled: bool) {
+        self.keeps_patches = enabled;
     }
 
-    /// Applies a change to the copy.
+    /// Applies a change to the copy and returns what was new in it.
     pub fn apply(&mut self, change: CopyChange) -> ChangeOutcome {
         match change {
             CopyChange::Full { items, revision } => self.apply_full(items, revision),
             CopyChange::Changes {
                 events,
-                since,
+                base_revision,
                 revision,
-            } => self.apply_changes(events, since, revision),
+            } => self.apply_changes(events, base_revision, revision),
         }
     }
 
     fn apply_full(&mut self, items: Vec<StoreItem>, revision: StoreRevision) -> ChangeOutcome {
-        let present: FxHashSet<CompactString> = items.iter().map(|item| item.key.clone()).collect();
+        let present_keys: FxHashSet<CompactString> =
+            items.iter().map(|item| item.key.clone()).collect();
         let mut events: Vec<_> = items.into_iter().map(StoreEvent::Written).collect();
         if revision > self.complete_revision {
             // Items written after the read started may be missing from it although they still exist.
-            let gone =
-                |item: &&StoreItem| item.revision <= revision && !present.contains(&item.key);
+            let is_removed =
+                |item: &&StoreItem| item.revision <= revision && !present_keys.contains(&item.key);
             let removal = |item: &StoreItem| StoreEvent::Removed {
                 key: item.key.clone(),
                 revision,
             };
-            events.extend(self.items.values().filter(gone).map(removal));
+            events.extend(self.items.values().filter(is_removed).map(removal));
         }
         let floor = if revision > self.complete_revision {
-            // The read is later than everything in the copy, so its items exist whatever the copy says about them.
+            // The read covers a later revision than the copy, so its items exist even if the copy has them as removed.
             StoreRevision::ABSENT
         } else {
             self.complete_revision
         };
         events.retain(|event| self.apply_event(event, floor));
         if revision > self.complete_revision {
-            self.log.clear();
+            self.change_log.clear();
             self.logged_keys = 0;
             self.advance(revision);
         }
@@ -154,15 +161,15 @@
     fn apply_changes(
         &mut self,
         events: Vec<StoreEvent>,
-        since: StoreRevision,
+        base_revision: StoreRevision,
         revision: StoreRevision,
     ) -> ChangeOutcome {
         let floor = self.complete_revision;
-        let applied = events.iter().filter(|event| self.apply_event(event, floor));
-        let applied = applied.cloned().collect();
-        if since > self.complete_revision {
+        let applied_events = events.iter().filter(|event| self.apply_event(event, floor));
+        let applied_events = applied_events.cloned().collect();
+        if base_revision > self.complete_revision {
             return ChangeOutcome {
-                events: applied,
+                events: applied_events,
                 result: Err(CopyGap),
             };
         }
@@ -171,40 +178,41 @@
             self.advance(revision);
         }
         ChangeOutcome {
-            events: applied,
+            events: applied_events,
             result: Ok(()),
         }
     }
 
-    /// Logs changes for VMs that are behind. This includes changes that were already known and changes of keys that
-    /// this copy never held, because another copy may hold them.
+    /// Adds changes after the complete revision to the log, for followers that lack them. This includes changes that
+    /// were already known and changes of keys that this copy never held, because another copy may hold them.
     fn log_changes(&mut self, events: &[StoreEvent]) {
-        let new = events
+        let later_events = events
             .iter()
             .filter(|event| event.revision() > self.complete_revision);
-        let keys: Vec<_> = new
+        let changed_keys: Vec<_> = later_events
             .map(|event| (event.key().clone(), event.revision()))
             .collect();
-        if keys.is_empty() && !self.log.is_empty() {
+        if changed_keys.is_empty() && !self.change_log.is_empty() {
             return;
         }
-        self.logged_keys += keys.len();
-        self.log.push_back(ChangeBatch {
-            keys,
-            since: self.complete_revision,
+        self.logged_keys += changed_keys.len();
+        self.change_log.push_back(ChangeBatch {
+            changed_keys,
+            base_revision: self.complete_revision,
         });
-        while self.logged_keys > MAX_LOGGED_CHANGES && self.log.len() > 1 {
-            let oldest = self.log.pop_front();
-            self.logged_keys -= oldest.map_or(0, |batch| batch.keys.len());
+        while self.logged_keys > MAX_LOGGED_CHANGES && self.change_log.len() > 1 {
+            let oldest_batch = self.change_log.pop_front();
+            self.logged_keys -= oldest_batch.map_or(0, |batch| batch.changed_keys.len());
         }
     }
 
+    /// Raises the complete revision, and forgets removals that it covers.
     fn advance(&mut self, revision: StoreRevision) {
         self.complete_revision = revision;
-        self.removed.retain(|_key, removed| *removed > revision);
+        self.removals.retain(|_key, removal| *removal > revision);
     }
 
-    /// Applies one change and returns whether it was new. Every change up to the revision `floor` is already known.
+    /// Applies one change and returns whether it was new. Changes up to the revision `floor` are known and not applied.
     fn apply_event(&mut self, event: &StoreEvent, floor: StoreRevision) -> bool {
         let key = event.key();
         if event.revision() <= self.known_revision(key).max(floor) {
@@ -212,70 +220,72 @@
         }
         match event {
             StoreEvent::Written(item) => {
-                self.removed.remove(key);
-                let old = self.items.insert(key.clone(), item.clone());
-                self.record_patch(old, item);
+                self.removals.remove(key);
+                let old_item = self.items.insert(key.clone(), item.clone());
+                self.record_patch(old_item, item);
             }
             StoreEvent::Removed { revision, .. } => {
                 self.items.remove(key);
-                self.history.forget(key);
-                self.removed.insert(key.clone(), *revision);
+                self.patches.forget(key);
+                self.removals.insert(key.clone(), *revision);
             }
         }
         true
     }
 
-    fn record_patch(&mut self, old: Option<StoreItem>, new: &StoreItem) {
+    /// Keeps the patch from `base`, the previous version of an item, to `item`, if both are long and patches are
+    /// recorded.
+    fn record_patch(&mut self, base: Option<StoreItem>, item: &StoreItem) {
         let is_long = |item: &StoreItem| item.value.len() >= LONG_VALUE_BYTES;
-        match old.filter(is_long) {
-            Some(old) if is_long(new) && self.keeps_patches => self.history.record(&old, new),
-            _ => self.history.forget(&new.key),
+        match base.filter(is_long) {
+            Some(base) if is_long(item) && self.keeps_patches => self.patches.record(&base, item),
+            _ => self.patches.forget(&item.key),
         }
     }
 
     /// Returns the revision of the last known change of a key.
     fn known_revision(&self, key: &CompactString) -> StoreRevision {
-        let written = self.items.get(key).map(|item| item.revision);
-        let removed = self.removed.get(key).copied();
-        written.max(removed).unwrap_or_default()
+        let write_revision = self.items.get(key).map(|item| item.revision);
+        let removal_revision = self.removals.get(key).copied();
+        write_revision.max(removal_revision).unwrap_or_default()
     }
 
-    /// Returns the current state of every key that changed after a revision, or none if the log no longer reaches back
-    /// that far.
-    pub fn changes_since(&self, known: StoreRevision) -> Option<Vec<StoreEvent>> {
-        let first = self
-            .log
+    /// Returns the current state of every key that changed after the revision `known_revision`; none if the log does
+    /// not reach back that far.
+    pub fn changes_since(&self, known_revision: StoreRevision) -> Option<Vec<StoreEvent>> {
+        let log_start = self
+            .change_log
             .front()
-            .map_or(self.complete_revision, |batch| batch.since);
-        if known < first {
+            .map_or(self.complete_revision, |batch| batch.base_revision);
+        if known_revision < log_start {
             return None;
         }
-        let mut newest: BTreeMap<&CompactString, StoreRevision> = BTreeMap::new();
-        for (key, revision) in self.log.iter().flat_map(|batch| &batch.keys) {
-            if *revision <= known {
+        let mut newest_revisions: BTreeMap<&CompactString, StoreRevision> = BTreeMap::new();
+        for (key, revision) in self.change_log.iter().flat_map(|batch| &batch.changed_keys) {
+            if *revision <= known_revision {
                 continue;
             }
-            let later = newest.entry(key).or_default();
-            *later = (*later).max(*revision);
+            let newest_revision = newest_revisions.entry(key).or_default();
+            *newest_revision = (*newest_revision).max(*revision);
         }
-        let events = newest
+        let events = newest_revisions
             .into_iter()
-            .map(|(key, change)| self.event(key, change));
+            .map(|(key, revision)| self.current_event(key, revision));
         let mut events: Vec<_> = events.collect();
         events.sort_unstable_by_key(StoreEvent::revision);
         Some(events)
     }
 
-    /// Returns the current state of a key that changed at a revision. It may be newer than that change if it was read
-    /// ahead.
-    fn event(&self, key: &CompactString, change: StoreRevision) -> StoreEvent {
+    /// Returns the current state of a key that changed at `change_revision`. It may be newer than that change, because
+    /// a full read may contain items that were written after its revision.
+    fn current_event(&self, key: &CompactString, change_revision: StoreRevision) -> StoreEvent {
         if let Some(item) = self.items.get(key) {
             return StoreEvent::Written(item.clone());
         }
-        let removed = self.removed.get(key).copied();
+        let removal_revision = self.removals.get(key).copied();
         StoreEvent::Removed {
             key: key.clone(),
-            revision: removed.unwrap_or_default().max(change),
+            revision: removal_revision.unwrap_or_default().max(change_revision),
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
@@ -17,10 +17,10 @@
     }
 }
 
-fn changes(events: &[StoreEvent], since: u64, revision: u64) -> CopyChange {
+fn changes(events: &[StoreEvent], base_revision: u64, revision: u64) -> CopyChange {
     CopyChange::Changes {
         events: events.to_vec(),
-        since: StoreRevision::new(since),
+        base_revision: StoreRevision::new(base_revision),
         revision: StoreRevision::new(revision),
     }
 }
@@ -40,14 +40,14 @@
     copy.items().map(|item| item.key.as_str()).collect()
 }
 
-/// Changes from a source that is behind are not new, so they are neither put in force nor forwarded.
+/// Changes from a source that is behind the copy are already known, so they are neither put in force nor forwarded.
 #[gtest]
 fn only_newer_changes_are_applied() {
     let mut copy = StoreCopy::default();
-    let known = [item("config", "8", 365), item("upstream/a", "s", 300)];
-    expect_that!(copy.apply(full(&known, 366)).events.len(), eq(2));
-    let behind = [item("config", "4", 363), item("upstream/b", "s", 364)];
-    let outcome = copy.apply(full(&behind, 364));
+    let known_items = [item("config", "8", 365), item("upstream/a", "s", 300)];
+    expect_that!(copy.apply(full(&known_items, 366)).events.len(), eq(2));
+    let older_items = [item("config", "4", 363), item("upstream/b", "s", 364)];
+    let outcome = copy.apply(full(&older_items, 364));
     expect_that!(
         outcome.events,
         is_empty(),
@@ -59,34 +59,38 @@
     expect_that!(copy.complete_revision(), eq(StoreRevision::new(436)));
 }
 
-/// In a later era a known revision number belongs to a different change, and items that are missing have been removed.
+/// A store that is restored from an older copy starts a new era and assigns revision numbers again, to other changes.
+/// Items that are missing from it count as removed.
 #[gtest]
 fn a_later_era_overrides_any_revision_number() {
     let mut copy = StoreCopy::default();
-    let known = [item("config", "8", 63), item("upstream/a", "s", 40)];
-    copy.apply(full(&known, 63));
+    let known_items = [item("config", "8", 63), item("upstream/a", "s", 40)];
+    copy.apply(full(&known_items, 63));
     let era = StoreEra(1);
-    let older = [item("config", "7", 60)].map(|item| item.with_era(era));
+    let restored_items = [item("config", "7", 60)].map(|item| item.with_era(era));
     let complete_revision = StoreRevision::new(60).with_era(era);
     let outcome = copy.apply(CopyChange::Full {
-        items: older.to_vec(),
+        items: restored_items.to_vec(),
         revision: complete_revision,
     });
-    let gone = removed("upstream/a", 60).with_era(era);
-    let back = StoreEvent::Written(older[0].clone());
-    expect_that!(outcome.events, elements_are![eq(&back), eq(&gone)]);
+    let removal = removed("upstream/a", 60).with_era(era);
+    let rewritten_item = StoreEvent::Written(restored_items[0].clone());
+    expect_that!(
+        outcome.events,
+        elements_are![eq(&rewritten_item), eq(&removal)]
+    );
     expect_that!(copy.complete_revision(), eq(complete_revision));
-    let again = written("config", 63).with_era(era);
+    let rewritten_event = written("config", 63).with_era(era);
     let outcome = copy.apply(CopyChange::Changes {
-        events: vec![again.clone()],
-        since: complete_revision,
-        revision: again.revision(),
+        events: vec![rewritten_event.clone()],
+        base_revision: complete_revision,
+        revision: rewritten_event.revision(),
     });
-    expect_that!(outcome.events, elements_are![eq(&again)]);
+    expect_that!(outcome.events, elements_are![eq(&rewritten_event)]);
     // A VM that is still in the previous era changes nothing.
-    let behind = copy.apply(changes(&[written("config", 70)], 63, 70));
-    expect_that!(behind.events, is_empty());
-    expect_that!(copy.complete_revision(), eq(again.revision()));
+    let old_era_outcome = copy.apply(changes(&[written("config", 70)], 63, 70));
+    expect_that!(old_era_outcome.events, is_empty());
+    expect_that!(copy.complete_revision(), eq(rewritten_event.revision()));
 }
 
 #[gtest]
@@ -107,7 +111,8 @@
     expect_that!(copy.complete_revision(), eq(StoreRevision::new(14)));
 }
 
-/// Page reads are not a consistent snapshot: an item written after the first page may or may not be in the result.
+/// A read in pages is not a consistent snapshot: an item written after the first page may or may not be in the result,
+/// so its absence does not mean that it was removed.
 #[gtest]
 fn items_newer_than_a_full_read_are_not_removed() {
     let mut copy = StoreCopy::default();
@@ -121,14 +126,14 @@
     expect_that!(keys(&copy), elements_are![eq(&"b"), eq(&"c")]);
 }
 
-/// A follower may hold a key that the followed VM never held, so its removal is sent too.
+/// A follower may hold a key that the followed VM never held, so the removal of such a key is sent too.
 #[gtest]
 fn removals_of_keys_never_held_are_forwarded() {
     let mut copy = StoreCopy::default();
     copy.apply(full(&[], 10));
     copy.apply(changes(&[removed("x", 12)], 10, 12));
-    let sent = copy.changes_since(StoreRevision::new(10));
-    expect_that!(sent, some(elements_are![eq(&removed("x", 12))]));
+    let sent_events = copy.changes_since(StoreRevision::new(10));
+    expect_that!(sent_events, some(elements_are![eq(&removed("x", 12))]));
 }
 
 #[gtest]
@@ -138,16 +143,16 @@
     copy.apply(changes(&[written("b", 11)], 10, 11));
     copy.apply(changes(&[], 11, 12));
     copy.apply(changes(&[written("b", 13), removed("a", 14)], 12, 14));
-    let sent = copy.changes_since(StoreRevision::new(11));
+    let sent_events = copy.changes_since(StoreRevision::new(11));
     expect_that!(
-        sent,
+        sent_events,
         some(elements_are![eq(&written("b", 13)), eq(&removed("a", 14))])
     );
     expect_that!(copy.changes_since(StoreRevision::new(9)), none());
-    let many: Vec<_> = (0..MAX_LOGGED_CHANGES)
+    let many_events: Vec<_> = (0..MAX_LOGGED_CHANGES)
         .map(|number| written(&format!("many/{number}"), 15))
         .collect();
-    copy.apply(changes(&many, 14, 15));
+    copy.apply(changes(&many_events, 14, 15));
     expect_that!(
         copy.changes_since(StoreRevision::new(13)),
         none(),
@@ -160,24 +165,28 @@
     );
 }
 
-/// The log holds only keys, so long configurations don't reduce the number of changes kept. A log limited to 256 kB of
-/// values held a single change of 1,450 routes, and followers were sent everything after it.
+/// The log holds only keys, so long configurations don't reduce the number of changes in it. A log limited to 256 kB of
+/// values would hold a single change of 1,450 routes, and followers that lack more would be sent everything.
 #[gtest]
 fn long_values_do_not_shorten_the_log() {
     let mut copy = StoreCopy::default();
     copy.apply(full(&[item("a", "v", 3)], 10));
     for revision in 11..30 {
-        let long = format!("{revision} {}", "x".repeat(1 << 20));
-        let event = StoreEvent::Written(item("config", &long, revision));
+        let long_text = format!("{revision} {}", "x".repeat(1 << 20));
+        let event = StoreEvent::Written(item("config", &long_text, revision));
         copy.apply(changes(&[event], revision - 1, revision));
     }
-    let sent = copy.changes_since(StoreRevision::new(10));
-    let sent = sent.map(|events| events.iter().map(StoreEvent::revision).collect::<Vec<_>>());
-    expect_that!(sent, some(elements_are![eq(&StoreRevision::new(29))]));
+    let sent_events = copy.changes_since(StoreRevision::new(10));
+    let sent_events =
+        sent_events.map(|events| events.iter().map(StoreEvent::revision).collect::<Vec<_>>());
+    expect_that!(
+        sent_events,
+        some(elements_are![eq(&StoreRevision::new(29))])
+    );
 }
 
-/// Changes are applied in random order, late, in part or repeatedly. A copy always equals the store at the copy's
-/// complete revision, except for single keys that are newer and correct as well.
+/// Applies changes to several copies in random order, late, in part or repeatedly. Each copy must always equal the
+/// store at the copy's complete revision, except that a key may be as it was in the store at a later revision.
 #[gtest]
 fn a_copy_equals_the_store_at_its_revision() {
     for seed in 0..300 {
@@ -191,29 +200,34 @@
         for _step in 0..80 {
             let revision = log.len() as u64 + 1;
             let key = KEYS[rng.random_range(0..KEYS.len())];
-            let is_there = state(&log, revision).contains_key(key);
-            if is_there && rng.random_bool(0.5) {
+            let exists = items_at(&log, revision).contains_key(key);
+            if exists && rng.random_bool(0.5) {
                 log.push(removed(key, revision));
             } else {
                 log.push(written(key, revision));
             }
-            let index = rng.random_range(0..3);
-            let from = rng.random_range(0..=log.len() as u64);
-            let until = rng.random_range(from..=log.len() as u64);
-            let other = rng.random_range(0..3);
+            let target_index = rng.random_range(0..3);
+            let first_revision = rng.random_range(0..=log.len() as u64);
+            let last_revision = rng.random_range(first_revision..=log.len() as u64);
+            let source_index = rng.random_range(0..3);
             let change = match rng.random_range(0..3) {
                 0 => CopyChange::Full {
-                    items: read_in_pages(&log, until, &mut rng),
-                    revision: StoreRevision::new(until),
+                    items: read_in_pages(&log, last_revision, &mut rng),
+                    revision: StoreRevision::new(last_revision),
                 },
                 1 => CopyChange::Changes {
-                    events: newest_events(log[from as usize..until as usize].to_vec()),
-                    since: StoreRevision::new(from),
-                    revision: StoreRevision::new(until),
+                    events: newest_events(
+                        log[first_revision as usize..last_revision as usize].to_vec(),
+                    ),
+                    base_revision: StoreRevision::new(first_revision),
+                    revision: StoreRevision::new(last_revision),
                 },
-                _ => changes_to_send(&copies[other], copies[index].complete_revision()),
+                _ => changes_to_send(
+                    &copies[source_index],
+                    copies[target_index].complete_revision(),
+                ),
             };
-            copies[index].apply(change);
+            copies[target_index].apply(change);
             for copy in &copies {
                 check(copy, &log, seed);
             }
@@ -221,37 +235,38 @@
     }
 }
 
-/// Returns each key as of a random time after the read of the first page.
-fn read_in_pages(log: &[StoreEvent], first: u64, rng: &mut ChaCha8Rng) -> Vec<StoreItem> {
+/// Returns the result of a page read that starts at `first_revision`: each key as of a random revision since then.
+fn read_in_pages(log: &[StoreEvent], first_revision: u64, rng: &mut ChaCha8Rng) -> Vec<StoreItem> {
     let mut items = Vec::new();
     for key in KEYS {
-        let read = rng.random_range(first..=log.len() as u64);
-        items.extend(state(log, read).remove(key));
+        let read_revision = rng.random_range(first_revision..=log.len() as u64);
+        items.extend(items_at(log, read_revision).remove(key));
     }
     items
 }
 
-/// Returns the changes that a follower is sent.
-fn changes_to_send(from: &StoreCopy, known: StoreRevision) -> CopyChange {
-    let revision = from.complete_revision();
-    match from.changes_since(known) {
+/// Returns what `source` sends a follower that has applied every change up to `known_revision`.
+fn changes_to_send(source: &StoreCopy, known_revision: StoreRevision) -> CopyChange {
+    let revision = source.complete_revision();
+    match source.changes_since(known_revision) {
         Some(events) => CopyChange::Changes {
             events,
-            since: known,
+            base_revision: known_revision,
             revision,
         },
         None => CopyChange::Full {
-            items: from.items().cloned().collect(),
+            items: source.items().cloned().collect(),
             revision,
         },
     }
 }
 
-fn state(log: &[StoreEvent], until: u64) -> BTreeMap<CompactString, StoreItem> {
+/// Returns the store's items at a revision, given all changes in the order of their revisions.
+fn items_at(log: &[StoreEvent], revision: u64) -> BTreeMap<CompactString, StoreItem> {
     let mut items = BTreeMap::new();
     for event in log
         .iter()
-        .filter(|event| event.revision().number() <= until)
+        .filter(|event| event.revision().number() <= revision)
     {
         match event {
             StoreEvent::Written(item) => items.insert(item.key.clone(), item.clone()),
@@ -263,19 +278,20 @@
 
 /// Checks that each key is as it was in the store at some revision at or after the complete revision.
 fn check(copy: &StoreCopy, log: &[StoreEvent], seed: u64) {
-    let later = copy.complete_revision().number()..=log.len() as u64;
-    let states: Vec<_> = later.map(|until| state(log, until)).collect();
+    let revisions = copy.complete_revision().number()..=log.len() as u64;
+    let contents: Vec<_> = revisions.map(|revision| items_at(log, revision)).collect();
     for key in KEYS {
-        let held = copy.items.get(key);
-        let is_true = states.iter().any(|state| state.get(key) == held);
-        expect_that!(is_true, eq(true), "seed {seed}: {key} is {held:?}");
+        let held_item = copy.items.get(key);
+        let is_correct = contents.iter().any(|items| items.get(key) == held_item);
+        expect_that!(is_correct, eq(true), "seed {seed}: {key} is {held_item:?}");
     }
 }
 
-/// A follower must receive changes that its source read ahead. A VM reads the store in pages while it changes, and its
-/// follower knows the store up to some revision from elsewhere. An item of a late page is newer than the revision of
-/// the read: the first VM already holds it when the change itself arrives, but the follower still has to receive it
-/// then. In one of 4,000 fleet histories a VM permanently lacked such an entry, and so did all of its followers.
+/// A follower must receive the changes that its source read ahead. A source reads the store in pages while it changes,
+/// and its follower knows the store up to some revision from elsewhere. An item of a late page is newer than the
+/// revision of the read: the source already holds it when the change itself arrives, but the follower still has to
+/// receive it then. Otherwise the follower and all VMs that follow it lack the item permanently, which happened in one
+/// of 4,000 random histories of a fleet.
 #[gtest]
 fn a_follower_receives_changes_that_its_source_read_ahead() {
     for seed in 0..200 {
@@ -288,16 +304,16 @@
             log.push(written(KEYS[rng.random_range(0..KEYS.len())], revision));
             if rng.random_bool(0.2) {
                 follower.apply(CopyChange::Full {
-                    items: state(&log, revision).into_values().collect(),
+                    items: items_at(&log, revision).into_values().collect(),
                     revision: StoreRevision::new(revision),
                 });
             }
             if rng.random_bool(0.1) {
                 mirror.read_anew();
             }
-            let since = mirror.revision();
-            let change = call(&mut mirror, &log);
-            let is_watch = mirror.is_following() && since > StoreRevision::ABSENT;
+            let base_revision = mirror.revision();
+            let change = make_call(&mut mirror, &log);
+            let is_watch = mirror.is_following() && base_revision > StoreRevision::ABSENT;
             let revision = mirror.revision();
             match change {
                 Some(MirrorChange::Replaced(items)) => {
@@ -306,7 +322,7 @@
                 Some(MirrorChange::Changed(events)) if is_watch => {
                     let change = CopyChange::Changes {
                         events,
-                        since,
+                        base_revision,
                         revision,
                     };
                     expect_that!(source.apply(change).result, ok(eq(())), "seed {seed}");
@@ -322,16 +338,17 @@
     }
 }
 
-/// Makes one call to a store with a history, in pages of a single item.
-fn call(mirror: &mut MirrorState, log: &[StoreEvent]) -> Option<MirrorChange> {
+/// Makes the call to the store that `mirror` needs next, a page read of a single item or a watch, and returns the
+/// change that `mirror` derives from the response. `log` holds all changes of the store.
+fn make_call(mirror: &mut MirrorState, log: &[StoreEvent]) -> Option<MirrorChange> {
     let revision = StoreRevision::new(log.len() as u64);
     match mirror.next_step() {
         MirrorStep::Read { after } => {
-            let items = state(log, revision.number()).into_values();
-            let mut later =
+            let items = items_at(log, revision.number()).into_values();
+            let mut remaining_items =
                 items.filter(|item| after.as_ref().is_none_or(|after| item.key > *after));
-            let items: Vec<_> = later.by_ref().take(1).collect();
-            let more = later.next().is_some();
+            let items: Vec<_> = remaining_items.by_ref().take(1).collect();
+            let more = remaining_items.next().is_some();
             mirror.take_page(StorePage {
                 items,
                 more,
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -1,5 +1,5 @@
-//! Tracks the VMs that follow this one: the replication position of each, its transfer, and the order in which they are
-//! served.
+//! Tracks the VMs that follow this one: up to which revision each has the changes, the transfer to it, and the order in
+//! which followers are served.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -15,75 +15,86 @@
 use crate::store::StoreRevision;
 use crate::wire::{LinkSender, PeerMessage};
 
-/// Maximum number of long transfers at the same time. With their windows they put at most 128 kB on a link at once,
-/// 75 ms at 14 Mbit/s. Followers that wait need only one transfer for everything that changes in the meantime.
+/// Maximum number of transfers of more than one chunk at the same time. With their windows they put at most 128 kB on a
+/// link at once, 75 ms at 14 Mbit/s. Followers that wait need only one transfer for everything that changes in the
+/// meantime.
 const MAX_TRANSFERS: usize = 4;
 
-/// A transfer to a follower, and the follower's position after it.
+/// A transfer to a follower.
 #[derive(Debug)]
 struct FollowerTransfer {
+    /// Number of the transfer, unique within the process.
     number: u64,
-    transfer: OutgoingTransfer,
-    position: FollowerPosition,
-    /// When the content was known to be up to date.
-    proof: Instant,
-    started: Instant,
+    outgoing_transfer: OutgoingTransfer,
+    /// The follower's position once it has received the transfer.
+    end_position: FollowerPosition,
+    /// The time as of which the content was up to date.
+    up_to_date_at: Instant,
+    started_at: Instant,
 }
 
-/// The replication position of a follower.
+/// What a follower has: the revision up to which it is complete, and its long values.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct FollowerPosition {
     /// The revision up to which the follower has applied every change.
     revision: StoreRevision,
     /// The long values that the follower holds.
-    held: HeldValues,
+    held_values: HeldValues,
 }
 
 /// A VM that follows this one.
 #[derive(Debug)]
 struct MirrorFollower {
     link: LinkSender,
+    /// What the follower is known to have.
     position: FollowerPosition,
     /// Number of the last poll, and when it was received.
-    poll: (u64, Instant),
+    last_poll: (u64, Instant),
+    /// The transfer to the follower that is under way.
     transfer: Option<FollowerTransfer>,
     /// Since when the follower has lacked changes.
     behind_since: Option<Instant>,
 }
 
-/// Content encoded for all followers at the same position.
+/// The changes that all followers at the same position lack, encoded.
 #[derive(Debug)]
 struct CachedContent {
+    /// The position of these followers.
     position: FollowerPosition,
+    /// The last revision that the content covers, inclusive.
     revision: StoreRevision,
+    /// The encoded content.
     bytes: Bytes,
 }
 
-/// The revision up to which the copy is complete, and when it was last known to be up to date; none if that is too long
-/// ago.
+/// The state of this VM's copy of the store.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CopyState {
+    /// The revision up to which the copy is complete.
     pub(super) revision: StoreRevision,
-    pub(super) proof: Option<Instant>,
+    /// The time as of which the copy was last known to be up to date; none if the copy is stale.
+    pub(super) up_to_date_at: Option<Instant>,
 }
 
 /// All followers, by session.
 #[derive(Debug)]
 pub(super) struct FollowerTable {
     followers: BTreeMap<SessionId, MirrorFollower>,
+    /// Number of the last transfer; 0 before the first.
     last_transfer: u64,
     /// The content encoded last, cached because most followers lack the same changes.
-    cached: Option<CachedContent>,
+    cached_content: Option<CachedContent>,
+    /// Counts the bytes of completed transfers.
     sent_bytes: Counter,
 }
 
 impl FollowerTable {
-    /// Creates an empty table; `sent_bytes` counts the bytes sent to followers.
+    /// Creates an empty table; `sent_bytes` counts the bytes of completed transfers.
     pub(super) fn new(sent_bytes: Counter) -> Self {
         Self {
             followers: BTreeMap::new(),
             last_transfer: 0,
-            cached: None,
+            cached_content: None,
             sent_bytes,
         }
     }
@@ -93,19 +104,23 @@
         self.followers.is_empty()
     }
 
-    /// Records a poll. The position that it states is adopted unless a transfer to the follower is under way.
+    /// Records a poll of a follower. The position that it states is adopted unless it is behind the known one or a
+    /// transfer to the follower is under way.
     pub(super) fn record_poll(
         &mut self,
         peer: SessionId,
         link: LinkSender,
-        (revision, held): (StoreRevision, HeldValues),
-        poll: (u64, Instant),
+        (revision, held_values): (StoreRevision, HeldValues),
+        last_poll: (u64, Instant),
     ) {
-        let position = FollowerPosition { revision, held };
-        let existing = self.followers.get_mut(&peer);
+        let position = FollowerPosition {
+            revision,
+            held_values,
+        };
+        let known_follower = self.followers.get_mut(&peer);
         // Data sent over an earlier link may be lost, so a poll over a new link replaces the follower's entry.
-        if let Some(follower) = existing.filter(|follower| follower.link.is_same(&link)) {
-            follower.poll = poll;
+        if let Some(follower) = known_follower.filter(|follower| follower.link.is_same(&link)) {
+            follower.last_poll = last_poll;
             if follower.transfer.is_none() && position.revision >= follower.position.revision {
                 follower.position = position;
             }
@@ -114,7 +129,7 @@
         let follower = MirrorFollower {
             link,
             position,
-            poll,
+            last_poll,
             transfer: None,
             behind_since: None,
         };
@@ -126,28 +141,35 @@
         self.followers.remove(&peer);
     }
 
-    /// Handles an acknowledgement. Once the whole transfer is acknowledged, sends the follower the time at which its
-    /// content was known to be up to date.
-    pub(super) fn note_acked(&mut self, peer: SessionId, number: u64, bytes: usize, now: Instant) {
+    /// Handles a follower's acknowledgement of the first `acked_bytes` bytes of transfer `number`, and sends the next
+    /// chunks. Once the whole transfer is acknowledged, sends the time as of which its content was up to date instead.
+    pub(super) fn note_acked(
+        &mut self,
+        peer: SessionId,
+        number: u64,
+        acked_bytes: usize,
+        now: Instant,
+    ) {
         let Some(follower) = self.followers.get_mut(&peer) else {
             return;
         };
-        let open = follower.transfer.as_mut();
-        let Some(open) = open.filter(|open| open.number == number) else {
+        let transfer = follower.transfer.as_mut();
+        let Some(transfer) = transfer.filter(|transfer| transfer.number == number) else {
             return;
         };
-        if !open.transfer.note_acked(bytes, now) {
+        if !transfer.outgoing_transfer.note_acked(acked_bytes, now) {
             follower.send_chunks();
             return;
         }
-        let Some(done) = follower.transfer.take() else {
+        let Some(finished_transfer) = follower.transfer.take() else {
             return;
         };
-        done.log(peer, now);
-        self.sent_bytes.inc_by(done.transfer.total() as u64);
-        follower.position = done.position;
+        finished_transfer.log_completion(peer, now);
+        self.sent_bytes
+            .inc_by(finished_transfer.outgoing_transfer.total_bytes() as u64);
+        follower.position = finished_transfer.end_position;
         follower.behind_since = None;
-        follower.send_state(follower.up_to_date(done.proof));
+        follower.send_state(follower.up_to_date_state(finished_transfer.up_to_date_at));
     }
 
     /// Sends this VM's state to one follower, in response to a poll.
@@ -157,78 +179,85 @@
         }
     }
 
-    /// Sends this VM's state to all followers after its proof of freshness was renewed.
+    /// Sends this VM's state to all followers, after its copy was confirmed to be up to date.
     pub(super) fn send_state_to_all(&self, copy: &CopyState) {
         for follower in self.followers.values() {
             follower.send_state(follower.source_state(copy));
         }
     }
 
-    /// Sends followers the changes that they lack: short messages at once, long ones a few at a time. Followers whose
-    /// links are closed are removed; they poll again over a new link.
-    pub(super) fn send_updates(&mut self, copy: &StoreCopy, proof: Instant, now: Instant) {
+    /// Sends followers the changes that they lack: messages of one chunk at once, longer ones to a few followers at a
+    /// time. `up_to_date_at` is the time as of which the copy was up to date. Followers whose links are closed are
+    /// removed; they poll again over a new link.
+    pub(super) fn send_updates(&mut self, copy: &StoreCopy, up_to_date_at: Instant, now: Instant) {
         let complete_revision = copy.complete_revision();
-        let mut behind = Vec::new();
-        let mut active = 0;
+        let mut waiting_followers = Vec::new();
+        let mut active_transfers = 0;
         for (peer, follower) in &mut self.followers {
-            if let Some(open) = &follower.transfer {
-                active += usize::from(open.transfer.is_progressing(now));
+            if let Some(transfer) = &follower.transfer {
+                active_transfers += usize::from(transfer.outgoing_transfer.is_progressing(now));
                 continue;
             }
             if follower.position.revision >= complete_revision {
                 continue;
             }
-            let since = *follower.behind_since.get_or_insert(now);
-            behind.push((since, *peer));
+            let behind_since = *follower.behind_since.get_or_insert(now);
+            waiting_followers.push((behind_since, *peer));
         }
-        if behind.is_empty() {
-            self.cached = None;
+        if waiting_followers.is_empty() {
+            self.cached_content = None;
         } else {
-            self.start_transfers(behind, active, copy, (proof, now));
+            self.start_transfers(
+                waiting_followers,
+                active_transfers,
+                copy,
+                (up_to_date_at, now),
+            );
         }
         self.followers
             .retain(|_peer, follower| !follower.link.is_closed());
     }
 
-    /// Starts transfers to followers that lack changes, beginning with those that have waited longest.
+    /// Starts transfers to followers that lack changes, beginning with those that have waited longest. `times` are the
+    /// time as of which the copy was up to date, and the current time.
     fn start_transfers(
         &mut self,
-        mut behind: Vec<(Instant, SessionId)>,
-        mut active: usize,
+        mut waiting_followers: Vec<(Instant, SessionId)>,
+        mut active_transfers: usize,
         copy: &StoreCopy,
         times: (Instant, Instant),
     ) {
-        let position = FollowerPosition {
+        let end_position = FollowerPosition {
             revision: copy.complete_revision(),
-            held: held_values(copy),
+            held_values: held_values(copy),
         };
-        behind.sort_unstable();
-        for (_since, peer) in behind {
+        waiting_followers.sort_unstable();
+        for (_behind_since, peer) in waiting_followers {
             let Some(bytes) = self.pending_content(copy, peer) else {
                 continue;
             };
-            let long = bytes.len() > CHUNK_BYTES;
-            if long && active >= MAX_TRANSFERS {
+            let is_long = bytes.len() > CHUNK_BYTES;
+            if is_long && active_transfers >= MAX_TRANSFERS {
                 continue;
             }
-            active += usize::from(long);
-            self.start_transfer(peer, bytes, position.clone(), times);
+            active_transfers += usize::from(is_long);
+            self.start_transfer(peer, bytes, end_position.clone(), times);
         }
     }
 
-    /// Returns the encoded changes that a follower lacks.
+    /// Returns the encoded changes that a follower lacks; none if it is unknown or they can't be encoded.
     fn pending_content(&mut self, copy: &StoreCopy, peer: SessionId) -> Option<Bytes> {
         let position = &self.followers.get(&peer)?.position;
         let revision = copy.complete_revision();
-        if let Some(cached) = &self.cached
+        if let Some(cached) = &self.cached_content
             && cached.position == *position
             && cached.revision == revision
         {
             return Some(cached.bytes.clone());
         }
-        match encode_content(copy, position.revision, &position.held) {
+        match encode_content(copy, position.revision, &position.held_values) {
             Ok(bytes) => {
-                self.cached = Some(CachedContent {
+                self.cached_content = Some(CachedContent {
                     position: position.clone(),
                     revision,
                     bytes: bytes.clone(),
@@ -248,8 +277,8 @@
         &mut self,
         peer: SessionId,
         bytes: Bytes,
-        position: FollowerPosition,
-        (proof, now): (Instant, Instant),
+        end_position: FollowerPosition,
+        (up_to_date_at, now): (Instant, Instant),
     ) {
         let Some(follower) = self.followers.get_mut(&peer) else {
             return;
@@ -257,42 +286,44 @@
         self.last_transfer += 1;
         follower.transfer = Some(FollowerTransfer {
             number: self.last_transfer,
-            transfer: OutgoingTransfer::new(bytes, now),
-            position,
-            proof,
-            started: now,
+            outgoing_transfer: OutgoingTransfer::new(bytes, now),
+            end_position,
+            up_to_date_at,
+            started_at: now,
         });
         follower.send_chunks();
     }
 }
 
 impl FollowerTransfer {
-    fn log(&self, peer: SessionId, now: Instant) {
-        if self.transfer.total() <= CHUNK_BYTES {
+    /// Logs that the transfer was received, unless it was a single chunk.
+    fn log_completion(&self, peer: SessionId, now: Instant) {
+        if self.outgoing_transfer.total_bytes() <= CHUNK_BYTES {
             return;
         }
         log::info!(
             target: "ebonyfork::decision",
             "store told vm={} revision={} bytes={} took_ms={}",
             peer.vm,
-            self.position.revision,
-            self.transfer.total(),
-            now.saturating_duration_since(self.started).as_millis()
+            self.end_position.revision,
+            self.outgoing_transfer.total_bytes(),
+            now.saturating_duration_since(self.started_at).as_millis()
         );
     }
 }
 
 impl MirrorFollower {
+    /// Sends the chunks that the transfer's window allows.
     fn send_chunks(&mut self) {
-        let Some(open) = &mut self.transfer else {
+        let Some(transfer) = &mut self.transfer else {
             return;
         };
-        let total = open.transfer.total() as u32;
-        while let Some(chunk) = open.transfer.next_chunk() {
+        let total_bytes = transfer.outgoing_transfer.total_bytes() as u32;
+        while let Some(chunk) = transfer.outgoing_transfer.next_chunk() {
             let message = MirrorMessage::Chunk {
-                transfer: open.number,
+                transfer: transfer.number,
                 offset: chunk.offset as u32,
-                total,
+                total_bytes,
                 bytes: chunk.bytes,
             };
             send(&self.link, message);
@@ -301,26 +332,28 @@
 
     /// Returns this VM's state as reported to the follower.
     fn source_state(&self, copy: &CopyState) -> SourceState {
-        match copy.proof {
+        match copy.up_to_date_at {
             None => SourceState::Stale,
-            Some(proof) if self.transfer.is_none() && self.position.revision >= copy.revision => {
-                self.up_to_date(proof)
+            Some(up_to_date_at)
+                if self.transfer.is_none() && self.position.revision >= copy.revision =>
+            {
+                self.up_to_date_state(up_to_date_at)
             }
-            Some(_proof) => SourceState::Sending,
+            Some(_up_to_date_at) => SourceState::Sending,
         }
     }
 
-    /// Returns the state which tells the follower that it has everything as of the time `proof`.
-    fn up_to_date(&self, proof: Instant) -> SourceState {
-        let (_poll, polled_at) = self.poll;
+    /// Returns the state which tells the follower that it has everything that the store held at `up_to_date_at`.
+    fn up_to_date_state(&self, up_to_date_at: Instant) -> SourceState {
+        let (_poll, polled_at) = self.last_poll;
         SourceState::UpToDate {
             revision: self.position.revision,
-            proof_ms: offset_ms(polled_at, proof),
+            up_to_date_ms: offset_ms(polled_at, up_to_date_at),
         }
     }
 
     fn send_state(&self, state: SourceState) {
-        let (poll, _polled_at) = self.poll;
+        let (poll, _polled_at) = self.last_poll;
         send(&self.link, MirrorMessage::State { poll, state });
     }
 }
@@ -328,7 +361,7 @@
 /// Returns the milliseconds from one time to another, rounded down.
 fn offset_ms(from: Instant, to: Instant) -> i64 {
     match to.checked_duration_since(from) {
-        Some(later) => later.as_millis() as i64,
+        Some(duration) => duration.as_millis() as i64,
         None => -(from.duration_since(to).as_millis() as i64) - 1,
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/history_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history_tests.rs
@@ -4,7 +4,7 @@
 use crate::gateway::fixture::item;
 use crate::gateway::mirror::pack::expand;
 
-fn value(lines: u64) -> String {
+fn value_with_lines(lines: u64) -> String {
     let mut text = String::new();
     for line in 0..lines {
         text.push_str("a line that is like others, but for ");
@@ -14,29 +14,29 @@
     text
 }
 
-fn history(until: u64) -> PatchHistory {
+fn history_until(last_revision: u64) -> PatchHistory {
     let mut history = PatchHistory::default();
-    for revision in 2..=until {
-        let old = item("config", &value(100 + revision), revision - 1);
-        let new = item("config", &value(101 + revision), revision);
-        history.record(&old, &new);
+    for revision in 2..=last_revision {
+        let old_item = item("config", &value_with_lines(100 + revision), revision - 1);
+        let new_item = item("config", &value_with_lines(101 + revision), revision);
+        history.record(&old_item, &new_item);
     }
     history
 }
 
 #[gtest]
 fn patches_lead_from_an_older_value_to_the_newest() {
-    let history = history(5);
+    let history = history_until(5);
     let key = CompactString::from("config");
     let patches = history
         .between(&key, StoreRevision::new(2), StoreRevision::new(5))
         .expect("all patches are kept");
-    let mut bytes = Bytes::from(value(103));
+    let mut bytes = Bytes::from(value_with_lines(103));
     for patch in &patches {
         bytes = expand(&bytes, &patch.bytes, patch.size).expect("the right base");
     }
     expect_that!(patches.len(), eq(3));
-    expect_that!(bytes == value(106), eq(true));
+    expect_that!(bytes == value_with_lines(106), eq(true));
     let between = |base, revision| {
         history.between(&key, StoreRevision::new(base), StoreRevision::new(revision))
     };
@@ -51,10 +51,10 @@
 
 #[gtest]
 fn a_gap_starts_a_new_chain() {
-    let mut history = history(5);
+    let mut history = history_until(5);
     history.record(
-        &item("config", &value(200), 7),
-        &item("config", &value(201), 8),
+        &item("config", &value_with_lines(200), 7),
+        &item("config", &value_with_lines(201), 8),
     );
     let key = CompactString::from("config");
     expect_that!(
@@ -75,10 +75,13 @@
 /// A chain of patches longer than the compressed value would waste bandwidth and memory.
 #[gtest]
 fn patch_chains_are_bounded_by_the_value_length() {
-    let history = history(400);
+    let history = history_until(400);
     let key = CompactString::from("config");
     let chain = &history.chains[&key];
-    let total: usize = chain.iter().map(|patch| patch.bytes.len()).sum();
-    expect_that!(total, le(value(501).len() / PATCH_BUDGET_DIVISOR));
+    let total_bytes: usize = chain.iter().map(|patch| patch.bytes.len()).sum();
+    expect_that!(
+        total_bytes,
+        le(value_with_lines(501).len() / PATCH_BUDGET_DIVISOR)
+    );
     expect_that!(chain.len(), gt(1));
 }
--- a/crates/ebonyfork/src/gateway/mirror/message.rs
+++ b/crates/ebonyfork/src/gateway/mirror/message.rs
@@ -6,18 +6,18 @@
 use super::content::HeldValues;
 use crate::store::StoreRevision;
 
-/// State of a followed VM with respect to one follower.
+/// How much a followed VM has sent to one follower, and as of when that was complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SourceState {
     /// The follower has received everything up to a revision.
     UpToDate {
         /// The revision up to which everything was sent.
         revision: StoreRevision,
-        /// Milliseconds from the time at which the poll was received to the time as of which the store held nothing
-        /// newer; negative if that was earlier.
-        proof_ms: i64,
+        /// Milliseconds from the receipt of the last poll to the latest time at which the store is known to have held
+        /// nothing newer than `revision`; negative if that time is before the receipt.
+        up_to_date_ms: i64,
     },
-    /// Changes are being sent or waiting to be sent.
+    /// Changes that the follower lacks are being sent or waiting to be sent.
     Sending,
     /// The followed VM's own copy is stale; another VM may have a newer one.
     Stale,
@@ -26,42 +26,42 @@
 /// A message about the store's changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MirrorMessage {
-    /// Polls for changes after the sender's position and for the age of the proof behind them. It is repeated for as
-    /// long as the sender follows.
+    /// Asks for the changes after the sender's revision, and for the time as of which the receiver's copy was up to
+    /// date. The sender repeats it for as long as it follows the receiver.
     Follow {
         /// The revision up to which the sender has applied every change.
-        known: StoreRevision,
+        known_revision: StoreRevision,
         /// The long values that the sender holds.
-        held: HeldValues,
-        /// Number of the poll, which responses refer to.
+        held_values: HeldValues,
+        /// Number of the poll. The receiver's state repeats it.
         poll: u64,
     },
     /// Stops following: the sender needs no further changes.
     Leave,
     /// A chunk of a transfer to the receiver.
     Chunk {
-        /// Number of the transfer.
+        /// Number that the sender assigned to the transfer.
         transfer: u64,
         /// Offset of the chunk in the transfer, in bytes.
         offset: u32,
-        /// Length of the whole transfer in bytes.
-        total: u32,
+        /// Size of the whole transfer in bytes.
+        total_bytes: u32,
         /// The bytes of the chunk.
         bytes: Bytes,
     },
     /// Acknowledges received chunks, so that the next ones may be sent.
     Ack {
-        /// Number of the transfer.
+        /// Number of the transfer, as stated in its chunks.
         transfer: u64,
-        /// Bytes of the transfer received so far.
-        bytes: u32,
+        /// Number of bytes of the transfer received so far.
+        received_bytes: u32,
     },
-    /// States how far the sender has come. It is sent in response to a poll, at the end of a transfer, and when the
-    /// sender's proof of freshness is renewed.
+    /// States how much the sender has sent to the receiver, and as of when that was complete. It is sent in response to
+    /// a poll, at the end of a transfer, and when the sender learns that its copy is still up to date.
     State {
-        /// Number of the last poll received.
+        /// Number of the last poll that the sender received.
         poll: u64,
-        /// The sender's state.
+        /// The sender's state with respect to the receiver.
         state: SourceState,
     },
 }
--- a/crates/ebonyfork/src/gateway/mirror/mod.rs
+++ b/crates/ebonyfork/src/gateway/mirror/mod.rs
@@ -1,9 +1,9 @@
 //! Replicates the store to this VM and to the VMs that follow it.
 //!
-//! [`copy::StoreCopy`] holds this VM's copy of the store, and [`FreshnessTimings`] limits how old the proof of its
-//! freshness may be. [`MirrorRelay`] shares the copy with the VMs that follow this one: a [`followers::FollowerTable`]
-//! tracks and schedules them, [`content`] encodes what each of them lacks, and [`transfer`] sends that in chunks. The
-//! module `follow` selects the source of the changes.
+//! [`copy::StoreCopy`] holds this VM's copy of the store, and [`FreshnessTimings`] limits for how long it counts as up
+//! to date without confirmation. [`MirrorRelay`] shares the copy with the VMs that follow this one: a
+//! [`followers::FollowerTable`] tracks and schedules them, [`content`] encodes what each of them lacks, and
+//! [`transfer`] sends that in chunks. The module `follow` selects the source of the changes.
 
 mod content;
 mod copy;
--- a/crates/ebonyfork/src/gateway/mirror/pack.rs
+++ b/crates/ebonyfork/src/gateway/mirror/pack.rs
@@ -11,8 +11,8 @@
 /// zstd level. Ten changed lines in a value of 1.1 MB take 268 bytes at level 4 and 9.5 kB at level 3; at level 1 one
 /// route among 2,850 takes 36 kB.
 const COMPRESSION_LEVEL: i32 = 4;
-/// Maximum length of a message or value received from another VM: enough for a full copy of the store that includes a
-/// value of 1 MB.
+/// Maximum size of an uncompressed message or value from another VM: enough for a full copy of the store that includes
+/// a value of 1 MB.
 pub const MAX_EXPANDED_BYTES: usize = 16 * 1024 * 1024;
 
 /// Why compression or decompression failed.
@@ -21,24 +21,24 @@
     /// The zstd library reported an error.
     #[snafu(display("can't compress or decompress {size} bytes: {source}"))]
     Codec {
-        /// Length of the uncompressed value in bytes.
+        /// Size of the uncompressed value in bytes.
         size: usize,
         /// The cause.
         source: std::io::Error,
     },
-    /// The uncompressed value exceeds the maximum length.
+    /// The uncompressed value exceeds [`MAX_EXPANDED_BYTES`].
     #[snafu(display("{size} bytes exceed the limit of {MAX_EXPANDED_BYTES} bytes"))]
-    TooLong {
-        /// Length of the uncompressed value in bytes.
+    TooLarge {
+        /// Size of the uncompressed value in bytes.
         size: usize,
     },
-    /// The decompressed value does not have the stated length.
-    #[snafu(display("decompressed to {found} bytes instead of {size}"))]
-    LengthMismatch {
-        /// Stated length in bytes.
+    /// The decompressed value does not have the size that the sender stated.
+    #[snafu(display("decompressed to {actual_size} bytes instead of {size}"))]
+    SizeMismatch {
+        /// Size of the uncompressed value as stated by the sender, in bytes.
         size: usize,
-        /// Actual length in bytes.
-        found: usize,
+        /// Size of the decompressed value in bytes.
+        actual_size: usize,
     },
 }
 
@@ -46,30 +46,30 @@
 pub fn compress(base: &[u8], bytes: &[u8]) -> Result<Bytes, PackError> {
     let size = bytes.len();
     if size > MAX_EXPANDED_BYTES {
-        return TooLongSnafu { size }.fail();
+        return TooLargeSnafu { size }.fail();
     }
     let mut compressor =
         Compressor::with_dictionary(COMPRESSION_LEVEL, base).context(CodecSnafu { size })?;
-    // The checksum detects a receiver whose base differs.
+    // The checksum lets the receiver detect that its base differs from the sender's.
     compressor
         .include_checksum(true)
         .context(CodecSnafu { size })?;
-    let packed = compressor.compress(bytes).context(CodecSnafu { size })?;
-    Ok(packed.into())
+    let packed_bytes = compressor.compress(bytes).context(CodecSnafu { size })?;
+    Ok(packed_bytes.into())
 }
 
-/// Decompresses `packed`, which was compressed against `base`, to a value of `size` bytes.
-pub fn expand(base: &[u8], packed: &[u8], size: usize) -> Result<Bytes, PackError> {
+/// Decompresses `packed_bytes`, which was compressed against `base`, to a value of `size` bytes.
+pub fn expand(base: &[u8], packed_bytes: &[u8], size: usize) -> Result<Bytes, PackError> {
     if size > MAX_EXPANDED_BYTES {
-        return TooLongSnafu { size }.fail();
+        return TooLargeSnafu { size }.fail();
     }
     let mut decompressor = Decompressor::with_dictionary(base).context(CodecSnafu { size })?;
     let bytes = decompressor
-        .decompress(packed, size)
+        .decompress(packed_bytes, size)
         .context(CodecSnafu { size })?;
     if bytes.len() != size {
-        let found = bytes.len();
-        return LengthMismatchSnafu { size, found }.fail();
+        let actual_size = bytes.len();
+        return SizeMismatchSnafu { size, actual_size }.fail();
     }
     Ok(bytes.into())
 }
--- a/crates/ebonyfork/src/gateway/mirror/relay.rs
+++ b/crates/ebonyfork/src/gateway/mirror/relay.rs
@@ -13,38 +13,43 @@
 use crate::ident::VmAddress;
 use crate::wire::LinkSender;
 
-/// The copy of the store, its followers, and the sink for messages from followed VMs.
+/// The copy of the store, the VMs that follow this one, and where messages from followed VMs are delivered.
 #[derive(Debug)]
 pub struct MirrorRelay {
     copy: RefCell<StoreCopy>,
     /// When the copy was last known to be up to date.
-    proof: Cell<Option<Instant>>,
-    /// Age of the proof from which followers are only told that the copy is stale.
-    limit: Duration,
+    up_to_date_at: Cell<Option<Instant>>,
+    /// Age from which the copy counts as stale. Followers are sent no changes from a stale copy.
+    max_age: Duration,
     followers: RefCell<FollowerTable>,
-    messages: RefCell<Option<UnboundedSender<(VmAddress, MirrorMessage)>>>,
+    /// Where messages from followed VMs are sent, each with its sender; none until this VM starts following.
+    message_sink: RefCell<Option<UnboundedSender<(VmAddress, MirrorMessage)>>>,
 }
 
 impl MirrorRelay {
-    /// Creates a relay with an empty copy; `limit` is the age of the proof from which the copy counts as stale,
-    /// `sent_bytes` counts the bytes sent to followers.
-    pub fn new(limit: Duration, sent_bytes: Counter) -> Self {
+    /// Creates a relay with an empty copy; `max_age` is the age from which the copy counts as stale, `sent_bytes`
+    /// counts the bytes sent to followers.
+    pub fn new(max_age: Duration, sent_bytes: Counter) -> Self {
         Self {
             copy: RefCell::default(),
-            proof: Cell::default(),
-            limit,
+            up_to_date_at: Cell::default(),
+            max_age,
             followers: RefCell::new(FollowerTable::new(sent_bytes)),
-            messages: RefCell::default(),
+            message_sink: RefCell::default(),
         }
     }
 
-    /// Handles a message from another VM.
+    /// Handles a message from a follower or from the followed VM, whose messages are delivered to the message sink.
     pub fn take_message(&self, from: LinkSender, message: MirrorMessage) {
         let Some(peer) = from.peer() else { return };
         let mut followers = self.followers.borrow_mut();
         match message {
-            MirrorMessage::Follow { known, held, poll } => {
-                followers.record_poll(peer, from, (known, held), (poll, now()));
+            MirrorMessage::Follow {
+                known_revision,
+                held_values,
+                poll,
+            } => {
+                followers.record_poll(peer, from, (known_revision, held_values), (poll, now()));
                 self.copy.borrow_mut().keep_patches(true);
                 followers.send_state_to(peer, &self.state());
             }
@@ -52,13 +57,16 @@
                 followers.remove(peer);
                 self.copy.borrow_mut().keep_patches(!followers.is_empty());
             }
-            MirrorMessage::Ack { transfer, bytes } => {
-                followers.note_acked(peer, transfer, bytes as usize, now());
+            MirrorMessage::Ack {
+                transfer,
+                received_bytes,
+            } => {
+                followers.note_acked(peer, transfer, received_bytes as usize, now());
             }
-            other => {
-                if let Some(messages) = &*self.messages.borrow() {
-                    // The receiver is gone if this VM has just stopped following.
-                    let _source_changed = messages.send((peer.vm, other));
+            source_message => {
+                if let Some(sink) = &*self.message_sink.borrow() {
+                    // The receiver is gone if this VM's task that follows the store has ended.
+                    let _follower_ended = sink.send((peer.vm, source_message));
                 }
                 return;
             }
@@ -67,8 +75,8 @@
     }
 
     /// Sets where messages from followed VMs are delivered.
-    pub fn set_message_sink(&self, messages: UnboundedSender<(VmAddress, MirrorMessage)>) {
-        *self.messages.borrow_mut() = Some(messages);
+    pub fn set_message_sink(&self, sink: UnboundedSender<(VmAddress, MirrorMessage)>) {
+        *self.message_sink.borrow_mut() = Some(sink);
     }
 
     /// Borrows the copy.
@@ -83,45 +91,52 @@
         outcome
     }
 
-    /// Records a time as of which the copy is known to have been up to date, and informs the followers.
+    /// Records a time as of which the copy is known to have been up to date, and informs the followers. Times before
+    /// the last recorded one are ignored.
     pub fn note_proof(&self, at: Instant) {
-        if self.proof.get().is_some_and(|known| known >= at) {
+        if self
+            .up_to_date_at
+            .get()
+            .is_some_and(|last_time| last_time >= at)
+        {
             return;
         }
-        self.proof.set(Some(at));
+        self.up_to_date_at.set(Some(at));
         let mut followers = self.followers.borrow_mut();
         self.send_updates(&mut followers);
         followers.send_state_to_all(&self.state());
     }
 
-    /// Returns the time since the copy was known to be up to date; none if it never was.
-    pub fn proof_age(&self) -> Option<Duration> {
-        let proof = self.proof.get();
-        proof.map(|at| now().saturating_duration_since(at))
+    /// Returns the age of the copy: the time since it was last known to be up to date; none if it never was.
+    pub fn copy_age(&self) -> Option<Duration> {
+        let up_to_date_at = self.up_to_date_at.get();
+        up_to_date_at.map(|at| now().saturating_duration_since(at))
     }
 
     /// Returns the time until the copy becomes stale; none if it already is.
     pub fn time_until_stale(&self) -> Option<Duration> {
-        self.limit.checked_sub(self.proof_age()?)
+        self.max_age.checked_sub(self.copy_age()?)
     }
 
     /// Returns whether the copy is stale: it may lack changes that should be in force by now.
     pub fn is_stale(&self) -> bool {
-        self.time_until_stale().is_none_or(|left| left.is_zero())
+        self.time_until_stale()
+            .is_none_or(|remaining| remaining.is_zero())
     }
 
+    /// Returns the copy's complete revision and the time as of which it was up to date; no time if the copy is stale.
     fn state(&self) -> CopyState {
         CopyState {
             revision: self.copy.borrow().complete_revision(),
-            proof: self.proof.get().filter(|_proof| !self.is_stale()),
+            up_to_date_at: self.up_to_date_at.get().filter(|_time| !self.is_stale()),
         }
     }
 
     /// Sends followers the changes that they lack, unless the copy is stale: they should switch to another source then.
-    /// When the store was unreachable for all, sending every change nevertheless took 35 MB among 89 VMs.
+    /// While the store is unreachable for all VMs, sending changes from stale copies takes 35 MB among 89 VMs.
     fn send_updates(&self, followers: &mut FollowerTable) {
-        if let Some(proof) = self.state().proof {
-            followers.send_updates(&self.copy.borrow(), proof, now());
+        if let Some(up_to_date_at) = self.state().up_to_date_at {
+            followers.send_updates(&self.copy.borrow(), up_to_date_at, now());
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/transfer.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer.rs
@@ -1,9 +1,9 @@
 //! Sends one VM's message about the store to another in chunks.
 //!
-//! A chunk is sent once an earlier one has been acknowledged, so a link never holds more of a transfer than its window,
-//! whatever the message's length. Responses of upstreams, polls and gossip pass between the chunks, a receiver can see
-//! that a slow transfer makes progress, and one that switches to another source leaves no data behind that is still
-//! being sent.
+//! Once the window is full, a chunk is sent only after an earlier one has been acknowledged, so a link never holds more
+//! of a transfer than its window, whatever the message's size. Responses of upstreams, polls and gossip pass between
+//! the chunks, a receiver can see that a slow transfer makes progress, and one that switches to another source leaves
+//! no data behind that is still being sent.
 
 use std::time::{Duration, Instant};
 
@@ -11,9 +11,10 @@
 
 use super::pack::MAX_EXPANDED_BYTES;
 
-/// Length of a chunk: 9 ms on a link of 14 Mbit/s.
+/// Size of a chunk, except the last one of a message: 9 ms on a link of 14 Mbit/s.
 pub const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes of a transfer that may be unacknowledged: with 24 ms between regions this still allows 1.3 MB/s.
+/// Number of bytes of a transfer that may be sent but not yet acknowledged. With a round trip of 24 ms between regions
+/// this still allows 1.3 MB/s.
 const WINDOW_BYTES: usize = 2 * CHUNK_BYTES;
 /// Time without an acknowledged chunk after which a transfer counts as stalled: about 20 chunks at 14 Mbit/s while four
 /// transfers share the link, and longer than the retransmission of a lost packet.
@@ -32,8 +33,8 @@
 #[derive(Debug)]
 pub struct OutgoingTransfer {
     content: Bytes,
-    sent: usize,
-    acked: usize,
+    sent_bytes: usize,
+    acked_bytes: usize,
     /// When the receiver last acknowledged a chunk, or when the transfer started.
     progress_at: Instant,
 }
@@ -43,39 +44,39 @@
     pub fn new(content: Bytes, now: Instant) -> Self {
         Self {
             content,
-            sent: 0,
-            acked: 0,
+            sent_bytes: 0,
+            acked_bytes: 0,
             progress_at: now,
         }
     }
 
-    /// Returns the length of the message in bytes.
-    pub fn total(&self) -> usize {
+    /// Returns the size of the message in bytes.
+    pub fn total_bytes(&self) -> usize {
         self.content.len()
     }
 
     /// Returns the next chunk, or none if the window is full or everything was sent.
     pub fn next_chunk(&mut self) -> Option<TransferChunk> {
-        let until = (self.sent + CHUNK_BYTES).min(self.content.len());
-        let window = until <= self.acked + WINDOW_BYTES;
-        if self.sent == until || !window {
+        let end = (self.sent_bytes + CHUNK_BYTES).min(self.content.len());
+        let fits_window = end <= self.acked_bytes + WINDOW_BYTES;
+        if self.sent_bytes == end || !fits_window {
             return None;
         }
-        let bytes = self.content.slice(self.sent..until);
-        let offset = std::mem::replace(&mut self.sent, until);
+        let bytes = self.content.slice(self.sent_bytes..end);
+        let offset = std::mem::replace(&mut self.sent_bytes, end);
         Some(TransferChunk { offset, bytes })
     }
 
-    /// Records how many bytes have been acknowledged; returns whether the message is complete.
-    pub fn note_acked(&mut self, bytes: usize, now: Instant) -> bool {
-        if bytes > self.acked && bytes <= self.sent {
-            self.acked = bytes;
+    /// Records how many bytes of the message the receiver has acknowledged so far; returns whether that is all of it.
+    pub fn note_acked(&mut self, acked_bytes: usize, now: Instant) -> bool {
+        if acked_bytes > self.acked_bytes && acked_bytes <= self.sent_bytes {
+            self.acked_bytes = acked_bytes;
             self.progress_at = now;
         }
-        self.acked == self.content.len()
+        self.acked_bytes == self.content.len()
     }
 
-    /// Returns whether the receiver is acknowledging chunks, so that the transfer takes up bandwidth.
+    /// Returns whether the receiver acknowledged a chunk within [`STALL_TIMEOUT`], so that the transfer uses bandwidth.
     pub fn is_progressing(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.progress_at) < STALL_TIMEOUT
     }
@@ -84,9 +85,9 @@
 /// The result of receiving a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChunkOutcome {
-    /// The number of bytes received so far; more chunks are to come.
+    /// More chunks are to come. Holds the number of bytes received so far.
     Incomplete(usize),
-    /// The complete message.
+    /// The message is complete. Holds its bytes.
     Complete(Bytes),
     /// The chunk belongs to a message whose start was not received: it was in transit when the receiver switched
     /// sources.
@@ -98,16 +99,19 @@
 /// A message that is being received.
 #[derive(Debug, Default)]
 pub struct IncomingTransfer {
+    /// Number of the transfer being received; none before the first chunk and after the last or an invalid one.
     number: Option<u64>,
+    /// The bytes of that transfer received so far.
     bytes: BytesMut,
 }
 
 impl IncomingTransfer {
-    /// Receives a chunk. The first chunk of a transfer discards an unfinished earlier one.
+    /// Receives the chunk at `offset` of transfer `number`, which has `total_bytes` bytes. The first chunk of a
+    /// transfer discards an unfinished earlier transfer.
     pub fn receive(
         &mut self,
         number: u64,
-        (offset, total): (usize, usize),
+        (offset, total_bytes): (usize, usize),
         chunk: &[u8],
     ) -> ChunkOutcome {
         if offset == 0 {
@@ -117,13 +121,15 @@
         if self.number != Some(number) {
             return ChunkOutcome::Unexpected;
         }
-        if self.bytes.len() != offset || total > MAX_EXPANDED_BYTES || offset + chunk.len() > total
+        if self.bytes.len() != offset
+            || total_bytes > MAX_EXPANDED_BYTES
+            || offset + chunk.len() > total_bytes
         {
             self.number = None;
             return ChunkOutcome::Invalid;
         }
         self.bytes.extend_from_slice(chunk);
-        if self.bytes.len() < total {
+        if self.bytes.len() < total_bytes {
             return ChunkOutcome::Incomplete(self.bytes.len());
         }
         self.number = None;
--- a/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn content(length: usize) -> Bytes {
-    (0..length).map(|number| (number % 251) as u8).collect()
+fn content(size: usize) -> Bytes {
+    (0..size).map(|number| (number % 251) as u8).collect()
 }
 
 /// Returns all chunks that may be sent now.
@@ -14,21 +14,21 @@
 #[gtest]
 fn a_transfer_never_exceeds_its_window() {
     let now = Instant::now();
-    let whole = content(10 * CHUNK_BYTES + 7);
-    let mut transfer = OutgoingTransfer::new(whole.clone(), now);
+    let message = content(10 * CHUNK_BYTES + 7);
+    let mut transfer = OutgoingTransfer::new(message.clone(), now);
     let mut incoming = IncomingTransfer::default();
-    let mut in_flight: Vec<TransferChunk> = Vec::new();
+    let mut in_flight_chunks: Vec<TransferChunk> = Vec::new();
     loop {
-        in_flight.extend(chunks(&mut transfer));
-        let held: usize = in_flight.iter().map(|chunk| chunk.bytes.len()).sum();
-        expect_that!(held, le(WINDOW_BYTES));
-        let chunk = in_flight.remove(0);
-        match incoming.receive(1, (chunk.offset, whole.len()), &chunk.bytes) {
+        in_flight_chunks.extend(chunks(&mut transfer));
+        let in_flight_bytes: usize = in_flight_chunks.iter().map(|chunk| chunk.bytes.len()).sum();
+        expect_that!(in_flight_bytes, le(WINDOW_BYTES));
+        let chunk = in_flight_chunks.remove(0);
+        match incoming.receive(1, (chunk.offset, message.len()), &chunk.bytes) {
             ChunkOutcome::Incomplete(bytes) => {
                 expect_that!(transfer.note_acked(bytes, now), eq(false));
             }
             ChunkOutcome::Complete(bytes) => {
-                expect_that!(bytes, eq(&whole));
+                expect_that!(bytes, eq(&message));
                 expect_that!(transfer.note_acked(bytes.len(), now), eq(true));
                 break;
             }
@@ -69,7 +69,7 @@
 #[gtest]
 fn out_of_order_chunks_are_rejected() {
     let mut incoming = IncomingTransfer::default();
-    let mut receive = |number, range, chunk: &[u8]| incoming.receive(number, range, chunk);
+    let mut receive = |number, position, chunk: &[u8]| incoming.receive(number, position, chunk);
     expect_that!(receive(1, (5, 10), b"later"), eq(&ChunkOutcome::Unexpected));
     expect_that!(
         receive(2, (0, 10), b"first"),
@@ -95,6 +95,6 @@
         eq(&ChunkOutcome::Complete(Bytes::from("new")))
     );
     expect_that!(receive(6, (0, 3), b"longer"), eq(&ChunkOutcome::Invalid));
-    let too_long = MAX_EXPANDED_BYTES + 1;
-    expect_that!(receive(7, (0, too_long), b"x"), eq(&ChunkOutcome::Invalid));
+    let too_large = MAX_EXPANDED_BYTES + 1;
+    expect_that!(receive(7, (0, too_large), b"x"), eq(&ChunkOutcome::Invalid));
 }
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -12,8 +12,8 @@
 use crate::ident::{VmAddress, ZoneName};
 use crate::membership::{MemberEntry, MemberSnapshot, MemberState};
 
-/// Another VM's response to a route check. The default stands for a VM without a configuration, and for one
-/// that did not respond.
+/// Another VM's response to a route check. The default stands for a VM without a configuration, and for one that did
+/// not respond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct RouteState {
     /// The VM's configuration version in force; 0 if there is none.
