--- a/crates/ebonyfork/src/gateway/peers.rs
+++ b/crates/ebonyfork/src/gateway/peers.rs
@@ -58,7 +58,7 @@
         PeerMessage::Partial(PartialMessage::Reply(reply)) => core.delegates.take_reply(reply),
         PeerMessage::Mirror(message) => core.relay.take_message(from, message),
         PeerMessage::Share(message) => share_exchange::take_message(core, &from, message),
-        PeerMessage::RouteCheck(message) => route_check::take_message(core, &from, message),
+        PeerMessage::RouteCheck(message) => route_check::handle_message(core, &from, message),
         other => log::debug!("unexpected message from {:?}: {other:?}", from.peer()),
     }
 }
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -80,7 +80,7 @@
 }
 
 /// Handles a request or response from another VM.
-pub fn take_message(core: &GatewayCore, from: &LinkSender, message: RouteCheckMessage) {
+pub fn handle_message(core: &GatewayCore, from: &LinkSender, message: RouteCheckMessage) {
     match message {
         RouteCheckMessage::Request {
             request_number,
