--- a/crates/ebonyfork/src/gateway/mirror/relay.rs
+++ b/crates/ebonyfork/src/gateway/mirror/relay.rs
@@ -40,7 +40,7 @@
     }
 
     /// Handles a message from a follower or from the followed VM, whose messages are delivered to the message sink.
-    pub fn take_message(&self, from: LinkSender, message: MirrorMessage) {
+    pub fn handle_message(&self, from: LinkSender, message: MirrorMessage) {
         let Some(peer) = from.peer() else { return };
         let mut followers = self.followers.borrow_mut();
         match message {
--- a/crates/ebonyfork/src/gateway/peers.rs
+++ b/crates/ebonyfork/src/gateway/peers.rs
@@ -56,7 +56,7 @@
             core.aggregates.cancel(&from, number);
         }
         PeerMessage::Partial(PartialMessage::Reply(reply)) => core.delegates.take_reply(reply),
-        PeerMessage::Mirror(message) => core.relay.take_message(from, message),
+        PeerMessage::Mirror(message) => core.relay.handle_message(from, message),
         PeerMessage::Share(message) => share_exchange::take_message(core, &from, message),
         PeerMessage::RouteCheck(message) => route_check::handle_message(core, &from, message),
         other => log::debug!("unexpected message from {:?}: {other:?}", from.peer()),
