--- a/crates/ebonyfork/src/gateway/core_tests.rs
+++ b/crates/ebonyfork/src/gateway/core_tests.rs
@@ -11,8 +11,8 @@
     let Some(long_ago) = now().checked_sub(settings().change_bound) else {
         return;
     };
-    core.relay.note_proof(long_ago);
+    core.relay.note_up_to_date(long_ago);
     expect_that!(core.no_route(), eq(RefusalReason::OldConfig));
-    core.relay.note_proof(now());
+    core.relay.note_up_to_date(now());
     expect_that!(core.no_route(), eq(RefusalReason::NoRoute));
 }
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -247,7 +247,7 @@
         };
         match self.apply_change(ChangeSource::Store, change) {
             Ok(()) => {
-                self.core.relay.note_proof(up_to_date_at.into_std());
+                self.core.relay.note_up_to_date(up_to_date_at.into_std());
                 if let Some(table) = self.core.table() {
                     self.core.route_checks.announce_version(table.version());
                 }
@@ -454,7 +454,7 @@
             return Err(SourceFault::Gap);
         }
         if let Some(up_to_date_at) = following.polls.up_to_date_at(poll, up_to_date_ms) {
-            self.core.relay.note_proof(up_to_date_at);
+            self.core.relay.note_up_to_date(up_to_date_at);
             self.store_failing_since = None;
         }
         Ok(())
--- a/crates/ebonyfork/src/gateway/mirror/relay.rs
+++ b/crates/ebonyfork/src/gateway/mirror/relay.rs
@@ -93,7 +93,7 @@
 
     /// Records a time as of which the copy is known to have been up to date, and informs the followers. Times before
     /// the last recorded one are ignored.
-    pub fn note_proof(&self, at: Instant) {
+    pub fn note_up_to_date(&self, at: Instant) {
         if self
             .up_to_date_at
             .get()
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -195,7 +195,7 @@
             "announced by a failed VM"
         );
         checks.note_members(&members(15, MemberState::Alive), vm(1), &zone());
-        vms.first_core.relay.note_proof(now());
+        vms.first_core.relay.note_up_to_date(now());
         expect_that!(vms.check("/a/1").await, ok(eq(())), "not overdue yet");
     };
     LocalSet::new().run_until(test).await;
@@ -213,7 +213,7 @@
             table(10, &[("/a/", "s"), ("/b/", "s")]),
             table(14, &lost_routes),
         );
-        vms.first_core.relay.note_proof(now());
+        vms.first_core.relay.note_up_to_date(now());
         vms.first_core.note_own_version();
         expect_that!(vms.check("/b/1").await, ok(eq(())), "not overdue yet");
         expect_that!(vms.first_core.no_route(), eq(RefusalReason::NoRoute));
