--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -112,7 +112,7 @@
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
         let repeats = RepeatAccount::new(settings.budget);
         let metrics = GatewayMetrics::default();
-        let limit = FreshnessTimings::new(settings.change_bound).limit;
+        let limit = FreshnessTimings::new(settings.change_bound).max_age;
         let session = own_session(&settings);
         Self {
             session,
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -193,7 +193,7 @@
                 }
             }
             let mut received_bytes = traffic.received();
-            let age = self.core.relay.copy_age().unwrap_or(self.timings.limit);
+            let age = self.core.relay.copy_age().unwrap_or(self.timings.max_age);
             if age > self.timings.full_read_age {
                 feed.read_anew();
             }
--- a/crates/ebonyfork/src/gateway/mirror/freshness.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FreshnessTimings {
     /// Age at which a copy becomes stale, and at which its source is abandoned.
-    pub limit: Duration,
+    pub max_age: Duration,
     /// Time between two polls of a followed VM.
     pub poll_interval: Duration,
     /// Age of the copy at which a watch of the store must return, so that its response confirms that the copy is up to
@@ -41,11 +41,11 @@
 impl FreshnessTimings {
     /// Derives the times for changes that must be in force within `max_change_delay`.
     pub fn new(max_change_delay: Duration) -> Self {
-        let limit = max_change_delay.mul_f64(MAX_AGE_FRACTION);
-        let poll_interval = limit / POLLS_PER_MAX_AGE;
-        let renewal_age = limit.saturating_sub(poll_interval + RESPONSE_TIME);
+        let max_age = max_change_delay.mul_f64(MAX_AGE_FRACTION);
+        let poll_interval = max_age / POLLS_PER_MAX_AGE;
+        let renewal_age = max_age.saturating_sub(poll_interval + RESPONSE_TIME);
         Self {
-            limit,
+            max_age,
             poll_interval,
             renewal_age: renewal_age.max(MIN_WATCH_TIME),
             full_read_age: max_change_delay,
--- a/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
@@ -15,10 +15,10 @@
         let timings = FreshnessTimings::new(ms(max_change_delay_ms));
         expect_that!(
             timings.renewal_age + timings.poll_interval,
-            lt(timings.limit),
+            lt(timings.max_age),
             "{max_change_delay_ms} ms"
         );
-        expect_that!(timings.limit, lt(ms(max_change_delay_ms)));
+        expect_that!(timings.max_age, lt(ms(max_change_delay_ms)));
         expect_that!(timings.watch_time(Duration::ZERO), eq(timings.renewal_age));
         expect_that!(
             timings.watch_time(timings.renewal_age * 2),
