--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// A VM that follows the store.
+/// A running VM of the fleet, with its gateway and its links.
 pub struct FollowVm {
     /// The last byte of the VM's address.
     pub number: u8,
@@ -90,7 +90,7 @@
     /// The rate-limited links of all VMs.
     links: LinkMap,
     /// Ends the VM's links when it is cancelled.
-    closing: CancellationToken,
+    link_cancellation: CancellationToken,
     tasks: JoinSet<()>,
 }
 
@@ -142,7 +142,7 @@
 
 impl Drop for FollowVm {
     fn drop(&mut self) {
-        self.closing.cancel();
+        self.link_cancellation.cancel();
         self.tasks.abort_all();
     }
 }
@@ -233,8 +233,8 @@
         settings.listen.callers = SocketAddr::new(vm.0, self.peer_port);
         let core = Rc::new(GatewayCore::new(settings, text_dialect()));
         let session = SessionId::new(vm, IncarnationNumber(incarnation));
-        let closing = CancellationToken::new();
-        let (pool, events) = open_links(session, self.peer_port, closing.clone());
+        let link_cancellation = CancellationToken::new();
+        let (pool, events) = open_links(session, self.peer_port, link_cancellation.clone());
         core.delegates.set_pool(pool.clone());
         let (seeds, _receiver) = watch::channel(Arc::default());
         tasks.spawn_local(accept_links(pool.clone(), listener));
@@ -253,7 +253,7 @@
             core,
             pool,
             links: self.links.clone(),
-            closing,
+            link_cancellation,
             tasks,
         }
     }
--- a/crates/ebonyfork/src/gateway/follow/following.rs
+++ b/crates/ebonyfork/src/gateway/follow/following.rs
@@ -52,7 +52,7 @@
     /// The polls sent to the VM.
     pub(super) polls: PendingPolls,
     /// The transfer being received from the VM.
-    pub(super) incoming: IncomingTransfer,
+    pub(super) incoming_transfer: IncomingTransfer,
     /// When the last chunk was received from the VM.
     pub(super) progress_at: Option<Instant>,
 }
@@ -65,7 +65,7 @@
             received_bytes_before,
             responded_at: None,
             polls,
-            incoming: IncomingTransfer::default(),
+            incoming_transfer: IncomingTransfer::default(),
             progress_at: None,
         }
     }
--- a/crates/ebonyfork/src/gateway/follow/link_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/link_fixture.rs
@@ -72,7 +72,7 @@
     }
 }
 
-/// The link of a VM.
+/// The rate-limited link of a VM, with separate rates for the two directions.
 #[derive(Debug)]
 pub struct VmLink {
     /// The direction in which the VM sends.
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -285,8 +285,8 @@
         let fault = loop {
             let next_wake = self.next_wake(next_check);
             tokio::select! {
-                Some((from, message)) = self.messages.recv() => {
-                    if from != vm {
+                Some((sender_vm, message)) = self.messages.recv() => {
+                    if sender_vm != vm {
                         continue;
                     }
                     if let Err(fault) = self.handle_message(&mut following, message) {
@@ -378,7 +378,10 @@
         bytes: &[u8],
     ) -> Result<(), SourceFault> {
         following.progress_at = Some(now());
-        let acked_bytes = match following.incoming.receive(transfer, position, bytes) {
+        let acked_bytes = match following
+            .incoming_transfer
+            .receive(transfer, position, bytes)
+        {
             ChunkOutcome::Incomplete(received_bytes) => received_bytes,
             ChunkOutcome::Complete(content) => {
                 self.apply_content(following.vm, &content)?;
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -88,7 +88,7 @@
         self.change_count.send_modify(|count| *count += 1);
     }
 
-    /// Writes a key.
+    /// Writes a value under a key, at the next revision.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) {
         let mut state = self.state();
         let content = &mut state.content;
@@ -104,7 +104,7 @@
         self.notify();
     }
 
-    /// Removes a key if it exists.
+    /// Removes a key, at the next revision, if it exists.
     pub fn remove(&self, key: &str) {
         let mut state = self.state();
         let content = &mut state.content;
@@ -211,7 +211,7 @@
     }
 }
 
-/// A VM's port to the store.
+/// A VM's access to the store, through which the gateway's code calls it.
 #[derive(Debug, Clone)]
 pub struct FakePort {
     store: FakeStore,
--- a/crates/ebonyfork/src/gateway/mirror/content.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content.rs
@@ -37,7 +37,7 @@
     /// The bytes are not a valid message.
     #[snafu(display("malformed: {source}"))]
     Malformed {
-        /// The cause.
+        /// The decoding or encoding error.
         source: postcard::Error,
     },
     /// A message or value could not be compressed or decompressed.
@@ -45,7 +45,7 @@
     Pack {
         /// The value's key; empty for the message itself.
         key: CompactString,
-        /// The cause.
+        /// The error of compressing or decompressing it.
         source: PackError,
     },
     /// A patch applies to a value that this VM does not hold.
--- a/crates/ebonyfork/src/gateway/mirror/content_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content_tests.rs
@@ -89,8 +89,8 @@
     expect_that!(follower.complete_revision(), eq(source.complete_revision()));
 }
 
-/// After the store lost its history, a source reads everything again and sends its followers a full copy. Long values
-/// that a follower states as held are left out of it.
+/// After the store dropped its log of changes, a source reads everything again and sends its followers a full copy.
+/// Long values that a follower states as held are left out of it.
 #[gtest]
 fn a_held_value_is_not_sent_again() {
     let mut source = copy_of(&[config(2_850, 3)], 10);
--- a/crates/ebonyfork/src/gateway/mirror/copy.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy.rs
@@ -69,7 +69,7 @@
     base_revision: StoreRevision,
 }
 
-/// A copy of the store.
+/// The store's items as this VM knows them, with what followers that are slightly behind need.
 #[derive(Debug, Default)]
 pub struct StoreCopy {
     /// The existing items by key.
@@ -99,7 +99,7 @@
         self.items.values()
     }
 
-    /// Returns the item with a key.
+    /// Returns the item with the given key; none if it does not exist.
     pub fn get(&self, key: &str) -> Option<&StoreItem> {
         self.items.get(key)
     }
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -42,7 +42,7 @@
     held_values: HeldValues,
 }
 
-/// A VM that follows this one.
+/// The state of a VM that follows this one.
 #[derive(Debug)]
 struct MirrorFollower {
     link: LinkSender,
@@ -358,17 +358,17 @@
     }
 }
 
-/// Returns the milliseconds from one time to another, rounded down.
-fn offset_ms(from: Instant, to: Instant) -> i64 {
-    match to.checked_duration_since(from) {
+/// Returns the milliseconds from `start` to `end`, rounded down; negative if `end` is earlier.
+fn offset_ms(start: Instant, end: Instant) -> i64 {
+    match end.checked_duration_since(start) {
         Some(duration) => duration.as_millis() as i64,
-        None => -(from.duration_since(to).as_millis() as i64) - 1,
+        None => -(start.duration_since(end).as_millis() as i64) - 1,
     }
 }
 
-fn send(to: &LinkSender, message: MirrorMessage) {
-    if let Err(error) = to.send(PeerMessage::Mirror(message)) {
+fn send(link: &LinkSender, message: MirrorMessage) {
+    if let Err(error) = link.send(PeerMessage::Mirror(message)) {
         // The follower is removed together with its closed link and polls again.
-        log::debug!("message to follower {:?} not sent: {error}", to.peer());
+        log::debug!("message to follower {:?} not sent: {error}", link.peer());
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/pack.rs
+++ b/crates/ebonyfork/src/gateway/mirror/pack.rs
@@ -23,7 +23,7 @@
     Codec {
         /// Size of the uncompressed value in bytes.
         size: usize,
-        /// The cause.
+        /// The error that the library reported.
         source: std::io::Error,
     },
     /// The uncompressed value exceeds [`MAX_EXPANDED_BYTES`].
--- a/crates/ebonyfork/src/gateway/mirror/relay.rs
+++ b/crates/ebonyfork/src/gateway/mirror/relay.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct MirrorRelay {
     copy: RefCell<StoreCopy>,
-    /// When the copy was last known to be up to date.
+    /// The time as of which the copy was last known to be up to date; none if it never was.
     up_to_date_at: Cell<Option<Instant>>,
     /// Age from which the copy counts as stale. Followers are sent no changes from a stale copy.
     max_age: Duration,
@@ -39,9 +39,10 @@
         }
     }
 
-    /// Handles a message from a follower or from the followed VM, whose messages are delivered to the message sink.
-    pub fn handle_message(&self, from: LinkSender, message: MirrorMessage) {
-        let Some(peer) = from.peer() else { return };
+    /// Handles a follower's message, or delivers a followed VM's message to the message sink. `link` leads to its
+    /// sender.
+    pub fn handle_message(&self, link: LinkSender, message: MirrorMessage) {
+        let Some(peer) = link.peer() else { return };
         let mut followers = self.followers.borrow_mut();
         match message {
             MirrorMessage::Follow {
@@ -49,7 +50,7 @@
                 held_values,
                 poll,
             } => {
-                followers.record_poll(peer, from, (known_revision, held_values), (poll, now()));
+                followers.record_poll(peer, link, (known_revision, held_values), (poll, now()));
                 self.copy.borrow_mut().keep_patches(true);
                 followers.send_state_to(peer, &self.state());
             }
@@ -79,7 +80,7 @@
         *self.message_sink.borrow_mut() = Some(sink);
     }
 
-    /// Borrows the copy.
+    /// Borrows this VM's copy of the store.
     pub fn copy(&self) -> Ref<'_, StoreCopy> {
         self.copy.borrow()
     }
--- a/crates/ebonyfork/src/gateway/mirror/transfer.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer.rs
@@ -20,7 +20,7 @@
 /// transfers share the link, and longer than the retransmission of a lost packet.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A chunk to send.
+/// A part of a message that is sent at once.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TransferChunk {
     /// Offset of the chunk in the message, in bytes.
@@ -29,7 +29,7 @@
     pub bytes: Bytes,
 }
 
-/// A message that is being sent.
+/// The progress of sending a message to one receiver.
 #[derive(Debug)]
 pub struct OutgoingTransfer {
     content: Bytes,
@@ -96,7 +96,7 @@
     Invalid,
 }
 
-/// A message that is being received.
+/// The progress of receiving messages from one sender.
 #[derive(Debug, Default)]
 pub struct IncomingTransfer {
     /// Number of the transfer being received; none before the first chunk and after the last or an invalid one.
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -79,8 +79,8 @@
     Err(RefusalReason::OldConfig)
 }
 
-/// Handles a request or response from another VM.
-pub fn handle_message(core: &GatewayCore, from: &LinkSender, message: RouteCheckMessage) {
+/// Answers another VM's request over `link`, or delivers its response to the check that waits for it.
+pub fn handle_message(core: &GatewayCore, link: &LinkSender, message: RouteCheckMessage) {
     match message {
         RouteCheckMessage::Request {
             request_number,
@@ -98,10 +98,10 @@
                 version: response.version.0,
                 scope_mark: response.scope_mark,
             };
-            if let Err(error) = from.send(PeerMessage::RouteCheck(response)) {
+            if let Err(error) = link.send(PeerMessage::RouteCheck(response)) {
                 log::debug!(
                     "route check response to {:?} not sent: {error}",
-                    from.peer()
+                    link.peer()
                 );
             }
         }
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -72,12 +72,12 @@
         self.announced_version.subscribe()
     }
 
-    /// Records the newest version that the live members of gossip other than `own` have in force, and the VMs to check
-    /// routes with; VMs in `zone` are preferred.
-    pub fn note_members(&self, members: &MemberSnapshot, own: VmAddress, zone: &ZoneName) {
+    /// Records the newest version that the live members of gossip other than `own_vm` have in force, and the VMs to
+    /// check routes with; VMs in `zone` are preferred.
+    pub fn note_members(&self, members: &MemberSnapshot, own_vm: VmAddress, zone: &ZoneName) {
         let member_entries = members.members().iter();
         let live_members: SmallVec<[_; 128]> = member_entries
-            .filter(|member| member.vm != own && member.state == MemberState::Alive)
+            .filter(|member| member.vm != own_vm && member.state == MemberState::Alive)
             .collect();
         let newest_version = live_members
             .iter()
@@ -99,32 +99,40 @@
     }
 
     /// Records this VM's version in force, and since when another VM has had a newer one.
-    pub fn note_own_version(&self, own: ConfigVersion, now: Instant) {
-        let since = match self.behind_since.get() {
-            Some((version, since)) if version == own => since,
+    pub fn note_own_version(&self, own_version: ConfigVersion, now: Instant) {
+        let behind_since = match self.behind_since.get() {
+            Some((version, behind_since)) if version == own_version => behind_since,
             _ => now,
         };
-        let is_behind = self.newest_version.get() > own;
-        self.behind_since.set(is_behind.then_some((own, since)));
+        let is_behind = self.newest_version.get() > own_version;
+        self.behind_since
+            .set(is_behind.then_some((own_version, behind_since)));
     }
 
-    /// Returns whether another VM has had a newer version than `own` in force for at least `max_delay`, the time within
-    /// which a change must be in force everywhere. If the store still held that version, this VM would have it by then.
-    pub fn is_overdue(&self, own: ConfigVersion, now: Instant, max_delay: Duration) -> bool {
+    /// Returns whether another VM has had a newer version than `own_version` in force for at least `max_delay`, the
+    /// time within which a change must be in force everywhere. If the store still held that version, this VM would have
+    /// it by then.
+    pub fn is_overdue(
+        &self,
+        own_version: ConfigVersion,
+        now: Instant,
+        max_delay: Duration,
+    ) -> bool {
         let behind_since = self.behind_since.get();
-        behind_since.is_some_and(|(version, since)| version == own && now >= since + max_delay)
+        behind_since
+            .is_some_and(|(version, since)| version == own_version && now >= since + max_delay)
     }
 
-    /// Returns whether a route of this VM's version `own` may be served without a check. `may_be_outdated` states
-    /// whether a newer version than `own` may exist.
+    /// Returns whether a route of this VM's version `own_version` may be served without a check. `may_be_outdated`
+    /// states whether a newer version than `own_version` may exist.
     pub(super) fn freshness(
         &self,
-        own: ConfigVersion,
+        own_version: ConfigVersion,
         route: &RouteName,
         may_be_outdated: bool,
     ) -> RouteFreshness {
         let newest_version = self.newest_version.get();
-        if !may_be_outdated || newest_version <= own {
+        if !may_be_outdated || newest_version <= own_version {
             return RouteFreshness::Current;
         }
         let matching_version = self.matching_routes.borrow().get(route).copied();
@@ -160,9 +168,9 @@
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let (sender, response) = oneshot::channel();
-        let mut pending = self.pending_requests.borrow_mut();
-        pending.retain(|_number, sender| !sender.is_closed());
-        pending.insert(number, sender);
+        let mut requests = self.pending_requests.borrow_mut();
+        requests.retain(|_number, sender| !sender.is_closed());
+        requests.insert(number, sender);
         (number, response)
     }
 
