--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -321,11 +321,11 @@
         self.store.put(CONFIG_KEY, version.to_string());
     }
 
-    /// Writes a configuration with routes as long as real ones. A larger configuration contains the routes of a smaller
-    /// one unchanged.
-    pub fn put_routes(&self, version: u64, routes: u64) {
+    /// Writes a configuration with `route_count` routes as long as real ones. A larger configuration contains the
+    /// routes of a smaller one unchanged.
+    pub fn put_routes(&self, version: u64, route_count: u64) {
         let mut text = format!("{version}\n");
-        for number in 0..routes {
+        for number in 0..route_count {
             text.push_str(&route_text(number));
         }
         self.store.put(CONFIG_KEY, text);
--- a/crates/ebonyfork/src/gateway/follow/following.rs
+++ b/crates/ebonyfork/src/gateway/follow/following.rs
@@ -15,7 +15,7 @@
 pub(super) enum SourceFault {
     /// There was no usable link to the VM.
     Unreachable,
-    /// The VM has not responded for too long.
+    /// The VM did not respond to two polls in a row, or not to the first ones within [`FIRST_RESPONSE_TIMEOUT`].
     Silent,
     /// The VM's copy is stale, or this VM's copy became stale although the VM responds.
     Stale,
--- a/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
@@ -18,7 +18,7 @@
 /// are delayed by 2.3 s for entries that expired in an outage, so [`RECOVERY_TIME`] must be longer.
 const REGRESSION_SEEDS: [u64; 2] = [54, 284];
 /// Time within which a change must be in force on the last VM if there are no disturbances.
-const SPREAD_TARGET: Duration = Duration::from_secs(1);
+const MAX_SPREAD_TIME: Duration = Duration::from_secs(1);
 /// Rate of the slowest link of a VM in bytes per second: 14 Mbit/s.
 const SLOW_LINK: f64 = 14e6 / 8.0;
 /// Interval between checks of the VMs' versions.
@@ -84,11 +84,11 @@
 async fn a_large_change_reaches_the_last_vm_within_a_second() {
     let test = async {
         let fleet = slow_fleet(14).await;
-        for (version, routes) in [(1, 50), (2, 1_450), (3, 1_451), (4, 2_851), (5, 2_850)] {
-            fleet.put_routes(version, routes);
+        for (version, route_count) in [(1, 50), (2, 1_450), (3, 1_451), (4, 2_851), (5, 2_850)] {
+            fleet.put_routes(version, route_count);
             let times = times_to_version(&fleet, version).await;
             for (time, vm) in times.into_iter().zip(&fleet.vms) {
-                let is_late = time.is_none_or(|time| time > SPREAD_TARGET);
+                let is_late = time.is_none_or(|time| time > MAX_SPREAD_TIME);
                 expect_that!(
                     is_late,
                     eq(false),
--- a/crates/ebonyfork/src/gateway/follow/random_history.rs
+++ b/crates/ebonyfork/src/gateway/follow/random_history.rs
@@ -76,7 +76,7 @@
             fleet.store.silence_open_calls(number);
         }
         91..94 => fleet.vms[index].break_links(),
-        94..97 => fleet.store.forget_history(),
+        94..97 => fleet.store.forget_changes(),
         97 if history.settings.link_rate.is_some() => history.suspect(fleet, number),
         98 if history.settings.link_rate.is_some() => history.slow_link(fleet, number, rng),
         _ => {
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -123,7 +123,7 @@
 
     /// Makes watches from revisions before the current one fail, so that a VM that is behind has to read everything
     /// again.
-    pub fn forget_history(&self) {
+    pub fn forget_changes(&self) {
         let mut state = self.state();
         state.content.oldest_watch_revision = state.content.revision;
         drop(state);
