--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -1,4 +1,5 @@
-//! The entry's actor: owns the clock and the callers' reply channels, runs what the decisions ask for.
+//! Actor around [`EntryCore`]: owns the clock and the callers' reply channels, and performs the actions that the core
+//! requests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -22,25 +23,25 @@
 use crate::views::NodeViews;
 use crate::wire::{LinkError, PeerMessage};
 
-/// How often the metrics of the decisions are brought up to date.
-const COUNT_PERIOD: Duration = Duration::from_millis(200);
-/// How often callers are looked at for having gone away.
-const SWEEP_PERIOD: Duration = Duration::from_millis(10);
-/// Target of the decision log.
+/// Interval between updates of the decision metrics.
+const METRICS_PERIOD: Duration = Duration::from_millis(200);
+/// Shortest interval between checks for callers that have disconnected.
+const CALLER_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Log target of the decision log.
 const DECISION_TARGET: &str = "ebonyfork::decision";
 
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
-type QuarantineFunction = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
+type FingerprintPredicate = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
 
-/// What an entry needs to know.
+/// Settings and inputs of an entry.
 #[derive(Clone)]
 pub struct EntrySettings {
     own: SessionId,
     zone: ZoneName,
     views: NodeViews,
     experiment: ExperimentSwitches,
-    quarantine: Arc<QuarantineFunction>,
-    suspicion: Arc<QuarantineFunction>,
+    is_quarantined: Arc<FingerprintPredicate>,
+    is_suspect: Arc<FingerprintPredicate>,
 }
 
 impl fmt::Debug for EntrySettings {
@@ -54,15 +55,15 @@
 }
 
 impl EntrySettings {
-    /// Settings of the entry of one process incarnation.
+    /// Creates the settings of the entry in process incarnation `own`, with default switches and without quarantine.
     pub fn new(own: SessionId, zone: ZoneName, views: NodeViews) -> Self {
         Self {
             own,
             zone,
             views,
             experiment: ExperimentSwitches::default(),
-            quarantine: Arc::new(|_fingerprint| false),
-            suspicion: Arc::new(|_fingerprint| false),
+            is_quarantined: Arc::new(|_fingerprint| false),
+            is_suspect: Arc::new(|_fingerprint| false),
         }
     }
 
@@ -73,36 +74,36 @@
         self
     }
 
-    /// Asks `refuses` about each request before anything leaves.
+    /// Sets the quarantine check. A request for which `refuses` returns true is refused before anything is sent.
     #[must_use]
     pub fn with_quarantine(
         mut self,
         refuses: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.quarantine = Arc::new(refuses);
+        self.is_quarantined = Arc::new(refuses);
         self
     }
 
-    /// Asks `suspects` about each request: one that was in flight when an upstream was lost is tried at one shard before
-    /// the others are asked.
+    /// Sets the suspicion check. A request for which `suspects` returns true was in flight when an upstream was lost;
+    /// it is sent to a single shard before the others.
     #[must_use]
     pub fn with_suspicion(
         mut self,
         suspects: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.suspicion = Arc::new(suspects);
+        self.is_suspect = Arc::new(suspects);
         self
     }
 }
 
-/// The entry of this process. Cheap to clone.
+/// Handle to the entry of this process. Cheap to clone.
 #[derive(Clone)]
 pub struct EntryHandle {
     address: Address<EntryActor>,
     in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
-    quarantine: Arc<QuarantineFunction>,
-    suspicion: Arc<QuarantineFunction>,
+    is_quarantined: Arc<FingerprintPredicate>,
+    is_suspect: Arc<FingerprintPredicate>,
 }
 
 impl fmt::Debug for EntryHandle {
@@ -114,16 +115,16 @@
 }
 
 impl EntryHandle {
-    /// Starts the entry; `send` hands a message to the link of a VM without waiting.
+    /// Starts the entry. `send` passes a message to the link of a VM without blocking.
     pub fn start(
         settings: EntrySettings,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
     ) -> Self {
         let in_flight = Arc::new(AtomicUsize::new(0));
         let metrics = EntryMetrics::default();
-        let quarantine = Arc::clone(&settings.quarantine);
-        let suspicion = Arc::clone(&settings.suspicion);
-        let (alarm, alarms) = watch::channel(None);
+        let is_quarantined = Arc::clone(&settings.is_quarantined);
+        let is_suspect = Arc::clone(&settings.is_suspect);
+        let (timer, timer_updates) = watch::channel(None);
         let actor = EntryActor {
             core: EntryCore::new(settings.own, settings.zone, settings.experiment),
             views: settings.views,
@@ -132,32 +133,32 @@
             callers: FxHashMap::default(),
             in_flight: Arc::clone(&in_flight),
             metrics: metrics.clone(),
-            counted: Duration::ZERO,
-            swept: Duration::ZERO,
-            alarm,
+            metrics_updated: Duration::ZERO,
+            callers_checked: Duration::ZERO,
+            timer,
         };
         let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-        tokio::spawn(ring(address.downgrade(), alarms));
+        tokio::spawn(run_timer(address.downgrade(), timer_updates));
         Self {
             address,
             in_flight,
             metrics,
-            quarantine,
-            suspicion,
+            is_quarantined,
+            is_suspect,
         }
     }
 
-    /// Runs one query, whole. A non-idempotent one must be handed in at most once per key.
+    /// Runs one query to completion. A non-idempotent query must be passed in at most once per idempotency key.
     pub async fn run(&self, request: QueryRequest) -> QueryOutcome {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
-        if (self.quarantine)(fingerprint) {
-            let message = "the request has crashed upstreams";
+        if (self.is_quarantined)(fingerprint) {
+            let message = "the request is quarantined because it crashed upstreams";
             let refusal = QueryRefusal::new(RefusalCode::Quarantined, RunState::NotRun, message);
-            self.metrics.refused(&request.class, &refusal);
+            self.metrics.record_refusal(&request.class, &refusal);
             return Err(refusal);
         }
         let (reply, outcome) = oneshot::channel();
-        let suspect = (self.suspicion)(fingerprint);
+        let suspect = (self.is_suspect)(fingerprint);
         let query = StartQuery {
             request,
             suspect,
@@ -165,27 +166,28 @@
         };
         let accepted = self.address.send(query).detach().await;
         if accepted.is_err() {
-            return Err(gone(RunState::NotRun));
+            return Err(stopping_refusal(RunState::NotRun));
         }
-        // The actor took the query and ended without an answer: its attempts may have run.
+        // The actor accepted the query and ended without answering it, so its attempts may have run.
         outcome
             .await
-            .unwrap_or_else(|_closed| Err(gone(RunState::Unknown)))
+            .unwrap_or_else(|_closed| Err(stopping_refusal(RunState::Unknown)))
     }
 
-    /// Takes the verdicts that a relay reports.
+    /// Passes on the outcomes reported by a relay.
     pub async fn take_outcomes(&self, from: SessionId, batch: OutcomeBatch) {
         let report = RelayReport { vm: from.vm, batch };
-        // The actor lives as long as this handle; if it is gone, so are its queries.
+        // The actor lives as long as this handle; if it has ended, so have its queries.
         drop(self.address.send(report).detach().await);
     }
 
-    /// The link to a VM broke: what is in `unsent` was not run, the rest in flight there may have.
+    /// Reports a broken link to a VM: the messages in `unsent` were not transmitted, other attempts in flight there may
+    /// have run.
     pub async fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
-        drop(self.address.send(LinkLoss { vm, unsent }).detach().await);
+        drop(self.address.send(LinkDown { vm, unsent }).detach().await);
     }
 
-    /// Queries in flight.
+    /// Returns the number of queries in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::Relaxed)
     }
@@ -196,17 +198,17 @@
     }
 }
 
-fn gone(ran: RunState) -> QueryRefusal {
+fn stopping_refusal(ran: RunState) -> QueryRefusal {
     QueryRefusal::new(RefusalCode::Stopping, ran, "this VM is stopping")
 }
 
-/// Wakes the actor at the time that it last asked for.
-async fn ring(
+/// Wakes the actor at the time that it requested last.
+async fn run_timer(
     address: Address<EntryActor, xtra::refcount::Weak>,
-    mut alarms: watch::Receiver<Option<Instant>>,
+    mut timer_updates: watch::Receiver<Option<Instant>>,
 ) {
     loop {
-        let at = *alarms.borrow_and_update();
+        let at = *timer_updates.borrow_and_update();
         let due = async {
             match at {
                 Some(at) => tokio::time::sleep_until(at).await,
@@ -215,11 +217,11 @@
         };
         tokio::select! {
             () = due => {
-                if address.send(AlarmRing).await.is_err() {
+                if address.send(TimerFired).await.is_err() {
                     return;
                 }
             }
-            changed = alarms.changed() => {
+            changed = timer_updates.changed() => {
                 if changed.is_err() {
                     return;
                 }
@@ -239,51 +241,54 @@
     batch: OutcomeBatch,
 }
 
-struct LinkLoss {
+struct LinkDown {
     vm: VmAddress,
     unsent: VecDeque<PeerMessage>,
 }
 
-struct AlarmRing;
+/// The time requested last has come.
+struct TimerFired;
 
 struct WaitingCaller {
     reply: oneshot::Sender<QueryOutcome>,
     class: crate::ident::ClassName,
-    since: Duration,
+    started: Duration,
 }
 
 #[derive(xtra::Actor)]
 struct EntryActor {
     core: EntryCore,
     views: NodeViews,
+    /// Zero of the entry's clock.
     epoch: Instant,
     send: Box<SendFunction>,
     callers: FxHashMap<u64, WaitingCaller>,
     in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
-    /// When the metrics were last brought up to date.
-    counted: Duration,
-    /// When callers were last looked at for having gone away.
-    swept: Duration,
-    alarm: watch::Sender<Option<Instant>>,
+    /// When the decision metrics were last updated.
+    metrics_updated: Duration,
+    /// When callers were last checked for disconnects.
+    callers_checked: Duration,
+    /// When the actor is to be woken next.
+    timer: watch::Sender<Option<Instant>>,
 }
 
 impl EntryActor {
-    /// Makes the decisions ready for an event and returns the time.
-    fn prepare(&mut self) -> Duration {
+    /// Refreshes the core's views and settings before an event, and returns the current time.
+    fn begin_event(&mut self) -> Duration {
         let views = EntryViews {
             topology: Arc::clone(&self.views.topology.borrow()),
             config: Arc::clone(&self.views.config.borrow()),
             catalog: Arc::clone(&self.views.catalog.borrow()),
         };
         self.core.refresh(&views);
-        let noting = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
-        self.core.note_decisions(noting);
+        let enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
+        self.core.set_decision_logging(enabled);
         self.epoch.elapsed()
     }
 
-    /// Does what the decisions ask for, and sets the alarm.
-    fn perform(&mut self, now: Duration) {
+    /// Performs the requested actions and sets the timer.
+    fn run_actions(&mut self, now: Duration) {
         while let Some(action) = self.core.next_action() {
             match action {
                 EntryAction::Send { vm, message } => self.send_message(now, vm, message),
@@ -293,34 +298,34 @@
         for decision in self.core.take_decisions() {
             log::info!(target: DECISION_TARGET, "{decision}");
         }
-        self.count(now);
+        self.update_metrics(now);
         self.in_flight
             .store(self.core.in_flight(), Ordering::Relaxed);
         let next = self.core.next_wake().map(|at| self.epoch + at);
-        self.alarm.send_if_modified(|alarm| {
-            let changed = *alarm != next;
-            *alarm = next;
+        self.timer.send_if_modified(|timer| {
+            let changed = *timer != next;
+            *timer = next;
             changed
         });
     }
 
-    /// Brings the metrics up to date, now and then and when nothing is in flight.
-    fn count(&mut self, now: Duration) {
-        if now < self.counted + COUNT_PERIOD && self.core.in_flight() > 0 {
+    /// Updates the decision metrics periodically, and whenever nothing is in flight.
+    fn update_metrics(&mut self, now: Duration) {
+        if now < self.metrics_updated + METRICS_PERIOD && self.core.in_flight() > 0 {
             return;
         }
-        self.counted = now;
-        for (class, tally) in self.core.tallies() {
-            self.metrics.tally(class, tally);
+        self.metrics_updated = now;
+        for (class, counts) in self.core.decision_counts() {
+            self.metrics.update_decision_counts(class, counts);
         }
     }
 
-    /// Gives up the queries whose callers have gone away.
-    fn drop_abandoned(&mut self, now: Duration) {
-        if now < self.swept + SWEEP_PERIOD {
+    /// Abandons the queries whose callers have disconnected.
+    fn abandon_closed_queries(&mut self, now: Duration) {
+        if now < self.callers_checked + CALLER_CHECK_PERIOD {
             return;
         }
-        self.swept = now;
+        self.callers_checked = now;
         let core = &mut self.core;
         for (number, caller) in &self.callers {
             if caller.reply.is_closed() {
@@ -338,7 +343,7 @@
         let Err(error) = (self.send)(vm, message) else {
             return;
         };
-        log::debug!("to {vm}: {error}");
+        log::debug!("sending to {vm} failed: {error}");
         if let Some((query, attempts)) = attempts {
             self.core.not_sent(now, vm, query, &attempts);
         }
@@ -348,9 +353,9 @@
         let Some(caller) = self.callers.remove(&query) else {
             return;
         };
-        let took = now.saturating_sub(caller.since);
-        self.metrics.finished(&caller.class, &outcome, took);
-        // A caller that has gone away needs no answer.
+        let took = now.saturating_sub(caller.started);
+        self.metrics.record_outcome(&caller.class, &outcome, took);
+        // A caller that has disconnected needs no answer.
         drop(caller.reply.send(outcome));
     }
 }
@@ -363,17 +368,17 @@
     type Return = ();
 
     async fn handle(&mut self, message: StartQuery, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
+        let now = self.begin_event();
         let caller = WaitingCaller {
             reply: message.reply,
             class: message.request.class.clone(),
-            since: now,
+            started: now,
         };
         let number = self
             .core
             .start_suspect(now, message.request, message.suspect);
         self.callers.insert(number, caller);
-        self.perform(now);
+        self.run_actions(now);
     }
 }
 
@@ -381,30 +386,30 @@
     type Return = ();
 
     async fn handle(&mut self, message: RelayReport, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
+        let now = self.begin_event();
         self.core.take_outcomes(now, message.vm, message.batch);
-        self.perform(now);
+        self.run_actions(now);
     }
 }
 
-impl Handler<LinkLoss> for EntryActor {
+impl Handler<LinkDown> for EntryActor {
     type Return = ();
 
-    async fn handle(&mut self, message: LinkLoss, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
+    async fn handle(&mut self, message: LinkDown, _ctx: &mut Context<Self>) {
+        let now = self.begin_event();
         self.core.link_down(now, message.vm, message.unsent);
-        self.perform(now);
+        self.run_actions(now);
     }
 }
 
-impl Handler<AlarmRing> for EntryActor {
+impl Handler<TimerFired> for EntryActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: AlarmRing, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
+    async fn handle(&mut self, _message: TimerFired, _ctx: &mut Context<Self>) {
+        let now = self.begin_event();
         self.core.wake(now);
-        self.drop_abandoned(now);
-        self.perform(now);
+        self.abandon_closed_queries(now);
+        self.run_actions(now);
     }
 }
 
--- a/crates/ebonyfork/src/entry/actor_tests.rs
+++ b/crates/ebonyfork/src/entry/actor_tests.rs
@@ -1,4 +1,4 @@
-//! The actor with a fake link, in virtual time.
+//! Tests of the actor with a fake link, in virtual time.
 
 use std::sync::Mutex;
 
@@ -14,7 +14,7 @@
 struct HandleFixture {
     handle: EntryHandle,
     sent: SentMessages,
-    /// Whether the link refuses everything.
+    /// Whether the link refuses all messages.
     refuse: Arc<std::sync::atomic::AtomicBool>,
     _writers: ViewWriters,
 }
@@ -60,7 +60,7 @@
 }
 
 impl HandleFixture {
-    /// Answers every attempt that has been sent, and returns their number.
+    /// Answers every attempt sent so far and returns their number.
     async fn answer_all(&self) -> usize {
         let mut answered = 0;
         for (vm, batch) in self.take_submits() {
@@ -95,7 +95,7 @@
     });
     tokio::time::sleep(ms(1)).await;
     expect_that!(fixture.handle.in_flight(), eq(1));
-    // The canary, then the other shards.
+    // First the canary, then the other shards.
     for sent in [1, 3] {
         expect_that!(fixture.answer_all().await, eq(sent));
     }
@@ -117,7 +117,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_goes_away_has_its_attempts_cancelled() {
+async fn a_disconnected_caller_has_its_attempts_cancelled() {
     let fixture = start(4);
     let running = tokio::spawn({
         let handle = fixture.handle.clone();
@@ -138,7 +138,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn what_no_link_takes_is_not_run() {
+async fn attempts_that_no_link_accepts_are_not_run() {
     let fixture = start(4);
     fixture.refuse.store(true, Ordering::Relaxed);
     let refusal = fixture.handle.run(request()).await.unwrap_err();
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -1,11 +1,11 @@
-//! Admission: a query whose target can't be met is refused before anything leaves.
+//! Admission control: refuses a query whose target can't be met before anything is sent.
 //!
-//! The wait that a query would meet is predicted from the relays' reported waits: the wait of the slowest shard that
-//! its coverage target needs. It may take what the class's latency leaves beyond the time that work takes on idle
-//! upstreams. How much of that a query may use depends on its organisation: one that was idle or uses little may use
-//! nearly all, one that uses more than its fair share only half. So an organisation that floods the tier keeps the
-//! queues at a level where the others still get in. A class that misses its target although queries were admitted
-//! tightens its own limit.
+//! The queue wait of a query is predicted from the waits reported by the relays: it is the wait of the slowest shard
+//! that the coverage target needs. The wait may use what the class's latency leaves after the time that the query takes
+//! on idle upstreams. How much of the latency may be used depends on the organisation: nearly all for an organisation
+//! that uses little, only half as much for one that uses more than its fair share. An organisation that overloads
+//! the upstreams thus leaves the queues short enough for the others to be admitted. A class that misses its target
+//! although its queries were admitted lowers its own limit.
 
 use std::time::Duration;
 
@@ -15,83 +15,83 @@
 use super::terms::ClassId;
 use crate::ident::OrganisationName;
 
-/// Share of a class's latency that a query of an organisation with little use may take, waiting included.
-const LIGHT_SHARE: f64 = 0.8;
-/// The same for an organisation that uses about its fair share.
-const FAIR_SHARE: f64 = 0.65;
-/// The same for an organisation that uses more than its fair share.
-const HEAVY_SHARE: f64 = 0.4;
-/// An organisation is light below this part of the fair share.
-const LIGHT_USE: f64 = 0.5;
-/// An organisation is heavy above this multiple of the fair share.
-const HEAVY_USE: f64 = 1.5;
-/// Queries of its own size that an organisation may have had lately and still count as light.
-const LIGHT_QUERIES: f64 = 2.0;
-/// Time in which use loses half its weight.
-const USE_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Use below which an organisation counts as idle: a thousandth of an upstream's second.
-const USE_LEAST: f64 = 0.001;
-/// How often idle organisations are forgotten and the active ones counted.
-const CENSUS_PERIOD: Duration = Duration::from_millis(250);
-/// Least part of the latency that may be waited, even if work alone takes all of it.
-const WAIT_LEAST_PART: u32 = 10;
-/// Queries admitted under pressure after which a class reviews its limit.
-const REVIEW_QUERIES: u32 = 32;
-/// Least factor that misses can tighten a class's limit to.
-const TIGHTEST: f64 = 0.3;
-/// Factor on the limit when a review finds too many misses.
-const TIGHTEN: f64 = 0.85;
-/// Addition to the factor when it does not.
-const RELAX: f64 = 0.05;
-/// Misses that a review grants beyond those that the percentile allows.
-const MISS_GRACE: f64 = 0.02;
-/// Part of the allowed wait from which a query counts as admitted under pressure.
-const PRESSURE_PART: u32 = 4;
-
-/// What a query asks for.
+/// Share of a class's latency, waiting included, that a query of a light organisation may take.
+const LIGHT_LATENCY_SHARE: f64 = 0.8;
+/// Share of a class's latency, waiting included, that a query of an organisation near its fair share may take.
+const FAIR_LATENCY_SHARE: f64 = 0.65;
+/// Share of a class's latency, waiting included, that a query of a heavy organisation may take.
+const HEAVY_LATENCY_SHARE: f64 = 0.4;
+/// Fraction of the fair share below which an organisation is light.
+const LIGHT_USAGE_FACTOR: f64 = 0.5;
+/// Multiple of the fair share above which an organisation is heavy.
+const HEAVY_USAGE_FACTOR: f64 = 1.5;
+/// An organisation whose recent usage is at most that of this many such queries is light.
+const LIGHT_QUERY_COUNT: f64 = 2.0;
+/// Time in which recorded usage loses half its weight.
+const USAGE_HALF_LIFE: Duration = Duration::from_secs(1);
+/// Usage below which an organisation counts as idle, in seconds of upstream time.
+const IDLE_USAGE: f64 = 0.001;
+/// Interval at which idle organisations are dropped and the active ones counted.
+const ORGANISATION_COUNT_PERIOD: Duration = Duration::from_millis(250);
+/// Divisor of the latency that gives the least wait allowed, even if the unloaded time takes up all of the latency.
+const MIN_WAIT_DIVISOR: u32 = 10;
+/// Number of queries admitted under load after which a class updates its limit.
+const LIMIT_UPDATE_QUERIES: u32 = 32;
+/// Lower bound of the factor on a class's limit.
+const MIN_LIMIT_FACTOR: f64 = 0.3;
+/// Multiplier of the limit factor after too many misses.
+const LIMIT_DECREASE_FACTOR: f64 = 0.85;
+/// Increment of the limit factor otherwise.
+const LIMIT_INCREASE_STEP: f64 = 0.05;
+/// Share of misses tolerated in addition to those that the percentile allows.
+const MISS_TOLERANCE: f64 = 0.02;
+/// Divisor of the allowed wait that gives the wait above which a query counts as admitted under load.
+const LOADED_WAIT_DIVISOR: u32 = 4;
+
+/// A query that requests admission.
 #[derive(Debug, Clone, Copy)]
-pub struct AdmissionCase<'a> {
-    /// Its class.
+pub struct AdmissionRequest<'a> {
+    /// The query's class.
     pub class: ClassId,
-    /// Its organisation.
+    /// The query's organisation.
     pub organisation: &'a OrganisationName,
-    /// The class's latency, or the caller's deadline if that is shorter.
+    /// Latency target of the class, or the caller's deadline if that is shorter.
     pub latency: Duration,
-    /// Predicted wait of the slowest shard that the coverage target needs.
+    /// Predicted queue wait of the slowest shard that the coverage target needs.
     pub wait: Duration,
-    /// Time that this shard takes on an idle upstream, the way there included.
-    pub work: Duration,
+    /// Expected time of that shard on an idle upstream, including the round trip.
+    pub unloaded_time: Duration,
     /// Upstream time that the whole query takes, in seconds.
     pub cost: f64,
 }
 
-/// What becomes of a query at the door.
+/// Whether a query is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AdmissionVerdict {
-    /// It may be sent.
+pub enum AdmissionDecision {
+    /// The query may be sent.
     Admitted {
-        /// Whether the upstreams were under pressure.
-        pressed: bool,
+        /// Whether the predicted wait was a considerable part of the allowed wait.
+        under_load: bool,
     },
-    /// It was refused.
+    /// The query is refused.
     Refused {
-        /// How long the backlog takes to drain to where the query would get in.
+        /// Time until the backlog has drained far enough for the query to be admitted.
         excess: Duration,
     },
 }
 
-/// How much of its fair share an organisation uses.
+/// Usage of an organisation relative to its fair share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrganisationTier {
-    /// It was idle or uses little.
+pub enum OrganisationUsage {
+    /// It was idle or uses well below its fair share.
     Light,
-    /// It uses about its share.
+    /// It uses about its fair share.
     Fair,
-    /// It uses more than its share.
+    /// It uses well above its fair share.
     Heavy,
 }
 
-/// A sum that loses half its weight every [`USE_HALF_LIFE`].
+/// A sum that loses half its weight every [`USAGE_HALF_LIFE`].
 #[derive(Debug, Clone, Copy, Default)]
 struct DecayingSum {
     value: f64,
@@ -101,7 +101,7 @@
 impl DecayingSum {
     fn value(&self, now: Duration) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
-        self.value * 0.5_f64.powf(age / USE_HALF_LIFE.as_secs_f64())
+        self.value * 0.5_f64.powf(age / USAGE_HALF_LIFE.as_secs_f64())
     }
 
     fn add(&mut self, now: Duration, amount: f64) {
@@ -110,10 +110,14 @@
     }
 }
 
+/// Adaptive limit of one class.
 #[derive(Debug, Clone, Copy)]
 struct ClassLimit {
+    /// Factor on the share of the latency that queries may take, at most 1.
     factor: f64,
+    /// Queries admitted under load since the last update of the factor.
     queries: u32,
+    /// Queries among these that missed their target.
     misses: u32,
 }
 
@@ -127,80 +131,85 @@
     }
 }
 
-/// The door of one entry.
+/// Admission state of one entry.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
     organisations: FxHashMap<OrganisationName, DecayingSum>,
     total: DecayingSum,
+    /// Number of organisations that are not idle.
     active: u32,
-    census: Duration,
+    last_count: Duration,
     classes: SecondaryMap<ClassId, ClassLimit>,
 }
 
 impl AdmissionControl {
-    /// Decides on a query. One that is admitted counts as its organisation's use.
-    pub fn admit(&mut self, now: Duration, case: AdmissionCase<'_>) -> AdmissionVerdict {
-        self.count_organisations(now);
-        let share = match self.tier(now, case.organisation, case.cost) {
-            OrganisationTier::Light => LIGHT_SHARE,
-            OrganisationTier::Fair => FAIR_SHARE,
-            OrganisationTier::Heavy => HEAVY_SHARE,
+    /// Decides whether to admit a query, and records the usage of one that is admitted.
+    pub fn admit(&mut self, now: Duration, request: AdmissionRequest<'_>) -> AdmissionDecision {
+        self.forget_idle_organisations(now);
+        let share = match self.usage(now, request.organisation, request.cost) {
+            OrganisationUsage::Light => LIGHT_LATENCY_SHARE,
+            OrganisationUsage::Fair => FAIR_LATENCY_SHARE,
+            OrganisationUsage::Heavy => HEAVY_LATENCY_SHARE,
         };
-        let factor = self.classes[case.class].factor;
-        let granted = case.latency.mul_f64(share * factor);
-        let least = case.latency / WAIT_LEAST_PART;
-        let allowed = granted.saturating_sub(case.work).max(least);
-        if let Some(excess) = case.wait.checked_sub(allowed)
+        let factor = self.classes[request.class].factor;
+        let latency_share = request.latency.mul_f64(share * factor);
+        let minimum = request.latency / MIN_WAIT_DIVISOR;
+        let allowed_wait = latency_share
+            .saturating_sub(request.unloaded_time)
+            .max(minimum);
+        if let Some(excess) = request.wait.checked_sub(allowed_wait)
             && !excess.is_zero()
         {
-            return AdmissionVerdict::Refused { excess };
+            return AdmissionDecision::Refused { excess };
         }
-        self.use_up(now, case.organisation, case.cost);
-        AdmissionVerdict::Admitted {
-            pressed: case.wait > allowed / PRESSURE_PART,
+        self.record_usage(now, request.organisation, request.cost);
+        AdmissionDecision::Admitted {
+            under_load: request.wait > allowed_wait / LOADED_WAIT_DIVISOR,
         }
     }
 
-    /// Notes whether a query that was admitted under pressure met its target.
-    pub fn review(&mut self, class: ClassId, percentile: f64, met: bool) {
+    /// Records whether a query that was admitted under load met its target, and adjusts the class's limit.
+    pub fn record_target_result(&mut self, class: ClassId, percentile: f64, met: bool) {
         let limit = &mut self.classes[class];
         limit.queries += 1;
         limit.misses += u32::from(!met);
-        if limit.queries < REVIEW_QUERIES {
+        if limit.queries < LIMIT_UPDATE_QUERIES {
             return;
         }
         let missed = f64::from(limit.misses) / f64::from(limit.queries);
-        limit.factor = if missed > 1.0 - percentile / 100.0 + MISS_GRACE {
-            (limit.factor * TIGHTEN).max(TIGHTEST)
+        limit.factor = if missed > 1.0 - percentile / 100.0 + MISS_TOLERANCE {
+            (limit.factor * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT_FACTOR)
         } else {
-            (limit.factor + RELAX).min(1.0)
+            (limit.factor + LIMIT_INCREASE_STEP).min(1.0)
         };
         limit.queries = 0;
         limit.misses = 0;
     }
 
-    /// Tells how much of its fair share an organisation uses, before a query that costs `cost`.
-    pub fn tier(
+    /// Returns an organisation's usage relative to its fair share, before a query that costs `cost`.
+    pub fn usage(
         &self,
         now: Duration,
         organisation: &OrganisationName,
         cost: f64,
-    ) -> OrganisationTier {
+    ) -> OrganisationUsage {
         let used = self
             .organisations
             .get(organisation)
             .map_or(0.0, |s| s.value(now));
-        let fair = self.total.value(now) / f64::from(self.active.max(1));
-        if used <= cost * LIGHT_QUERIES || (self.active > 1 && used < fair * LIGHT_USE) {
-            OrganisationTier::Light
-        } else if self.active > 1 && used > fair * HEAVY_USE {
-            OrganisationTier::Heavy
+        let fair_share = self.total.value(now) / f64::from(self.active.max(1));
+        if used <= cost * LIGHT_QUERY_COUNT
+            || (self.active > 1 && used < fair_share * LIGHT_USAGE_FACTOR)
+        {
+            OrganisationUsage::Light
+        } else if self.active > 1 && used > fair_share * HEAVY_USAGE_FACTOR {
+            OrganisationUsage::Heavy
         } else {
-            OrganisationTier::Fair
+            OrganisationUsage::Fair
         }
     }
 
-    fn use_up(&mut self, now: Duration, organisation: &OrganisationName, cost: f64) {
+    fn record_usage(&mut self, now: Duration, organisation: &OrganisationName, cost: f64) {
         self.total.add(now, cost);
         if let Some(sum) = self.organisations.get_mut(organisation) {
             sum.add(now, cost);
@@ -212,13 +221,13 @@
         self.active += 1;
     }
 
-    fn count_organisations(&mut self, now: Duration) {
-        if now < self.census + CENSUS_PERIOD {
+    fn forget_idle_organisations(&mut self, now: Duration) {
+        if now < self.last_count + ORGANISATION_COUNT_PERIOD {
             return;
         }
-        self.census = now;
+        self.last_count = now;
         self.organisations
-            .retain(|_, sum| sum.value(now) > USE_LEAST);
+            .retain(|_, sum| sum.value(now) > IDLE_USAGE);
         self.active = self.organisations.len() as u32;
     }
 }
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -1,166 +1,189 @@
-//! Canaries: a request that nobody has seen run is tried at one shard before the others are asked.
+//! Canaries: a request that is not known to be safe is sent to a single shard before the others.
 //!
-//! A request that crashes upstreams would else take one replica of every shard at once, and the other replicas when its
-//! caller sends it again. The first attempt, and one at another shard after that is lost, are then all that it can
-//! take, and no service loses both.
-//! The price is the time of one shard request. A class whose latency leaves no room for that goes without, unless the
-//! request is already suspected or an upstream was lost lately.
+//! Otherwise, a request that crashes upstreams would take down one replica of every shard at once, and the other
+//! replicas when its caller retries. With a canary it can take down at most two upstreams, at the first shard and then
+//! at another one, and never both replicas of a service.
+//!
+//! The price is the time of one shard request. A class whose latency is too short for that skips the canary, unless the
+//! request is suspected already or an upstream was lost recently.
 
 use std::time::Duration;
 
 use rustc_hash::FxHashSet;
 
-use super::gather::ShardStanding;
+use super::gather::ShardStatus;
 use super::run::QueryRun;
-use super::tools::{EntryTools, PlannedAttempt};
-use super::verdict::VICTIM_LIMIT;
+use super::tools::{PlannedAttempt, SharedState};
+use super::verdict::BROKEN_UPSTREAM_LIMIT;
 use crate::ident::RequestFingerprint;
 use crate::relay::AttemptPurpose;
 
-/// Requests remembered in each of two generations.
-const KNOWN_LIMIT: usize = 8_192;
-/// Fewest shards of a query that a canary goes ahead of.
-const SHARDS_LEAST: u32 = 3;
-/// The work of canary and query together may take this part of the class's latency.
-const ROOM_PART: u32 = 2;
-/// How long after the last lost upstream every novel request goes ahead with a canary, room or not.
-const ALERT_TERM: Duration = Duration::from_mins(1);
-/// Times that an overdue canary is looked at before the others are asked all the same: upstreams that are silent must
-/// not hold a query up, and a request that crashes its upstream does so soon.
-const PATIENCE: u8 = 2;
-
-/// Requests that have brought rows lately.
+/// Number of requests remembered in each of two generations.
+const KNOWN_REQUESTS_PER_GENERATION: usize = 8_192;
+/// Fewest shards of a query for which a canary is used.
+const MIN_CANARY_SHARDS: u32 = 3;
+/// Divisor of the class's latency that gives the time which canary and query may take together.
+const CANARY_LATENCY_DIVISOR: u32 = 2;
+/// How long after the loss of an upstream every unknown request starts with a canary, even if the latency is short.
+const LOSS_ALERT_DURATION: Duration = Duration::from_mins(1);
+/// Number of checks of an overdue canary after which the other shards are requested anyway. Silent upstreams must not
+/// hold up a query, and a request that crashes its upstream does so early.
+const MAX_OVERDUE_CHECKS: u8 = 2;
+
+/// Fingerprints of requests that have returned rows recently.
 #[derive(Debug, Default)]
 pub struct KnownRequests {
-    young: FxHashSet<RequestFingerprint>,
-    old: FxHashSet<RequestFingerprint>,
+    current: FxHashSet<RequestFingerprint>,
+    previous: FxHashSet<RequestFingerprint>,
 }
 
 impl KnownRequests {
-    /// Tells whether a request has brought rows lately.
+    /// Returns whether a request has returned rows recently.
     pub fn contains(&self, request: RequestFingerprint) -> bool {
-        self.young.contains(&request) || self.old.contains(&request)
+        self.current.contains(&request) || self.previous.contains(&request)
     }
 
-    /// Remembers that a request has brought rows.
+    /// Records that a request has returned rows.
     pub fn insert(&mut self, request: RequestFingerprint) {
-        if self.young.len() >= KNOWN_LIMIT {
-            std::mem::swap(&mut self.young, &mut self.old);
-            self.young.clear();
+        if self.current.len() >= KNOWN_REQUESTS_PER_GENERATION {
+            std::mem::swap(&mut self.current, &mut self.previous);
+            self.current.clear();
         }
-        self.young.insert(request);
+        self.current.insert(request);
     }
 
-    /// Forgets a request under which an upstream was lost.
+    /// Removes a request that was running when an upstream was lost.
     pub fn remove(&mut self, request: RequestFingerprint) {
-        self.young.remove(&request);
-        self.old.remove(&request);
+        self.current.remove(&request);
+        self.previous.remove(&request);
     }
 }
 
-/// The canary of a query, while the other shards are held back.
+/// The canary of a query, while requests to the other shards are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CanaryProbe {
-    /// The shard that is asked first.
+    /// Position of the shard that receives the canary.
     pub(super) slot: u32,
-    /// How often it has been looked at while overdue.
-    pub(super) looks: u8,
+    /// How often the canary has been checked while overdue.
+    pub(super) overdue_checks: u8,
 }
 
 impl QueryRun {
-    /// Picks the planned attempt that goes ahead; none if the query needs no canary.
-    pub(super) fn pick_canary(&self, tools: &EntryTools, now: Duration) -> Option<PlannedAttempt> {
-        let needed = self.gather.total() >= SHARDS_LEAST && self.terms.idempotent;
-        if !needed || (!self.suspect && tools.known.contains(self.fingerprint)) {
+    /// Returns the planned attempt to send as canary, or `None` if the query needs no canary.
+    pub(super) fn pick_canary(
+        &self,
+        shared: &SharedState,
+        now: Duration,
+    ) -> Option<PlannedAttempt> {
+        let needed = self.gather.total() >= MIN_CANARY_SHARDS && self.params.idempotent;
+        if !needed || (!self.suspect && shared.known_requests.contains(self.fingerprint)) {
             return None;
         }
-        let first = tools.plan.iter().min_by_key(|p| p.choice.expected)?;
-        let slowest = tools.plan.iter().map(|p| p.choice.work()).max()?;
-        let room = first.choice.work() + slowest <= self.terms.latency / ROOM_PART;
-        let alert = tools.lost_at.is_some_and(|lost| now < lost + ALERT_TERM);
-        (room || alert || self.suspect).then_some(*first)
+        let first = shared.plan.iter().min_by_key(|p| p.choice.expected)?;
+        let slowest = shared.plan.iter().map(|p| p.choice.unloaded_time()).max()?;
+        let has_time =
+            first.choice.unloaded_time() + slowest <= self.params.latency / CANARY_LATENCY_DIVISOR;
+        let recent_loss = shared
+            .last_upstream_loss
+            .is_some_and(|lost_at| now < lost_at + LOSS_ALERT_DURATION);
+        (has_time || recent_loss || self.suspect).then_some(*first)
     }
 
-    /// The canary's shard is settled, or it has been out for long: asks the other shards, or tries another first.
-    pub(super) fn follow_canary(&mut self, tools: &mut EntryTools, now: Duration) {
+    /// Requests the other shards once the canary's shard has answered or the canary has been overdue for long, or tries
+    /// another shard if the canary's shard is lost.
+    pub(super) fn advance_canary(&mut self, shared: &mut SharedState, now: Duration) {
         let Some(canary) = self.canary else {
             return;
         };
-        match self.gather.slots()[canary.slot as usize].standing() {
-            ShardStanding::Answered => {
-                tools.known.insert(self.fingerprint);
-                self.release(tools, now);
+        match self.gather.slots()[canary.slot as usize].status() {
+            ShardStatus::Answered => {
+                shared.known_requests.insert(self.fingerprint);
+                self.send_held_back(shared, now);
             }
-            ShardStanding::Open if canary.looks >= PATIENCE && self.trace.victims == 0 => {
-                self.release(tools, now);
+            ShardStatus::Open
+                if canary.overdue_checks >= MAX_OVERDUE_CHECKS
+                    && self.progress.broken_upstreams == 0 =>
+            {
+                self.send_held_back(shared, now);
             }
-            ShardStanding::Open => {}
-            ShardStanding::Lost => self.next_canary(tools, now),
+            ShardStatus::Open => {}
+            ShardStatus::Lost => self.start_next_canary(shared, now),
         }
     }
 
-    /// An upstream was lost under the query. Its shard is not asked again before another shard has brought rows: if the
-    /// request is to blame, it shall not take both replicas of one service. Returns whether the shard waits.
-    pub(super) fn park(&mut self, tools: &mut EntryTools, now: Duration, slot: usize) -> bool {
-        let others = self.gather.open() > 1;
-        if !self.terms.idempotent || self.trace.ran || !others {
+    /// Defers a shard whose upstream was lost: it is not requested again before another shard has returned rows,
+    /// because a request that crashes upstreams must not take down both replicas of a service. Returns whether the
+    /// shard was deferred.
+    pub(super) fn defer_shard(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        slot: usize,
+    ) -> bool {
+        let others_open = self.gather.open() > 1;
+        if !self.params.idempotent || self.progress.ran || !others_open {
             return false;
         }
-        self.parked = true;
-        // A hedge of the same shard that is still out is the second try.
-        let tried = self.gather.slots()[slot].out > 0 || self.trace.victims >= VICTIM_LIMIT;
-        if self.canary.is_some() && !tried {
-            self.next_canary(tools, now);
+        self.has_deferred = true;
+        // A hedge of the same shard that is still in flight serves as the second try.
+        let hedged_or_exhausted = self.gather.slots()[slot].in_flight > 0
+            || self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT;
+        if self.canary.is_some() && !hedged_or_exhausted {
+            self.start_next_canary(shared, now);
         }
         true
     }
 
-    /// Asks the shards that wait since an upstream was lost, once rows have come or nothing else is out.
-    pub(super) fn follow_parked(&mut self, tools: &mut EntryTools, now: Duration) {
-        let idle = || self.gather.slots().iter().all(|slot| slot.out == 0);
-        if !self.parked || self.canary.is_some() || !(self.trace.ran || idle()) {
+    /// Requests the deferred shards once rows have arrived or nothing else is in flight.
+    pub(super) fn resume_deferred(&mut self, shared: &mut SharedState, now: Duration) {
+        let none_in_flight = || self.gather.slots().iter().all(|slot| slot.in_flight == 0);
+        if !self.has_deferred || self.canary.is_some() || !(self.progress.ran || none_in_flight()) {
             return;
         }
-        self.parked = false;
-        self.release(tools, now);
+        self.has_deferred = false;
+        self.send_held_back(shared, now);
     }
 
-    fn next_canary(&mut self, tools: &mut EntryTools, now: Duration) {
-        let unasked = |slot: &super::gather::ShardSlot| {
-            slot.tries == 0 && slot.standing() == ShardStanding::Open
+    /// Sends the canary to the next shard that has received no attempt, or ends the canary if there is none.
+    fn start_next_canary(&mut self, shared: &mut SharedState, now: Duration) {
+        let not_sent = |slot: &super::gather::ShardSlot| {
+            slot.attempts_made == 0 && slot.status() == ShardStatus::Open
         };
-        while let Some(slot) = self.gather.slots().iter().position(unasked) {
+        while let Some(slot) = self.gather.slots().iter().position(not_sent) {
             self.canary = Some(CanaryProbe {
                 slot: slot as u32,
-                looks: 0,
+                overdue_checks: 0,
             });
-            self.attempt_first(tools, now, slot);
-            if self.gather.slots()[slot].standing() == ShardStanding::Open {
+            self.send_first_attempt(shared, now, slot);
+            if self.gather.slots()[slot].status() == ShardStatus::Open {
                 return;
             }
         }
         self.canary = None;
     }
 
-    /// Asks all shards that have been held back.
-    fn release(&mut self, tools: &mut EntryTools, now: Duration) {
+    /// Requests all open shards that have no attempt in flight.
+    fn send_held_back(&mut self, shared: &mut SharedState, now: Duration) {
         self.canary = None;
         for slot in 0..self.gather.slots().len() {
             let state = &self.gather.slots()[slot];
-            if state.out == 0 && state.standing() == ShardStanding::Open {
-                self.attempt_first(tools, now, slot);
+            if state.in_flight == 0 && state.status() == ShardStatus::Open {
+                self.send_first_attempt(shared, now, slot);
             }
         }
     }
 
-    fn attempt_first(&mut self, tools: &mut EntryTools, now: Duration, slot: usize) {
-        let Some(choice) = self.choose(tools, now, slot, self.terms.idempotent) else {
-            self.gather.lose(slot);
+    /// Sends the first attempt at a shard, or marks the shard as lost if it has no route.
+    fn send_first_attempt(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
+        let Some(choice) = self.choose(shared, now, slot, self.params.idempotent) else {
+            self.gather.mark_lost(slot);
             return;
         };
-        tools.budget.earn();
-        tools.directory.replicas[choice.replica].health.submit(now);
-        self.send(tools, now, slot, choice, AttemptPurpose::First);
+        shared.budget.deposit();
+        shared.directory.replicas[choice.replica]
+            .health
+            .record_submit(now);
+        self.send(shared, now, slot, choice, AttemptPurpose::First);
     }
 }
 
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -1,7 +1,7 @@
-//! Which replica a shard request goes to, and by which relay.
+//! Choice of the replica and relay for a shard request.
 //!
-//! Power of two choices: of two replicas drawn at random, the one with the smaller expected time to rows wins. A replica
-//! that failed lately is passed over unless it is time to probe it or there is no other.
+//! Uses the power of two choices: of two replicas drawn at random, the one with the shorter expected time is chosen. A
+//! replica that failed recently is skipped unless it is due for a probe or there is no other.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use smallvec::SmallVec;
 
 use super::directory::{Directory, RelayId, ReplicaId, ServiceId};
-use super::replica::ReplicaStanding;
+use super::replica::ReplicaStatus;
 
 /// Why a replica was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ChoiceReason {
-    /// There was no other.
+    /// It was the only healthy replica.
     Only,
-    /// It was expected to answer sooner than another drawn at random.
+    /// Its expected time was no longer than that of another replica drawn at random.
     Sooner,
-    /// It failed lately and is probed.
+    /// It failed recently and is due for a probe.
     Probe,
-    /// All have failed lately.
+    /// All replicas have failed recently.
     LastResort,
 }
 
@@ -40,36 +40,36 @@
 /// A chosen route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
-    /// The replica.
+    /// The chosen replica.
     pub replica: ReplicaId,
-    /// The relay to send to.
+    /// The relay to send the attempt to.
     pub relay: RelayId,
-    /// Why this replica.
+    /// Why this replica was chosen.
     pub reason: ChoiceReason,
-    /// Whether the relay is the replica's standby.
+    /// Whether the relay is the replica's standby rather than its primary.
     pub standby: bool,
-    /// Part of the expected time that the request waits at the relay.
+    /// Part of the expected time that the request spends in the relay's queue.
     pub wait: Duration,
-    /// Expected time until its rows are here.
+    /// Expected time until the rows arrive.
     pub expected: Duration,
 }
 
 impl RouteChoice {
-    /// Expected time on an idle upstream, the way there included.
-    pub fn work(&self) -> Duration {
+    /// Returns the expected time on an idle upstream, including the round trip to the relay.
+    pub fn unloaded_time(&self) -> Duration {
         self.expected.saturating_sub(self.wait)
     }
 }
 
-/// What a choice must leave out.
+/// Restrictions on the choice of a route.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ChoiceLimits<'a> {
-    /// Replicas that have been tried.
-    pub tried: &'a [ReplicaId],
-    /// Relays that refused.
-    pub refused: &'a [RelayId],
-    /// Whether a replica that failed lately may be probed by this request.
-    pub probe: bool,
+pub struct RouteConstraints<'a> {
+    /// Replicas that must not be chosen.
+    pub excluded_replicas: &'a [ReplicaId],
+    /// Relays that must not be used.
+    pub excluded_relays: &'a [RelayId],
+    /// Whether the request may be used to probe a replica that failed recently.
+    pub allow_probe: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -77,72 +77,79 @@
     replica: ReplicaId,
     relay: RelayId,
     standby: bool,
-    standing: ReplicaStanding,
+    status: ReplicaStatus,
 }
 
-/// Chooses a route for a shard of `service`; none if no replica can be reached.
+/// Chooses a route for a shard of `service`; returns `None` if no replica can be reached.
 pub fn choose_route(
     directory: &mut Directory,
     rng: &mut ChaCha8Rng,
     now: Duration,
     service: ServiceId,
-    limits: ChoiceLimits<'_>,
+    constraints: RouteConstraints<'_>,
 ) -> Option<RouteChoice> {
     let mut healthy = SmallVec::<[Candidate; 4]>::new();
-    let mut failed = SmallVec::<[Candidate; 4]>::new();
+    let mut unhealthy = SmallVec::<[Candidate; 4]>::new();
     for replica in directory.replicas_of(service) {
-        if limits.tried.contains(&replica) {
+        if constraints.excluded_replicas.contains(&replica) {
             continue;
         }
-        let Some(candidate) = candidate(directory, now, replica, limits.refused) else {
+        let Some(candidate) = candidate(directory, now, replica, constraints.excluded_relays)
+        else {
             continue;
         };
-        if candidate.standing == ReplicaStanding::Healthy {
+        if candidate.status == ReplicaStatus::Healthy {
             healthy.push(candidate);
         } else {
-            failed.push(candidate);
+            unhealthy.push(candidate);
         }
     }
-    let due = failed
+    let due_probe = unhealthy
         .iter()
-        .find(|c| c.standing == ReplicaStanding::ProbeDue);
-    if let Some(due) = due
-        && limits.probe
+        .find(|c| c.status == ReplicaStatus::ProbeDue);
+    if let Some(due_probe) = due_probe
+        && constraints.allow_probe
     {
-        return Some(finish(directory, now, *due, ChoiceReason::Probe));
+        return Some(make_choice(directory, now, *due_probe, ChoiceReason::Probe));
     }
     let (candidate, reason) = match healthy.len() {
-        0 => (soonest_probe(directory, &failed)?, ChoiceReason::LastResort),
+        0 => (
+            earliest_probe(directory, &unhealthy)?,
+            ChoiceReason::LastResort,
+        ),
         1 => (healthy[0], ChoiceReason::Only),
-        _ => (draw(directory, rng, now, &healthy), ChoiceReason::Sooner),
+        _ => (
+            pick_sooner(directory, rng, now, &healthy),
+            ChoiceReason::Sooner,
+        ),
     };
-    Some(finish(directory, now, candidate, reason))
+    Some(make_choice(directory, now, candidate, reason))
 }
 
 fn candidate(
     directory: &mut Directory,
     now: Duration,
     replica: ReplicaId,
-    refused: &[RelayId],
+    excluded_relays: &[RelayId],
 ) -> Option<Candidate> {
     let (primary, standby) = directory.owners(replica)?;
-    let standing = directory.replicas[replica].health.standing(now);
-    let usable = |relay: RelayId| !refused.contains(&relay);
-    let up = |relay: RelayId| usable(relay) && !directory.relays[relay].is_down(now);
-    // A relay whose link broke a moment ago is still better than none: the link is opened anew.
+    let status = directory.replicas[replica].health.status(now);
+    let allowed = |relay: RelayId| !excluded_relays.contains(&relay);
+    let up = |relay: RelayId| allowed(relay) && !directory.relays[relay].is_down(now);
+    // A relay whose link broke recently is still better than none: the link is reopened.
     let relay = [primary, standby]
         .into_iter()
         .find(|relay| up(*relay))
-        .or_else(|| [primary, standby].into_iter().find(|relay| usable(*relay)))?;
+        .or_else(|| [primary, standby].into_iter().find(|relay| allowed(*relay)))?;
     Some(Candidate {
         replica,
         relay,
         standby: relay != primary,
-        standing,
+        status,
     })
 }
 
-fn draw(
+fn pick_sooner(
     directory: &Directory,
     rng: &mut ChaCha8Rng,
     now: Duration,
@@ -161,18 +168,18 @@
     }
 }
 
-fn soonest_probe(directory: &Directory, failed: &[Candidate]) -> Option<Candidate> {
-    let until = |c: &&Candidate| directory.replicas[c.replica].health.avoid_until();
-    failed.iter().min_by_key(until).copied()
+fn earliest_probe(directory: &Directory, unhealthy: &[Candidate]) -> Option<Candidate> {
+    let backoff_until = |c: &&Candidate| directory.replicas[c.replica].health.backoff_until();
+    unhealthy.iter().min_by_key(backoff_until).copied()
 }
 
 fn expected_time(directory: &Directory, now: Duration, candidate: Candidate) -> Duration {
     let health = &directory.replicas[candidate.replica].health;
     let round_trip = directory.relays[candidate.relay].round_trip();
-    health.wait(now) + health.service(now) + round_trip
+    health.expected_wait(now) + health.service_time(now) + round_trip
 }
 
-fn finish(
+fn make_choice(
     directory: &Directory,
     now: Duration,
     candidate: Candidate,
@@ -183,7 +190,9 @@
         relay: candidate.relay,
         reason,
         standby: candidate.standby,
-        wait: directory.replicas[candidate.replica].health.wait(now),
+        wait: directory.replicas[candidate.replica]
+            .health
+            .expected_wait(now),
         expected: expected_time(directory, now, candidate),
     }
 }
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -1,6 +1,7 @@
-//! All queries of one entry: takes events with the time, returns what is to be sent and what callers get.
+//! The state of all queries of one entry. Takes events with the current time and returns the messages to send and the
+//! outcomes for callers.
 //!
-//! No socket, clock, task or logger here; the actor beside it owns those.
+//! This module uses no sockets, clocks, tasks or logging; those belong to the actor in `actor`.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,11 +12,11 @@
 use compact_str::CompactString;
 use rustc_hash::FxHashMap;
 
-use super::decision::{DecisionTally, EntryDecision, FinishNote};
+use super::decision::{DecisionCounts, EntryDecision, FinishedQuery};
 use super::route::RouteTable;
 use super::run::{OutcomeTimes, QueryRun};
-use super::terms::{ClassId, QueryTerms};
-use super::tools::EntryTools;
+use super::terms::{ClassId, QueryParams};
+use super::tools::SharedState;
 use crate::declaration::{ClassScope, ClassTarget, DeclaredConfig};
 #[cfg(test)]
 use crate::ident::RequestFingerprint;
@@ -27,138 +28,138 @@
 use crate::views::CatalogSet;
 use crate::wire::PeerMessage;
 
-/// When a caller should come back whose index has no version yet.
-const NO_VERSION_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after sent to a caller whose index has no version yet.
+const NO_VERSION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs that are kept for their allocations.
-const SPARE_RUNS: usize = 64;
+/// Maximum number of completed runs kept for reuse of their allocations.
+const RUN_POOL_LIMIT: usize = 64;
 
-/// What an event makes the entry do.
+/// An action that the entry requests in response to an event.
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
     reason = "the large variant is nearly every action"
 )]
 pub enum EntryAction {
-    /// Send a message to a relay; if it can't be sent, tell [`EntryCore::not_sent`].
+    /// Send a message to a relay. If it can't be sent, [`EntryCore::not_sent`] must be called.
     Send {
-        /// The relay's VM.
+        /// Address of the VM that runs the relay.
         vm: VmAddress,
-        /// The message.
+        /// The message to send.
         message: PeerMessage,
     },
-    /// Give a caller its outcome.
+    /// Deliver the outcome of a query to its caller.
     Finish {
-        /// Number of the query, as [`EntryCore::start`] returned it.
+        /// Number of the query, as returned by [`EntryCore::start`].
         query: u64,
-        /// Its outcome.
+        /// The outcome of the query.
         outcome: QueryOutcome,
     },
 }
 
-/// The views that decisions are made by, taken once per event.
+/// The views of the deployment that decisions are based on, taken once per event.
 #[derive(Debug, Clone, Default)]
 pub struct EntryViews {
     /// VMs and upstreams.
     pub topology: Arc<TopologyView>,
-    /// Declarations.
+    /// Declared classes and organisations.
     pub config: Arc<DeclaredConfig>,
-    /// Index catalogues.
+    /// Versions and shards of each index.
     pub catalog: Arc<CatalogSet>,
 }
 
-/// The decisions of one entry.
+/// Makes the decisions of one entry and holds the state of its queries.
 #[derive(Debug)]
 pub struct EntryCore {
-    tools: EntryTools,
+    shared: SharedState,
     config: Arc<DeclaredConfig>,
     class_ids: FxHashMap<ClassName, ClassId>,
     runs: FxHashMap<u64, Box<QueryRun>>,
-    /// Runs that are over, for their allocations.
+    /// Completed runs, kept for reuse of their allocations.
     #[expect(
         clippy::vec_box,
         reason = "runs move between here and the map without being copied"
     )]
-    spare: Vec<Box<QueryRun>>,
-    wakes: BinaryHeap<Reverse<(Duration, u64)>>,
-    started: u64,
+    run_pool: Vec<Box<QueryRun>>,
+    timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    last_query: u64,
     actions: VecDeque<EntryAction>,
 }
 
 impl EntryCore {
-    /// Makes the decisions of the process incarnation `session` in `zone`.
+    /// Creates the core for process incarnation `session` in `zone`.
     pub fn new(session: SessionId, zone: ZoneName, switches: ExperimentSwitches) -> Self {
         Self {
-            tools: EntryTools::new(session, zone, switches),
+            shared: SharedState::new(session, zone, switches),
             config: Arc::default(),
             class_ids: FxHashMap::default(),
             runs: FxHashMap::default(),
-            spare: Vec::new(),
-            wakes: BinaryHeap::new(),
-            started: 0,
+            run_pool: Vec::new(),
+            timers: BinaryHeap::new(),
+            last_query: 0,
             actions: VecDeque::new(),
         }
     }
 
-    /// Takes the current views; costs nothing if they are still the same.
+    /// Switches to the given views; does nothing if they are unchanged.
     pub fn refresh(&mut self, views: &EntryViews) {
-        self.tools.directory.refresh(&views.topology);
-        self.tools.routes.refresh(&views.catalog);
+        self.shared.directory.refresh(&views.topology);
+        self.shared.routes.refresh(&views.catalog);
         if !Arc::ptr_eq(&self.config, &views.config) {
             self.config = Arc::clone(&views.config);
         }
     }
 
-    /// Says whether decisions are to be noted.
-    pub fn note_decisions(&mut self, noting: bool) {
-        self.tools.noting = noting;
+    /// Enables or disables the collection of decisions for the decision log.
+    pub fn set_decision_logging(&mut self, enabled: bool) {
+        self.shared.log_decisions = enabled;
     }
 
-    /// Takes the decisions noted since the last call.
+    /// Drains the decisions collected since the last call.
     pub fn take_decisions(&mut self) -> std::vec::Drain<'_, EntryDecision> {
-        self.tools.noted.drain(..)
+        self.shared.pending_decisions.drain(..)
     }
 
-    /// Returns the next thing to do.
+    /// Returns the next action to perform, in the order in which the actions were requested.
     pub fn next_action(&mut self) -> Option<EntryAction> {
         self.actions.pop_front()
     }
 
-    /// Takes a request for one that has brought rows lately.
+    /// Marks a request as one that has returned rows recently.
     #[cfg(test)]
-    pub(super) fn remember(&mut self, request: &QueryRequest) {
+    pub(super) fn mark_known(&mut self, request: &QueryRequest) {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
-        self.tools.known.insert(fingerprint);
+        self.shared.known_requests.insert(fingerprint);
     }
 
-    /// Queries in flight.
+    /// Returns the number of queries in flight.
     pub fn in_flight(&self) -> usize {
         self.runs.len()
     }
 
-    /// When [`EntryCore::wake`] is to be called next.
+    /// Returns the time at which [`EntryCore::wake`] must be called next.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.wakes.peek().map(|Reverse((at, _))| *at)
+        self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Starts a query and returns its number; its outcome comes as an action, perhaps at once.
+    /// Starts a query and returns its number. The outcome is returned as an action, possibly immediately.
     pub fn start(&mut self, now: Duration, request: QueryRequest) -> u64 {
         self.start_suspect(now, request, false)
     }
 
-    /// As [`EntryCore::start`], for a request that may be `suspect` of crashing upstreams.
+    /// Starts a query like [`EntryCore::start`]; `suspect` says whether the request may have crashed upstreams.
     pub fn start_suspect(&mut self, now: Duration, request: QueryRequest, suspect: bool) -> u64 {
-        self.started += 1;
-        let number = self.started;
+        self.last_query += 1;
+        let number = self.last_query;
         let (class, caller_id) = (request.class.clone(), request.caller_id.clone());
         match self.plan(now, number, request) {
             Ok(mut run) => {
                 run.suspect = suspect;
-                self.launch(now, run);
+                self.begin_run(now, run);
             }
             Err(refusal) => {
                 let outcome = Err(refusal);
-                self.note_finish(number, caller_id, class, &outcome, Duration::ZERO);
+                self.record_finish(number, caller_id, class, &outcome, Duration::ZERO);
                 self.finish(number, outcome);
             }
         }
@@ -176,11 +177,11 @@
         check_request(target, &request)?;
         let route = self.pin(now, target)?;
         let class = self.class_id(&target.name);
-        let terms = QueryTerms::new(class, target, request.deadline, now);
-        let Some(mut run) = self.spare.pop() else {
-            return Ok(Box::new(QueryRun::new(number, request, terms, route)));
+        let params = QueryParams::new(class, target, request.deadline, now);
+        let Some(mut run) = self.run_pool.pop() else {
+            return Ok(Box::new(QueryRun::new(number, request, params, route)));
         };
-        run.renew(number, request, terms, route);
+        run.reuse(number, request, params, route);
         Ok(run)
     }
 
@@ -189,13 +190,16 @@
         now: Duration,
         target: &ClassTarget,
     ) -> Result<Arc<RouteTable>, QueryRefusal> {
-        let EntryTools {
+        let SharedState {
             routes, directory, ..
-        } = &mut self.tools;
+        } = &mut self.shared;
         let route = routes.pin(&target.index, directory, now);
         route.ok_or_else(|| {
-            refuse(RefusalCode::NoUpstream, "the index has no version")
-                .with_retry_after(NO_VERSION_RETRY)
+            not_run(
+                RefusalCode::NoUpstream,
+                "the index has no published version",
+            )
+            .with_retry_after(NO_VERSION_RETRY_AFTER)
         })
     }
 
@@ -208,22 +212,22 @@
         id
     }
 
-    fn launch(&mut self, now: Duration, mut run: Box<QueryRun>) {
+    fn begin_run(&mut self, now: Duration, mut run: Box<QueryRun>) {
         let number = run.number;
-        let outcome = run.begin(&mut self.tools, now);
+        let outcome = run.begin(&mut self.shared, now);
         self.runs.insert(number, run);
-        self.conclude(now, number, outcome);
+        self.finish_event(now, number, outcome);
     }
 
-    /// Takes the verdicts that a relay reports.
+    /// Handles the outcomes and load reports sent by the relay on `from`.
     pub fn take_outcomes(&mut self, now: Duration, from: VmAddress, batch: OutcomeBatch) {
-        let relay = self.tools.directory.relay_id(from);
-        self.tools.directory.relays[relay].link_up();
+        let relay = self.shared.directory.relay_id(from);
+        self.shared.directory.relays[relay].link_up();
         for load in &batch.loads {
-            if let Some(replica) = self.tools.directory.find_replica(load.upstream) {
-                self.tools.directory.replicas[replica]
+            if let Some(replica) = self.shared.directory.find_replica(load.upstream) {
+                self.shared.directory.replicas[replica]
                     .health
-                    .report(now, load);
+                    .record_load_report(now, load);
             }
         }
         for outcome in batch.outcomes {
@@ -232,11 +236,11 @@
                 served: Duration::from_micros(outcome.served_us.into()),
             };
             let (query, attempt) = (outcome.query, outcome.attempt);
-            self.settle(now, query, attempt, outcome.verdict, times);
+            self.handle_outcome(now, query, attempt, outcome.verdict, times);
         }
     }
 
-    fn settle(
+    fn handle_outcome(
         &mut self,
         now: Duration,
         query: u64,
@@ -247,14 +251,15 @@
         let Some(run) = self.runs.get_mut(&query) else {
             return;
         };
-        let ended = run.settle(&mut self.tools, now, attempt, verdict, times);
-        self.conclude(now, query, ended);
+        let completed = run.handle_outcome(&mut self.shared, now, attempt, verdict, times);
+        self.finish_event(now, query, completed);
     }
 
-    /// The link to a VM broke. What is in `unsent` provably never left; other attempts there may have run.
+    /// Handles a broken link to a VM. The messages in `unsent` were never transmitted; other attempts sent to that VM
+    /// may have run.
     pub fn link_down(&mut self, now: Duration, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
-        let relay = self.tools.directory.relay_id(vm);
-        self.tools.directory.relays[relay].link_down(now);
+        let relay = self.shared.directory.relay_id(vm);
+        self.shared.directory.relays[relay].link_down(now);
         for message in unsent {
             let PeerMessage::Submit(batch) = message else {
                 continue;
@@ -267,108 +272,108 @@
             let Some(run) = self.runs.get_mut(&number) else {
                 continue;
             };
-            let ended = run.lose_link(&mut self.tools, now, relay);
-            self.conclude(now, number, ended);
+            let completed = run.handle_link_down(&mut self.shared, now, relay);
+            self.finish_event(now, number, completed);
         }
     }
 
-    /// Attempts could not be handed to the link of a VM: they were not run.
+    /// Handles attempts that could not be passed to the link of a VM and therefore did not run.
     pub fn not_sent(&mut self, now: Duration, vm: VmAddress, query: u64, attempts: &[u32]) {
-        let relay = self.tools.directory.relay_id(vm);
-        self.tools.directory.relays[relay].link_down(now);
+        let relay = self.shared.directory.relay_id(vm);
+        self.shared.directory.relays[relay].link_down(now);
         for &attempt in attempts {
             let verdict = ShardVerdict::NotRun(RefusalReason::LinkDown);
-            self.settle(now, query, attempt, verdict, OutcomeTimes::default());
+            self.handle_outcome(now, query, attempt, verdict, OutcomeTimes::default());
         }
     }
 
-    /// Time has passed.
+    /// Handles the timers that are due at `now`.
     pub fn wake(&mut self, now: Duration) {
-        while let Some(&Reverse((at, number))) = self.wakes.peek() {
+        while let Some(&Reverse((at, number))) = self.timers.peek() {
             if at > now {
                 return;
             }
-            self.wakes.pop();
+            self.timers.pop();
             let Some(run) = self.runs.get_mut(&number) else {
                 continue;
             };
-            if run.armed != at {
+            if run.timer_at != at {
                 continue;
             }
-            run.armed = Duration::MAX;
-            let ended = run.wake(&mut self.tools, now);
-            self.conclude(now, number, ended);
+            run.timer_at = Duration::MAX;
+            let completed = run.wake(&mut self.shared, now);
+            self.finish_event(now, number, completed);
         }
     }
 
-    /// Sends what the event has produced, and finishes the query or arms its next wake.
-    fn conclude(&mut self, now: Duration, number: u64, ended: Option<QueryOutcome>) {
-        let (outbox, relays) = (&mut self.tools.outbox, &self.tools.directory.relays);
+    /// Queues the messages that the event produced, then completes the query or schedules its next timer.
+    fn finish_event(&mut self, now: Duration, number: u64, completed: Option<QueryOutcome>) {
+        let (outbox, relays) = (&mut self.shared.outbox, &self.shared.directory.relays);
         outbox.flush(|relay, message| {
             let vm = relays[relay].vm;
             self.actions.push_back(EntryAction::Send { vm, message });
         });
-        if let Some(outcome) = ended {
-            self.end(now, number, outcome);
+        if let Some(outcome) = completed {
+            self.complete(now, number, outcome);
             return;
         }
         let Some(run) = self.runs.get_mut(&number) else {
             return;
         };
         let next = run.next_wake(now);
-        if next < run.armed {
-            run.armed = next;
-            self.wakes.push(Reverse((next, number)));
+        if next < run.timer_at {
+            run.timer_at = next;
+            self.timers.push(Reverse((next, number)));
         }
     }
 
-    fn end(&mut self, now: Duration, number: u64, outcome: QueryOutcome) {
+    fn complete(&mut self, now: Duration, number: u64, outcome: QueryOutcome) {
         let Some(mut run) = self.runs.remove(&number) else {
             return;
         };
-        if run.pressed {
+        if run.under_load {
             let met = run.meets_target(now, &outcome);
-            let admission = &mut self.tools.admission;
-            admission.review(run.terms.class, run.terms.percentile, met);
+            let admission = &mut self.shared.admission;
+            admission.record_target_result(run.params.class, run.params.percentile, met);
         }
-        let took = now.saturating_sub(run.terms.started);
+        let took = now.saturating_sub(run.params.started);
         let caller_id = run.request.caller_id.take();
         let class = run.request.class.clone();
-        self.note_finish(number, caller_id, class, &outcome, took);
+        self.record_finish(number, caller_id, class, &outcome, took);
         self.finish(number, outcome);
-        self.keep(run);
+        self.recycle(run);
     }
 
-    /// Keeps a run that is over for its allocations.
-    fn keep(&mut self, mut run: Box<QueryRun>) {
-        if self.spare.len() < SPARE_RUNS {
+    /// Returns a completed run to the pool for reuse of its allocations.
+    fn recycle(&mut self, mut run: Box<QueryRun>) {
+        if self.run_pool.len() < RUN_POOL_LIMIT {
             run.request.selection = Bytes::new();
-            self.spare.push(run);
+            self.run_pool.push(run);
         }
     }
 
-    /// Gives up an idempotent query whose caller has gone away; any other goes on to its end.
+    /// Cancels an idempotent query whose caller has disconnected. A non-idempotent query continues to completion.
     pub fn abandon(&mut self, now: Duration, number: u64) {
         let Some(run) = self.runs.get_mut(&number) else {
             return;
         };
-        if !run.terms.idempotent {
+        if !run.params.idempotent {
             return;
         }
-        run.cancel_rest(&mut self.tools);
+        run.cancel_outstanding(&mut self.shared);
         if let Some(run) = self.runs.remove(&number) {
-            self.keep(run);
+            self.recycle(run);
         }
-        self.conclude(now, number, None);
+        self.finish_event(now, number, None);
     }
 
-    /// What the decisions have come to since the start, by class.
-    pub fn tallies(&self) -> impl Iterator<Item = (&ClassName, DecisionTally)> {
+    /// Returns the decision counts of each class since the start.
+    pub fn decision_counts(&self) -> impl Iterator<Item = (&ClassName, DecisionCounts)> {
         let ids = self.class_ids.iter();
-        ids.map(|(name, id)| (name, self.tools.tallies[*id]))
+        ids.map(|(name, id)| (name, self.shared.decision_counts[*id]))
     }
 
-    fn note_finish(
+    fn record_finish(
         &mut self,
         number: u64,
         caller_id: Option<CompactString>,
@@ -376,9 +381,11 @@
         outcome: &QueryOutcome,
         took: Duration,
     ) {
-        if self.tools.noting {
-            let note = FinishNote::new(number, caller_id, class, outcome, took);
-            self.tools.noted.push(EntryDecision::Finish(note));
+        if self.shared.log_decisions {
+            let finished = FinishedQuery::new(number, caller_id, class, outcome, took);
+            self.shared
+                .pending_decisions
+                .push(EntryDecision::Finish(finished));
         }
     }
 
@@ -388,7 +395,7 @@
     }
 }
 
-fn refuse(code: RefusalCode, message: &str) -> QueryRefusal {
+fn not_run(code: RefusalCode, message: &str) -> QueryRefusal {
     QueryRefusal::new(code, RunState::NotRun, message)
 }
 
@@ -397,21 +404,21 @@
     request: &QueryRequest,
 ) -> Result<&'a ClassTarget, QueryRefusal> {
     let Some(target) = config.classes.get(&request.class) else {
-        return Err(refuse(
+        return Err(not_run(
             RefusalCode::UnknownClass,
             "the class is not declared",
         ));
     };
     let Some(organisation) = config.organisations.get(&request.organisation) else {
-        return Err(refuse(
+        return Err(not_run(
             RefusalCode::UnknownOrganisation,
             "the organisation is not declared",
         ));
     };
     if !organisation.classes.contains(&request.class) {
-        return Err(refuse(
+        return Err(not_run(
             RefusalCode::UnknownOrganisation,
-            "the organisation may not use this class",
+            "the organisation is not allowed to use this class",
         ));
     }
     Ok(target)
@@ -419,18 +426,18 @@
 
 fn check_request(target: &ClassTarget, request: &QueryRequest) -> Result<(), QueryRefusal> {
     if target.scope == ClassScope::One && request.record.is_none() {
-        let refusal = refuse(RefusalCode::BadRequest, "the class needs a record name");
+        let refusal = not_run(RefusalCode::BadRequest, "the class requires a record name");
         return Err(refusal.with_field("x-record"));
     }
     if !target.idempotent && request.key.is_none() {
-        let refusal = refuse(
+        let refusal = not_run(
             RefusalCode::BadRequest,
-            "the class needs an idempotency key",
+            "the class requires an idempotency key",
         );
         return Err(refusal.with_field("idempotency-key"));
     }
     if request.deadline.is_some_and(|deadline| deadline.is_zero()) {
-        return Err(refuse(RefusalCode::Deadline, "the deadline has passed"));
+        return Err(not_run(RefusalCode::Deadline, "the deadline has passed"));
     }
     Ok(())
 }
--- a/crates/ebonyfork/src/entry/core_tests.rs
+++ b/crates/ebonyfork/src/entry/core_tests.rs
@@ -13,7 +13,7 @@
     expect_that!(sent.len(), eq(20));
     for attempt in sent.iter().rev() {
         expect_that!(fixture.finished.is_empty(), eq(true));
-        fixture.settle(attempt, rows(17));
+        fixture.deliver(attempt, rows(17));
     }
     let answer = fixture.outcome(query).as_ref().unwrap();
     expect_that!(answer.coverage.answered, eq(20));
@@ -23,11 +23,11 @@
 }
 
 #[gtest]
-fn latency_first_answers_thin_at_the_target_and_names_what_is_missing() {
+fn latency_first_answers_thin_at_the_target_and_lists_missing_shards() {
     let mut fixture = EntryFixture::new(4, |_class| {});
     let query = fixture.start(request());
     for attempt in &fixture.take_sent()[1..] {
-        fixture.settle(attempt, rows(17));
+        fixture.deliver(attempt, rows(17));
     }
     fixture.advance(ms(400));
     let (at, outcome) = &fixture.finished[&query];
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn what_a_broken_link_never_sent_goes_by_the_standby_and_the_rest_is_unknown() {
+fn unsent_attempts_use_the_standby_and_others_on_a_broken_link_may_have_run() {
     let mut fixture = EntryFixture::new(1, |class| class.idempotent = false);
     let query = fixture.start(QueryRequest {
         key: Some("127.0.0.1-7.1".parse().unwrap()),
@@ -46,13 +46,13 @@
     });
     let first = fixture.take_sent().remove(0);
     fixture.core.not_sent(fixture.now, first.vm, query, &[0]);
-    fixture.pump();
+    fixture.run_actions();
     let second = fixture.take_sent().remove(0);
     expect_that!(second.attempt, eq(1));
     fixture
         .core
         .link_down(fixture.now, second.vm, VecDeque::new());
-    fixture.pump();
+    fixture.run_actions();
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
     expect_that!(refusal.ran, eq(RunState::Unknown));
     expect_that!(refusal.code, eq(RefusalCode::UpstreamFailed));
@@ -60,25 +60,27 @@
 }
 
 #[gtest]
-fn a_relay_that_is_gone_costs_no_shard_even_beyond_the_budget() {
+fn a_lost_relay_loses_no_shard_even_beyond_the_budget() {
     let mut fixture = EntryFixture::new(60, |_class| {});
     let query = fixture.start(request());
-    let gone = vm(1);
-    fixture.core.link_down(fixture.now, gone, VecDeque::new());
-    fixture.pump();
-    let mut lost = 0;
+    let lost_relay = vm(1);
+    fixture
+        .core
+        .link_down(fixture.now, lost_relay, VecDeque::new());
+    fixture.run_actions();
+    let mut lost_attempts = 0;
     for attempt in fixture.take_sent() {
-        lost += u32::from(attempt.vm == gone);
-        fixture.settle(&attempt, rows(17));
+        lost_attempts += u32::from(attempt.vm == lost_relay);
+        fixture.deliver(&attempt, rows(17));
     }
-    // More than the budget holds at the start.
-    expect_that!(lost, gt(15));
+    // More attempts than the budget initially allows.
+    expect_that!(lost_attempts, gt(15));
     let answer = fixture.outcome(query).as_ref().unwrap();
     expect_that!(answer.coverage.answered, eq(60));
 }
 
 #[gtest]
-fn requests_that_name_nothing_known_are_not_run() {
+fn invalid_requests_are_not_run() {
     let mut fixture = EntryFixture::new(1, |class| class.idempotent = false);
     let cases = [
         ("class", RefusalCode::UnknownClass),
@@ -113,29 +115,29 @@
         reason: FailureReason::Broken,
     };
     let sent = fixture.take_sent();
-    fixture.settle(&sent[0], broken());
+    fixture.deliver(&sent[0], broken());
     expect_that!(fixture.finished.is_empty(), eq(true));
-    fixture.settle(&sent[1], broken());
+    fixture.deliver(&sent[1], broken());
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
     expect_that!(refusal.code, eq(RefusalCode::UpstreamFailed));
-    // Whatever is still out is cancelled.
-    let out = sent.len() - 2 + fixture.take_sent().len();
-    expect_that!(fixture.cancelled.len(), eq(out));
+    // All attempts still in flight are cancelled.
+    let in_flight = sent.len() - 2 + fixture.take_sent().len();
+    expect_that!(fixture.cancelled.len(), eq(in_flight));
 }
 
 #[gtest]
-fn one_query_id_leads_to_every_decision_on_it() {
+fn every_decision_on_a_query_is_logged_with_its_id() {
     let mut fixture = EntryFixture::new(2, |_class| {});
-    fixture.core.note_decisions(true);
+    fixture.core.set_decision_logging(true);
     let query = fixture.start(QueryRequest {
         caller_id: Some("mine".into()),
         ..request()
     });
     let sent = fixture.take_sent();
-    fixture.settle(&sent[0], rows(17));
+    fixture.deliver(&sent[0], rows(17));
     for _ in 0..2 {
         let attempt = fixture.sent.pop().unwrap_or_else(|| sent[1].clone());
-        fixture.settle(&attempt, ShardVerdict::NotRun(RefusalReason::Shed));
+        fixture.deliver(&attempt, ShardVerdict::NotRun(RefusalReason::Shed));
     }
     expect_that!(fixture.outcome(query).is_ok(), eq(true));
     let lines = fixture.core.take_decisions().map(|line| line.to_string());
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -1,4 +1,4 @@
-//! What an entry decides: events for the log and the metrics, as values.
+//! Decisions of the entry as values, for the decision log and the metrics.
 
 use std::fmt;
 
@@ -11,24 +11,24 @@
 use crate::query::{QueryCoverage, QueryOutcome, RefusalCode};
 use crate::relay::{AttemptPurpose, ShardVerdict};
 
-/// One routing decision.
+/// The route chosen for one attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteDecision {
     /// Number of the query within the entry's session.
     pub query: u64,
     /// Number of the attempt within the query.
     pub attempt: u32,
-    /// The shard.
+    /// Number of the requested shard.
     pub shard: ShardNumber,
-    /// The upstream chosen.
+    /// Address of the chosen upstream.
     pub upstream: UpstreamAddress,
-    /// The relay that it goes through.
+    /// VM of the relay that forwards the attempt.
     pub relay: VmAddress,
-    /// Whether that is the upstream's standby relay.
+    /// Whether that relay is the upstream's standby rather than its primary.
     pub standby: bool,
     /// Why the attempt is made.
     pub purpose: AttemptPurpose,
-    /// Why this upstream.
+    /// Why this upstream was chosen.
     pub reason: ChoiceReason,
 }
 
@@ -49,36 +49,36 @@
     }
 }
 
-/// An attempt came back without rows.
+/// An attempt that returned no rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SetbackNote {
+pub struct FailedAttempt {
     /// Number of the query within the entry's session.
     pub query: u64,
     /// Number of the attempt within the query.
     pub attempt: u32,
-    /// The shard.
+    /// Number of the requested shard.
     pub shard: ShardNumber,
-    /// What became of the attempt.
+    /// Outcome of the attempt.
     pub verdict: ShardVerdict,
 }
 
-/// A query is over.
+/// A completed query.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct FinishNote {
+pub struct FinishedQuery {
     /// Number of the query within the entry's session.
     pub query: u64,
-    /// The caller's own name for it.
+    /// The caller's own id of the query.
     pub caller_id: Option<CompactString>,
-    /// Its class.
+    /// The query's class.
     pub class: ClassName,
-    /// Snapshot and coverage of the answer, or why there is none.
+    /// Snapshot and coverage of the answer, or the code of the refusal.
     pub result: Result<(SnapshotVersion, QueryCoverage), RefusalCode>,
-    /// How long it took.
+    /// Time from the start of the query to its outcome.
     pub took: Duration,
 }
 
-impl FinishNote {
-    /// Notes the outcome of a query.
+impl FinishedQuery {
+    /// Creates the record of a query from its outcome.
     pub(super) fn new(
         query: u64,
         caller_id: Option<CompactString>,
@@ -100,28 +100,28 @@
     }
 }
 
-/// One decision of an entry, for the decision log.
+/// One entry of the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryDecision {
     /// An attempt was routed.
     Route(RouteDecision),
-    /// An attempt came back without rows.
-    Setback(SetbackNote),
-    /// A query is over.
-    Finish(FinishNote),
+    /// An attempt returned no rows.
+    Setback(FailedAttempt),
+    /// A query was completed.
+    Finish(FinishedQuery),
 }
 
 impl fmt::Display for EntryDecision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Route(route) => write!(f, "route {route}"),
-            Self::Setback(note) => write!(f, "setback {note}"),
-            Self::Finish(note) => write!(f, "finish {note}"),
+            Self::Route(decision) => write!(f, "route {decision}"),
+            Self::Setback(decision) => write!(f, "setback {decision}"),
+            Self::Finish(decision) => write!(f, "finish {decision}"),
         }
     }
 }
 
-impl fmt::Display for SetbackNote {
+impl fmt::Display for FailedAttempt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (query, attempt, shard) = (self.query, self.attempt, self.shard);
         write!(
@@ -140,7 +140,7 @@
     }
 }
 
-impl fmt::Display for FinishNote {
+impl fmt::Display for FinishedQuery {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "query=q{} class={}", self.query, self.class)?;
         if let Some(id) = &self.caller_id {
@@ -159,16 +159,16 @@
     }
 }
 
-/// What an entry's decisions on one class have come to, for the metrics.
+/// Numbers of decisions made for one class, for the metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct DecisionTally {
+pub struct DecisionCounts {
     /// First attempts.
     pub first: u64,
     /// Hedges.
     pub hedges: u64,
-    /// Further attempts after one that brought no rows.
+    /// Attempts made after another one returned no rows.
     pub retries: u64,
-    /// Hedges and retries for which the budget held nothing.
+    /// Hedges and retries that the budget did not allow.
     pub denied: u64,
     /// Queries planned again at another version.
     pub replans: u64,
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -1,8 +1,8 @@
-//! Dense ids for services, replicas and relays, with what is learnt of each.
+//! Dense ids of services, replicas and relays, with the statistics of each.
 //!
 //! The topology view is replaced as a whole and may list tens of thousands of upstreams, of which one entry uses few.
-//! So nothing is rebuilt when it changes: a service's members and a replica's owners are looked up again when they are
-//! next used. Ids stay valid for the life of the entry.
+//! Nothing is therefore rebuilt when the view changes: the replicas of a service and the owners of a replica are looked
+//! up again at their next use. Ids stay valid for the life of the entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,21 +31,21 @@
 pub struct RelayId(u32);
 entity_impl!(RelayId, "relay");
 
-/// The upstreams of one service that may get new work.
+/// The upstreams of one service that may receive new requests.
 pub type ReplicaList = SmallVec<[ReplicaId; 4]>;
 
-/// Round trip assumed to a relay in the own zone, until one has been measured.
-const NEAR_ROUND_TRIP: Duration = Duration::from_millis(1);
-/// Round trip assumed to a relay in another zone, until one has been measured.
-const FAR_ROUND_TRIP: Duration = Duration::from_millis(20);
-/// How long a relay whose link broke is passed over.
-const LINK_PAUSE: Duration = Duration::from_millis(500);
-/// Weight of a slower round trip against the learnt one: one in this many. A faster one counts at once, so that what
-/// is learnt stays close to the path's own delay.
-const ROUND_TRIP_WEIGHT: u32 = 32;
+/// Round trip to a relay in the same zone, assumed until one has been measured.
+const SAME_ZONE_ROUND_TRIP: Duration = Duration::from_millis(1);
+/// Round trip to a relay in another zone, assumed until one has been measured.
+const OTHER_ZONE_ROUND_TRIP: Duration = Duration::from_millis(20);
+/// How long a relay is avoided after its link broke.
+const LINK_DOWN_DURATION: Duration = Duration::from_millis(500);
+/// Divisor that gives the weight of a slower round trip in the moving average. A faster one replaces the average at
+/// once, which keeps it close to the delay of the path itself.
+const ROUND_TRIP_SMOOTHING: u32 = 32;
 
 #[derive(Debug)]
-struct ServiceSlot {
+struct ServiceEntry {
     name: ServiceName,
     replicas: ReplicaList,
     generation: u32,
@@ -53,10 +53,10 @@
 
 /// One upstream.
 #[derive(Debug)]
-pub struct ReplicaSlot {
-    /// Its address.
+pub struct ReplicaEntry {
+    /// Address of the upstream.
     pub address: UpstreamAddress,
-    /// What has been learnt of it.
+    /// Health and load of the upstream.
     pub health: ReplicaHealth,
     owners: Option<(RelayId, RelayId)>,
     generation: u32,
@@ -64,69 +64,70 @@
 
 /// One VM in its role as relay.
 #[derive(Debug)]
-pub struct RelaySlot {
-    /// Its address.
+pub struct RelayEntry {
+    /// Address of the VM.
     pub vm: VmAddress,
     round_trip: Duration,
     measured: bool,
     down_until: Duration,
 }
 
-impl RelaySlot {
-    /// Round trip to the relay, without queue and service times.
+impl RelayEntry {
+    /// Returns the round trip to the relay, without queue and service times.
     pub fn round_trip(&self) -> Duration {
         self.round_trip
     }
 
-    /// Takes in a measured round trip.
-    pub fn learn_round_trip(&mut self, sample: Duration) {
+    /// Records a measured round trip.
+    pub fn record_round_trip(&mut self, sample: Duration) {
         if !self.measured || sample < self.round_trip {
             self.round_trip = sample;
             self.measured = true;
             return;
         }
-        self.round_trip += sample.abs_diff(self.round_trip) / ROUND_TRIP_WEIGHT;
+        self.round_trip += sample.abs_diff(self.round_trip) / ROUND_TRIP_SMOOTHING;
     }
 
-    /// Notes that the link is down.
+    /// Records that the link broke.
     pub fn link_down(&mut self, now: Duration) {
-        self.down_until = now + LINK_PAUSE;
+        self.down_until = now + LINK_DOWN_DURATION;
     }
 
-    /// Notes that something came by the link.
+    /// Records that a message arrived on the link.
     pub fn link_up(&mut self) {
         self.down_until = Duration::ZERO;
     }
 
-    /// Tells whether the link broke a moment ago.
+    /// Returns whether the link broke recently.
     pub fn is_down(&self, now: Duration) -> bool {
         now < self.down_until
     }
 }
 
-/// All services, replicas and relays that an entry has met.
+/// All services, replicas and relays that an entry has used.
 #[derive(Debug)]
 pub struct Directory {
-    own: VmAddress,
+    own_vm: VmAddress,
     zone: ZoneName,
     ownership: OwnershipMode,
     view: Arc<TopologyView>,
+    /// Incremented when the view changes; entries with another generation are looked up again at their next use.
     generation: u32,
-    services: PrimaryMap<ServiceId, ServiceSlot>,
+    services: PrimaryMap<ServiceId, ServiceEntry>,
     service_ids: FxHashMap<ServiceName, ServiceId>,
     /// Replicas by id.
-    pub replicas: PrimaryMap<ReplicaId, ReplicaSlot>,
+    pub replicas: PrimaryMap<ReplicaId, ReplicaEntry>,
     replica_ids: FxHashMap<UpstreamAddress, ReplicaId>,
     /// Relays by id.
-    pub relays: PrimaryMap<RelayId, RelaySlot>,
+    pub relays: PrimaryMap<RelayId, RelayEntry>,
     relay_ids: FxHashMap<VmAddress, RelayId>,
 }
 
 impl Directory {
-    /// Makes an empty directory for the entry on `own`.
-    pub fn new(own: VmAddress, zone: ZoneName, ownership: OwnershipMode) -> Self {
+    /// Creates an empty directory for the entry on `own_vm`.
+    pub fn new(own_vm: VmAddress, zone: ZoneName, ownership: OwnershipMode) -> Self {
         Self {
-            own,
+            own_vm,
             zone,
             ownership,
             view: Arc::default(),
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Takes the current view; costs nothing if it is still the same.
+    /// Switches to the given view; does nothing if it is unchanged.
     pub fn refresh(&mut self, view: &Arc<TopologyView>) {
         if Arc::ptr_eq(&self.view, view) {
             return;
@@ -149,22 +150,22 @@
         self.generation = self.generation.wrapping_add(1);
     }
 
-    /// Returns the id of a service, making one at its first use.
+    /// Returns the id of a service, assigning one on first use.
     pub fn service_id(&mut self, name: &ServiceName) -> ServiceId {
         if let Some(&id) = self.service_ids.get(name) {
             return id;
         }
-        let slot = ServiceSlot {
+        let entry = ServiceEntry {
             name: name.clone(),
             replicas: ReplicaList::new(),
             generation: 0,
         };
-        let id = self.services.push(slot);
+        let id = self.services.push(entry);
         self.service_ids.insert(name.clone(), id);
         id
     }
 
-    /// Returns the upstreams of a service that may get new work.
+    /// Returns the upstreams of a service that may receive new requests.
     pub fn replicas_of(&mut self, service: ServiceId) -> ReplicaList {
         if self.services[service].generation != self.generation {
             self.update_service(service);
@@ -178,50 +179,50 @@
         let view = Arc::clone(&self.view);
         let mut replicas = ReplicaList::new();
         for &address in view.service(&self.services[service].name) {
-            let staying = view.upstreams.get(&address).is_some_and(|e| !e.leaving);
-            if staying {
+            let available = view.upstreams.get(&address).is_some_and(|e| !e.leaving);
+            if available {
                 replicas.push(self.replica_id(address));
             }
         }
-        let slot = &mut self.services[service];
-        slot.replicas = replicas;
-        slot.generation = self.generation;
+        let entry = &mut self.services[service];
+        entry.replicas = replicas;
+        entry.generation = self.generation;
     }
 
     fn replica_id(&mut self, address: UpstreamAddress) -> ReplicaId {
         if let Some(&id) = self.replica_ids.get(&address) {
             return id;
         }
-        let slot = ReplicaSlot {
+        let entry = ReplicaEntry {
             address,
             health: ReplicaHealth::default(),
             owners: None,
             generation: 0,
         };
-        let id = self.replicas.push(slot);
+        let id = self.replicas.push(entry);
         self.replica_ids.insert(address, id);
         id
     }
 
-    /// Returns the id of an upstream that has been used.
+    /// Returns the id of an upstream, or `None` if it has not been used yet.
     pub fn find_replica(&self, address: UpstreamAddress) -> Option<ReplicaId> {
         self.replica_ids.get(&address).copied()
     }
 
-    /// Returns primary and standby relay of a replica; none if no VM is known.
+    /// Returns the primary and standby relay of a replica, or `None` if no VM is known.
     pub fn owners(&mut self, replica: ReplicaId) -> Option<(RelayId, RelayId)> {
         if self.replicas[replica].generation != self.generation {
             let owners = self.find_owners(self.replicas[replica].address);
-            let slot = &mut self.replicas[replica];
-            slot.owners = owners;
-            slot.generation = self.generation;
+            let entry = &mut self.replicas[replica];
+            entry.owners = owners;
+            entry.generation = self.generation;
         }
         self.replicas[replica].owners
     }
 
     fn find_owners(&mut self, address: UpstreamAddress) -> Option<(RelayId, RelayId)> {
         if self.ownership == OwnershipMode::Direct {
-            let own = self.relay_id(self.own);
+            let own = self.relay_id(self.own_vm);
             return Some((own, own));
         }
         let pair = owner_pair(&self.view, address)?;
@@ -230,29 +231,29 @@
         Some((primary, standby))
     }
 
-    /// Returns the id of a relay, making one at its first use.
+    /// Returns the id of a relay, assigning one on first use.
     pub fn relay_id(&mut self, vm: VmAddress) -> RelayId {
         if let Some(&id) = self.relay_ids.get(&vm) {
             return id;
         }
-        let slot = RelaySlot {
+        let entry = RelayEntry {
             vm,
-            round_trip: self.round_trip_prior(vm),
+            round_trip: self.default_round_trip(vm),
             measured: false,
             down_until: Duration::ZERO,
         };
-        let id = self.relays.push(slot);
+        let id = self.relays.push(entry);
         self.relay_ids.insert(vm, id);
         id
     }
 
-    fn round_trip_prior(&self, vm: VmAddress) -> Duration {
-        if vm == self.own {
+    fn default_round_trip(&self, vm: VmAddress) -> Duration {
+        if vm == self.own_vm {
             return Duration::ZERO;
         }
         match self.view.vms.get(&vm) {
-            Some(entry) if entry.zone == self.zone => NEAR_ROUND_TRIP,
-            _ => FAR_ROUND_TRIP,
+            Some(entry) if entry.zone == self.zone => SAME_ZONE_ROUND_TRIP,
+            _ => OTHER_ZONE_ROUND_TRIP,
         }
     }
 }
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -1,4 +1,4 @@
-//! The decisions under faults, as a table: each fault alone, all together, and each at two places at once.
+//! Table of faults and their expected outcomes: each fault alone and several at once, at one service and at two.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,40 +12,40 @@
 use crate::query::{QueryOutcome, QueryRequest, RefusalCode};
 use crate::relay::{AttemptPurpose, FailureReason, RefusalReason, ShardVerdict, UpstreamLoad};
 
-/// Shards of the index, one service of two upstreams each.
+/// Number of shards of the index, each on a service of two upstreams.
 const SHARDS: usize = 8;
 
-/// A fault; it strikes the services 1 to `places`.
+/// A fault, injected at services 1 to `faulty_services`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     /// The first attempt takes far too long.
     Straggler,
     /// The first upstream refuses connections.
     Refusing,
-    /// The first upstream is silent.
+    /// The first upstream never answers.
     Silent,
     /// Both upstreams refuse connections.
     BothRefusing,
-    /// The first upstream sheds.
+    /// The first upstream sheds requests.
     Shedding,
-    /// Both upstreams shed.
+    /// Both upstreams shed requests.
     BothShedding,
-    /// The connection breaks under the first attempt.
+    /// The connection breaks during the first attempt.
     Broken,
-    /// The first attempt is answered with an error.
+    /// The first attempt is answered with an error status.
     ErrorStatus,
     /// The relay of the first attempt does not own the upstream.
     NotOwner,
-    /// The index rolls to the next version before the service is asked.
-    Roll,
-    /// The version is not held, and no other is listed.
-    Gone,
-    /// The shard has moved to the service after the last.
+    /// The index moves to the next version before the service receives its request.
+    NextVersion,
+    /// The service does not hold the version, and no other version is listed.
+    VersionMissing,
+    /// The shard has moved to an additional service.
     Move,
-    /// Rows of another version come back.
-    Mixed,
-    /// Both upstreams are slow at first.
-    Cold,
+    /// The first attempt returns rows of another version.
+    WrongVersion,
+    /// Both upstreams are slow.
+    SlowService,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -57,17 +57,24 @@
 
 use Expected::{Refused, Thin, Whole};
 use Fault::{
-    BothRefusing, BothShedding, Broken, Cold, ErrorStatus, Gone, Mixed, Move, NotOwner, Refusing,
-    Roll, Shedding, Silent, Straggler,
+    BothRefusing, BothShedding, Broken, ErrorStatus, Move, NextVersion, NotOwner, Refusing,
+    Shedding, Silent, SlowService, Straggler, VersionMissing, WrongVersion,
 };
 
-/// Faults, then what is expected of a class that puts latency first and of one that puts coverage first (0.95).
+/// Faults, the expected outcome of a latency-first class, and that of a coverage-first class with a target of 0.95.
 type FaultCase = (&'static [Fault], Expected, Expected);
 
-/// Faults, and what a non-idempotent query is refused with; none if it is answered.
-type OnceCase = (&'static [Fault], Option<(RefusalCode, RunState)>);
+/// Faults, and the refusal of a non-idempotent query, or `None` if it is answered.
+type NonIdempotentCase = (&'static [Fault], Option<(RefusalCode, RunState)>);
 
-const ALL_AT_ONCE: &[Fault] = &[Straggler, Refusing, Shedding, Move, Cold, Roll];
+const ALL_AT_ONCE: &[Fault] = &[
+    Straggler,
+    Refusing,
+    Shedding,
+    Move,
+    SlowService,
+    NextVersion,
+];
 
 const CASES: &[FaultCase] = &[
     (&[], Whole { version: 17 }, Whole { version: 17 }),
@@ -79,27 +86,31 @@
     (&[BothShedding], Thin { missing_each: 1 }, UPSTREAM_FAILED),
     (&[ErrorStatus], Whole { version: 17 }, Whole { version: 17 }),
     (&[NotOwner], Whole { version: 17 }, Whole { version: 17 }),
-    (&[Roll], Whole { version: 18 }, Whole { version: 18 }),
-    (&[Gone], Thin { missing_each: 1 }, UPSTREAM_FAILED),
+    (&[NextVersion], Whole { version: 18 }, Whole { version: 18 }),
+    (&[VersionMissing], Thin { missing_each: 1 }, UPSTREAM_FAILED),
     (&[Move], Whole { version: 17 }, Whole { version: 17 }),
-    (&[Mixed], Whole { version: 17 }, Whole { version: 17 }),
-    (&[Cold], Whole { version: 17 }, Whole { version: 17 }),
+    (
+        &[WrongVersion],
+        Whole { version: 17 },
+        Whole { version: 17 },
+    ),
+    (&[SlowService], Whole { version: 17 }, Whole { version: 17 }),
     (ALL_AT_ONCE, Whole { version: 18 }, Whole { version: 18 }),
 ];
 
 const UPSTREAM_FAILED: Expected = Refused {
     code: RefusalCode::UpstreamFailed,
-    // Other shards were still out when it was given up.
+    // Other shards were still in flight when the query was given up.
     ran: RunState::Unknown,
 };
 
-/// Answers attempts after a while, with the faults of a case.
+/// Replies to attempts after a delay, according to the faults of a case.
 struct FaultScript<'a> {
     faults: &'a [Fault],
-    places: u32,
+    faulty_services: u32,
     replies: BTreeMap<(Duration, usize), (SentAttempt, ShardVerdict)>,
     sent: Vec<SentAttempt>,
-    rolled: bool,
+    published: bool,
 }
 
 impl FaultScript<'_> {
@@ -107,7 +118,7 @@
         self.faults.contains(&fault)
     }
 
-    /// Takes what has been sent and schedules its replies.
+    /// Takes the attempts sent and schedules their replies.
     fn answer(&mut self, fixture: &mut EntryFixture) {
         for attempt in fixture.take_sent() {
             if let Some((after, verdict)) = self.reply(fixture, &attempt) {
@@ -128,28 +139,28 @@
             version,
             body: Bytes::from(body.clone()),
         };
-        let good = Some((ms(10), rows(attempt.version)));
+        let success = Some((ms(10), rows(attempt.version)));
         let service = attempt.shard;
-        if service == 0 || service > self.places {
-            return good;
+        if service == 0 || service > self.faulty_services {
+            return success;
         }
         let first = attempt.purpose == AttemptPurpose::First;
         let primary = attempt.upstream == upstream(service as usize, 0);
         let not_run = |reason| Some((ms(2), ShardVerdict::NotRun(reason)));
-        if self.has(Roll) && attempt.version.0 == 17 {
-            if !self.rolled {
-                self.rolled = true;
+        if self.has(NextVersion) && attempt.version.0 == 17 {
+            if !self.published {
+                self.published = true;
                 fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
             }
             let newest = SnapshotVersion(18);
             return Some((ms(12), ShardVerdict::VersionGone { newest }));
         }
-        if self.has(Gone) {
+        if self.has(VersionMissing) {
             let newest = SnapshotVersion(18);
             return Some((ms(2), ShardVerdict::VersionGone { newest }));
         }
-        let there = [0, 1].map(|replica| upstream(SHARDS, replica));
-        if self.has(Move) && !there.contains(&attempt.upstream) {
+        let new_upstreams = [0, 1].map(|replica| upstream(SHARDS, replica));
+        if self.has(Move) && !new_upstreams.contains(&attempt.upstream) {
             let service = format!("tender-{SHARDS:02}").parse().unwrap();
             return Some((ms(2), ShardVerdict::Moved { service }));
         }
@@ -166,27 +177,27 @@
             () if self.has(NotOwner) && first => not_run(RefusalReason::NotOwner),
             () if self.has(Broken) && first => failed(FailureReason::Broken),
             () if self.has(ErrorStatus) && first => failed(FailureReason::Status),
-            () if self.has(Mixed) && first => Some((ms(5), rows(SnapshotVersion(16)))),
+            () if self.has(WrongVersion) && first => Some((ms(5), rows(SnapshotVersion(16)))),
             () if self.has(Straggler) && first => Some((ms(900), rows(attempt.version))),
-            () if self.has(Cold) => Some((ms(80), rows(attempt.version))),
-            () => good,
+            () if self.has(SlowService) => Some((ms(80), rows(attempt.version))),
+            () => success,
         }
     }
 }
 
-/// Runs one query to its end and returns when it ended, its outcome and what was sent.
+/// Runs one query to completion and returns its duration, its outcome and the attempts sent.
 fn run_query(
     fixture: &mut EntryFixture,
     faults: &[Fault],
-    places: u32,
+    faulty_services: u32,
     request: QueryRequest,
 ) -> (Duration, QueryOutcome, Vec<SentAttempt>) {
     let mut script = FaultScript {
         faults,
-        places,
+        faulty_services,
         replies: BTreeMap::new(),
         sent: Vec::new(),
-        rolled: false,
+        published: false,
     };
     let started = fixture.now;
     let query = fixture.start(request);
@@ -195,10 +206,10 @@
         let reply = script.replies.keys().next().map(|(at, _)| *at);
         let wake = fixture.core.next_wake();
         if reply.is_none_or(|at| wake.is_some_and(|wake| wake < at)) {
-            fixture.advance(wake.expect("a query in flight has a wake"));
+            fixture.advance(wake.expect("a query in flight has a timer"));
         } else if let Some((_, (attempt, verdict))) = script.replies.pop_first() {
             fixture.advance(reply.unwrap());
-            fixture.settle(&attempt, verdict);
+            fixture.deliver(&attempt, verdict);
         }
         script.answer(fixture);
     }
@@ -206,7 +217,7 @@
     (at.saturating_sub(started), outcome, script.sent)
 }
 
-fn check(name: &str, places: u32, expected: Expected, outcome: &QueryOutcome) {
+fn check(name: &str, faulty_services: u32, expected: Expected, outcome: &QueryOutcome) {
     match (expected, outcome) {
         (Whole { version }, Ok(answer)) => {
             expect_that!(answer.coverage.missing, is_empty(), "{name}");
@@ -218,7 +229,9 @@
             }
         }
         (Thin { missing_each }, Ok(answer)) => {
-            let missing: Vec<_> = (1..=places * missing_each).map(ShardNumber).collect();
+            let missing: Vec<_> = (1..=faulty_services * missing_each)
+                .map(ShardNumber)
+                .collect();
             expect_that!(answer.coverage.missing, eq(&missing), "{name}");
             expect_that!(answer.bodies.len(), eq(SHARDS - missing.len()), "{name}");
         }
@@ -236,27 +249,28 @@
 }
 
 #[gtest]
-fn each_fault_at_one_and_at_two_places() {
+fn each_fault_at_one_and_at_two_services() {
     let priorities = [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst];
     for (faults, latency_first, coverage_first) in CASES {
-        for places in [1, 2] {
+        for faulty_services in [1, 2] {
             for priority in priorities {
-                let name = format!("{faults:?} x{places} {priority:?}");
+                let name = format!("{faults:?} x{faulty_services} {priority:?}");
                 let mut fixture = EntryFixture::new(SHARDS + 1, |class| {
                     class.priority = priority;
                     class.coverage = 0.95;
                 });
                 fixture.publish(5, &[(17, SHARDS)]);
-                let (took, outcome, sent) = run_query(&mut fixture, faults, places, request());
+                let (took, outcome, sent) =
+                    run_query(&mut fixture, faults, faulty_services, request());
                 let expected = match priority {
                     TargetPriority::LatencyFirst => *latency_first,
                     TargetPriority::CoverageFirst => *coverage_first,
                 };
-                check(&name, places, expected, &outcome);
-                // Nothing is held back until near the deadline, and no shard is asked more than a few times.
+                check(&name, faulty_services, expected, &outcome);
+                // The query does not wait until near its deadline, and no shard is retried more than a few times.
                 expect_that!(took, le(ms(300)), "{name}");
                 let extra = sent.iter().filter(|a| a.purpose != AttemptPurpose::First);
-                expect_that!(extra.count(), le(3 * places as usize), "{name}");
+                expect_that!(extra.count(), le(3 * faulty_services as usize), "{name}");
             }
         }
     }
@@ -264,13 +278,13 @@
 
 #[gtest]
 fn a_non_idempotent_query_is_sent_again_only_after_an_explicit_refusal() {
-    let cases: &[OnceCase] = &[
+    let cases: &[NonIdempotentCase] = &[
         (&[], None),
         (&[Refusing], None),
         (&[Shedding], None),
         (&[NotOwner], None),
         (&[Move], None),
-        (&[Roll], None),
+        (&[NextVersion], None),
         (
             &[Broken],
             Some((RefusalCode::UpstreamFailed, RunState::Unknown)),
@@ -279,7 +293,10 @@
             &[ErrorStatus],
             Some((RefusalCode::UpstreamFailed, RunState::Unknown)),
         ),
-        (&[Mixed], Some((RefusalCode::UpstreamFailed, RunState::Ran))),
+        (
+            &[WrongVersion],
+            Some((RefusalCode::UpstreamFailed, RunState::Ran)),
+        ),
         (&[Silent], Some((RefusalCode::Deadline, RunState::Unknown))),
         (
             &[BothRefusing],
@@ -291,15 +308,15 @@
         ),
     ];
     for (faults, refused) in cases {
-        // Records are tried until one meets the fault on the first upstream of its shard.
-        let got = (0..64).find_map(|number| run_record(faults, number));
-        let got = got.expect("one of the records meets the fault");
-        let got = got.err().map(|refusal| (refusal.code, refusal.ran));
-        expect_that!(got, eq(*refused), "{faults:?}");
+        // Tries records until one hits the fault on the first upstream of its shard.
+        let result = (0..64).find_map(|number| run_record(faults, number));
+        let result = result.expect("one of the records hits the fault");
+        let result = result.err().map(|refusal| (refusal.code, refusal.ran));
+        expect_that!(result, eq(*refused), "{faults:?}");
     }
 }
 
-/// Runs a non-idempotent query for one record; none if its first attempt does not meet the fault.
+/// Runs a non-idempotent query for one record; returns `None` if its first attempt does not hit the fault.
 fn run_record(faults: &[Fault], number: u32) -> Option<QueryOutcome> {
     let mut fixture = EntryFixture::new(SHARDS + 1, |class| {
         class.idempotent = false;
@@ -311,46 +328,46 @@
         record: Some(format!("record {number}").into()),
         ..request()
     };
-    let places = SHARDS as u32 - 1;
-    let (_, outcome, sent) = run_query(&mut fixture, faults, places, request);
+    let faulty_services = SHARDS as u32 - 1;
+    let (_, outcome, sent) = run_query(&mut fixture, faults, faulty_services, request);
     let first = &sent[0];
-    let met = first.shard > 0 && first.upstream == upstream(first.shard as usize, 0);
-    met.then_some(outcome)
+    let hit_fault = first.shard > 0 && first.upstream == upstream(first.shard as usize, 0);
+    hit_fault.then_some(outcome)
 }
 
 #[gtest]
-fn a_server_that_lies_about_its_load_draws_no_traffic_for_it() {
+fn a_server_that_misreports_its_load_attracts_no_traffic() {
     let mut fixture = EntryFixture::new(1, |_class| {});
-    let mut liar_share = 0;
+    let mut misreporting_attempts = 0;
     for round in 0..200 {
         fixture.now += ms(50);
         let query = fixture.start(request());
         for attempt in fixture.take_sent() {
-            // It reports no wait, and sheds whatever it gets.
-            let lies = attempt.upstream == upstream(0, 0);
-            liar_share += u32::from(lies && round >= 20);
+            // The misreporting server claims to have no queue, and fails every request.
+            let misreports = attempt.upstream == upstream(0, 0);
+            misreporting_attempts += u32::from(misreports && round >= 20);
             let load = UpstreamLoad {
                 upstream: attempt.upstream,
-                wait_us: if lies { 0 } else { 4_000 },
-                service_us: if lies { 100 } else { 5_000 },
+                wait_us: if misreports { 0 } else { 4_000 },
+                service_us: if misreports { 100 } else { 5_000 },
                 limit: 2,
                 leaving: false,
             };
-            let verdict = if lies {
+            let verdict = if misreports {
                 let ran = RunState::Ran;
                 let reason = FailureReason::Status;
                 ShardVerdict::Failed { ran, reason }
             } else {
                 super::fixture::rows(17)
             };
-            fixture.settle_with(&attempt, verdict, Some(load));
+            fixture.deliver_with_load(&attempt, verdict, Some(load));
         }
         for attempt in fixture.take_sent() {
-            fixture.settle(&attempt, super::fixture::rows(17));
+            fixture.deliver(&attempt, super::fixture::rows(17));
         }
         fixture.advance(fixture.now + ms(10));
         expect_that!(fixture.outcome(query).is_ok(), eq(true), "round {round}");
     }
-    // It is probed now and then, at most every few seconds.
-    expect_that!(liar_share, le(6));
+    // The server is probed occasionally, at most once every few seconds.
+    expect_that!(misreporting_attempts, le(6));
 }
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -1,4 +1,4 @@
-//! A small deployment for tests of the decisions: one index, one service of two upstreams per shard, three VMs.
+//! Test deployment for [`EntryCore`]: one index, one service of two upstreams per shard, and three VMs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     pub(super) version: SnapshotVersion,
 }
 
-/// The decisions of one entry, with what they have asked for.
+/// An entry core, with the actions that it has requested.
 pub(super) struct EntryFixture {
     pub(super) core: EntryCore,
     pub(super) views: EntryViews,
@@ -50,7 +50,7 @@
     VmAddress([127, 0, 1, number].into())
 }
 
-/// The address of one upstream of a service.
+/// Returns the address of one upstream of a service.
 pub(super) fn upstream(service: usize, replica: usize) -> UpstreamAddress {
     let ip = [127, 0, 2 + replica as u8, service as u8];
     UpstreamAddress((ip, 80).into())
@@ -115,7 +115,7 @@
 }
 
 impl EntryFixture {
-    /// An entry before `shards` services of two upstreams each, at version 17; `change` may alter the class.
+    /// Creates an entry with `shards` services of two upstreams each, at version 17; `change` may modify the class.
     pub(super) fn new(shards: usize, change: impl FnOnce(&mut ClassTarget)) -> Self {
         let mut class = search_class();
         change(&mut class);
@@ -145,7 +145,7 @@
             finished: FxHashMap::default(),
         };
         fixture.publish(5, &[(17, shards)]);
-        fixture.core.remember(&request());
+        fixture.core.mark_known(&request());
         fixture
     }
 
@@ -165,12 +165,12 @@
 
     pub(super) fn start(&mut self, request: QueryRequest) -> u64 {
         let number = self.core.start(self.now, request);
-        self.pump();
+        self.run_actions();
         number
     }
 
-    /// Takes what the decisions ask for.
-    pub(super) fn pump(&mut self) {
+    /// Performs the actions that the core has requested.
+    pub(super) fn run_actions(&mut self) {
         while let Some(action) = self.core.next_action() {
             match action {
                 EntryAction::Send { vm, message } => self.take_message(vm, message),
@@ -207,18 +207,18 @@
         self.sent.extend(sent);
     }
 
-    /// The attempts sent since the last call.
+    /// Returns the attempts sent since the last call.
     pub(super) fn take_sent(&mut self) -> Vec<SentAttempt> {
         std::mem::take(&mut self.sent)
     }
 
-    /// Lets an attempt come back after `served` at the upstream.
-    pub(super) fn settle(&mut self, attempt: &SentAttempt, verdict: ShardVerdict) {
-        self.settle_with(attempt, verdict, None);
+    /// Delivers the outcome of an attempt to the core.
+    pub(super) fn deliver(&mut self, attempt: &SentAttempt, verdict: ShardVerdict) {
+        self.deliver_with_load(attempt, verdict, None);
     }
 
-    /// Lets an attempt come back, with a load report.
-    pub(super) fn settle_with(
+    /// Delivers the outcome of an attempt to the core, together with a load report.
+    pub(super) fn deliver_with_load(
         &mut self,
         attempt: &SentAttempt,
         verdict: ShardVerdict,
@@ -237,10 +237,10 @@
             loads: load.into_iter().collect(),
         };
         self.core.take_outcomes(self.now, attempt.vm, batch);
-        self.pump();
+        self.run_actions();
     }
 
-    /// Lets time pass, with every wake that the decisions ask for.
+    /// Advances the time, running each timer that becomes due.
     pub(super) fn advance(&mut self, to: Duration) {
         while let Some(at) = self.core.next_wake() {
             if at > to {
@@ -248,14 +248,17 @@
             }
             self.now = self.now.max(at);
             self.core.wake(self.now);
-            self.pump();
+            self.run_actions();
         }
         self.now = to;
     }
 
-    /// The outcome of a query that must be finished.
+    /// Returns the outcome of a completed query.
     pub(super) fn outcome(&self, query: u64) -> &QueryOutcome {
-        let (_, outcome) = self.finished.get(&query).expect("the query is in flight");
+        let (_, outcome) = self
+            .finished
+            .get(&query)
+            .expect("the query is still in flight");
         outcome
     }
 }
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -1,7 +1,7 @@
-//! Gathering: the state of each shard that a query needs, and the rows that have come.
+//! State of each shard that a query needs, and the rows received.
 //!
-//! A shard's body is taken at most once and only at the pinned version; the coverage is counted from the bodies held, so
-//! it is true by construction.
+//! A shard's rows are accepted at most once and only at the pinned version. The coverage is counted from the rows held,
+//! so it is always true.
 
 use bytes::Bytes;
 use smallvec::SmallVec;
@@ -10,33 +10,33 @@
 use crate::ident::{ShardNumber, SnapshotVersion};
 use crate::query::QueryCoverage;
 
-/// Where a shard stands.
+/// Progress of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ShardStanding {
-    /// Rows may still come.
+pub enum ShardStatus {
+    /// Its rows may still arrive.
     Open,
-    /// Its rows are here.
+    /// Its rows have been received.
     Answered,
-    /// Nothing that is pending can bring its rows.
+    /// No attempt in flight or planned can return its rows.
     Lost,
 }
 
-/// One shard that the query needs.
+/// State of one shard that the query needs.
 #[derive(Debug, Clone)]
 pub struct ShardSlot {
-    /// The shard.
+    /// Number of the shard.
     pub shard: ShardNumber,
-    /// The service that holds it; changes when the shard has moved.
+    /// The service that holds the shard; updated if the shard has moved.
     pub service: ServiceId,
-    /// Attempts that are out.
-    pub out: u8,
-    /// Attempts made.
-    pub tries: u8,
-    /// Replicas that are not to be asked again.
-    pub tried: SmallVec<[ReplicaId; 4]>,
-    /// Relays that refused for reasons of their own.
-    pub refused: SmallVec<[RelayId; 2]>,
-    standing: ShardStanding,
+    /// Number of attempts in flight.
+    pub in_flight: u8,
+    /// Number of attempts made.
+    pub attempts_made: u8,
+    /// Replicas that must not be tried again.
+    pub excluded_replicas: SmallVec<[ReplicaId; 4]>,
+    /// Relays that must not be used again because they refused an attempt or lost their link.
+    pub excluded_relays: SmallVec<[RelayId; 2]>,
+    status: ShardStatus,
     body: Bytes,
 }
 
@@ -45,22 +45,22 @@
         Self {
             shard,
             service,
-            out: 0,
-            tries: 0,
-            tried: SmallVec::new(),
-            refused: SmallVec::new(),
-            standing: ShardStanding::Open,
+            in_flight: 0,
+            attempts_made: 0,
+            excluded_replicas: SmallVec::new(),
+            excluded_relays: SmallVec::new(),
+            status: ShardStatus::Open,
             body: Bytes::new(),
         }
     }
 
-    /// Tells where the shard stands.
-    pub fn standing(&self) -> ShardStanding {
-        self.standing
+    /// Returns the progress of the shard.
+    pub fn status(&self) -> ShardStatus {
+        self.status
     }
 }
 
-/// What one query has gathered.
+/// Rows and shard states of one query.
 #[derive(Debug, Default)]
 pub struct ShardGather {
     version: SnapshotVersion,
@@ -70,7 +70,7 @@
 }
 
 impl ShardGather {
-    /// Starts afresh at a version with the shards needed, in shard order; the slots' allocation is kept.
+    /// Restarts at a version with the needed shards, in shard order, and reuses the allocation of the slots.
     pub fn reset(
         &mut self,
         version: SnapshotVersion,
@@ -84,76 +84,77 @@
         self.slots.extend(slots);
     }
 
-    /// The pinned version.
+    /// Returns the pinned version.
     pub fn version(&self) -> SnapshotVersion {
         self.version
     }
 
-    /// The slots, in shard order.
+    /// Returns the slots, in shard order.
     pub fn slots(&self) -> &[ShardSlot] {
         &self.slots
     }
 
-    /// One slot.
+    /// Returns one slot for modification.
     pub fn slot_mut(&mut self, slot: usize) -> &mut ShardSlot {
         &mut self.slots[slot]
     }
 
-    /// Shards that the query needs.
+    /// Returns the number of shards that the query needs.
     pub fn total(&self) -> u32 {
         self.slots.len() as u32
     }
 
-    /// Shards answered.
+    /// Returns the number of shards that have answered.
     pub fn answered(&self) -> u32 {
         self.answered
     }
 
-    /// Shards whose rows may still come.
+    /// Returns the number of shards whose rows may still arrive.
     pub fn open(&self) -> u32 {
         self.total() - self.answered - self.lost
     }
 
-    /// The largest coverage that can still be reached, 0 to 1.
-    pub fn reachable(&self) -> f64 {
+    /// Returns the highest coverage that can still be reached, 0 to 1.
+    pub fn reachable_coverage(&self) -> f64 {
         if self.slots.is_empty() {
             return 1.0;
         }
         f64::from(self.total() - self.lost) / f64::from(self.total())
     }
 
-    /// Takes a shard's rows. Returns whether they entered: only the first of an open shard at the pinned version do.
+    /// Stores a shard's rows and returns true if they are the shard's first rows and of the pinned version; else
+    /// returns false.
     pub fn accept(&mut self, slot: usize, version: SnapshotVersion, body: Bytes) -> bool {
         let pinned = self.version;
         let Some(slot) = self.slots.get_mut(slot) else {
             return false;
         };
-        if version != pinned || slot.standing == ShardStanding::Answered {
+        if version != pinned || slot.status == ShardStatus::Answered {
             return false;
         }
-        if slot.standing == ShardStanding::Lost {
+        if slot.status == ShardStatus::Lost {
             self.lost -= 1;
         }
-        slot.standing = ShardStanding::Answered;
+        slot.status = ShardStatus::Answered;
         slot.body = body;
         self.answered += 1;
         true
     }
 
-    /// Gives an open shard up.
-    pub fn lose(&mut self, slot: usize) {
+    /// Marks an open shard as lost.
+    pub fn mark_lost(&mut self, slot: usize) {
         let slot = &mut self.slots[slot];
-        if slot.standing != ShardStanding::Open {
+        if slot.status != ShardStatus::Open {
             return;
         }
-        slot.standing = ShardStanding::Lost;
+        slot.status = ShardStatus::Lost;
         self.lost += 1;
     }
 
-    /// Counts the coverage.
+    /// Returns the coverage of the rows received so far.
     pub fn coverage(&self) -> QueryCoverage {
-        let without = |slot: &&ShardSlot| slot.standing != ShardStanding::Answered;
-        let missing = self.slots.iter().filter(without).map(|slot| slot.shard);
+        let unanswered = |slot: &&ShardSlot| slot.status != ShardStatus::Answered;
+        let missing = self.slots.iter().filter(unanswered).map(|slot| slot.shard);
         QueryCoverage {
             answered: self.answered,
             total: self.total(),
@@ -165,7 +166,7 @@
     pub fn take_bodies(&mut self) -> Vec<Bytes> {
         let mut bodies = Vec::with_capacity(self.answered as usize);
         for slot in &mut self.slots {
-            if slot.standing != ShardStanding::Answered {
+            if slot.status != ShardStatus::Answered {
                 continue;
             }
             bodies.push(std::mem::take(&mut slot.body));
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -1,74 +1,74 @@
-//! When a second attempt is worth its load: the delay after which an attempt counts as a straggler, and the budget that
-//! hedges and retries share.
+//! The delay after which an attempt counts as a straggler, and the budget shared by hedges and retries.
 //!
-//! The delay is learnt per class and service from how much later than expected rows come; until a service has enough
-//! samples, those of the whole class stand in. When a whole service slows
-//! down, the expectation and the quantile both rise, so hedges stop; the budget bounds what is left. It earns a fixed
-//! share of the first attempts, plus a small floor so that a lost replica is covered on an idle entry too.
+//! The delay is a quantile of the lateness of rows, that is of the time by which they come later than expected. It is
+//! kept per class and service; until a service has enough samples, the samples of the whole class are used. When a
+//! whole service slows down, the expected time and the quantile both rise, so hedging stops; the budget bounds the
+//! hedges sent until then. The budget is credited with a fixed share of the first attempts, and with a small constant
+//! rate so that an idle entry too can replace attempts at a failed replica.
 
 use std::time::Duration;
 
-/// Share of the first attempts that may be made again.
-const BUDGET_SHARE: f64 = 0.045;
-/// Attempts a second that are earned without any load.
-const BUDGET_FLOOR: f64 = 1.0;
-/// Most attempts that can be saved up.
-const BUDGET_CAP: f64 = 30.0;
+/// Tokens credited for each first attempt.
+const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.045;
+/// Tokens credited per second regardless of load.
+const TOKENS_PER_SECOND: f64 = 1.0;
+/// Maximum number of tokens.
+const MAX_TOKENS: f64 = 30.0;
 /// Quantile of the lateness after which an attempt counts as a straggler.
 const HEDGE_QUANTILE: f64 = 0.97;
-/// Samples before a learnt quantile is used.
-const SAMPLES_NEEDED: u32 = 32;
-/// Samples after which the older ones lose half their weight.
-const SAMPLES_KEPT: u32 = 1024;
-/// Lateness that is always granted.
-const LATENESS_LEAST: Duration = Duration::from_millis(2);
-/// Lateness granted until there are samples, on top of twice the expected time.
-const LATENESS_PRIOR: Duration = Duration::from_millis(20);
-
-/// Attempts that hedges of ordinary stragglers leave in the budget.
-const BUDGET_RESERVE: f64 = 10.0;
-
-/// What an attempt out of the budget is needed for.
+/// Number of samples below which the quantile is not used.
+const MIN_SAMPLES: u32 = 32;
+/// Number of samples at which all counts are halved, so that older samples lose weight.
+const DECAY_SAMPLES: u32 = 1024;
+/// Lower bound of the lateness that is tolerated before hedging.
+const MIN_LATENESS: Duration = Duration::from_millis(2);
+/// Lateness tolerated without enough samples, in addition to twice the expected time.
+const DEFAULT_LATENESS: Duration = Duration::from_millis(20);
+
+/// Tokens that hedges of ordinary stragglers leave for urgent attempts.
+const RESERVED_TOKENS: f64 = 10.0;
+
+/// How urgent an attempt charged to the budget is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptNeed {
-    /// Without it a shard is lost: a retry, or a hedge where the first attempt went to a server that failed lately.
+pub enum AttemptUrgency {
+    /// Without the attempt a shard is lost: a retry, or a hedge of an attempt at a server that failed recently.
     Urgent,
-    /// It would come sooner.
+    /// The attempt only brings the rows sooner.
     Ordinary,
 }
 
-/// Tokens for hedges and retries.
+/// Token bucket for hedges and retries.
 #[derive(Debug, Clone)]
 pub struct AttemptBudget {
     tokens: f64,
-    refilled: Duration,
+    last_refill: Duration,
 }
 
 impl Default for AttemptBudget {
     fn default() -> Self {
         Self {
-            tokens: BUDGET_CAP / 2.0,
-            refilled: Duration::ZERO,
+            tokens: MAX_TOKENS / 2.0,
+            last_refill: Duration::ZERO,
         }
     }
 }
 
 impl AttemptBudget {
-    /// Earns the share of one first attempt.
-    pub fn earn(&mut self) {
-        self.tokens = (self.tokens + BUDGET_SHARE).min(BUDGET_CAP);
+    /// Credits the share of one first attempt.
+    pub fn deposit(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
 
-    /// Takes one attempt out of the budget, if it holds one for this need.
-    pub fn take(&mut self, now: Duration, need: AttemptNeed) -> bool {
-        let elapsed = now.saturating_sub(self.refilled);
-        self.refilled = self.refilled.max(now);
-        self.tokens = (self.tokens + elapsed.as_secs_f64() * BUDGET_FLOOR).min(BUDGET_CAP);
-        let kept = match need {
-            AttemptNeed::Urgent => 0.0,
-            AttemptNeed::Ordinary => BUDGET_RESERVE,
+    /// Withdraws the token for one attempt; returns false if too few tokens are left for this urgency.
+    pub fn try_withdraw(&mut self, now: Duration, urgency: AttemptUrgency) -> bool {
+        let elapsed = now.saturating_sub(self.last_refill);
+        self.last_refill = self.last_refill.max(now);
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * TOKENS_PER_SECOND).min(MAX_TOKENS);
+        let reserved = match urgency {
+            AttemptUrgency::Urgent => 0.0,
+            AttemptUrgency::Ordinary => RESERVED_TOKENS,
         };
-        if self.tokens < kept + 1.0 {
+        if self.tokens < reserved + 1.0 {
             return false;
         }
         self.tokens -= 1.0;
@@ -76,33 +76,33 @@
     }
 }
 
-/// Buckets of a [`DelayModel`], four for each doubling of the lateness.
-const BUCKETS: usize = 64;
-/// Upper border of the first bucket, in microseconds.
-const FIRST_BORDER: f64 = 250.0;
+/// Number of buckets of a [`LatenessHistogram`], four per doubling of the lateness.
+const BUCKET_COUNT: usize = 64;
+/// Upper bound of the first bucket, in microseconds.
+const FIRST_BUCKET_BOUND_US: f64 = 250.0;
 
-/// How much later than expected rows come, for one class and service.
+/// Histogram of the lateness of rows, for one class or for one class and service.
 #[derive(Debug, Clone)]
-pub struct DelayModel {
-    counts: [u32; BUCKETS],
+pub struct LatenessHistogram {
+    counts: [u32; BUCKET_COUNT],
     total: u32,
 }
 
-impl Default for DelayModel {
+impl Default for LatenessHistogram {
     fn default() -> Self {
         Self {
-            counts: [0; BUCKETS],
+            counts: [0; BUCKET_COUNT],
             total: 0,
         }
     }
 }
 
-impl DelayModel {
-    /// Takes in how much later than expected rows came.
-    pub fn learn(&mut self, lateness: Duration) {
-        self.counts[bucket_of(lateness)] += 1;
+impl LatenessHistogram {
+    /// Adds a sample of how much later than expected rows arrived.
+    pub fn record(&mut self, lateness: Duration) {
+        self.counts[bucket_index(lateness)] += 1;
         self.total += 1;
-        if self.total < SAMPLES_KEPT {
+        if self.total < DECAY_SAMPLES {
             return;
         }
         self.total = 0;
@@ -112,37 +112,37 @@
         }
     }
 
-    /// Tells whether there are enough samples to go by.
-    pub fn is_learnt(&self) -> bool {
-        self.total >= SAMPLES_NEEDED
+    /// Returns whether there are enough samples to use the quantile.
+    pub fn has_enough_samples(&self) -> bool {
+        self.total >= MIN_SAMPLES
     }
 
-    /// The delay after which an attempt expected to take `expected` counts as a straggler.
-    pub fn delay(&self, expected: Duration) -> Duration {
-        if !self.is_learnt() {
-            return expected * 2 + LATENESS_PRIOR;
+    /// Returns the delay after which an attempt expected to take `expected` counts as a straggler.
+    pub fn hedge_delay(&self, expected: Duration) -> Duration {
+        if !self.has_enough_samples() {
+            return expected * 2 + DEFAULT_LATENESS;
         }
         let rank = (f64::from(self.total) * HEDGE_QUANTILE) as u32;
-        let mut below = 0;
+        let mut cumulative = 0;
         for (bucket, count) in self.counts.iter().enumerate() {
-            below += count;
-            if below > rank {
-                return expected + border_of(bucket).max(LATENESS_LEAST);
+            cumulative += count;
+            if cumulative > rank {
+                return expected + bucket_bound(bucket).max(MIN_LATENESS);
             }
         }
-        expected + border_of(BUCKETS - 1)
+        expected + bucket_bound(BUCKET_COUNT - 1)
     }
 }
 
-fn bucket_of(lateness: Duration) -> usize {
-    let ratio = lateness.as_micros() as f64 / FIRST_BORDER;
+fn bucket_index(lateness: Duration) -> usize {
+    let ratio = lateness.as_micros() as f64 / FIRST_BUCKET_BOUND_US;
     if ratio <= 1.0 {
         return 0;
     }
-    ((ratio.log2() * 4.0).ceil() as usize).min(BUCKETS - 1)
+    ((ratio.log2() * 4.0).ceil() as usize).min(BUCKET_COUNT - 1)
 }
 
-fn border_of(bucket: usize) -> Duration {
-    let micros = FIRST_BORDER * 2_f64.powf(bucket as f64 / 4.0);
+fn bucket_bound(bucket: usize) -> Duration {
+    let micros = FIRST_BUCKET_BOUND_US * 2_f64.powf(bucket as f64 / 4.0);
     Duration::from_micros(micros as u64)
 }
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use super::decision::DecisionTally;
+use super::decision::DecisionCounts;
 use crate::ident::ClassName;
 use crate::query::{QueryOutcome, QueryRefusal};
 
@@ -31,7 +31,7 @@
 
 type LatencyFamily = Family<ClassLabels, Histogram, fn() -> Histogram>;
 
-/// Counters of an entry. Cheap to clone.
+/// Metrics of an entry. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(super) struct EntryMetrics {
     outcomes: Family<OutcomeLabels, Counter>,
@@ -68,7 +68,7 @@
         );
         registry.register(
             "entry_latency_seconds",
-            "Time from taking a query in to its outcome",
+            "Time from accepting a query to its outcome",
             self.latency.clone(),
         );
         registry.register(
@@ -78,7 +78,7 @@
         );
         registry.register(
             "entry_attempts_denied",
-            "Hedges and retries for which the budget held nothing",
+            "Hedges and retries denied by the attempt budget",
             self.denied.clone(),
         );
         registry.register(
@@ -88,18 +88,18 @@
         );
         registry.register(
             "entry_shards_needed",
-            "Shards that answered queries needed",
+            "Shards needed by answered queries",
             self.shards_needed.clone(),
         );
         registry.register(
             "entry_shards_answered",
-            "Shards whose rows were in answers",
+            "Shards whose rows were included in answers",
             self.shards_answered.clone(),
         );
     }
 
-    /// Counts a query that was planned or refused by the decisions.
-    pub(super) fn finished(&self, class: &ClassName, outcome: &QueryOutcome, took: Duration) {
+    /// Records the outcome of a query that was passed to the core.
+    pub(super) fn record_outcome(&self, class: &ClassName, outcome: &QueryOutcome, took: Duration) {
         let labels = class_labels(class);
         match outcome {
             Ok(answer) => {
@@ -108,7 +108,7 @@
                 } else {
                     "whole"
                 };
-                self.count(class, kind);
+                self.count_outcome(class, kind);
                 let coverage = &answer.coverage;
                 self.shards_needed
                     .get_or_create(&labels)
@@ -120,35 +120,35 @@
                     .get_or_create(&labels)
                     .observe(took.as_secs_f64());
             }
-            Err(refusal) => self.refused(class, refusal),
+            Err(refusal) => self.record_refusal(class, refusal),
         }
     }
 
-    /// Brings the counters of a class up to what its decisions have come to.
-    pub(super) fn tally(&self, class: &ClassName, tally: DecisionTally) {
+    /// Raises the decision counters of a class to the given totals.
+    pub(super) fn update_decision_counts(&self, class: &ClassName, counts: DecisionCounts) {
         let purposes = [
-            ("first", tally.first),
-            ("hedge", tally.hedges),
-            ("retry", tally.retries),
+            ("first", counts.first),
+            ("hedge", counts.hedges),
+            ("retry", counts.retries),
         ];
         for (purpose, total) in purposes {
             let labels = AttemptLabels {
                 class: class.as_str().to_owned(),
                 purpose,
             };
-            raise_to(&self.attempts.get_or_create(&labels), total);
+            raise_counter_to(&self.attempts.get_or_create(&labels), total);
         }
         let labels = class_labels(class);
-        raise_to(&self.denied.get_or_create(&labels), tally.denied);
-        raise_to(&self.replans.get_or_create(&labels), tally.replans);
+        raise_counter_to(&self.denied.get_or_create(&labels), counts.denied);
+        raise_counter_to(&self.replans.get_or_create(&labels), counts.replans);
     }
 
     /// Counts a refusal.
-    pub(super) fn refused(&self, class: &ClassName, refusal: &QueryRefusal) {
-        self.count(class, refusal.code.as_str());
+    pub(super) fn record_refusal(&self, class: &ClassName, refusal: &QueryRefusal) {
+        self.count_outcome(class, refusal.code.as_str());
     }
 
-    fn count(&self, class: &ClassName, outcome: &'static str) {
+    fn count_outcome(&self, class: &ClassName, outcome: &'static str) {
         let labels = OutcomeLabels {
             class: class.as_str().to_owned(),
             outcome,
@@ -157,8 +157,8 @@
     }
 }
 
-/// Raises a counter to a total that only grows.
-fn raise_to(counter: &Counter, total: u64) {
+/// Raises a counter to a total that never decreases.
+fn raise_counter_to(counter: &Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
--- a/crates/ebonyfork/src/entry/mod.rs
+++ b/crates/ebonyfork/src/entry/mod.rs
@@ -1,18 +1,20 @@
-//! The entry: takes one query, pins a version of the index, asks every shard it needs and gathers one truthful answer.
+//! The entry: accepts a query, pins an index version, sends a request to every shard that the query needs and merges
+//! the rows into one answer with its true coverage.
 //!
-//! [`EntryCore`] holds all decisions as plain code over values: events and the time go in, [`EntryAction`]s come out.
-//! A query passes through these, in order:
+//! [`EntryCore`] makes all decisions without I/O: it is given events with the current time and returns
+//! [`EntryAction`]s. A query passes through these modules, in order:
 //!
 //! 1. `terms`: the class target, tightened by the caller's deadline.
-//! 2. `route`: the pinned version's shards; their number is the denominator of the coverage.
-//! 3. `choice`: a replica and a relay for each shard, by what `replica` and `directory` have learnt.
-//! 4. `admission`: whether the target can be met at the present load; else a refusal before anything leaves.
-//! 5. `canary`: a request that nobody has seen run is tried at one shard first.
-//! 6. `run`: attempts; `settle` takes their outcomes, `straggler` hedges those that are late, out of `hedge`'s budget.
-//! 7. `gather`: rows at the pinned version, the first per shard.
-//! 8. `verdict`: when the query is over, and what the caller is told.
+//! 2. `route`: the shards of the pinned version; their number is the denominator of the coverage.
+//! 3. `choice`: a replica and a relay for each shard, based on the statistics kept in `replica` and `directory`.
+//! 4. `admission`: refuses the query before anything is sent if the present load does not allow its target to be met.
+//! 5. `canary`: sends a request that is not known to be safe to a single shard first.
+//! 6. `run`: sends attempts; `settle` handles their outcomes, and `straggler` hedges late ones from the budget in
+//!    `hedge`.
+//! 7. `gather`: collects rows at the pinned version, the first response of each shard.
+//! 8. `verdict`: determines when the query is complete and what the caller receives.
 //!
-//! [`EntryHandle`] is the actor around it.
+//! [`EntryHandle`] wraps the core in an actor.
 
 mod actor;
 mod admission;
@@ -37,7 +39,7 @@
 pub use self::core::{EntryAction, EntryCore, EntryViews};
 pub use actor::{EntryHandle, EntrySettings};
 pub use choice::ChoiceReason;
-pub use decision::{DecisionTally, EntryDecision, FinishNote, RouteDecision, SetbackNote};
+pub use decision::{DecisionCounts, EntryDecision, FailedAttempt, FinishedQuery, RouteDecision};
 #[cfg(test)]
 mod fault_tests;
 #[cfg(test)]
--- a/crates/ebonyfork/src/entry/outbox.rs
+++ b/crates/ebonyfork/src/entry/outbox.rs
@@ -1,4 +1,4 @@
-//! What one event makes an entry send: attempts and cancellations, grouped by relay.
+//! Messages to relays produced by one event: attempts and cancellations, grouped by relay.
 
 use cranelift_entity::SecondaryMap;
 use smallvec::SmallVec;
@@ -11,30 +11,30 @@
 #[derive(Debug, Default)]
 pub struct RelayOutbox {
     submits: Vec<(RelayId, SubmitBatch)>,
-    /// Position in `submits` plus one, so that the default says "none".
-    submit_at: SecondaryMap<RelayId, u32>,
+    /// Position in `submits` plus one, so that the default value 0 means "none".
+    submit_positions: SecondaryMap<RelayId, u32>,
     cancels: Vec<(RelayId, CancelBatch)>,
 }
 
 impl RelayOutbox {
-    /// Adds an attempt to the batch for a relay; `head` makes the batch if it is the first.
+    /// Adds an attempt to the batch for a relay; `new_batch` creates the batch if there is none yet.
     pub fn submit(
         &mut self,
         relay: RelayId,
         target: ShardTarget,
-        head: impl FnOnce() -> SubmitBatch,
+        new_batch: impl FnOnce() -> SubmitBatch,
     ) {
-        let mut position = self.submit_at[relay];
+        let mut position = self.submit_positions[relay];
         if position == 0 {
-            self.submits.push((relay, head()));
+            self.submits.push((relay, new_batch()));
             position = self.submits.len() as u32;
-            self.submit_at[relay] = position;
+            self.submit_positions[relay] = position;
         }
         let (_, batch) = &mut self.submits[position as usize - 1];
         batch.targets.push(target);
     }
 
-    /// Adds a cancellation.
+    /// Adds a cancellation of one attempt.
     pub fn cancel(&mut self, relay: RelayId, query: u64, attempt: u32) {
         let same = |(to, batch): &&mut (RelayId, CancelBatch)| *to == relay && batch.query == query;
         if let Some((_, batch)) = self.cancels.iter_mut().find(same) {
@@ -45,10 +45,10 @@
         self.cancels.push((relay, CancelBatch { query, attempts }));
     }
 
-    /// Hands everything to `send` and starts afresh.
+    /// Passes all messages to `send` and clears the outbox.
     pub fn flush(&mut self, mut send: impl FnMut(RelayId, PeerMessage)) {
         for (relay, batch) in self.submits.drain(..) {
-            self.submit_at[relay] = 0;
+            self.submit_positions[relay] = 0;
             send(relay, PeerMessage::Submit(batch));
         }
         for (relay, batch) in self.cancels.drain(..) {
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -1,13 +1,13 @@
-//! The policy under load, before fake relays in virtual time: bounds that must hold for the seed.
+//! Behaviour of the entry under simulated load: bounds that must hold for the fixed seeds.
 
 use googletest::prelude::*;
 
 use super::fixture::{ms, upstream};
-use super::model::{LoadModel, OrganisationLoad, RUN_SPAN, run_at, without};
+use super::model::{LoadModel, OrganisationLoad, RUN_SPAN, run_at, switches_with};
 use crate::declaration::TargetPriority;
 use crate::settings::ExperimentSwitches;
 
-/// Prints a line for the design note; seen with `--nocapture`.
+/// Prints the results for the design note; shown with `--nocapture`.
 fn print(name: &str, model: &LoadModel) {
     for result in &model.results {
         println!(
@@ -26,12 +26,12 @@
 }
 
 #[gtest]
-fn hedging_halves_the_tail_that_stragglers_make() {
+fn hedging_halves_the_tail_latency_caused_by_stragglers() {
     let coverage_first = |class: &mut crate::declaration::ClassTarget| {
         class.priority = TargetPriority::CoverageFirst;
     };
     let hedged = run_at(0.5, ExperimentSwitches::default(), coverage_first);
-    let plain = run_at(0.5, without(|s| s.hedge = false), coverage_first);
+    let plain = run_at(0.5, switches_with(|s| s.hedge = false), coverage_first);
     print("hedged", &hedged);
     print("plain", &plain);
     let tail = |model: &LoadModel| model.results[0].quantile(0.99);
@@ -40,7 +40,7 @@
 }
 
 #[gtest]
-fn beyond_capacity_the_goodput_holds() {
+fn goodput_holds_beyond_capacity() {
     for priority in [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst] {
         let run = |share| {
             let model = run_at(share, ExperimentSwitches::default(), |class| {
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_organisation_at_fifty_times_its_load_does_not_spoil_the_others() {
+fn an_organisation_at_fifty_times_its_load_does_not_degrade_the_others() {
     let rate = LoadModel::capacity(20);
     let organisations = [
         OrganisationLoad {
@@ -89,7 +89,7 @@
 #[gtest]
 fn canaries_cost_one_shard_request_of_time_and_no_goodput() {
     for share in [0.5, 1.3] {
-        let run = |novel| {
+        let run = |unique| {
             let rate = LoadModel::capacity(20) * share;
             let organisations = [OrganisationLoad {
                 name: "roofers",
@@ -99,17 +99,17 @@
             let mut model = LoadModel::new(20, switches, &organisations, |class| {
                 class.latency = ms(150);
             });
-            model.novel = novel;
+            model.unique_selections = unique;
             model.run(RUN_SPAN);
-            print(&format!("novel={novel} {share}"), &model);
+            print(&format!("unique={unique} {share}"), &model);
             model
         };
-        let (known, novel) = (run(false), run(true));
+        let (known, unique) = (run(false), run(true));
         let p50 = |model: &LoadModel| model.results[0].quantile(0.5);
-        expect_that!(p50(&novel), le(p50(&known) + ms(20)));
+        expect_that!(p50(&unique), le(p50(&known) + ms(20)));
         let good = |model: &LoadModel| f64::from(model.results[0].good);
-        expect_that!(good(&novel), ge(good(&known) * 0.95));
-        expect_that!(novel.extra_load(), le(0.05));
+        expect_that!(good(&unique), ge(good(&known) * 0.95));
+        expect_that!(unique.extra_load(), le(0.05));
     }
 }
 
@@ -123,10 +123,11 @@
     let mut model = LoadModel::new(20, switches, &organisations, |class| {
         class.latency = ms(150);
     });
-    // With a single replica left, nothing can cover its stragglers; here only the silent ones count.
-    model.stragglers = 0.0;
+    // No ordinary stragglers: a service with a single working replica could not hedge them, and only the silent
+    // replicas are under test.
+    model.straggler_share = 0.0;
     for service in 0..2 {
-        model.slow(upstream(service, 0), f64::INFINITY);
+        model.slow_down(upstream(service, 0), f64::INFINITY);
     }
     model.run(RUN_SPAN);
     print("silent", &model);
@@ -136,7 +137,7 @@
 }
 
 #[gtest]
-fn a_service_that_slows_down_whole_brings_no_storm_of_hedges() {
+fn a_uniformly_slow_service_causes_no_hedge_storm() {
     let organisations = [OrganisationLoad {
         name: "roofers",
         rate: LoadModel::capacity(20) * 0.3,
@@ -146,7 +147,7 @@
         class.latency = ms(150);
     });
     for replica in 0..2 {
-        model.slow(upstream(3, replica), 3.0);
+        model.slow_down(upstream(3, replica), 3.0);
     }
     model.run(RUN_SPAN);
     print("slow service", &model);
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -1,193 +1,204 @@
-//! What an entry has learnt about one upstream, and the cost of sending it the next request.
+//! Statistics of one upstream, and the expected cost of sending it the next request.
 //!
-//! Two sources count: the entry's own outcomes, and the wait that the relay owning the upstream reports from its exact
-//! queue. A wait report ages: the backlog behind it drains while nothing new is heard, and what this entry has submitted
-//! since is added. Status endpoints play no part here, so that a server that lies about its load draws no traffic.
+//! There are two sources: the outcomes of the entry's own attempts, and the queue wait reported by the relay that owns
+//! the upstream. Between reports, the reported wait is reduced by the time that has passed, and the requests submitted
+//! by this entry since are added. Load figures from status endpoints are not used, so a server that misreports its load
+//! attracts no traffic.
 //!
-//! A server that fails is avoided for a while that doubles with each further failure, then probed by one request.
+//! A server that fails is avoided for a backoff that doubles with each further failure, and is then probed with one
+//! request.
 
 use std::time::Duration;
 
 use crate::relay::UpstreamLoad;
 
-/// First time that a failed server is avoided.
-const AVOID_FIRST: Duration = Duration::from_millis(100);
-/// Longest time that a failed server is avoided before it is probed again.
-const AVOID_LONGEST: Duration = Duration::from_secs(5);
-/// Time that a server is avoided after it shed a request.
-const SHED_AVOID: Duration = Duration::from_millis(20);
-/// A probe without an outcome for this long allows the next.
+/// Backoff after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Upper bound of the backoff after failures.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Backoff after a server shed a request.
+const SHED_BACKOFF: Duration = Duration::from_millis(20);
+/// Time after which a probe without an outcome no longer blocks the next probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Overdue attempts in a row after which a server that is silent counts as failed.
-const OVERDUE_LIMIT: u32 = 3;
-/// A server is silent when nothing has come from it for this many service times.
-const SILENT_SERVICES: u32 = 8;
-/// A server is not silent before this time.
-const SILENT_LEAST: Duration = Duration::from_millis(100);
-/// Service time assumed of a server that nothing is known of.
-const SERVICE_PRIOR: Duration = Duration::from_millis(10);
-/// Time in which a learnt service time loses half of its excess over the prior while nothing new is heard.
-const SERVICE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Weight of a new service time against the learnt one: one in this many.
-const SERVICE_WEIGHT: u32 = 8;
+/// Number of consecutive overdue attempts after which a silent server counts as failed.
+const MAX_CONSECUTIVE_OVERDUE: u32 = 3;
+/// Number of service times without any outcome after which a server counts as silent.
+const SILENCE_SERVICE_TIMES: u32 = 8;
+/// Lower bound of the time after which a server counts as silent.
+const MIN_SILENCE: Duration = Duration::from_millis(100);
+/// Service time assumed for a server without measurements.
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(10);
+/// Time without outcomes in which a measured service time loses half of its excess over the default.
+const SERVICE_TIME_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Divisor that gives the weight of a new service time in the moving average.
+const SERVICE_TIME_SMOOTHING: u32 = 8;
 
 /// Whether a server may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReplicaStanding {
-    /// It works, as far as known.
+pub enum ReplicaStatus {
+    /// No recent failure is known.
     Healthy,
-    /// It has failed, and it is time to probe it.
+    /// The server has failed, its backoff is over and it is due for a probe.
     ProbeDue,
-    /// It has failed lately: only used when there is no other.
-    Avoided,
+    /// The server has failed recently and is only used if there is no other.
+    BackingOff,
 }
 
-/// What is known of one upstream.
+/// Health and load of one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct ReplicaHealth {
-    wait: Duration,
-    /// When that wait was reported.
-    reported: Duration,
-    /// When anything last came from the server.
-    heard: Duration,
-    submitted: u32,
-    service: Option<Duration>,
-    limit: u16,
+    /// Queue wait in the last report of the relay.
+    reported_wait: Duration,
+    /// When the wait was reported.
+    reported_at: Duration,
+    /// When the last outcome arrived from the server.
+    last_heard: Duration,
+    /// Requests submitted by this entry since the last report, less those that have ended.
+    submitted_since_report: u32,
+    /// Moving average of the service time, or the value of the last report.
+    service_time: Option<Duration>,
+    concurrency_limit: u16,
     leaving: bool,
-    strikes: u32,
-    overdue: u32,
-    avoid_until: Duration,
-    probed: Option<Duration>,
+    consecutive_failures: u32,
+    consecutive_overdue: u32,
+    backoff_until: Duration,
+    /// When the probe that is in flight was sent.
+    probe_sent: Option<Duration>,
 }
 
 impl ReplicaHealth {
-    /// Takes in the load that the owning relay reports.
-    pub fn report(&mut self, now: Duration, load: &UpstreamLoad) {
-        self.wait = Duration::from_micros(load.wait_us.into());
-        self.reported = now;
-        self.submitted = 0;
-        self.limit = load.limit;
+    /// Records a load report from the relay that owns the upstream.
+    pub fn record_load_report(&mut self, now: Duration, load: &UpstreamLoad) {
+        self.reported_wait = Duration::from_micros(load.wait_us.into());
+        self.reported_at = now;
+        self.submitted_since_report = 0;
+        self.concurrency_limit = load.limit;
         self.leaving = load.leaving;
         if load.service_us > 0 {
-            self.service = Some(Duration::from_micros(load.service_us.into()));
+            self.service_time = Some(Duration::from_micros(load.service_us.into()));
         }
     }
 
-    /// Notes that this entry has submitted a request.
-    pub fn submit(&mut self, now: Duration) {
-        self.submitted += 1;
-        if self.strikes > 0 {
-            self.probed = Some(now);
+    /// Records that this entry has submitted a request.
+    pub fn record_submit(&mut self, now: Duration) {
+        self.submitted_since_report += 1;
+        if self.consecutive_failures > 0 {
+            self.probe_sent = Some(now);
         }
     }
 
-    /// Takes back a [`ReplicaHealth::submit`] of a request that is not sent after all.
-    pub fn withdraw(&mut self) {
-        self.submitted = self.submitted.saturating_sub(1);
-        self.probed = None;
+    /// Reverts [`ReplicaHealth::record_submit`] for a request that is not sent after all.
+    pub fn undo_submit(&mut self) {
+        self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
+        self.probe_sent = None;
     }
 
-    /// Notes that a submitted request is no longer wanted: it tells nothing of the server.
-    pub fn cancel(&mut self) {
-        self.submitted = self.submitted.saturating_sub(1);
+    /// Records that a submitted request was cancelled, which says nothing about the server.
+    pub fn record_cancel(&mut self) {
+        self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
     }
 
-    /// Notes that a submitted request has come back, whatever its outcome.
-    pub fn settle(&mut self, now: Duration) {
-        self.heard = now;
-        self.overdue = 0;
-        self.submitted = self.submitted.saturating_sub(1);
+    /// Records that the outcome of a submitted request has arrived, whatever it is.
+    pub fn record_outcome(&mut self, now: Duration) {
+        self.last_heard = now;
+        self.consecutive_overdue = 0;
+        self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
     }
 
-    /// Notes rows, with the time that the upstream took for them.
-    pub fn succeed(&mut self, served: Duration) {
-        let learnt = self.service.unwrap_or(served);
-        let blended = (learnt * (SERVICE_WEIGHT - 1) + served) / SERVICE_WEIGHT;
-        self.service = Some(blended);
-        self.strikes = 0;
-        self.probed = None;
+    /// Records rows and the time that the upstream took for them.
+    pub fn record_success(&mut self, served: Duration) {
+        let average = self.service_time.unwrap_or(served);
+        let blended = (average * (SERVICE_TIME_SMOOTHING - 1) + served) / SERVICE_TIME_SMOOTHING;
+        self.service_time = Some(blended);
+        self.consecutive_failures = 0;
+        self.probe_sent = None;
     }
 
-    /// Notes a failure: the server is avoided, longer each time.
-    pub fn fail(&mut self, now: Duration) {
-        let doublings = self.strikes.min(10);
-        let pause = (AVOID_FIRST * (1 << doublings)).min(AVOID_LONGEST);
-        self.strikes += 1;
-        self.avoid_until = now + pause;
-        self.probed = None;
+    /// Records a failure and starts a backoff twice as long as the previous one.
+    pub fn record_failure(&mut self, now: Duration) {
+        let doublings = self.consecutive_failures.min(10);
+        let backoff = (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
+        self.consecutive_failures += 1;
+        self.backoff_until = now + backoff;
+        self.probe_sent = None;
     }
 
-    /// Notes that the server shed a request: it is avoided for a moment.
-    pub fn shed(&mut self, now: Duration) {
-        self.strikes = self.strikes.max(1);
-        self.avoid_until = self.avoid_until.max(now + SHED_AVOID);
-        self.probed = None;
+    /// Records that the server shed a request, and avoids it for a short time.
+    pub fn record_shed(&mut self, now: Duration) {
+        self.consecutive_failures = self.consecutive_failures.max(1);
+        self.backoff_until = self.backoff_until.max(now + SHED_BACKOFF);
+        self.probe_sent = None;
     }
 
-    /// Notes that an attempt has been out for too long; several in a row count as a failure if nothing else came from
-    /// the server meanwhile. One that is merely slow goes on answering, and its wait says enough.
-    pub fn overdue(&mut self, now: Duration) {
-        self.overdue += 1;
-        let silent = now.saturating_sub(self.heard);
-        let limit = (self.service(now) * SILENT_SERVICES).max(SILENT_LEAST);
-        if self.overdue >= OVERDUE_LIMIT && silent >= limit {
-            self.overdue = 0;
-            self.fail(now);
+    /// Records that an attempt is overdue. Several in a row count as a failure if the server has been silent meanwhile.
+    /// A server that is merely slow still returns outcomes, and its expected wait accounts for that.
+    pub fn record_overdue(&mut self, now: Duration) {
+        self.consecutive_overdue += 1;
+        let silent = now.saturating_sub(self.last_heard);
+        let threshold = (self.service_time(now) * SILENCE_SERVICE_TIMES).max(MIN_SILENCE);
+        if self.consecutive_overdue >= MAX_CONSECUTIVE_OVERDUE && silent >= threshold {
+            self.consecutive_overdue = 0;
+            self.record_failure(now);
         }
     }
 
-    /// Tells whether the relay has said that the server leaves.
+    /// Returns whether the relay has reported that the server is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Returns the concurrency limit that the relay last reported; at least one.
-    pub fn limit(&self) -> u16 {
-        self.limit.max(1)
+    /// Returns the concurrency limit reported last, at least 1.
+    pub fn concurrency_limit(&self) -> u16 {
+        self.concurrency_limit.max(1)
     }
 
-    /// Tells whether the server may be chosen at `now`.
-    pub fn standing(&self, now: Duration) -> ReplicaStanding {
-        if self.strikes == 0 {
-            return ReplicaStanding::Healthy;
+    /// Returns whether the server may be chosen at `now`.
+    pub fn status(&self, now: Duration) -> ReplicaStatus {
+        if self.consecutive_failures == 0 {
+            return ReplicaStatus::Healthy;
         }
-        let probing = self.probed.is_some_and(|sent| now < sent + PROBE_TIMEOUT);
-        if now < self.avoid_until || probing {
-            ReplicaStanding::Avoided
+        let probing = self
+            .probe_sent
+            .is_some_and(|sent| now < sent + PROBE_TIMEOUT);
+        if now < self.backoff_until || probing {
+            ReplicaStatus::BackingOff
         } else {
-            ReplicaStanding::ProbeDue
+            ReplicaStatus::ProbeDue
         }
     }
 
-    /// When an avoided server is to be probed.
-    pub fn avoid_until(&self) -> Duration {
-        self.avoid_until
+    /// Returns when the backoff of the server ends.
+    pub fn backoff_until(&self) -> Duration {
+        self.backoff_until
     }
 
-    /// The time that the upstream is expected to take for one request.
-    pub fn service(&self, now: Duration) -> Duration {
-        let Some(service) = self.service else {
-            return SERVICE_PRIOR;
+    /// Returns the time that the upstream is expected to take for one request.
+    pub fn service_time(&self, now: Duration) -> Duration {
+        let Some(service_time) = self.service_time else {
+            return DEFAULT_SERVICE_TIME;
         };
-        let Some(excess) = service.checked_sub(SERVICE_PRIOR) else {
-            return service;
+        let Some(excess) = service_time.checked_sub(DEFAULT_SERVICE_TIME) else {
+            return service_time;
         };
-        let age = now.saturating_sub(self.heard);
-        if age < SERVICE_HALF_LIFE / 4 {
-            return service;
+        let age = now.saturating_sub(self.last_heard);
+        if age < SERVICE_TIME_HALF_LIFE / 4 {
+            return service_time;
         }
-        let halvings = age.as_secs_f64() / SERVICE_HALF_LIFE.as_secs_f64();
-        SERVICE_PRIOR + excess.mul_f64(0.5_f64.powf(halvings))
+        let halvings = age.as_secs_f64() / SERVICE_TIME_HALF_LIFE.as_secs_f64();
+        DEFAULT_SERVICE_TIME + excess.mul_f64(0.5_f64.powf(halvings))
     }
 
-    /// The time that a request submitted now is expected to wait at the relay.
-    pub fn wait(&self, now: Duration) -> Duration {
-        let drained = self.wait.saturating_sub(now.saturating_sub(self.reported));
-        let own = self.service(now) * self.submitted / u32::from(self.limit());
-        let free = u32::from(self.limit());
-        if self.submitted < free && drained.is_zero() {
+    /// Returns the time that a request submitted now is expected to wait at the relay.
+    pub fn expected_wait(&self, now: Duration) -> Duration {
+        let remaining_backlog = self
+            .reported_wait
+            .saturating_sub(now.saturating_sub(self.reported_at));
+        let own_backlog = self.service_time(now) * self.submitted_since_report
+            / u32::from(self.concurrency_limit());
+        let slots = u32::from(self.concurrency_limit());
+        if self.submitted_since_report < slots && remaining_backlog.is_zero() {
             return Duration::ZERO;
         }
-        drained + own
+        remaining_backlog + own_backlog
     }
 }
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -1,7 +1,7 @@
-//! Route tables: which service holds each shard of one index version, in dense ids.
+//! Route tables: the service that holds each shard of an index version, by dense id.
 //!
-//! A table is made once per index version and catalogue epoch and shared by all queries that pin it. Its length is the
-//! denominator of their coverage.
+//! A table is built once per index version and catalogue epoch and is shared by all queries that pin the version. Its
+//! length is the denominator of their coverage.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +16,27 @@
 /// The shards of one index version.
 #[derive(Debug, PartialEq, Eq)]
 pub struct RouteTable {
-    /// The index.
+    /// Name of the index.
     pub index: IndexName,
-    /// The version.
+    /// The index version.
     pub version: SnapshotVersion,
-    /// The service of each shard.
+    /// The service that holds each shard, by shard number.
     pub shards: Vec<ServiceId>,
 }
 
 #[derive(Debug, Default)]
 struct IndexRoutes {
     epoch: Option<u64>,
-    /// Newest version first.
+    /// The tables of the catalogue's versions, newest first.
     tables: Vec<Arc<RouteTable>>,
-    /// A version that some shard lacked lately, and until when it is not pinned.
+    /// A version that some shard recently lacked, and until when it is not pinned.
     avoided: Option<(SnapshotVersion, Duration)>,
 }
 
-/// How long a version that some shard lacked is not pinned while there is another.
-const VERSION_PAUSE: Duration = Duration::from_millis(200);
+/// How long a version that some shard lacked is not pinned if there is another.
+const VERSION_AVOID_DURATION: Duration = Duration::from_millis(200);
 
-/// The tables of all indexes that have been asked for.
+/// The route tables of all indexes that have been queried.
 #[derive(Debug, Default)]
 pub struct RouteCache {
     catalogs: Arc<CatalogSet>,
@@ -44,30 +44,34 @@
 }
 
 impl RouteCache {
-    /// Takes the current catalogues; costs nothing if they are still the same.
+    /// Switches to the given catalogues; does nothing if they are unchanged.
     pub fn refresh(&mut self, catalogs: &Arc<CatalogSet>) {
         if !Arc::ptr_eq(&self.catalogs, catalogs) {
             self.catalogs = Arc::clone(catalogs);
         }
     }
 
-    /// Pins the newest version of an index that no shard lacked a moment ago, else the newest.
+    /// Pins the newest version of an index that no shard lacked recently, or the newest if there is no such version.
     pub fn pin(
         &mut self,
         index: &IndexName,
         directory: &mut Directory,
         now: Duration,
     ) -> Option<Arc<RouteTable>> {
-        let routes = self.current(index, directory)?;
+        let routes = self.current_routes(index, directory)?;
         let avoided = routes.avoided.filter(|(_, until)| now < *until);
-        let covers =
+        let not_avoided =
             |table: &&Arc<RouteTable>| avoided.is_none_or(|(version, _)| table.version != version);
-        let newest = routes.tables.iter().find(covers);
+        let newest = routes.tables.iter().find(not_avoided);
         newest.or_else(|| routes.tables.first()).map(Arc::clone)
     }
 
-    /// The tables of an index, made anew if its catalogue has changed.
-    fn current(&mut self, index: &IndexName, directory: &mut Directory) -> Option<&IndexRoutes> {
+    /// Returns the tables of an index, rebuilt if its catalogue has changed.
+    fn current_routes(
+        &mut self,
+        index: &IndexName,
+        directory: &mut Directory,
+    ) -> Option<&IndexRoutes> {
         let catalog = self.catalogs.get(index)?;
         if !self.indexes.contains_key(index) {
             self.indexes.insert(index.clone(), IndexRoutes::default());
@@ -80,23 +84,25 @@
         Some(routes)
     }
 
-    /// Notes that some shard lacks a version.
-    pub fn avoid(&mut self, index: &IndexName, version: SnapshotVersion, now: Duration) {
+    /// Records that some shard lacks a version.
+    pub fn avoid_version(&mut self, index: &IndexName, version: SnapshotVersion, now: Duration) {
         if let Some(routes) = self.indexes.get_mut(index) {
-            routes.avoided = Some((version, now + VERSION_PAUSE));
+            routes.avoided = Some((version, now + VERSION_AVOID_DURATION));
         }
     }
 
-    /// The newest version on the side of `pinned` where the shard that lacks it stands: newer if `held` is newer.
-    pub fn other(
+    /// Returns the newest version on the same side of `pinned` as `available`, the version held by the shard that lacks
+    /// `pinned`: a newer version if `available` is newer, else an older one.
+    pub fn find_alternative(
         &mut self,
         index: &IndexName,
         directory: &mut Directory,
         pinned: SnapshotVersion,
-        held: SnapshotVersion,
+        available: SnapshotVersion,
     ) -> Option<Arc<RouteTable>> {
-        let same_side = |table: &&Arc<RouteTable>| table.version.cmp(&pinned) == held.cmp(&pinned);
-        let routes = self.current(index, directory)?;
+        let same_side =
+            |table: &&Arc<RouteTable>| table.version.cmp(&pinned) == available.cmp(&pinned);
+        let routes = self.current_routes(index, directory)?;
         let newest = routes.tables.iter().find(same_side)?;
         (newest.version != pinned).then(|| Arc::clone(newest))
     }
@@ -107,7 +113,7 @@
     catalog: &IndexCatalog,
     directory: &mut Directory,
 ) -> Vec<Arc<RouteTable>> {
-    let make = |shards: &VersionShards| {
+    let make_table = |shards: &VersionShards| {
         let services = shards.shards.iter();
         let services = services.map(|service| directory.service_id(service));
         Arc::new(RouteTable {
@@ -116,5 +122,5 @@
             shards: services.collect(),
         })
     };
-    catalog.versions.iter().map(make).collect()
+    catalog.versions.iter().map(make_table).collect()
 }
