--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -1,74 +1,79 @@
-//! One query in flight: its attempts, and what each event makes of it.
+//! A query in flight: its attempts and its response to each event.
 //!
-//! A run is a state machine. Events go in (outcomes, broken links, time), attempts and cancellations go to the outbox,
-//! and at some point the final outcome comes out. An outcome is matched by attempt number and taken once, so that late,
-//! doubled and out-of-order outcomes change nothing.
+//! A run is a state machine driven by outcomes, broken links and timers. It writes attempts and cancellations to the
+//! outbox and eventually returns the outcome of the query. Outcomes are matched by attempt number and only the first is
+//! accepted, so late, duplicate and reordered outcomes have no effect.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::admission::{AdmissionCase, AdmissionVerdict};
+use super::admission::{AdmissionDecision, AdmissionRequest};
 use super::canary::CanaryProbe;
-use super::choice::{ChoiceLimits, ChoiceReason, RouteChoice, choose_route};
+use super::choice::{ChoiceReason, RouteChoice, RouteConstraints, choose_route};
 use super::directory::{RelayId, ReplicaId};
 use super::gather::ShardGather;
-use super::hedge::AttemptNeed;
+use super::hedge::AttemptUrgency;
 use super::route::RouteTable;
-use super::terms::QueryTerms;
-use super::tools::{EntryTools, PlannedAttempt};
-use super::verdict::FinalVerdict;
+use super::terms::QueryParams;
+use super::tools::{PlannedAttempt, SharedState};
+use super::verdict::QueryCompletion;
 use crate::ident::{RequestFingerprint, RunState, ShardNumber};
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 use crate::relay::{AttemptPurpose, RefusalReason, ShardTarget, SubmitBatch};
 
-/// Attempts at one shard, at most.
-const TRIES_PER_SHARD: u8 = 4;
+/// Maximum number of attempts per shard.
+const MAX_ATTEMPTS_PER_SHARD: u8 = 4;
 
+/// Whether the outcome of an attempt is still pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Its outcome is awaited.
-    Out,
-    /// Its outcome has been taken, or is no longer wanted.
+    /// The attempt has been sent and its outcome is pending.
+    InFlight,
+    /// The outcome has been handled or is no longer needed.
     Closed,
 }
 
+/// An attempt at one shard, sent through one relay to one replica.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct AttemptSlot {
+pub(super) struct AttemptRecord {
+    /// Position of the shard in the gather.
     pub(super) slot: u32,
     pub(super) replica: ReplicaId,
     pub(super) relay: RelayId,
+    /// When the attempt was sent.
     pub(super) sent: Duration,
+    /// Expected time from sending the attempt to receiving its rows.
     pub(super) expected: Duration,
-    /// When it counts as a straggler, or is looked at again.
-    pub(super) hedge_at: Duration,
-    /// Whether it has counted as a straggler.
+    /// When the attempt becomes a straggler, or is checked again as one.
+    pub(super) straggler_check_at: Duration,
+    /// Whether the attempt has been recorded as overdue.
     pub(super) overdue: bool,
-    /// What a hedge of it is needed for.
-    pub(super) need: AttemptNeed,
+    /// Urgency of a hedge of this attempt.
+    pub(super) urgency: AttemptUrgency,
     pub(super) state: AttemptState,
 }
 
-/// Where an attempt spent its time, as the relay measured it.
+/// Time spent on an attempt at each stage, measured by the relay.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct OutcomeTimes {
-    /// In the relay's queue.
+    /// Time in the relay's queue.
     pub(super) waited: Duration,
-    /// At the upstream.
+    /// Time at the upstream.
     pub(super) served: Duration,
 }
 
-/// What has happened to a query so far, for its final verdict.
+/// Events of a query that determine its outcome.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct RunTrace {
-    /// An upstream has run a part of it.
+pub(super) struct QueryProgress {
+    /// An upstream has run part of the query.
     pub(super) ran: bool,
-    /// An upstream may have run a part of it.
-    pub(super) unknown: bool,
-    /// Upstreams whose connection broke under it.
-    pub(super) victims: u8,
-    /// The last reason why a part was not run.
+    /// An upstream may have run part of the query.
+    pub(super) may_have_run: bool,
+    /// Number of upstreams whose connection broke while they ran part of the query.
+    pub(super) broken_upstreams: u8,
+    /// The most recent reason for which part of the query was not run.
     pub(super) refusal: Option<RefusalReason>,
-    /// It has been planned a second time, at another version.
+    /// The query has been planned again at another version.
     pub(super) replanned: bool,
 }
 
@@ -78,30 +83,30 @@
     pub(super) number: u64,
     pub(super) request: QueryRequest,
     pub(super) fingerprint: RequestFingerprint,
-    pub(super) terms: QueryTerms,
+    pub(super) params: QueryParams,
     pub(super) gather: ShardGather,
-    pub(super) trace: RunTrace,
-    /// When the entry's timer will wake it next.
-    pub(super) armed: Duration,
-    /// Whether it was admitted under pressure.
-    pub(super) pressed: bool,
-    /// Whether it was in flight when an upstream was lost.
+    pub(super) progress: QueryProgress,
+    /// Time of the earliest timer scheduled for this query.
+    pub(super) timer_at: Duration,
+    /// Whether the query was admitted under load.
+    pub(super) under_load: bool,
+    /// Whether the same request was in flight when an upstream was lost.
     pub(super) suspect: bool,
-    /// Whether a shard waits for rows of another since an upstream was lost.
-    pub(super) parked: bool,
-    /// The shard that is asked first, while the others are held back.
+    /// Whether a shard whose upstream was lost waits until another shard returns rows.
+    pub(super) has_deferred: bool,
+    /// The canary, while requests to the other shards are held back.
     pub(super) canary: Option<CanaryProbe>,
-    /// When the first straggler may be due.
-    pub(super) straggler_at: Duration,
+    /// When the next attempt may become a straggler.
+    pub(super) next_straggler_check: Duration,
     pub(super) route: Arc<RouteTable>,
-    pub(super) attempts: Vec<AttemptSlot>,
+    pub(super) attempts: Vec<AttemptRecord>,
 }
 
 impl QueryRun {
     pub(super) fn new(
         number: u64,
         request: QueryRequest,
-        terms: QueryTerms,
+        params: QueryParams,
         route: Arc<RouteTable>,
     ) -> Self {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
@@ -109,26 +114,26 @@
             number,
             request,
             fingerprint,
-            terms,
+            params,
             gather: ShardGather::default(),
-            trace: RunTrace::default(),
-            armed: Duration::MAX,
-            pressed: false,
+            progress: QueryProgress::default(),
+            timer_at: Duration::MAX,
+            under_load: false,
             suspect: false,
             canary: None,
-            parked: false,
-            straggler_at: Duration::MAX,
+            has_deferred: false,
+            next_straggler_check: Duration::MAX,
             route,
             attempts: Vec::new(),
         }
     }
 
-    /// Makes a run that is over ready for another query, and keeps its allocations.
-    pub(super) fn renew(
+    /// Reinitialises a completed run for another query, reusing its allocations.
+    pub(super) fn reuse(
         &mut self,
         number: u64,
         request: QueryRequest,
-        terms: QueryTerms,
+        params: QueryParams,
         route: Arc<RouteTable>,
     ) {
         let mut attempts = std::mem::take(&mut self.attempts);
@@ -137,213 +142,241 @@
         *self = Self {
             gather,
             attempts,
-            ..Self::new(number, request, terms, route)
+            ..Self::new(number, request, params, route)
         };
     }
 
-    /// Plans the query, asks admission, and sends the first attempts at every shard.
-    pub(super) fn begin(&mut self, tools: &mut EntryTools, now: Duration) -> Option<QueryOutcome> {
-        self.plan(tools, now);
-        let canary = self.pick_canary(tools, now);
+    /// Plans the query, checks admission and sends the first attempt to every shard, or only the canary. Returns the
+    /// outcome if the query completes immediately.
+    pub(super) fn begin(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+    ) -> Option<QueryOutcome> {
+        self.plan(shared, now);
+        let canary = self.pick_canary(shared, now);
         let canary_time = canary.map_or(Duration::ZERO, |canary| canary.choice.expected);
         let refused = self
-            .judge(tools, now)
-            .or_else(|| self.admit(tools, now, canary_time));
+            .check_completion(shared, now)
+            .or_else(|| self.admit(shared, now, canary_time));
         if refused.is_some() {
-            for planned in tools.plan.drain(..) {
+            for planned in shared.plan.drain(..) {
                 let replica = planned.choice.replica;
-                tools.directory.replicas[replica].health.withdraw();
+                shared.directory.replicas[replica].health.undo_submit();
             }
             return refused;
         }
-        self.dispatch(tools, now, canary);
+        self.dispatch(shared, now, canary);
         None
     }
 
-    /// Sends the plan, or only its canary.
+    /// Sends all planned attempts, or only the canary if there is one.
     pub(super) fn dispatch(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         canary: Option<PlannedAttempt>,
     ) {
         match canary {
-            Some(canary) => self.send_canary(tools, now, canary),
-            None => self.send_plan(tools, now),
+            Some(canary) => self.send_canary(shared, now, canary),
+            None => self.send_plan(shared, now),
         }
     }
 
-    /// Sends one attempt of the plan; the others are held back until its shard is settled.
-    fn send_canary(&mut self, tools: &mut EntryTools, now: Duration, canary: PlannedAttempt) {
-        let mut plan = std::mem::take(&mut tools.plan);
+    /// Sends the canary; the other planned attempts are held back until the canary's shard has answered or is given up.
+    fn send_canary(&mut self, shared: &mut SharedState, now: Duration, canary: PlannedAttempt) {
+        let mut plan = std::mem::take(&mut shared.plan);
         for planned in plan.drain(..) {
             if planned.slot == canary.slot {
                 continue;
             }
-            let replica = &mut tools.directory.replicas[planned.choice.replica];
-            replica.health.withdraw();
+            let replica = &mut shared.directory.replicas[planned.choice.replica];
+            replica.health.undo_submit();
         }
-        tools.plan = plan;
+        shared.plan = plan;
         self.canary = Some(CanaryProbe {
             slot: canary.slot,
-            looks: 0,
+            overdue_checks: 0,
         });
-        tools.budget.earn();
+        shared.budget.deposit();
         let slot = canary.slot as usize;
-        self.send(tools, now, slot, canary.choice, AttemptPurpose::First);
+        self.send(shared, now, slot, canary.choice, AttemptPurpose::First);
     }
 
-    /// Chooses a route for every shard that the query needs; a shard without a route is lost.
-    pub(super) fn plan(&mut self, tools: &mut EntryTools, now: Duration) {
+    /// Chooses a route for every shard that the query needs; a shard without a route is marked as lost.
+    pub(super) fn plan(&mut self, shared: &mut SharedState, now: Duration) {
         let route = Arc::clone(&self.route);
-        let needed = self.terms.scope.needed(&self.request, &route);
-        let shards = needed.map(|shard| (ShardNumber(shard), route.shards[shard as usize]));
+        let required = self.params.scope.required_shards(&self.request, &route);
+        let shards = required.map(|shard| (ShardNumber(shard), route.shards[shard as usize]));
         self.gather.reset(route.version, shards);
-        let mut plan = std::mem::take(&mut tools.plan);
+        let mut plan = std::mem::take(&mut shared.plan);
         plan.clear();
         for slot in 0..self.gather.slots().len() {
-            let Some(choice) = self.choose(tools, now, slot, self.terms.idempotent) else {
-                self.gather.lose(slot);
+            let Some(choice) = self.choose(shared, now, slot, self.params.idempotent) else {
+                self.gather.mark_lost(slot);
                 continue;
             };
-            let health = &mut tools.directory.replicas[choice.replica].health;
-            health.submit(now);
+            let health = &mut shared.directory.replicas[choice.replica].health;
+            health.record_submit(now);
             let slot = slot as u32;
             plan.push(PlannedAttempt { slot, choice });
         }
-        tools.plan = plan;
+        shared.plan = plan;
     }
 
-    fn send_plan(&mut self, tools: &mut EntryTools, now: Duration) {
-        let mut plan = std::mem::take(&mut tools.plan);
+    /// Sends all planned attempts.
+    fn send_plan(&mut self, shared: &mut SharedState, now: Duration) {
+        let mut plan = std::mem::take(&mut shared.plan);
         for planned in plan.drain(..) {
             let slot = planned.slot as usize;
-            tools.budget.earn();
-            self.send(tools, now, slot, planned.choice, AttemptPurpose::First);
+            shared.budget.deposit();
+            self.send(shared, now, slot, planned.choice, AttemptPurpose::First);
         }
-        tools.plan = plan;
+        shared.plan = plan;
     }
 
-    /// Refuses the query if its target can't be met at the present load.
+    /// Returns a refusal if the target can't be met at the present load.
     fn admit(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         canary_time: Duration,
     ) -> Option<QueryOutcome> {
-        if !tools.switches.admission {
+        if !shared.switches.admission {
             return None;
         }
-        let (wait, work) = self.terms.predict(self.gather.total(), &mut tools.plan);
-        let cost: f64 = tools
+        let (wait, unloaded_time) = self.params.predict(self.gather.total(), &mut shared.plan);
+        let cost: f64 = shared
             .plan
             .iter()
-            .map(|p| p.choice.work().as_secs_f64())
+            .map(|p| p.choice.unloaded_time().as_secs_f64())
             .sum();
-        let case = AdmissionCase {
-            class: self.terms.class,
+        let admission = AdmissionRequest {
+            class: self.params.class,
             organisation: &self.request.organisation,
-            latency: self.terms.latency,
+            latency: self.params.latency,
             wait,
-            work: work + canary_time,
+            unloaded_time: unloaded_time + canary_time,
             cost,
         };
-        match tools.admission.admit(now, case) {
-            AdmissionVerdict::Admitted { pressed } => {
-                self.pressed = pressed;
+        match shared.admission.admit(now, admission) {
+            AdmissionDecision::Admitted { under_load } => {
+                self.under_load = under_load;
                 None
             }
-            AdmissionVerdict::Refused { excess } => {
-                let message = "the class's latency can't be met at the present load";
+            AdmissionDecision::Refused { excess } => {
+                let message = "the latency target can't be met at the present load";
                 let refusal = QueryRefusal::new(RefusalCode::Overloaded, RunState::NotRun, message);
-                let after = tools.spread(excess);
+                let after = shared.jitter_retry_after(excess);
                 Some(Err(refusal.with_retry_after(after)))
             }
         }
     }
 
-    /// Tells whether an outcome at `now` meets the class's target.
+    /// Returns whether an outcome at `now` meets the class target.
     pub(super) fn meets_target(&self, now: Duration, outcome: &QueryOutcome) -> bool {
-        let in_time = now <= self.terms.started + self.terms.latency;
+        let in_time = now <= self.params.started + self.params.latency;
         in_time
             && outcome
                 .as_ref()
-                .is_ok_and(|answer| answer.coverage.share() >= self.terms.coverage)
+                .is_ok_and(|answer| answer.coverage.share() >= self.params.coverage)
     }
 
-    /// Cancels whatever is still out.
-    pub(super) fn cancel_rest(&mut self, tools: &mut EntryTools) {
+    /// Cancels all attempts in flight.
+    pub(super) fn cancel_outstanding(&mut self, shared: &mut SharedState) {
         for number in 0..self.attempts.len() {
-            self.cancel(tools, number);
+            self.cancel_attempt(shared, number);
         }
     }
 
-    pub(super) fn close(&mut self, attempt: u32) -> Option<AttemptSlot> {
+    /// Marks an attempt as closed and returns it, or `None` if it is not in flight.
+    pub(super) fn close_attempt(&mut self, attempt: u32) -> Option<AttemptRecord> {
         let attempt = self.attempts.get_mut(attempt as usize)?;
-        if attempt.state != AttemptState::Out {
+        if attempt.state != AttemptState::InFlight {
             return None;
         }
         attempt.state = AttemptState::Closed;
         let closed = *attempt;
-        self.gather.slot_mut(closed.slot as usize).out -= 1;
+        self.gather.slot_mut(closed.slot as usize).in_flight -= 1;
         Some(closed)
     }
 
-    pub(super) fn cancel(&mut self, tools: &mut EntryTools, number: usize) {
-        let Some(closed) = self.close(number as u32) else {
+    /// Cancels an attempt at its relay if it is in flight. The attempt may have run by then.
+    pub(super) fn cancel_attempt(&mut self, shared: &mut SharedState, number: usize) {
+        let Some(closed) = self.close_attempt(number as u32) else {
             return;
         };
-        tools
+        shared
             .outbox
             .cancel(closed.relay, self.number, number as u32);
-        tools.directory.replicas[closed.replica].health.cancel();
-        self.trace.unknown = true;
+        shared.directory.replicas[closed.replica]
+            .health
+            .record_cancel();
+        self.progress.may_have_run = true;
     }
 
-    pub(super) fn lose(&mut self, slot: usize) {
-        if self.gather.slots()[slot].out == 0 {
-            self.gather.lose(slot);
+    /// Marks a shard as lost unless another attempt at it is in flight.
+    pub(super) fn mark_lost_if_idle(&mut self, slot: usize) {
+        if self.gather.slots()[slot].in_flight == 0 {
+            self.gather.mark_lost(slot);
         }
     }
 
-    pub(super) fn attempt(&mut self, tools: &mut EntryTools, now: Duration, slot: usize) {
-        if self.gather.slots()[slot].tries >= TRIES_PER_SHARD {
-            self.lose(slot);
+    /// Sends a further attempt at a shard, or marks the shard as lost if no attempt or route is left.
+    pub(super) fn send_next_attempt(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        slot: usize,
+    ) {
+        if self.gather.slots()[slot].attempts_made >= MAX_ATTEMPTS_PER_SHARD {
+            self.mark_lost_if_idle(slot);
             return;
         }
-        let Some(choice) = self.choose(tools, now, slot, self.terms.idempotent) else {
-            self.lose(slot);
+        let Some(choice) = self.choose(shared, now, slot, self.params.idempotent) else {
+            self.mark_lost_if_idle(slot);
             return;
         };
-        tools.directory.replicas[choice.replica].health.submit(now);
-        self.send(tools, now, slot, choice, AttemptPurpose::Retry);
+        shared.directory.replicas[choice.replica]
+            .health
+            .record_submit(now);
+        self.send(shared, now, slot, choice, AttemptPurpose::Retry);
     }
 
+    /// Chooses a route for a shard, leaving out replicas with an attempt of this query in flight.
     pub(super) fn choose(
         &self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         slot: usize,
-        probe: bool,
+        allow_probe: bool,
     ) -> Option<RouteChoice> {
         let state = &self.gather.slots()[slot];
-        let mut tried = state.tried.clone();
-        if state.out > 0 {
-            let out = |a: &&AttemptSlot| a.slot as usize == slot && a.state == AttemptState::Out;
-            tried.extend(self.attempts.iter().filter(out).map(|a| a.replica));
+        let mut excluded_replicas = state.excluded_replicas.clone();
+        if state.in_flight > 0 {
+            let in_flight =
+                |a: &&AttemptRecord| a.slot as usize == slot && a.state == AttemptState::InFlight;
+            excluded_replicas.extend(self.attempts.iter().filter(in_flight).map(|a| a.replica));
         }
-        let limits = ChoiceLimits {
-            tried: &tried,
-            refused: &state.refused,
-            probe,
+        let constraints = RouteConstraints {
+            excluded_replicas: &excluded_replicas,
+            excluded_relays: &state.excluded_relays,
+            allow_probe,
         };
         let service = state.service;
-        choose_route(&mut tools.directory, &mut tools.rng, now, service, limits)
+        choose_route(
+            &mut shared.directory,
+            &mut shared.rng,
+            now,
+            service,
+            constraints,
+        )
     }
 
+    /// Adds an attempt to the outbox and records it.
     pub(super) fn send(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         slot: usize,
         choice: RouteChoice,
@@ -351,39 +384,39 @@
     ) {
         let attempt = self.attempts.len() as u32;
         let state = self.gather.slot_mut(slot);
-        state.out += 1;
-        state.tries += 1;
+        state.in_flight += 1;
+        state.attempts_made += 1;
         let (shard, service) = (state.shard, state.service);
-        // A server that failed lately is given no more than the expected time.
-        let (delay, need) = match choice.reason {
+        // A hedge of an attempt at a server that failed recently is due as soon as the expected time has passed.
+        let (delay, urgency) = match choice.reason {
             ChoiceReason::Probe | ChoiceReason::LastResort => {
-                (choice.expected, AttemptNeed::Urgent)
+                (choice.expected, AttemptUrgency::Urgent)
             }
             _ => {
-                let delay = tools.hedge_delay(self.terms.class, service, choice.expected);
-                (delay, AttemptNeed::Ordinary)
+                let delay = shared.hedge_delay(self.params.class, service, choice.expected);
+                (delay, AttemptUrgency::Ordinary)
             }
         };
-        self.straggler_at = self.straggler_at.min(now + delay);
-        self.attempts.push(AttemptSlot {
+        self.next_straggler_check = self.next_straggler_check.min(now + delay);
+        self.attempts.push(AttemptRecord {
             slot: slot as u32,
             replica: choice.replica,
             relay: choice.relay,
             sent: now,
             expected: choice.expected,
-            hedge_at: now + delay,
+            straggler_check_at: now + delay,
             overdue: false,
-            need,
-            state: AttemptState::Out,
+            urgency,
+            state: AttemptState::InFlight,
         });
-        let tally = &mut tools.tallies[self.terms.class];
+        let counts = &mut shared.decision_counts[self.params.class];
         match purpose {
-            AttemptPurpose::First => tally.first += 1,
-            AttemptPurpose::Hedge => tally.hedges += 1,
-            AttemptPurpose::Retry | AttemptPurpose::AfterLoss => tally.retries += 1,
+            AttemptPurpose::First => counts.first += 1,
+            AttemptPurpose::Hedge => counts.hedges += 1,
+            AttemptPurpose::Retry | AttemptPurpose::AfterLoss => counts.retries += 1,
         }
-        let upstream = tools.directory.replicas[choice.replica].address;
-        let purpose = if self.trace.victims > 0 {
+        let upstream = shared.directory.replicas[choice.replica].address;
+        let purpose = if self.progress.broken_upstreams > 0 {
             AttemptPurpose::AfterLoss
         } else {
             purpose
@@ -394,13 +427,14 @@
             upstream,
             purpose,
         };
-        tools.note_route(self.number, &target, choice);
-        let head = || self.batch_head(now);
-        tools.outbox.submit(choice.relay, target, head);
+        shared.record_route(self.number, &target, choice);
+        let new_batch = || self.new_batch(now);
+        shared.outbox.submit(choice.relay, target, new_batch);
     }
 
-    pub(super) fn batch_head(&self, now: Duration) -> SubmitBatch {
-        let remaining = self.terms.useful_until().saturating_sub(now);
+    /// Creates a batch without targets for the attempts sent to one relay.
+    pub(super) fn new_batch(&self, now: Duration) -> SubmitBatch {
+        let remaining = self.params.results_deadline().saturating_sub(now);
         SubmitBatch {
             query: self.number,
             class: self.request.class.clone(),
@@ -409,18 +443,22 @@
             version: self.route.version,
             remaining_us: remaining.as_micros() as u64,
             fingerprint: self.fingerprint,
-            idempotent: self.terms.idempotent,
+            idempotent: self.params.idempotent,
             key: self.request.key,
             selection: self.request.selection.clone(),
             targets: smallvec::SmallVec::new(),
         }
     }
 
-    /// Decides whether the query is finished, and how.
-    pub(super) fn judge(&mut self, tools: &mut EntryTools, now: Duration) -> Option<QueryOutcome> {
-        let verdict = FinalVerdict::of(&self.terms, &self.gather, self.trace, now)?;
-        self.cancel_rest(tools);
-        Some(verdict.outcome(self, tools, now))
+    /// Returns the outcome of the query if it is complete, and cancels the attempts still in flight.
+    pub(super) fn check_completion(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+    ) -> Option<QueryOutcome> {
+        let completion = QueryCompletion::evaluate(&self.params, &self.gather, self.progress, now)?;
+        self.cancel_outstanding(shared);
+        Some(completion.into_outcome(self, shared, now))
     }
 }
 
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -1,4 +1,4 @@
-//! Properties of one query under any order of outcomes, doubled, late, at mixed versions.
+//! Properties of one query under arbitrary sequences of outcomes, including duplicate, late and mixed-version ones.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -12,19 +12,19 @@
 
 const SHARDS: usize = 5;
 
-/// One event: the verdict for one of the attempts sent so far, or time that passes.
+/// An event: the outcome of one of the attempts sent so far, the passage of time, or a broken link.
 #[derive(Debug, Clone)]
 enum Step {
-    Settle { pick: usize, kind: u8 },
-    Pass { millis: u64 },
+    Deliver { pick: usize, kind: u8 },
+    Advance { millis: u64 },
     LinkDown { vm: u8 },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let settle = (0..64_usize, 0..10_u8).prop_map(|(pick, kind)| Step::Settle { pick, kind });
-    let pass = (1..60_u64).prop_map(|millis| Step::Pass { millis });
+    let deliver = (0..64_usize, 0..10_u8).prop_map(|(pick, kind)| Step::Deliver { pick, kind });
+    let advance = (1..60_u64).prop_map(|millis| Step::Advance { millis });
     let down = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
-    prop::collection::vec(prop_oneof![12 => settle, 2 => pass, 1 => down], 1..60)
+    prop::collection::vec(prop_oneof![12 => deliver, 2 => advance, 1 => down], 1..60)
 }
 
 fn config() -> Config {
@@ -59,37 +59,37 @@
     }
 }
 
-/// What the steps did, as the fakes saw it.
+/// What the fake relays observed during the steps.
 #[derive(Default)]
-struct Seen {
+struct Observed {
     sent: Vec<SentAttempt>,
-    /// Per attempt: whether it may have run.
+    /// For each attempt, whether it may have run.
     may_have_run: Vec<bool>,
-    settled: Vec<bool>,
+    delivered: Vec<bool>,
 }
 
-impl Seen {
-    fn take(&mut self, fixture: &mut EntryFixture) {
+impl Observed {
+    fn record_sent(&mut self, fixture: &mut EntryFixture) {
         for attempt in fixture.take_sent() {
             self.sent.push(attempt);
-            // Until an explicit refusal, an attempt that was sent may run.
+            // An attempt that was sent may run until it is explicitly refused.
             self.may_have_run.push(true);
-            self.settled.push(false);
+            self.delivered.push(false);
         }
     }
 }
 
-fn run_steps(fixture: &mut EntryFixture, query: u64, steps: &[Step]) -> Seen {
-    let mut seen = Seen::default();
-    seen.take(fixture);
+fn run_steps(fixture: &mut EntryFixture, query: u64, steps: &[Step]) -> Observed {
+    let mut observed = Observed::default();
+    observed.record_sent(fixture);
     for step in steps {
         match *step {
-            Step::Settle { pick, kind } => {
-                if seen.sent.is_empty() {
+            Step::Deliver { pick, kind } => {
+                if observed.sent.is_empty() {
                     continue;
                 }
-                let pick = pick % seen.sent.len();
-                let attempt = seen.sent[pick].clone();
+                let pick = pick % observed.sent.len();
+                let attempt = observed.sent[pick].clone();
                 let verdict = verdict(&attempt, kind);
                 let refused = matches!(
                     verdict,
@@ -97,32 +97,32 @@
                         | ShardVerdict::VersionGone { .. }
                         | ShardVerdict::Moved { .. }
                 );
-                // Only the first verdict of an attempt is true; the others are doubles.
-                if !seen.settled[pick] && !fixture.finished.contains_key(&query) {
-                    seen.settled[pick] = true;
-                    seen.may_have_run[pick] = !refused;
+                // Only the first verdict of an attempt counts; later ones are duplicates.
+                if !observed.delivered[pick] && !fixture.finished.contains_key(&query) {
+                    observed.delivered[pick] = true;
+                    observed.may_have_run[pick] = !refused;
                 }
-                fixture.settle(&attempt, verdict);
+                fixture.deliver(&attempt, verdict);
             }
-            Step::Pass { millis } => fixture.advance(fixture.now + ms(millis)),
+            Step::Advance { millis } => fixture.advance(fixture.now + ms(millis)),
             Step::LinkDown { vm } => {
                 let vm = crate::entry::fixture::vm(vm);
                 let unsent = std::collections::VecDeque::new();
                 fixture.core.link_down(fixture.now, vm, unsent);
-                fixture.pump();
-                for (number, attempt) in seen.sent.iter().enumerate() {
-                    seen.settled[number] |= attempt.vm == vm;
+                fixture.run_actions();
+                for (number, attempt) in observed.sent.iter().enumerate() {
+                    observed.delivered[number] |= attempt.vm == vm;
                 }
             }
         }
-        seen.take(fixture);
+        observed.record_sent(fixture);
     }
     fixture.advance(fixture.now + ms(2_000));
-    seen.take(fixture);
-    seen
+    observed.record_sent(fixture);
+    observed
 }
 
-fn check_truth(outcome: &QueryOutcome, seen: &Seen) {
+fn check_truth(outcome: &QueryOutcome, observed: &Observed) {
     match outcome {
         Ok(answer) => {
             let missing = answer.coverage.missing.iter().map(|shard| shard.0);
@@ -140,7 +140,11 @@
             expect_that!(answer.coverage.total as usize, eq(SHARDS));
         }
         Err(refusal) if refusal.ran == RunState::NotRun => {
-            expect_that!(seen.may_have_run.contains(&true), eq(false), "{refusal}");
+            expect_that!(
+                observed.may_have_run.contains(&true),
+                eq(false),
+                "{refusal}"
+            );
         }
         Err(_refusal) => {}
     }
@@ -153,8 +157,8 @@
             let mut fixture = EntryFixture::new(SHARDS, |class| class.priority = priority);
             let query = fixture.start(request());
             fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
-            let seen = run_steps(&mut fixture, query, &steps);
-            check_truth(fixture.outcome(query), &seen);
+            let observed = run_steps(&mut fixture, query, &steps);
+            check_truth(fixture.outcome(query), &observed);
             prop_assert_eq!(fixture.core.in_flight(), 0);
         });
     }
@@ -172,8 +176,8 @@
             ..request()
         });
         fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
-        let seen = run_steps(&mut fixture, query, &steps);
-        let may_have_run = seen.may_have_run.iter().filter(|run| **run).count();
+        let observed = run_steps(&mut fixture, query, &steps);
+        let may_have_run = observed.may_have_run.iter().filter(|run| **run).count();
         prop_assert!(may_have_run <= 1, "{} attempts may have run", may_have_run);
         if let Err(refusal) = fixture.outcome(query) {
             let not_run = refusal.ran == RunState::NotRun;
--- a/crates/ebonyfork/src/entry/settle.rs
+++ b/crates/ebonyfork/src/entry/settle.rs
@@ -1,39 +1,39 @@
-//! What each outcome of an attempt makes of its query: rows taken, another replica asked, a shard given up, the whole
-//! query planned again at another version.
+//! Handling of attempt outcomes: accepting rows, trying another replica, giving up a shard, or planning the whole query
+//! again at another version.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use super::decision::SetbackNote;
+use super::decision::FailedAttempt;
 use super::directory::RelayId;
-use super::gather::ShardStanding;
-use super::hedge::AttemptNeed;
-use super::run::{AttemptSlot, AttemptState, OutcomeTimes, QueryRun};
-use super::tools::EntryTools;
-use super::verdict::VICTIM_LIMIT;
+use super::gather::ShardStatus;
+use super::hedge::AttemptUrgency;
+use super::run::{AttemptRecord, AttemptState, OutcomeTimes, QueryRun};
+use super::tools::SharedState;
+use super::verdict::BROKEN_UPSTREAM_LIMIT;
 use crate::ident::{RunState, SnapshotVersion};
 use crate::query::QueryOutcome;
 use crate::relay::{FailureReason, RefusalReason, ShardVerdict};
 
-/// A query is planned again only while at least one part in this many of its time is left.
-const REPLAN_SHARE: u32 = 4;
+/// Divisor of the query's total time that gives the least time that must be left for it to be planned again.
+const REPLAN_TIME_DIVISOR: u32 = 4;
 
 impl QueryRun {
-    /// Takes the outcome of an attempt.
-    pub(super) fn settle(
+    /// Handles the outcome of an attempt and returns the outcome of the query if that completes it.
+    pub(super) fn handle_outcome(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         attempt: u32,
         verdict: ShardVerdict,
         times: OutcomeTimes,
     ) -> Option<QueryOutcome> {
-        let closed = self.close(attempt)?;
-        self.learn(tools, now, closed, &verdict, times);
+        let closed = self.close_attempt(attempt)?;
+        self.record_statistics(shared, now, closed, &verdict, times);
         let slot = closed.slot as usize;
         if !matches!(verdict, ShardVerdict::Rows { .. }) {
-            tools.note_setback(|| SetbackNote {
+            shared.record_failed_attempt(|| FailedAttempt {
                 query: self.number,
                 attempt,
                 shard: self.gather.slots()[slot].shard,
@@ -42,55 +42,60 @@
         }
         match verdict {
             ShardVerdict::Rows { version, body } => {
-                self.trace.ran = true;
-                self.take_rows(tools, now, slot, version, body);
+                self.progress.ran = true;
+                self.handle_rows(shared, now, slot, version, body);
             }
             ShardVerdict::VersionGone { newest } => {
-                self.gather.slot_mut(slot).tried.push(closed.replica);
-                self.resend(tools, now, slot);
-                if self.gather.slots()[slot].standing() == ShardStanding::Lost {
-                    self.replan(tools, now, newest);
+                self.gather
+                    .slot_mut(slot)
+                    .excluded_replicas
+                    .push(closed.replica);
+                self.resend(shared, now, slot);
+                if self.gather.slots()[slot].status() == ShardStatus::Lost {
+                    self.replan(shared, now, newest);
                 }
             }
             ShardVerdict::Moved { service } => {
-                let service = tools.directory.service_id(&service);
-                let slot_state = self.gather.slot_mut(slot);
-                slot_state.service = service;
-                slot_state.tried.clear();
-                slot_state.refused.clear();
-                self.resend(tools, now, slot);
+                let service = shared.directory.service_id(&service);
+                let shard = self.gather.slot_mut(slot);
+                shard.service = service;
+                shard.excluded_replicas.clear();
+                shard.excluded_relays.clear();
+                self.resend(shared, now, slot);
             }
             ShardVerdict::NotRun(reason) => {
-                self.take_refusal(tools, now, closed, reason);
+                self.handle_not_run(shared, now, closed, reason);
             }
             ShardVerdict::Failed { ran, reason } => {
-                self.take_failure(tools, now, closed, ran, reason);
+                self.handle_failure(shared, now, closed, ran, reason);
             }
         }
-        if self.trace.victims < VICTIM_LIMIT {
-            self.follow_canary(tools, now);
-            self.follow_parked(tools, now);
+        if self.progress.broken_upstreams < BROKEN_UPSTREAM_LIMIT {
+            self.advance_canary(shared, now);
+            self.resume_deferred(shared, now);
         }
-        self.judge(tools, now)
+        self.check_completion(shared, now)
     }
 
-    /// The link to a relay broke: what is out there may have run.
-    pub(super) fn lose_link(
+    /// Handles a broken link to a relay: attempts in flight there may have run. Returns the outcome of the query if
+    /// that completes it.
+    pub(super) fn handle_link_down(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         relay: RelayId,
     ) -> Option<QueryOutcome> {
         for number in 0..self.attempts.len() {
             let attempt = self.attempts[number];
-            if attempt.state != AttemptState::Out || attempt.relay != relay {
+            if attempt.state != AttemptState::InFlight || attempt.relay != relay {
                 continue;
             }
             let verdict = ShardVerdict::Failed {
                 ran: RunState::Unknown,
                 reason: FailureReason::LinkDown,
             };
-            let outcome = self.settle(tools, now, number as u32, verdict, OutcomeTimes::default());
+            let outcome =
+                self.handle_outcome(shared, now, number as u32, verdict, OutcomeTimes::default());
             if outcome.is_some() {
                 return outcome;
             }
@@ -98,35 +103,36 @@
         None
     }
 
-    pub(super) fn learn(
+    /// Updates the statistics of the replica, the relay and the service from the outcome of an attempt.
+    pub(super) fn record_statistics(
         &self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
-        closed: AttemptSlot,
+        closed: AttemptRecord,
         verdict: &ShardVerdict,
         times: OutcomeTimes,
     ) {
         let elapsed = now.saturating_sub(closed.sent);
-        let health = &mut tools.directory.replicas[closed.replica].health;
-        health.settle(now);
+        let health = &mut shared.directory.replicas[closed.replica].health;
+        health.record_outcome(now);
         match verdict {
             ShardVerdict::Rows { .. } => {
-                health.succeed(times.served);
-                let away = elapsed.saturating_sub(times.waited + times.served);
-                tools.directory.relays[closed.relay].learn_round_trip(away);
+                health.record_success(times.served);
+                let round_trip = elapsed.saturating_sub(times.waited + times.served);
+                shared.directory.relays[closed.relay].record_round_trip(round_trip);
                 let service = self.gather.slots()[closed.slot as usize].service;
                 let lateness = elapsed.saturating_sub(closed.expected);
-                tools.learn_lateness(self.terms.class, service, lateness);
+                shared.record_lateness(self.params.class, service, lateness);
             }
-            ShardVerdict::NotRun(RefusalReason::Unreachable) => health.fail(now),
+            ShardVerdict::NotRun(RefusalReason::Unreachable) => health.record_failure(now),
             ShardVerdict::NotRun(RefusalReason::Shed | RefusalReason::QueueFull) => {
-                health.shed(now);
+                health.record_shed(now);
             }
             ShardVerdict::Failed { reason, .. } => match reason {
                 FailureReason::Status | FailureReason::Broken | FailureReason::Malformed => {
-                    health.fail(now);
+                    health.record_failure(now);
                 }
-                FailureReason::Timeout => health.overdue(now),
+                FailureReason::Timeout => health.record_overdue(now),
                 FailureReason::Cancelled | FailureReason::LinkDown => {}
             },
             ShardVerdict::VersionGone { .. }
@@ -135,139 +141,151 @@
         }
     }
 
-    pub(super) fn take_rows(
+    /// Handles rows: stores them and cancels other attempts at the shard, or retries if they are not accepted.
+    pub(super) fn handle_rows(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         slot: usize,
         version: SnapshotVersion,
         body: Bytes,
     ) {
         if !self.gather.accept(slot, version, body) {
-            // Rows of another version never enter; the shard is asked again if it still lacks rows.
-            self.retry(tools, now, slot);
+            // Rows of another version are never accepted; the shard is requested again if it still lacks rows.
+            self.retry(shared, now, slot);
             return;
         }
-        if self.gather.slots()[slot].out == 0 {
+        if self.gather.slots()[slot].in_flight == 0 {
             return;
         }
         for number in 0..self.attempts.len() {
             if self.attempts[number].slot as usize == slot {
-                self.cancel(tools, number);
+                self.cancel_attempt(shared, number);
             }
         }
     }
 
-    pub(super) fn take_refusal(
+    /// Handles an attempt that was refused and did not run.
+    pub(super) fn handle_not_run(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
-        closed: AttemptSlot,
+        closed: AttemptRecord,
         reason: RefusalReason,
     ) {
-        self.trace.refusal = Some(reason);
+        self.progress.refusal = Some(reason);
         let slot = self.gather.slot_mut(closed.slot as usize);
         match reason {
             RefusalReason::NotOwner | RefusalReason::NotReady | RefusalReason::LinkDown => {
-                slot.refused.push(closed.relay);
+                slot.excluded_relays.push(closed.relay);
             }
             RefusalReason::Expired | RefusalReason::Quarantined => {
-                self.lose(closed.slot as usize);
+                self.mark_lost_if_idle(closed.slot as usize);
                 return;
             }
-            _ => slot.tried.push(closed.replica),
+            _ => slot.excluded_replicas.push(closed.replica),
         }
-        self.resend(tools, now, closed.slot as usize);
+        self.resend(shared, now, closed.slot as usize);
     }
 
-    pub(super) fn take_failure(
+    /// Handles an attempt that failed and may have run.
+    pub(super) fn handle_failure(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
-        closed: AttemptSlot,
+        closed: AttemptRecord,
         ran: RunState,
         reason: FailureReason,
     ) {
         match ran {
-            RunState::Ran => self.trace.ran = true,
-            RunState::Unknown => self.trace.unknown = true,
+            RunState::Ran => self.progress.ran = true,
+            RunState::Unknown => self.progress.may_have_run = true,
             RunState::NotRun => {}
         }
         if reason == FailureReason::Broken {
-            self.trace.victims += 1;
-            tools.known.remove(self.fingerprint);
-            tools.lost_at = Some(now);
+            self.progress.broken_upstreams += 1;
+            shared.known_requests.remove(self.fingerprint);
+            shared.last_upstream_loss = Some(now);
         }
         let slot = self.gather.slot_mut(closed.slot as usize);
         if reason == FailureReason::LinkDown {
-            slot.refused.push(closed.relay);
+            slot.excluded_relays.push(closed.relay);
         } else {
-            slot.tried.push(closed.replica);
+            slot.excluded_replicas.push(closed.replica);
         }
-        // A relay that is gone takes many attempts at once and says nothing against the upstreams, so that the budget
-        // does not count; what was in flight there bounds the extra load.
-        let relay_gone = reason == FailureReason::LinkDown && self.terms.idempotent;
+        // The loss of a relay fails many attempts at once and is no evidence against the upstreams, so the resends are
+        // not charged to the budget. The extra load is bounded by the attempts that were in flight there.
+        let relay_gone = reason == FailureReason::LinkDown && self.params.idempotent;
         if ran == RunState::NotRun || relay_gone {
-            self.resend(tools, now, closed.slot as usize);
-        } else if reason == FailureReason::Broken && self.park(tools, now, closed.slot as usize) {
-            // The shard stays open without an attempt.
+            self.resend(shared, now, closed.slot as usize);
+        } else if reason == FailureReason::Broken
+            && self.defer_shard(shared, now, closed.slot as usize)
+        {
+            // The shard stays open without an attempt in flight until `resume_deferred`.
         } else {
-            self.retry(tools, now, closed.slot as usize);
+            self.retry(shared, now, closed.slot as usize);
         }
     }
 
-    /// Plans the whole query once more, at a version that is held, if there is one and time is left. A non-idempotent
-    /// query is never planned again once any part may have run.
-    pub(super) fn replan(&mut self, tools: &mut EntryTools, now: Duration, held: SnapshotVersion) {
+    /// Plans the whole query once more, at a version that the upstreams hold, if there is one and enough time is left.
+    /// A non-idempotent query is not planned again once any part of it may have run.
+    pub(super) fn replan(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        available: SnapshotVersion,
+    ) {
         let pinned = self.gather.version();
         let index = self.route.index.clone();
-        tools.routes.avoid(&index, pinned, now);
-        let may_have_run = self.trace.ran || self.trace.unknown;
-        if self.trace.replanned || (!self.terms.idempotent && may_have_run) {
+        shared.routes.avoid_version(&index, pinned, now);
+        let any_may_have_run = self.progress.ran || self.progress.may_have_run;
+        if self.progress.replanned || (!self.params.idempotent && any_may_have_run) {
             return;
         }
-        let left = self.terms.finish_by.saturating_sub(now);
-        if left < self.terms.span() / REPLAN_SHARE {
+        let time_left = self.params.finish_by.saturating_sub(now);
+        if time_left < self.params.total_time() / REPLAN_TIME_DIVISOR {
             return;
         }
-        let EntryTools {
+        let SharedState {
             routes, directory, ..
-        } = &mut *tools;
-        let Some(route) = routes.other(&index, directory, pinned, held) else {
+        } = &mut *shared;
+        let Some(route) = routes.find_alternative(&index, directory, pinned, available) else {
             return;
         };
-        self.cancel_rest(tools);
-        self.trace.replanned = true;
-        tools.tallies[self.terms.class].replans += 1;
+        self.cancel_outstanding(shared);
+        self.progress.replanned = true;
+        shared.decision_counts[self.params.class].replans += 1;
         self.route = route;
         self.canary = None;
-        self.plan(tools, now);
-        let canary = self.pick_canary(tools, now);
-        self.dispatch(tools, now, canary);
+        self.plan(shared, now);
+        let canary = self.pick_canary(shared, now);
+        self.dispatch(shared, now, canary);
     }
 
-    /// Makes a further attempt after one that may have run: only idempotent work, and only out of the budget.
-    pub(super) fn retry(&mut self, tools: &mut EntryTools, now: Duration, slot: usize) {
-        if self.gather.slots()[slot].standing() != ShardStanding::Open {
+    /// Sends another attempt after one that may have run, if the query is idempotent and the budget allows it.
+    pub(super) fn retry(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
+        if self.gather.slots()[slot].status() != ShardStatus::Open {
             return;
         }
-        let open = self.gather.slots()[slot].out > 0;
-        if self.trace.victims >= VICTIM_LIMIT || open {
+        let in_flight = self.gather.slots()[slot].in_flight > 0;
+        if self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || in_flight {
             return;
         }
-        if !self.terms.idempotent || !tools.spend(now, self.terms.class, AttemptNeed::Urgent) {
-            self.lose(slot);
+        if !self.params.idempotent
+            || !shared.try_withdraw_attempt(now, self.params.class, AttemptUrgency::Urgent)
+        {
+            self.mark_lost_if_idle(slot);
             return;
         }
-        self.attempt(tools, now, slot);
+        self.send_next_attempt(shared, now, slot);
     }
 
-    /// Makes a further attempt after one that was not run.
-    pub(super) fn resend(&mut self, tools: &mut EntryTools, now: Duration, slot: usize) {
+    /// Sends another attempt after one that was not run.
+    pub(super) fn resend(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
         let state = &self.gather.slots()[slot];
-        if state.standing() != ShardStanding::Open || state.out > 0 {
+        if state.status() != ShardStatus::Open || state.in_flight > 0 {
             return;
         }
-        self.attempt(tools, now, slot);
+        self.send_next_attempt(shared, now, slot);
     }
 }
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -1,107 +1,117 @@
-//! Stragglers: attempts that are out for longer than expected, and the hedges that cover them.
+//! Stragglers, that is attempts in flight for longer than expected, and the hedges sent for them.
 
 use std::time::Duration;
 
-use super::gather::ShardStanding;
-use super::hedge::AttemptNeed;
+use super::gather::ShardStatus;
+use super::hedge::AttemptUrgency;
 use super::run::{AttemptState, QueryRun};
-use super::tools::EntryTools;
+use super::tools::SharedState;
 use crate::query::QueryOutcome;
 use crate::relay::AttemptPurpose;
 
-/// Shortest time after which an overdue attempt is looked at again.
-const HEDGE_STEP: Duration = Duration::from_millis(4);
-/// Shortest time between two wakes of one query.
-const WAKE_STEP: Duration = Duration::from_millis(1);
+/// Shortest interval between checks of an overdue attempt.
+const MIN_RECHECK_INTERVAL: Duration = Duration::from_millis(4);
+/// Shortest interval between timers of one query.
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl QueryRun {
-    /// Time has passed: hedges stragglers, and finishes at the deadline.
-    pub(super) fn wake(&mut self, tools: &mut EntryTools, now: Duration) -> Option<QueryOutcome> {
-        if let Some(outcome) = self.judge(tools, now) {
+    /// Handles a due timer: hedges stragglers and returns the outcome if a deadline has passed.
+    pub(super) fn wake(&mut self, shared: &mut SharedState, now: Duration) -> Option<QueryOutcome> {
+        if let Some(outcome) = self.check_completion(shared, now) {
             return Some(outcome);
         }
-        if now < self.straggler_at {
+        if now < self.next_straggler_check {
             return None;
         }
-        self.straggler_at = Duration::MAX;
+        self.next_straggler_check = Duration::MAX;
         for number in 0..self.attempts.len() {
             let attempt = self.attempts[number];
-            if attempt.state != AttemptState::Out {
+            if attempt.state != AttemptState::InFlight {
                 continue;
             }
-            if attempt.hedge_at > now {
-                self.straggler_at = self.straggler_at.min(attempt.hedge_at);
+            if attempt.straggler_check_at > now {
+                self.next_straggler_check =
+                    self.next_straggler_check.min(attempt.straggler_check_at);
                 continue;
             }
-            self.take_straggler(tools, now, number);
+            self.handle_straggler(shared, now, number);
         }
         None
     }
 
-    /// An attempt is overdue: hedges it, or looks again later.
-    pub(super) fn take_straggler(&mut self, tools: &mut EntryTools, now: Duration, number: usize) {
+    /// Handles an overdue attempt: hedges it if worthwhile, and schedules its next check.
+    pub(super) fn handle_straggler(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        number: usize,
+    ) {
         let attempt = &mut self.attempts[number];
         if !attempt.overdue {
             attempt.overdue = true;
-            let replica = &mut tools.directory.replicas[attempt.replica];
-            match attempt.need {
-                // A probe that is late has failed.
-                AttemptNeed::Urgent => replica.health.fail(now),
-                AttemptNeed::Ordinary => replica.health.overdue(now),
+            let replica = &mut shared.directory.replicas[attempt.replica];
+            match attempt.urgency {
+                // A probe that is late counts as failed.
+                AttemptUrgency::Urgent => replica.health.record_failure(now),
+                AttemptUrgency::Ordinary => replica.health.record_overdue(now),
             }
         }
-        let waited = now.saturating_sub(attempt.sent);
-        let need = attempt.need;
-        attempt.hedge_at = now + (waited / 4).max(HEDGE_STEP);
-        self.straggler_at = self.straggler_at.min(attempt.hedge_at);
+        let elapsed = now.saturating_sub(attempt.sent);
+        let urgency = attempt.urgency;
+        attempt.straggler_check_at = now + (elapsed / 4).max(MIN_RECHECK_INTERVAL);
+        self.next_straggler_check = self.next_straggler_check.min(attempt.straggler_check_at);
         let slot = attempt.slot as usize;
         if let Some(canary) = &mut self.canary {
-            // All the other shards wait for this one.
-            canary.looks += 1;
-            self.hedge(tools, now, slot, waited, AttemptNeed::Urgent);
-            self.follow_canary(tools, now);
+            // The requests to all other shards wait for the canary.
+            canary.overdue_checks += 1;
+            self.hedge(shared, now, slot, elapsed, AttemptUrgency::Urgent);
+            self.advance_canary(shared, now);
             return;
         }
-        self.hedge(tools, now, slot, waited, need);
+        self.hedge(shared, now, slot, elapsed, urgency);
     }
 
-    /// When the run wants to be woken.
+    /// Returns the time at which the run needs its next timer.
     pub(super) fn next_wake(&self, now: Duration) -> Duration {
-        let mut next = self.terms.finish_by.min(self.straggler_at);
-        if self.terms.answer_by > now {
-            next = next.min(self.terms.answer_by);
+        let mut next = self.params.finish_by.min(self.next_straggler_check);
+        if self.params.answer_by > now {
+            next = next.min(self.params.answer_by);
         }
-        next.max(now + WAKE_STEP)
+        next.max(now + MIN_WAKE_INTERVAL)
     }
 
+    /// Sends a hedge for the only attempt in flight at a shard, if it is likely to bring the rows sooner.
     pub(super) fn hedge(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
         slot: usize,
-        waited: Duration,
-        need: AttemptNeed,
+        elapsed: Duration,
+        urgency: AttemptUrgency,
     ) {
         let state = &self.gather.slots()[slot];
-        let single = state.standing() == ShardStanding::Open && state.out == 1;
-        if !single || !self.terms.idempotent || !tools.switches.hedge {
+        let single_attempt = state.status() == ShardStatus::Open && state.in_flight == 1;
+        if !single_attempt || !self.params.idempotent || !shared.switches.hedge {
             return;
         }
-        // A query most of whose shards are open waits for load, not for a straggler.
+        // If most shards are still open, the cause is load rather than a straggler.
         if self.canary.is_none() && self.gather.open() > (self.gather.total() / 2).max(1) {
             return;
         }
-        let Some(choice) = self.choose(tools, now, slot, false) else {
+        let Some(choice) = self.choose(shared, now, slot, false) else {
             return;
         };
-        // An attempt that has been out for long is likely to stay out for as long again. A hedge is worth its load only
-        // if it is expected sooner than that; where the other replica has a long queue too, it only adds to it.
-        let queued = choice.expected > waited;
-        let late = now + choice.expected > self.terms.useful_until();
-        if queued || late || !tools.spend(now, self.terms.class, need) {
+        // An attempt that has been in flight for some time is likely to take as long again. A hedge is worth its load
+        // only if it is expected to finish sooner than that; if the other replica has a long queue too, a hedge only
+        // lengthens it.
+        let too_slow = choice.expected > elapsed;
+        let too_late = now + choice.expected > self.params.results_deadline();
+        if too_slow || too_late || !shared.try_withdraw_attempt(now, self.params.class, urgency) {
             return;
         }
-        tools.directory.replicas[choice.replica].health.submit(now);
-        self.send(tools, now, slot, choice, AttemptPurpose::Hedge);
+        shared.directory.replicas[choice.replica]
+            .health
+            .record_submit(now);
+        self.send(shared, now, slot, choice, AttemptPurpose::Hedge);
     }
 }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -1,4 +1,5 @@
-//! The terms of one query: its class target, tightened by the caller's deadline, in times of the entry's clock.
+//! The effective parameters of one query: its class target, tightened by the caller's deadline, with times on the
+//! entry's clock.
 
 use std::time::Duration;
 
@@ -9,29 +10,33 @@
 use crate::declaration::{ClassScope, ClassTarget, TargetPriority};
 use crate::query::QueryRequest;
 
-/// Dense id of a class of work.
+/// Dense id of a class.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// Part of a time limit that is kept for the way back to the caller: one in this many.
-const MARGIN_SHARE: u32 = 20;
-/// Most that is kept for the way back.
-const MARGIN_MOST: Duration = Duration::from_millis(5);
+/// Divisor of a time limit that gives the part reserved for returning the answer to the caller.
+const RETURN_MARGIN_DIVISOR: u32 = 20;
+/// Upper bound of the time reserved for returning the answer.
+const MAX_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// At most one shard in this many does not count for admission because it stands out.
-const SPARE_SHARE: usize = 4;
-/// A shard stands out if it is expected to take this many times the class's latency.
-const SPARE_FROM: u32 = 2;
+/// Divisor of the shard count that gives the number of outlier shards that admission may ignore.
+const OUTLIER_SHARD_DIVISOR: usize = 4;
+/// Multiple of the class's latency from which a shard's expected time makes it an outlier.
+const OUTLIER_LATENCY_FACTOR: u32 = 2;
 
-/// Takes the way back to the caller off a limit that the caller sees.
-fn less_margin(limit: Duration) -> Duration {
-    limit.saturating_sub((limit / MARGIN_SHARE).min(MARGIN_MOST))
+/// Subtracts the time reserved for returning the answer from a limit that the caller observes.
+fn subtract_return_margin(limit: Duration) -> Duration {
+    limit.saturating_sub((limit / RETURN_MARGIN_DIVISOR).min(MAX_RETURN_MARGIN))
 }
 
 impl ClassScope {
-    /// The numbers of the shards that a query needs.
-    pub(super) fn needed(self, request: &QueryRequest, route: &RouteTable) -> std::ops::Range<u32> {
+    /// Returns the range of shard numbers that a query needs.
+    pub(super) fn required_shards(
+        self,
+        request: &QueryRequest,
+        route: &RouteTable,
+    ) -> std::ops::Range<u32> {
         let total = route.shards.len() as u32;
         match self {
             Self::All => 0..total,
@@ -46,33 +51,33 @@
     }
 }
 
-/// What a query is held to.
+/// Effective parameters of one query.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QueryTerms {
-    /// Its class.
+pub struct QueryParams {
+    /// The query's class.
     pub class: ClassId,
-    /// Which shards it needs.
+    /// Which shards the query needs.
     pub scope: ClassScope,
-    /// Which part of the target gives way.
+    /// Whether latency or coverage takes precedence when the target can't be met in full.
     pub priority: TargetPriority,
-    /// Latency of the class, or the caller's deadline if that is shorter.
+    /// Latency target of the class, or the caller's deadline if that is shorter.
     pub latency: Duration,
-    /// The percentile that the latency is stated at, in per cent.
+    /// Percentile of queries that must meet the latency target, in per cent.
     pub percentile: f64,
-    /// Target coverage, 0 to 1.
+    /// Coverage target, 0 to 1.
     pub coverage: f64,
-    /// Whether its attempts may run more than once.
+    /// Whether an attempt may be run more than once.
     pub idempotent: bool,
-    /// When it came.
+    /// When the query was accepted.
     pub started: Duration,
-    /// When a class that puts latency first answers with what is there.
+    /// When a class that puts latency first answers with the rows received so far.
     pub answer_by: Duration,
-    /// When it is over, whatever is there.
+    /// When the query completes regardless of what has been received.
     pub finish_by: Duration,
 }
 
-impl QueryTerms {
-    /// Works out the terms of a query that came at `now`.
+impl QueryParams {
+    /// Derives the parameters of a query that arrived at `now`.
     pub fn new(
         class: ClassId,
         target: &ClassTarget,
@@ -90,45 +95,46 @@
             coverage: target.coverage,
             idempotent: target.idempotent,
             started: now,
-            answer_by: now + less_margin(latency),
-            finish_by: now + less_margin(bound),
+            answer_by: now + subtract_return_margin(latency),
+            finish_by: now + subtract_return_margin(bound),
         }
     }
 
-    /// All the time that the query has.
-    pub fn span(&self) -> Duration {
+    /// Returns the time between the start of the query and its final deadline.
+    pub fn total_time(&self) -> Duration {
         self.finish_by.saturating_sub(self.started)
     }
 
-    /// Predicts wait and work of the slowest shard that counts, out of the routes chosen for a query of `total` shards.
+    /// Predicts the queue wait and the unloaded time of the slowest shard that counts, from the routes chosen for a
+    /// query of `total` shards.
     ///
-    /// A class whose coverage gives way is answered when the shards are there that its coverage target needs; one whose
-    /// latency gives way waits for all. A few shards that stand out don't count, so that one overloaded service does not
-    /// have all queries refused.
+    /// A latency-first class answers once the shards that its coverage target needs have answered, so only those count;
+    /// a coverage-first class waits for all shards. Up to a quarter of the shards is ignored if they are outliers, so
+    /// that one overloaded service does not cause all queries to be refused.
     pub(super) fn predict(&self, total: u32, plan: &mut [PlannedAttempt]) -> (Duration, Duration) {
         plan.sort_unstable_by_key(|planned| planned.choice.expected);
-        let needed = match self.priority {
+        let required = match self.priority {
             TargetPriority::LatencyFirst => (f64::from(total) * self.coverage).ceil() as usize,
             TargetPriority::CoverageFirst => plan.len(),
         };
-        let mut last = needed.clamp(1, plan.len().max(1)) - 1;
-        for _ in 0..total as usize / SPARE_SHARE {
+        let mut last = required.clamp(1, plan.len().max(1)) - 1;
+        for _ in 0..total as usize / OUTLIER_SHARD_DIVISOR {
             let Some(planned) = plan.get(last) else {
                 break;
             };
-            if last == 0 || planned.choice.expected < self.latency * SPARE_FROM {
+            if last == 0 || planned.choice.expected < self.latency * OUTLIER_LATENCY_FACTOR {
                 break;
             }
             last -= 1;
         }
         let planned = plan.get(last);
         planned.map_or((Duration::ZERO, Duration::ZERO), |planned| {
-            (planned.choice.wait, planned.choice.work())
+            (planned.choice.wait, planned.choice.unloaded_time())
         })
     }
 
-    /// Until when rows are of use, for the upstreams' deadline.
-    pub fn useful_until(&self) -> Duration {
+    /// Returns the time until which rows are still useful; sent to upstreams as the deadline.
+    pub fn results_deadline(&self) -> Duration {
         match (self.priority, self.scope) {
             (TargetPriority::LatencyFirst, ClassScope::All) => self.answer_by,
             _ => self.finish_by,
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -1,4 +1,4 @@
-//! What all queries of an entry share: the directory, what has been learnt, the budget, the outbox.
+//! State shared by all queries of an entry: the directory, statistics, the attempt budget and the outbox.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 use super::admission::AdmissionControl;
 use super::canary::KnownRequests;
 use super::choice::RouteChoice;
-use super::decision::{DecisionTally, EntryDecision, RouteDecision, SetbackNote};
+use super::decision::{DecisionCounts, EntryDecision, FailedAttempt, RouteDecision};
 use super::directory::{Directory, ServiceId};
-use super::hedge::{AttemptBudget, AttemptNeed, DelayModel};
+use super::hedge::{AttemptBudget, AttemptUrgency, LatenessHistogram};
 use super::outbox::RelayOutbox;
 use super::route::RouteCache;
 use super::run::QueryRun;
@@ -21,21 +21,21 @@
 use crate::relay::ShardTarget;
 use crate::settings::ExperimentSwitches;
 
-/// Shortest time after which a refused caller is told to come back.
-const RETRY_SHORTEST: Duration = Duration::from_millis(100);
+/// Shortest retry-after sent to a refused caller.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A route chosen for a shard, not yet sent.
+/// A route chosen for a shard, not sent yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedAttempt {
     /// Position of the shard in the gather.
     pub(super) slot: u32,
-    /// The route.
+    /// The chosen route.
     pub(super) choice: RouteChoice,
 }
 
-/// Shared state of an entry's decisions.
+/// State shared by all queries of an entry.
 #[derive(Debug)]
-pub(super) struct EntryTools {
+pub(super) struct SharedState {
     pub(super) session: SessionId,
     pub(super) switches: ExperimentSwitches,
     pub(super) directory: Directory,
@@ -44,21 +44,21 @@
     pub(super) rng: ChaCha8Rng,
     pub(super) admission: AdmissionControl,
     pub(super) budget: AttemptBudget,
-    pub(super) known: KnownRequests,
-    /// When an upstream was last lost under a query.
-    pub(super) lost_at: Option<Duration>,
-    /// Scratch space: the routes chosen for a query that is being planned.
+    pub(super) known_requests: KnownRequests,
+    /// When an upstream connection last broke during an attempt.
+    pub(super) last_upstream_loss: Option<Duration>,
+    /// Scratch space for the routes chosen for the query that is being planned.
     pub(super) plan: Vec<PlannedAttempt>,
-    pub(super) delays: FxHashMap<(ClassId, ServiceId), DelayModel>,
-    pub(super) class_delays: SecondaryMap<ClassId, DelayModel>,
-    /// Whether routing decisions are noted for the log.
-    pub(super) noting: bool,
-    pub(super) noted: Vec<EntryDecision>,
-    /// What the decisions on each class have come to.
-    pub(super) tallies: SecondaryMap<ClassId, DecisionTally>,
+    pub(super) lateness_by_service: FxHashMap<(ClassId, ServiceId), LatenessHistogram>,
+    pub(super) lateness_by_class: SecondaryMap<ClassId, LatenessHistogram>,
+    /// Whether decisions are collected for the decision log.
+    pub(super) log_decisions: bool,
+    pub(super) pending_decisions: Vec<EntryDecision>,
+    /// Decision counts of each class.
+    pub(super) decision_counts: SecondaryMap<ClassId, DecisionCounts>,
 }
 
-impl EntryTools {
+impl SharedState {
     pub(super) fn new(session: SessionId, zone: ZoneName, switches: ExperimentSwitches) -> Self {
         Self {
             session,
@@ -69,42 +69,48 @@
             rng: ChaCha8Rng::seed_from_u64(session.incarnation.0),
             admission: AdmissionControl::default(),
             budget: AttemptBudget::default(),
-            known: KnownRequests::default(),
-            lost_at: None,
+            known_requests: KnownRequests::default(),
+            last_upstream_loss: None,
             plan: Vec::new(),
-            delays: FxHashMap::default(),
-            class_delays: SecondaryMap::new(),
-            noting: false,
-            noted: Vec::new(),
-            tallies: SecondaryMap::new(),
+            lateness_by_service: FxHashMap::default(),
+            lateness_by_class: SecondaryMap::new(),
+            log_decisions: false,
+            pending_decisions: Vec::new(),
+            decision_counts: SecondaryMap::new(),
         }
     }
 
+    /// Returns the delay after which an attempt counts as a straggler, from the histogram of the service if it has enough
+    /// samples, else from that of the class.
     pub(super) fn hedge_delay(
         &self,
         class: ClassId,
         service: ServiceId,
         expected: Duration,
     ) -> Duration {
-        let learnt = self.delays.get(&(class, service)).filter(|m| m.is_learnt());
-        let model = learnt.unwrap_or(&self.class_delays[class]);
-        model.delay(expected)
+        let by_service = self
+            .lateness_by_service
+            .get(&(class, service))
+            .filter(|m| m.has_enough_samples());
+        let histogram = by_service.unwrap_or(&self.lateness_by_class[class]);
+        histogram.hedge_delay(expected)
     }
 
-    /// Takes in how much later than expected rows came.
-    pub(super) fn learn_lateness(
+    /// Records how much later than expected rows arrived.
+    pub(super) fn record_lateness(
         &mut self,
         class: ClassId,
         service: ServiceId,
         lateness: Duration,
     ) {
-        self.class_delays[class].learn(lateness);
-        let model = self.delays.entry((class, service));
-        model.or_default().learn(lateness);
+        self.lateness_by_class[class].record(lateness);
+        let histogram = self.lateness_by_service.entry((class, service));
+        histogram.or_default().record(lateness);
     }
 
-    pub(super) fn note_route(&mut self, query: u64, target: &ShardTarget, choice: RouteChoice) {
-        if !self.noting {
+    /// Collects a routing decision for the decision log.
+    pub(super) fn record_route(&mut self, query: u64, target: &ShardTarget, choice: RouteChoice) {
+        if !self.log_decisions {
             return;
         }
         let route = RouteDecision {
@@ -117,39 +123,44 @@
             purpose: target.purpose,
             reason: choice.reason,
         };
-        self.noted.push(EntryDecision::Route(route));
+        self.pending_decisions.push(EntryDecision::Route(route));
     }
 
-    /// Notes an attempt that brought no rows.
-    pub(super) fn note_setback(&mut self, note: impl FnOnce() -> SetbackNote) {
-        if self.noting {
-            self.noted.push(EntryDecision::Setback(note()));
+    /// Collects an attempt without rows for the decision log.
+    pub(super) fn record_failed_attempt(&mut self, failed_attempt: impl FnOnce() -> FailedAttempt) {
+        if self.log_decisions {
+            self.pending_decisions
+                .push(EntryDecision::Setback(failed_attempt()));
         }
     }
 
-    /// Takes an attempt out of the budget, and counts if it holds none.
-    pub(super) fn spend(&mut self, now: Duration, class: ClassId, need: AttemptNeed) -> bool {
-        let granted = self.budget.take(now, need);
-        self.tallies[class].denied += u64::from(!granted);
+    /// Withdraws one attempt from the budget, and counts a denial if it does not allow one.
+    pub(super) fn try_withdraw_attempt(
+        &mut self,
+        now: Duration,
+        class: ClassId,
+        urgency: AttemptUrgency,
+    ) -> bool {
+        let granted = self.budget.try_withdraw(now, urgency);
+        self.decision_counts[class].denied += u64::from(!granted);
         granted
     }
 
-    /// Spreads the time after which a caller is told to come back, so that callers refused together don't come back
-    /// together.
-    pub(super) fn spread(&mut self, after: Duration) -> Duration {
+    /// Adds random jitter to a retry-after, so that callers refused together do not retry together.
+    pub(super) fn jitter_retry_after(&mut self, after: Duration) -> Duration {
         let factor = self.rng.random_range(1.0..1.5);
-        after.max(RETRY_SHORTEST).mul_f64(factor)
+        after.max(MIN_RETRY_AFTER).mul_f64(factor)
     }
 
-    /// When a refused caller should come back: when the longest backlog that it met has drained.
+    /// Returns the retry-after of a refused query: the time until the longest backlog among its replicas has drained.
     pub(super) fn retry_after(&mut self, run: &QueryRun, now: Duration) -> Duration {
         let mut longest = Duration::ZERO;
         for slot in run.gather.slots() {
             for replica in self.directory.replicas_of(slot.service) {
                 let health = &self.directory.replicas[replica].health;
-                longest = longest.max(health.wait(now));
+                longest = longest.max(health.expected_wait(now));
             }
         }
-        self.spread(longest)
+        self.jitter_retry_after(longest)
     }
 }
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -1,100 +1,105 @@
-//! The final verdict on a query: when it is over, and what the caller is told.
+//! Determines when a query is complete and which outcome the caller receives.
 //!
-//! A query that nothing pending can bring to its target gets its final answer at once. A refusal says truthfully
-//! whether any part ran.
+//! A query completes as soon as no pending attempt can bring it to its target. A refusal states truthfully whether any
+//! part of the query ran.
 
 use std::time::Duration;
 
 use compact_str::{CompactString, ToCompactString, format_compact};
 
 use super::gather::ShardGather;
-use super::run::{QueryRun, RunTrace};
-use super::terms::QueryTerms;
-use super::tools::EntryTools;
+use super::run::{QueryProgress, QueryRun};
+use super::terms::QueryParams;
+use super::tools::SharedState;
 use crate::declaration::TargetPriority;
 use crate::ident::{QueryId, RunState};
 use crate::query::{QueryAnswer, QueryOutcome, QueryRefusal, RefusalCode};
 use crate::relay::RefusalReason;
 
-/// Upstreams that one query may lose.
-pub(super) const VICTIM_LIMIT: u8 = 2;
+/// Number of broken upstream connections at which a query is given up.
+pub(super) const BROKEN_UPSTREAM_LIMIT: u8 = 2;
 
-/// How a query ends.
+/// How a query completes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum FinalVerdict {
+pub(super) enum QueryCompletion {
     /// With an answer, whole or thin.
     Answer,
-    /// Its time is over and what is there is not enough.
+    /// With a refusal: time is up and too few shards have answered.
     Deadline,
-    /// Nothing that is pending can bring enough.
-    Hopeless,
+    /// With a refusal: no pending attempt can bring enough shards.
+    TargetUnreachable,
 }
 
-impl FinalVerdict {
-    /// Judges a query; none while it goes on.
-    pub(super) fn of(
-        terms: &QueryTerms,
+impl QueryCompletion {
+    /// Returns how the query completes, or `None` while it continues.
+    pub(super) fn evaluate(
+        params: &QueryParams,
         gather: &ShardGather,
-        trace: RunTrace,
+        progress: QueryProgress,
         now: Duration,
     ) -> Option<Self> {
         if gather.answered() == gather.total() {
             return Some(Self::Answer);
         }
-        let quarantined = trace.refusal == Some(RefusalReason::Quarantined);
-        if trace.victims >= VICTIM_LIMIT || quarantined {
-            return Some(Self::Hopeless);
+        let quarantined = progress.refusal == Some(RefusalReason::Quarantined);
+        if progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || quarantined {
+            return Some(Self::TargetUnreachable);
         }
         let share = f64::from(gather.answered()) / f64::from(gather.total());
-        let enough = match terms.priority {
+        let enough = match params.priority {
             TargetPriority::LatencyFirst => gather.answered() > 0,
-            TargetPriority::CoverageFirst => share >= terms.coverage,
+            TargetPriority::CoverageFirst => share >= params.coverage,
         };
         if gather.open() == 0 {
-            return Some(if enough { Self::Answer } else { Self::Hopeless });
+            return Some(if enough {
+                Self::Answer
+            } else {
+                Self::TargetUnreachable
+            });
         }
-        let coverage_first = terms.priority == TargetPriority::CoverageFirst;
-        if coverage_first && gather.reachable() < terms.coverage {
-            return Some(Self::Hopeless);
+        let coverage_first = params.priority == TargetPriority::CoverageFirst;
+        if coverage_first && gather.reachable_coverage() < params.coverage {
+            return Some(Self::TargetUnreachable);
         }
-        if !coverage_first && enough && now >= terms.answer_by {
+        if !coverage_first && enough && now >= params.answer_by {
             return Some(Self::Answer);
         }
-        if now >= terms.finish_by {
+        if now >= params.finish_by {
             return Some(if enough { Self::Answer } else { Self::Deadline });
         }
         None
     }
 
-    /// Makes the outcome that the caller gets.
-    pub(super) fn outcome(
+    /// Builds the outcome for the caller.
+    pub(super) fn into_outcome(
         self,
         run: &mut QueryRun,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
     ) -> QueryOutcome {
         if self == Self::Answer {
-            return Ok(answer(run, tools));
+            return Ok(answer(run, shared));
         }
-        let ran = run_state(run.trace);
-        let code = self.code(run.trace, ran);
+        let ran = run_state(run.progress);
+        let code = self.code(run.progress, ran);
         let coverage = run.gather.coverage();
         let message = match self {
-            Self::Deadline => format_compact!("{coverage} shards answered in time"),
-            _ => format_compact!("{coverage} shards answered, and no other replica can bring more"),
+            Self::Deadline => format_compact!("{coverage} shards answered before the deadline"),
+            _ => format_compact!("{coverage} shards answered, and no replica is left to try"),
         };
         let refusal = QueryRefusal::new(code, ran, message);
-        // Sending a quarantined request again is of no use, nor a key whose outcome is kept.
-        let again = run.terms.idempotent || ran == RunState::NotRun;
-        if again && code != RefusalCode::Quarantined {
-            let after = tools.retry_after(run, now);
-            return Err(refusal.with_retry_after(after));
+        // No retry-after for a quarantined request, which would be refused again, nor for an idempotency key whose
+        // outcome is kept.
+        let retryable = run.params.idempotent || ran == RunState::NotRun;
+        if retryable && code != RefusalCode::Quarantined {
+            let retry_after = shared.retry_after(run, now);
+            return Err(refusal.with_retry_after(retry_after));
         }
         Err(refusal)
     }
 
-    fn code(self, trace: RunTrace, ran: RunState) -> RefusalCode {
-        if trace.refusal == Some(RefusalReason::Quarantined) {
+    fn code(self, progress: QueryProgress, ran: RunState) -> RefusalCode {
+        if progress.refusal == Some(RefusalReason::Quarantined) {
             return RefusalCode::Quarantined;
         }
         if self == Self::Deadline {
@@ -103,7 +108,7 @@
         if ran != RunState::NotRun {
             return RefusalCode::UpstreamFailed;
         }
-        match trace.refusal {
+        match progress.refusal {
             Some(RefusalReason::Shed | RefusalReason::QueueFull) => RefusalCode::Overloaded,
             Some(RefusalReason::Expired) => RefusalCode::Deadline,
             _ => RefusalCode::NoUpstream,
@@ -111,31 +116,31 @@
     }
 }
 
-fn run_state(trace: RunTrace) -> RunState {
-    if trace.ran {
+fn run_state(progress: QueryProgress) -> RunState {
+    if progress.ran {
         RunState::Ran
-    } else if trace.unknown {
+    } else if progress.may_have_run {
         RunState::Unknown
     } else {
         RunState::NotRun
     }
 }
 
-/// The name by which the caller knows a query: its own, else the tier's.
-pub(super) fn query_name(run: &QueryRun, tools: &EntryTools) -> CompactString {
-    let own = || {
+/// Returns the id by which the caller knows a query: its own id if it sent one, else the generated one.
+pub(super) fn query_id(run: &QueryRun, shared: &SharedState) -> CompactString {
+    let generated = || {
         let id = QueryId {
-            session: tools.session,
+            session: shared.session,
             number: run.number,
         };
         id.to_compact_string()
     };
-    run.request.caller_id.clone().unwrap_or_else(own)
+    run.request.caller_id.clone().unwrap_or_else(generated)
 }
 
-fn answer(run: &mut QueryRun, tools: &EntryTools) -> QueryAnswer {
+fn answer(run: &mut QueryRun, shared: &SharedState) -> QueryAnswer {
     QueryAnswer {
-        query: query_name(run, tools),
+        query: query_id(run, shared),
         snapshot: run.gather.version(),
         coverage: run.gather.coverage(),
         bodies: run.gather.take_bodies(),
