--- a/crates/ebonyfork/src/caller/message.rs
+++ b/crates/ebonyfork/src/caller/message.rs
@@ -1,4 +1,4 @@
-//! What callers see: the forms of answers, errors and locate answers.
+//! Bodies sent to callers: answers, errors and locate answers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::ident::{RunState, SessionId, ShardNumber};
 use crate::query::{QueryAnswer, QueryRefusal, RefusalCode};
 
-/// Which addresses a caller should use.
+/// Addresses that a caller should use.
 ///
 /// # Examples
 ///
@@ -28,9 +28,9 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocateAnswer {
-    /// Addresses for callers, best first.
+    /// Addresses for callers, preferred first.
     pub addresses: SmallVec<[SocketAddr; 4]>,
-    /// How long the answer may be kept.
+    /// How long the caller may cache the answer.
     #[serde(rename = "ttl_ms", with = "millis")]
     pub ttl: Duration,
     /// The process incarnation at the first address.
@@ -43,12 +43,17 @@
 
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub(super) fn serialize<S: Serializer>(span: &Duration, out: S) -> Result<S::Ok, S::Error> {
-        out.serialize_u64(span.as_millis() as u64)
+    pub(super) fn serialize<S: Serializer>(
+        duration: &Duration,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        serializer.serialize_u64(duration.as_millis() as u64)
     }
 
-    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
-        u64::deserialize(from).map(Duration::from_millis)
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<Duration, D::Error> {
+        u64::deserialize(deserializer).map(Duration::from_millis)
     }
 }
 
@@ -58,23 +63,29 @@
 
     use crate::ident::SessionId;
 
-    pub(super) fn serialize<S: Serializer>(session: &SessionId, out: S) -> Result<S::Ok, S::Error> {
-        out.collect_str(session)
+    pub(super) fn serialize<S: Serializer>(
+        session: &SessionId,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(session)
     }
 
-    pub(super) fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<SessionId, D::Error> {
-        let text = compact_str::CompactString::deserialize(from)?;
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<SessionId, D::Error> {
+        let text = compact_str::CompactString::deserialize(deserializer)?;
         text.parse().map_err(D::Error::custom)
     }
 }
 
+/// JSON body of an outcome without an answer.
 #[derive(Serialize)]
-struct ErrorForm<'a> {
-    error: ErrorBody<'a>,
+struct ErrorResponse<'a> {
+    error: ErrorDetails<'a>,
 }
 
 #[derive(Serialize)]
-struct ErrorBody<'a> {
+struct ErrorDetails<'a> {
     code: &'static str,
     ran: RunState,
     message: &'a str,
@@ -83,11 +94,11 @@
     query: Option<&'a str>,
 }
 
-/// The one JSON form of every outcome without an answer.
+/// Returns the JSON body of an outcome without an answer.
 pub(super) fn refusal_body(refusal: &QueryRefusal, query: Option<&str>) -> Bytes {
     let retry_after = refusal.retry_after;
-    let form = ErrorForm {
-        error: ErrorBody {
+    let response = ErrorResponse {
+        error: ErrorDetails {
             code: refusal.code.as_str(),
             ran: refusal.ran,
             message: &refusal.message,
@@ -96,11 +107,11 @@
             query,
         },
     };
-    // Serialising plain texts and numbers to memory can't fail.
-    serde_json::to_vec(&form).unwrap_or_default().into()
+    // Serialising strings and numbers to memory can't fail.
+    serde_json::to_vec(&response).unwrap_or_default().into()
 }
 
-/// HTTP status of a refusal.
+/// Returns the HTTP status of a refusal.
 pub(super) fn refusal_status(code: RefusalCode) -> http::StatusCode {
     use http::StatusCode;
     match code {
@@ -119,46 +130,47 @@
     }
 }
 
+/// Fields of an answer's JSON body that precede the rows.
 #[derive(Serialize)]
-struct AnswerHead<'a> {
+struct AnswerFields<'a> {
     query: &'a str,
     snapshot: u64,
-    coverage: CoverageForm<'a>,
+    coverage: CoverageFields<'a>,
 }
 
 #[derive(Serialize)]
-struct CoverageForm<'a> {
+struct CoverageFields<'a> {
     answered: u32,
     total: u32,
     missing: &'a [ShardNumber],
 }
 
-/// The rows of one shard, still as JSON text.
+/// The rows of one shard, as unparsed JSON text.
 #[derive(Deserialize)]
 struct ShardRows<'a> {
     #[serde(borrow)]
     rows: &'a serde_json::value::RawValue,
 }
 
-/// The JSON form of an answer; the shards' rows are joined without being read one by one.
+/// Returns the JSON body of an answer. The rows of the shards are concatenated without being parsed individually.
 pub(super) fn answer_body(answer: &QueryAnswer) -> Result<Bytes, QueryRefusal> {
-    let head = AnswerHead {
+    let fields = AnswerFields {
         query: &answer.query,
         snapshot: answer.snapshot.0,
-        coverage: CoverageForm {
+        coverage: CoverageFields {
             answered: answer.coverage.answered,
             total: answer.coverage.total,
             missing: &answer.coverage.missing,
         },
     };
-    let mut body = serde_json::to_vec(&head).unwrap_or_default();
+    let mut body = serde_json::to_vec(&fields).unwrap_or_default();
     let rows_size: usize = answer.bodies.iter().map(Bytes::len).sum();
-    body.reserve(rows_size + ROWS_KEY.len() + 2);
+    body.reserve(rows_size + ROWS_PREFIX.len() + 2);
     body.pop();
-    body.extend_from_slice(ROWS_KEY);
+    body.extend_from_slice(ROWS_PREFIX);
     let mut first = true;
     for shard in &answer.bodies {
-        let Some(rows) = inner_rows(shard) else {
+        let Some(rows) = rows_text(shard) else {
             return Err(malformed_rows());
         };
         if rows.is_empty() {
@@ -174,10 +186,10 @@
     Ok(body.into())
 }
 
-const ROWS_KEY: &[u8] = b",\"rows\":[";
+const ROWS_PREFIX: &[u8] = b",\"rows\":[";
 
-/// The text between the brackets of a shard's `rows`.
-fn inner_rows(shard: &[u8]) -> Option<&str> {
+/// Returns the text between the brackets of a shard's `rows`, or `None` if the body is malformed.
+fn rows_text(shard: &[u8]) -> Option<&str> {
     let shard: ShardRows<'_> = serde_json::from_slice(shard).ok()?;
     let rows = shard.rows.get().trim();
     let rows = rows.strip_prefix('[')?.strip_suffix(']')?;
@@ -185,6 +197,6 @@
 }
 
 fn malformed_rows() -> QueryRefusal {
-    let message = CompactString::const_new("an upstream's rows are malformed");
+    let message = CompactString::const_new("an upstream returned malformed rows");
     QueryRefusal::new(RefusalCode::UpstreamFailed, RunState::Ran, message)
 }
--- a/crates/ebonyfork/src/caller/mod.rs
+++ b/crates/ebonyfork/src/caller/mod.rs
@@ -1,5 +1,5 @@
-//! The callers' border: HTTP/1.1, bounds on everything a caller sends, and one JSON form for every outcome without an
-//! answer.
+//! HTTP/1.1 interface for callers. Everything that a caller sends is bounded, and every outcome without an answer is
+//! returned in the same JSON format.
 
 mod message;
 mod request;
@@ -8,7 +8,8 @@
 
 pub use message::LocateAnswer;
 pub use request::{
-    DEADLINE_HEADER, KEY_HEADER, ORGANISATION_HEADER, QUERY_HEADER, QUERY_ID_LIMIT, RECORD_HEADER,
+    DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, MAX_QUERY_ID_BYTES, ORGANISATION_HEADER,
+    QUERY_ID_HEADER, RECORD_HEADER,
 };
 pub use server::serve_callers;
 pub use service::CallerService;
--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -1,4 +1,5 @@
-//! Reading a caller's request: every header has a bound, and a malformed one is named.
+//! Parsing of callers' requests. Every header value is bounded, and the refusal of a malformed request names the
+//! header.
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -11,39 +12,39 @@
 use crate::ident::{ClassName, OrganisationName, RunState};
 use crate::query::{QueryRefusal, QueryRequest, RECORD_LIMIT, RefusalCode};
 
-/// Header that names the organisation.
+/// Header with the name of the organisation.
 pub const ORGANISATION_HEADER: &str = "x-organisation";
-/// Header with the caller's bound, in milliseconds.
+/// Header with the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
-/// Header with the key of a non-idempotent query.
-pub const KEY_HEADER: &str = "idempotency-key";
-/// Header with the caller's own name for the query.
-pub const QUERY_HEADER: &str = "x-query-id";
-/// Header that selects the shard of a one-shard class.
+/// Header with the idempotency key of a non-idempotent query.
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// Header with the caller's own id of the query.
+pub const QUERY_ID_HEADER: &str = "x-query-id";
+/// Header with the record name that selects the shard of a one-shard class.
 pub const RECORD_HEADER: &str = "x-record";
-/// Longest caller's name for a query, in bytes.
-pub const QUERY_ID_LIMIT: usize = 128;
-/// Longest deadline that a caller may state: a day.
-const DEADLINE_LIMIT: Duration = Duration::from_hours(24);
+/// Maximum length of a caller's query id, in bytes.
+pub const MAX_QUERY_ID_BYTES: usize = 128;
+/// Longest deadline that a caller may set.
+const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
-/// Reads the headers of a query. The selection is added once its bound has been checked.
+/// Builds a query from its class and headers, with the given selection.
 pub(super) fn read_query(
     class: &str,
     headers: &HeaderMap,
     selection: Bytes,
 ) -> Result<QueryRequest, QueryRefusal> {
-    let class: ClassName = class.parse().map_err(|error| bad("class", error))?;
-    let organisation = read_parsed(headers, ORGANISATION_HEADER)?;
+    let class: ClassName = class.parse().map_err(|error| bad_request("class", error))?;
+    let organisation = parse_header(headers, ORGANISATION_HEADER)?;
     let organisation =
-        organisation.ok_or_else(|| bad(ORGANISATION_HEADER, "the header is missing"))?;
+        organisation.ok_or_else(|| bad_request(ORGANISATION_HEADER, "the header is missing"))?;
     Ok(QueryRequest {
         class,
         organisation,
         deadline: read_deadline(headers)?,
-        record: read_text(headers, RECORD_HEADER, RECORD_LIMIT)?,
+        record: read_bounded(headers, RECORD_HEADER, RECORD_LIMIT)?,
         selection,
-        key: read_parsed(headers, KEY_HEADER)?,
-        caller_id: read_text(headers, QUERY_HEADER, QUERY_ID_LIMIT)?,
+        key: parse_header(headers, IDEMPOTENCY_KEY_HEADER)?,
+        caller_id: read_bounded(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES)?,
     })
 }
 
@@ -51,51 +52,57 @@
 pub(super) fn read_organisation(
     headers: &HeaderMap,
 ) -> Result<Option<OrganisationName>, QueryRefusal> {
-    read_parsed(headers, ORGANISATION_HEADER)
+    parse_header(headers, ORGANISATION_HEADER)
 }
 
-/// Reads the caller's name for the query, if it is acceptable.
-pub(super) fn caller_id(headers: &HeaderMap) -> Option<CompactString> {
-    read_text(headers, QUERY_HEADER, QUERY_ID_LIMIT).unwrap_or_default()
+/// Reads the caller's query id; returns `None` if it is missing or invalid.
+pub(super) fn read_query_id(headers: &HeaderMap) -> Option<CompactString> {
+    read_bounded(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES).unwrap_or_default()
 }
 
 fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, QueryRefusal> {
-    let Some(millis) = read_parsed::<u64>(headers, DEADLINE_HEADER)? else {
+    let Some(millis) = parse_header::<u64>(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
     let deadline = Duration::from_millis(millis);
-    if deadline > DEADLINE_LIMIT {
-        return Err(bad(DEADLINE_HEADER, "expected at most a day"));
+    if deadline > MAX_DEADLINE {
+        return Err(bad_request(DEADLINE_HEADER, "expected at most 24 hours"));
     }
     Ok(Some(deadline))
 }
 
-fn read_parsed<T>(headers: &HeaderMap, name: &'static str) -> Result<Option<T>, QueryRefusal>
+/// Parses the value of a header; returns `None` if the header is missing.
+fn parse_header<T>(headers: &HeaderMap, name: &'static str) -> Result<Option<T>, QueryRefusal>
 where
     T: FromStr<Err: Display>,
 {
-    let Some(text) = read_single(headers, name)? else {
+    let Some(text) = read_unique(headers, name)? else {
         return Ok(None);
     };
     let value = text.parse();
-    value.map(Some).map_err(|error| bad(name, error))
+    value.map(Some).map_err(|error| bad_request(name, error))
 }
 
-fn read_text(
+/// Returns the value of a header if it has 1 to `limit` bytes, or `None` if the header is missing.
+fn read_bounded(
     headers: &HeaderMap,
     name: &'static str,
     limit: usize,
 ) -> Result<Option<CompactString>, QueryRefusal> {
-    let Some(text) = read_single(headers, name)? else {
+    let Some(text) = read_unique(headers, name)? else {
         return Ok(None);
     };
     if text.is_empty() || text.len() > limit {
-        return Err(bad(name, format_args!("expected 1 to {limit} bytes")));
+        return Err(bad_request(
+            name,
+            format_args!("expected 1 to {limit} bytes"),
+        ));
     }
     Ok(Some(CompactString::new(text)))
 }
 
-fn read_single<'a>(
+/// Returns the value of a header, or `None` if it is missing; refuses a header that occurs more than once.
+fn read_unique<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
 ) -> Result<Option<&'a str>, QueryRefusal> {
@@ -104,14 +111,14 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad(name, "the header stands more than once"));
+        return Err(bad_request(name, "the header occurs more than once"));
     }
     let text = value.to_str();
     text.map(Some)
-        .map_err(|_error| bad(name, "expected visible ASCII characters"))
+        .map_err(|_error| bad_request(name, "expected visible ASCII characters"))
 }
 
-fn bad(field: &'static str, problem: impl Display) -> QueryRefusal {
+fn bad_request(field: &'static str, problem: impl Display) -> QueryRefusal {
     let message = compact_str::format_compact!("{problem}");
     QueryRefusal::new(RefusalCode::BadRequest, RunState::NotRun, message).with_field(field)
 }
--- a/crates/ebonyfork/src/caller/server.rs
+++ b/crates/ebonyfork/src/caller/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! Listener for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,29 +13,29 @@
 
 use super::service::CallerService;
 
-/// Longest time between two requests of a connection, and to send a request's head.
+/// Maximum idle time between requests on a connection, and maximum time to receive a request head.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
-/// Most that a request's head may take, in bytes.
-const HEAD_LIMIT: usize = 32 << 10;
-/// Most headers that a request may have.
-const HEADER_LIMIT: usize = 64;
-/// Connections of callers that are open at a time; further ones wait to be accepted.
-const CONNECTION_LIMIT: usize = 8_192;
-/// Pause after the listener failed, so that a shortage of descriptors does not turn into a busy loop.
+/// Maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Maximum number of headers per request.
+const MAX_HEADERS: usize = 64;
+/// Maximum number of open caller connections; further connections wait to be accepted.
+const MAX_CONNECTIONS: usize = 8_192;
+/// Pause after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves callers until `stop` is cancelled and all requests in flight are answered.
+/// Serves callers until `stop` is cancelled and all requests in flight have been answered.
 ///
-/// After the stop no connection is accepted, requests in flight finish, and their answers carry `connection: close`.
+/// After that no connection is accepted; requests in flight are completed, and their answers carry `connection: close`.
 pub async fn serve_callers(listener: TcpListener, service: CallerService, stop: CancellationToken) {
     let connections = TaskTracker::new();
-    let places = Arc::new(Semaphore::new(CONNECTION_LIMIT));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let accepting = async {
-            let place = Arc::clone(&places).acquire_owned().await;
-            (place, listener.accept().await)
+            let permit = Arc::clone(&permits).acquire_owned().await;
+            (permit, listener.accept().await)
         };
-        let (place, accepted) = tokio::select! {
+        let (permit, accepted) = tokio::select! {
             accepted = accepting => accepted,
             () = stop.cancelled() => break,
         };
@@ -44,11 +44,11 @@
                 let connection = serve_connection(stream, service.clone(), stop.clone());
                 connections.spawn(async move {
                     connection.await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!("caller listener: {error}");
+                log::warn!("accepting a caller connection failed: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -60,18 +60,19 @@
 
 async fn serve_connection(stream: TcpStream, service: CallerService, stop: CancellationToken) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("caller connection: {error}");
+        log::debug!("caller connection failed: {error}");
         return;
     }
-    let answering = service_fn(move |request| service.clone().answer(request));
+    let handling = service_fn(move |request| service.clone().handle(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
-        .max_buf_size(HEAD_LIMIT)
-        .max_headers(HEADER_LIMIT)
-        .serve_connection(TokioIo::new(stream), answering);
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS)
+        .serve_connection(TokioIo::new(stream), handling);
     let mut connection = std::pin::pin!(connection);
-    // The stop is looked at first, so that an answer that becomes ready with it already carries `connection: close`.
+    // The select is biased towards the stop, so that an answer that becomes ready at the same time already carries
+    // `connection: close`.
     let served = tokio::select! {
         biased;
         () = stop.cancelled() => {
@@ -81,7 +82,7 @@
         served = connection.as_mut() => served,
     };
     if let Err(error) = served {
-        log::debug!("caller connection: {error}");
+        log::debug!("caller connection failed: {error}");
     }
 }
 
--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -19,7 +19,7 @@
     stop: CancellationToken,
     outcome: Arc<Mutex<QueryOutcome>>,
     entered: Arc<Notify>,
-    gate: Arc<Notify>,
+    release: Arc<Notify>,
     serving: tokio::task::JoinHandle<()>,
     writers: crate::views::ViewWriters,
 }
@@ -41,25 +41,25 @@
     }
 }
 
-/// Serves queries with a settable outcome; those of class `held` wait for the gate.
+/// Starts a server whose query outcome can be set; queries of class `held` wait for the gate.
 async fn serve() -> CallerFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (writers, views) = view_channels();
     writers.readiness.send_replace(NodeReadiness::Ready);
     let outcome = Arc::new(Mutex::new(Ok(whole_answer())));
-    let gate = Arc::new(Notify::new());
+    let release = Arc::new(Notify::new());
     let entered = Arc::new(Notify::new());
-    let entering = Arc::clone(&entered);
-    let (given, held) = (Arc::clone(&outcome), Arc::clone(&gate));
+    let entered_signal = Arc::clone(&entered);
+    let (shared_outcome, held) = (Arc::clone(&outcome), Arc::clone(&release));
     let run = move |request: crate::query::QueryRequest| {
-        let (given, held) = (Arc::clone(&given), Arc::clone(&held));
-        entering.notify_one();
+        let (shared_outcome, held) = (Arc::clone(&shared_outcome), Arc::clone(&held));
+        entered_signal.notify_one();
         async move {
             if request.class.as_str() == "held" {
                 held.notified().await;
             }
-            given.lock().unwrap().clone()
+            shared_outcome.lock().unwrap().clone()
         }
         .boxed()
     };
@@ -76,13 +76,16 @@
         stop,
         outcome,
         entered,
-        gate,
+        release,
         serving,
         writers,
     }
 }
 
-async fn ask(address: std::net::SocketAddr, request: Request<Full<Bytes>>) -> Response<Bytes> {
+async fn send_request(
+    address: std::net::SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Response<Bytes> {
     let stream = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = client::handshake(TokioIo::new(stream)).await.unwrap();
     tokio::spawn(connection);
@@ -103,23 +106,23 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_joins_the_rows_of_all_shards() {
+async fn an_answer_concatenates_the_rows_of_all_shards() {
     let fixture = serve().await;
-    let response = ask(fixture.address, query("search", &[], Vec::new())).await;
+    let response = send_request(fixture.address, query("search", &[], Vec::new())).await;
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["x-coverage"], eq("2/2"));
     expect_that!(response.headers()["x-snapshot"], eq("17"));
     let expected = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
     expect_that!(response.body().as_ref(), eq(&expected[..]));
     let locate = Request::get("/v1/locate").body(Full::default()).unwrap();
-    let response = ask(fixture.address, locate).await;
+    let response = send_request(fixture.address, locate).await;
     let answer: LocateAnswer = serde_json::from_slice(response.body()).unwrap();
     expect_that!(answer.ttl, eq(Duration::from_secs(5)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn each_bad_request_names_its_field_and_was_not_run() {
+async fn each_malformed_request_is_refused_with_its_field_and_is_not_run() {
     let fixture = serve().await;
     let long = "x".repeat(257);
     let cases = [
@@ -164,7 +167,7 @@
         ),
     ];
     for (request, status, field) in cases {
-        let response = ask(fixture.address, request).await;
+        let response = send_request(fixture.address, request).await;
         expect_that!(response.status().as_u16(), eq(status), "{field}");
         expect_that!(response.headers()["x-ran"], eq("not-run"), "{field}");
         let body: serde_json::Value = serde_json::from_slice(response.body()).unwrap();
@@ -175,13 +178,13 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_refusal_tells_when_to_come_back() {
+async fn a_refusal_carries_its_retry_after() {
     let fixture = serve().await;
     let refusal = QueryRefusal::new(RefusalCode::Overloaded, RunState::NotRun, "full")
         .with_retry_after(Duration::from_millis(250));
     *fixture.outcome.lock().unwrap() = Err(refusal);
     let request = query("search", &[("x-query-id", "mine")], vec![]);
-    let response = ask(fixture.address, request).await;
+    let response = send_request(fixture.address, request).await;
     expect_that!(response.status().as_u16(), eq(503));
     expect_that!(response.headers()["retry-after"], eq("1"));
     let expected = br#"{"error":{"code":"overloaded","ran":"not-run","message":"full","field":null,"retry_after_ms":250,"query":"mine"}}"#;
@@ -190,21 +193,22 @@
         .writers
         .readiness
         .send_replace(NodeReadiness::Fenced);
-    let response = ask(fixture.address, query("search", &[], vec![])).await;
+    let response = send_request(fixture.address, query("search", &[], vec![])).await;
     let body: serde_json::Value = serde_json::from_slice(response.body()).unwrap();
     expect_that!(body["error"]["code"].as_str(), some(eq("not-ready")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stop_finishes_what_is_in_flight_and_closes() {
+async fn a_stop_completes_requests_in_flight_and_closes_the_listener() {
     let fixture = serve().await;
     let address = fixture.address;
-    let asking = tokio::spawn(async move { ask(address, query("held", &[], vec![])).await });
+    let pending =
+        tokio::spawn(async move { send_request(address, query("held", &[], vec![])).await });
     fixture.entered.notified().await;
     fixture.stop.cancel();
-    fixture.gate.notify_one();
-    let response = asking.await.unwrap();
+    fixture.release.notify_one();
+    let response = pending.await.unwrap();
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["connection"], eq("close"));
     fixture.serving.await.unwrap();
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP service.
+//! HTTP service for callers.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -14,7 +14,9 @@
 use hyper::body::Incoming;
 
 use super::message::{LocateAnswer, answer_body, refusal_body, refusal_status};
-use super::request::{KEY_HEADER, QUERY_HEADER, caller_id, read_organisation, read_query};
+use super::request::{
+    IDEMPOTENCY_KEY_HEADER, QUERY_ID_HEADER, read_organisation, read_query, read_query_id,
+};
 use crate::ident::{OrganisationName, RunState};
 use crate::query::{
     QueryAnswer, QueryOutcome, QueryRefusal, QueryRequest, RefusalCode, SELECTION_LIMIT,
@@ -27,15 +29,15 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const QUERY_PATH: &str = "/v1/query/";
 const LOCATE_PATH: &str = "/v1/locate";
-/// Longest time that a caller may take to send its selection.
+/// Maximum time to receive the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When a caller should come back that met a VM which is not ready.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after sent while this VM is not ready.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 type RunFunction = dyn Fn(QueryRequest) -> BoxFuture<'static, QueryOutcome> + Send + Sync;
 type LocateFunction = dyn Fn(Option<OrganisationName>) -> LocateAnswer + Send + Sync;
 
-/// Answers callers' requests. Cheap to clone.
+/// Handles callers' requests. Cheap to clone.
 #[derive(Clone)]
 pub struct CallerService {
     run: Arc<RunFunction>,
@@ -50,7 +52,7 @@
 }
 
 impl CallerService {
-    /// Makes a service that runs queries by `run` and answers locate requests by `locate`.
+    /// Creates a service that runs queries with `run` and answers locate requests with `locate`.
     pub fn new(
         run: impl Fn(QueryRequest) -> BoxFuture<'static, QueryOutcome> + Send + Sync + 'static,
         locate: impl Fn(Option<OrganisationName>) -> LocateAnswer + Send + Sync + 'static,
@@ -63,14 +65,14 @@
         }
     }
 
-    /// Answers one request.
-    pub(super) async fn answer(
+    /// Handles one request.
+    pub(super) async fn handle(
         self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let query = caller_id(request.headers());
+        let query_id = read_query_id(request.headers());
         let reply = self.route(request).await;
-        Ok(reply.unwrap_or_else(|refusal| refusal_response(&refusal, query.as_ref())))
+        Ok(reply.unwrap_or_else(|refusal| refusal_response(&refusal, query_id.as_ref())))
     }
 
     async fn route(
@@ -80,7 +82,7 @@
         let path = request.uri().path();
         if path == LOCATE_PATH {
             if request.method() != Method::GET {
-                return Ok(wrong_method("GET"));
+                return Ok(method_not_allowed("GET"));
             }
             let organisation = read_organisation(request.headers())?;
             let answer = (self.locate)(organisation);
@@ -90,11 +92,11 @@
         let Some(class) = path.strip_prefix(QUERY_PATH) else {
             return Err(not_run(
                 RefusalCode::NotFound,
-                "there is nothing at this path",
+                "no resource exists at this path",
             ));
         };
         if request.method() != Method::POST {
-            return Ok(wrong_method("POST"));
+            return Ok(method_not_allowed("POST"));
         }
         let class = CompactString::new(class);
         self.run_query(&class, request).await
@@ -105,8 +107,8 @@
         class: &str,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, QueryRefusal> {
-        // A request under a key may be a resend of what ran, so that "not run" is not for this border to say.
-        if !request.headers().contains_key(KEY_HEADER) {
+        // A request with an idempotency key may repeat one that has run, so it must not be refused as "not run" here.
+        if !request.headers().contains_key(IDEMPOTENCY_KEY_HEADER) {
             self.check_ready()?;
         }
         let (head, body) = request.into_parts();
@@ -126,7 +128,7 @@
             NodeReadiness::Stopping => not_run(RefusalCode::Stopping, "this VM is stopping"),
             _ => not_run(RefusalCode::NotReady, "this VM has not synchronised yet"),
         };
-        Err(refusal.with_retry_after(NOT_READY_RETRY))
+        Err(refusal.with_retry_after(NOT_READY_RETRY_AFTER))
     }
 }
 
@@ -134,7 +136,7 @@
     let reading = Limited::new(body, SELECTION_LIMIT).collect();
     let read = match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(read) => read,
-        Err(_elapsed) => return Err(bad_body("the body did not come in time")),
+        Err(_elapsed) => return Err(bad_body("the body was not received in time")),
     };
     match read {
         Ok(body) => Ok(body.to_bytes()),
@@ -142,7 +144,7 @@
             let message = "the selection exceeds 64 KiB";
             Err(not_run(RefusalCode::TooLarge, message).with_field("body"))
         }
-        Err(_error) => Err(bad_body("the body broke off")),
+        Err(_error) => Err(bad_body("the body could not be read completely")),
     }
 }
 
@@ -161,8 +163,11 @@
     response
 }
 
-fn wrong_method(allowed: &'static str) -> Response<Full<Bytes>> {
-    let refusal = not_run(RefusalCode::BadRequest, "the method is not allowed here");
+fn method_not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
+    let refusal = not_run(
+        RefusalCode::BadRequest,
+        "the method is not allowed for this path",
+    );
     let mut response = refusal_response(&refusal.with_field("method"), None);
     *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     let allowed = HeaderValue::from_static(allowed);
@@ -177,24 +182,28 @@
     headers.insert(RAN_HEADER, HeaderValue::from_static("ran"));
     let coverage = compact_str::format_compact!("{}", answer.coverage);
     insert_text(&mut response, COVERAGE_HEADER, &coverage);
-    let query = HeaderName::from_static(QUERY_HEADER);
-    insert_text(&mut response, query, &answer.query);
+    let query_id = HeaderName::from_static(QUERY_ID_HEADER);
+    insert_text(&mut response, query_id, &answer.query);
     Ok(response)
 }
 
 fn refusal_response(
     refusal: &QueryRefusal,
-    query: Option<&CompactString>,
+    query_id: Option<&CompactString>,
 ) -> Response<Full<Bytes>> {
-    let body = refusal_body(refusal, query.map(CompactString::as_str));
+    let body = refusal_body(refusal, query_id.map(CompactString::as_str));
     let mut response = json_response(refusal_status(refusal.code), body);
     insert_text(
         &mut response,
         RAN_HEADER,
         &compact_str::format_compact!("{}", refusal.ran),
     );
-    if let Some(query) = query {
-        insert_text(&mut response, HeaderName::from_static(QUERY_HEADER), query);
+    if let Some(query_id) = query_id {
+        insert_text(
+            &mut response,
+            HeaderName::from_static(QUERY_ID_HEADER),
+            query_id,
+        );
     }
     if let Some(after) = refusal.retry_after {
         let seconds = after.as_millis().div_ceil(1_000) as u64;
@@ -206,7 +215,8 @@
 }
 
 fn insert_text(response: &mut Response<Full<Bytes>>, name: HeaderName, text: &str) {
-    // Names and numbers of ours are visible ASCII, and a caller's name came in a header.
+    // The values are valid: generated names and numbers are visible ASCII, and the caller's id was received in a
+    // header.
     if let Ok(value) = HeaderValue::from_str(text) {
         response.headers_mut().insert(name, value);
     }
--- a/crates/ebonyfork/src/locate/answer.rs
+++ b/crates/ebonyfork/src/locate/answer.rs
@@ -1,4 +1,4 @@
-//! The choice of addresses.
+//! Selection of the addresses in a locate answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,40 +11,44 @@
 use crate::membership::MemberSnapshot;
 use crate::topology::TopologyView;
 
-/// Most addresses in one answer.
-pub const ADDRESS_LIMIT: usize = 4;
-/// VMs of one zone that serve one organisation, as long as they are not busy.
-pub const ORGANISATION_SUBSET: usize = 8;
-/// Most VMs of one zone that serve one organisation.
-const SUBSET_LIMIT: usize = 128;
-/// Mean load of a subset, in per mille, from which on it is doubled.
-const BUSY_LOAD: u32 = 600;
+/// Maximum number of addresses in one answer.
+pub const MAX_ADDRESSES: usize = 4;
+/// Initial number of VMs per zone that serve one organisation; doubled while they are busy.
+pub const INITIAL_SUBSET_SIZE: usize = 8;
+/// Maximum number of VMs per zone that serve one organisation.
+const MAX_SUBSET_SIZE: usize = 128;
+/// Mean load of a subset, in per mille, at which it is doubled.
+const BUSY_LOAD_PER_MILLE: u32 = 600;
 
-/// What stays the same from answer to answer.
+/// Settings that are the same for all answers of a process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateSettings {
-    /// The answering process.
+    /// Session of the answering process.
     pub own: SessionId,
-    /// The zone it is in; callers ask a VM near to them.
+    /// Zone of the answering process. Callers ask a VM near them, so it is taken as the caller's zone.
     pub zone: ZoneName,
-    /// The caller port of every VM.
+    /// Caller port, the same on every VM.
     pub caller_port: u16,
-    /// How long an answer may be kept.
+    /// How long a caller may cache an answer.
     pub ttl: Duration,
 }
 
+/// A VM that callers may be sent to.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     vm: VmAddress,
     incarnation: IncarnationNumber,
+    /// Load that the VM reports, in per mille.
     load: u16,
-    score: u64,
+    /// Rendezvous hash of the organisation and the VM; 0 without an organisation.
+    subset_score: u64,
 }
 
-/// Chooses the addresses that a caller of `organisation` should use.
+/// Selects the addresses that a caller of `organisation` should use.
 ///
-/// The first is the less loaded of two drawn from the organisation's subset of the own zone; the rest are alternatives,
-/// the last of them in another zone if there is one. If nobody qualifies the own address is given.
+/// The first is the less loaded of two VMs drawn at random from the organisation's subset in this zone. The rest are
+/// alternatives, the last of them in another zone if there is one. If no VM qualifies, the answer holds the address of
+/// this VM.
 ///
 /// # Examples
 ///
@@ -80,24 +84,25 @@
     organisation: Option<&OrganisationName>,
     rng: &mut impl Rng,
 ) -> LocateAnswer {
-    let near = zone_candidates(view, members, organisation, |zone| *zone == settings.zone);
-    let far = zone_candidates(view, members, organisation, |zone| *zone != settings.zone);
-    let mut order = spread(near, rng);
-    let far = spread(far, rng);
-    order.truncate(if far.is_empty() {
-        ADDRESS_LIMIT
+    let local = zone_candidates(view, members, organisation, |zone| *zone == settings.zone);
+    let remote = zone_candidates(view, members, organisation, |zone| *zone != settings.zone);
+    let mut selected = draw_addresses(local, rng);
+    let remote = draw_addresses(remote, rng);
+    selected.truncate(if remote.is_empty() {
+        MAX_ADDRESSES
     } else {
-        ADDRESS_LIMIT - 1
+        MAX_ADDRESSES - 1
     });
-    order.extend(
-        far.into_iter()
-            .take(ADDRESS_LIMIT.saturating_sub(order.len())),
+    selected.extend(
+        remote
+            .into_iter()
+            .take(MAX_ADDRESSES.saturating_sub(selected.len())),
     );
-    let session = order.first().map_or(settings.own, |first| {
+    let session = selected.first().map_or(settings.own, |first| {
         SessionId::new(first.vm, first.incarnation)
     });
     let mut addresses: SmallVec<[SocketAddr; 4]> = SmallVec::new();
-    for candidate in &order {
+    for candidate in &selected {
         addresses.push(SocketAddr::new(candidate.vm.0, settings.caller_port));
     }
     if addresses.is_empty() {
@@ -110,19 +115,20 @@
     }
 }
 
-/// The organisation's subset of the VMs that stay, in the zones that `wanted` accepts.
+/// Returns the VMs that are not leaving in the zones for which `in_zone` is true; with an organisation, only its subset
+/// of them.
 fn zone_candidates(
     view: &TopologyView,
     members: &MemberSnapshot,
     organisation: Option<&OrganisationName>,
-    wanted: impl Fn(&ZoneName) -> bool,
+    in_zone: impl Fn(&ZoneName) -> bool,
 ) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for entry in view.vms.values() {
         let Some(incarnation) = entry.incarnation else {
             continue;
         };
-        if entry.leaving || !wanted(&entry.zone) {
+        if entry.leaving || !in_zone(&entry.zone) {
             continue;
         }
         let load = members.get(entry.vm).map_or(0, |member| member.digest.load);
@@ -130,28 +136,30 @@
             vm: entry.vm,
             incarnation,
             load,
-            score: organisation.map_or(0, |organisation| score(organisation, entry.vm)),
+            subset_score: organisation
+                .map_or(0, |organisation| subset_score(organisation, entry.vm)),
         });
     }
     if organisation.is_some() {
-        keep_subset(&mut candidates);
+        truncate_to_subset(&mut candidates);
     }
     candidates
 }
 
-/// Keeps the VMs with the highest scores: few while they have room, more for an organisation that fills them. Each step
-/// contains the smaller ones, so that an organisation never moves, it only spreads.
-fn keep_subset(candidates: &mut Vec<Candidate>) {
-    let by_score = |candidate: &Candidate| std::cmp::Reverse(candidate.score);
-    if candidates.len() > SUBSET_LIMIT {
-        candidates.select_nth_unstable_by_key(SUBSET_LIMIT, by_score);
-        candidates.truncate(SUBSET_LIMIT);
+/// Truncates the candidates to the organisation's subset: the VMs with the highest scores, twice as many for each step
+/// at which they are busy. Each larger subset contains the smaller ones, so a growing organisation keeps its VMs and
+/// only gains others.
+fn truncate_to_subset(candidates: &mut Vec<Candidate>) {
+    let by_score = |candidate: &Candidate| std::cmp::Reverse(candidate.subset_score);
+    if candidates.len() > MAX_SUBSET_SIZE {
+        candidates.select_nth_unstable_by_key(MAX_SUBSET_SIZE, by_score);
+        candidates.truncate(MAX_SUBSET_SIZE);
     }
     candidates.sort_unstable_by_key(by_score);
-    let mut size = ORGANISATION_SUBSET;
+    let mut size = INITIAL_SUBSET_SIZE;
     while size < candidates.len() {
         let load: u32 = candidates[..size].iter().map(|vm| u32::from(vm.load)).sum();
-        if load < BUSY_LOAD * size as u32 {
+        if load < BUSY_LOAD_PER_MILLE * size as u32 {
             break;
         }
         size *= 2;
@@ -159,21 +167,22 @@
     candidates.truncate(size);
 }
 
-/// Orders candidates at random, the less loaded of the first two in front.
-fn spread(mut candidates: Vec<Candidate>, rng: &mut impl Rng) -> Vec<Candidate> {
-    let drawn = candidates.len().min(ADDRESS_LIMIT);
-    for index in 0..drawn {
+/// Returns up to [`MAX_ADDRESSES`] candidates drawn at random, the less loaded of the first two first.
+fn draw_addresses(mut candidates: Vec<Candidate>, rng: &mut impl Rng) -> Vec<Candidate> {
+    let count = candidates.len().min(MAX_ADDRESSES);
+    for index in 0..count {
         let other = rng.random_range(index..candidates.len());
         candidates.swap(index, other);
     }
-    if drawn > 1 && candidates[1].load < candidates[0].load {
+    if count > 1 && candidates[1].load < candidates[0].load {
         candidates.swap(0, 1);
     }
-    candidates.truncate(drawn);
+    candidates.truncate(count);
     candidates
 }
 
-fn score(organisation: &OrganisationName, vm: VmAddress) -> u64 {
+/// Returns the rendezvous hash of an organisation and a VM.
+fn subset_score(organisation: &OrganisationName, vm: VmAddress) -> u64 {
     let seed = xxhash_rust::xxh3::xxh3_64(organisation.as_str().as_bytes());
     match vm.0 {
         std::net::IpAddr::V4(ip) => xxhash_rust::xxh3::xxh3_64_with_seed(&ip.octets(), seed),
--- a/crates/ebonyfork/src/locate/answer_tests.rs
+++ b/crates/ebonyfork/src/locate/answer_tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn near_first_leaving_and_unknown_left_out() {
+fn the_first_address_is_local_and_leaving_or_unknown_vms_are_left_out() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let leaving = VmEntry {
         leaving: true,
@@ -48,7 +48,7 @@
         incarnation: None,
         ..entry(4, "a")
     };
-    // VMs, then the addresses that the answer may start with, and how many it has.
+    // VMs, the VMs that may be first in the answer, and the number of addresses.
     let cases = [
         (vec![], vec![1], 1),
         (vec![entry(1, "a")], vec![1], 1),
@@ -77,27 +77,27 @@
 }
 
 #[gtest]
-fn the_last_address_lies_in_another_zone() {
+fn the_last_address_is_in_another_zone() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let vms: Vec<_> = (1..20)
         .map(|number| entry(number, if number < 10 { "a" } else { "b" }))
         .collect();
     for _round in 0..50 {
         let answer = locate(&vms, Some("roofers"), &mut rng);
-        let far: Vec<bool> = answer
+        let remote: Vec<bool> = answer
             .addresses
             .iter()
             .map(|address| address.ip() >= vm(10).0)
             .collect();
         expect_that!(
-            far,
+            remote,
             elements_are![eq(&false), eq(&false), eq(&false), eq(&true)]
         );
     }
 }
 
 #[gtest]
-fn a_organisation_keeps_its_subset_when_vms_come_and_go() {
+fn an_organisation_keeps_its_subset_when_vms_come_and_go() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut vms: Vec<_> = (1..=490).map(|number| entry(number, "a")).collect();
     let mut firsts = |vms: &[VmEntry]| -> BTreeSet<VmAddress> {
@@ -106,12 +106,12 @@
             .collect()
     };
     let before = firsts(&vms);
-    expect_that!(before.len(), eq(ORGANISATION_SUBSET));
+    expect_that!(before.len(), eq(INITIAL_SUBSET_SIZE));
     vms.retain(|entry| entry.vm != *before.first().unwrap());
     let after = firsts(&vms);
     expect_that!(
         after.intersection(&before).count(),
-        eq(ORGANISATION_SUBSET - 1)
+        eq(INITIAL_SUBSET_SIZE - 1)
     );
 }
 
@@ -140,12 +140,12 @@
 }
 
 #[gtest]
-fn a_organisation_that_fills_its_subset_gets_a_larger_one() {
+fn an_organisation_that_fills_its_subset_gets_a_larger_one() {
     let vms: Vec<_> = (1..=200).map(|number| entry(number, "a")).collect();
     let view = TopologyView::new(vms.iter().cloned(), []);
     let organisation = "roofers".parse().unwrap();
     let mut before = BTreeSet::new();
-    // Load of every VM in per mille, and how many then serve the organisation.
+    // Load of every VM in per mille, and the number of VMs that serve the organisation at that load.
     for (load, size) in [(0, 8), (599, 8), (600, 128), (1_000, 128)] {
         let members = MemberSnapshot::new(vms.iter().map(|entry| MemberEntry {
             vm: entry.vm,
