--- a/crates/ebonyfork/src/caller/message.rs
+++ b/crates/ebonyfork/src/caller/message.rs
@@ -84,6 +84,7 @@
     error: ErrorDetails<'a>,
 }
 
+/// Details of an outcome without an answer.
 #[derive(Serialize)]
 struct ErrorDetails<'a> {
     code: &'static str,
@@ -138,6 +139,7 @@
     coverage: CoverageFields<'a>,
 }
 
+/// Coverage of an answer, with the numbers of the missing shards.
 #[derive(Serialize)]
 struct CoverageFields<'a> {
     answered: u32,
@@ -186,6 +188,7 @@
     Ok(body.into())
 }
 
+/// JSON text between the other fields of an answer and its rows.
 const ROWS_PREFIX: &[u8] = b",\"rows\":[";
 
 /// Returns the text between the brackets of a shard's `rows`, or `None` if the body is malformed.
--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -27,7 +27,8 @@
 /// Longest deadline that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
-/// Builds a query from its class and headers, with the given selection.
+/// Builds a query from its class and headers. The service passes an empty selection first and adds the body once its size
+/// has been checked.
 pub(super) fn read_query(
     class: &str,
     headers: &HeaderMap,
--- a/crates/ebonyfork/src/caller/server.rs
+++ b/crates/ebonyfork/src/caller/server.rs
@@ -58,6 +58,7 @@
     connections.wait().await;
 }
 
+/// Serves one caller connection until it closes, or until its current request is answered after a stop.
 async fn serve_connection(stream: TcpStream, service: CallerService, stop: CancellationToken) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!("caller connection failed: {error}");
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -72,6 +72,7 @@
     pub allow_probe: bool,
 }
 
+/// A replica that can be reached, with the relay to use.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     replica: ReplicaId,
@@ -126,6 +127,7 @@
     Some(make_choice(directory, now, candidate, reason))
 }
 
+/// Returns a replica with the preferred relay that is up, or `None` if no relay may be used.
 fn candidate(
     directory: &mut Directory,
     now: Duration,
@@ -149,6 +151,7 @@
     })
 }
 
+/// Draws two healthy candidates at random and returns the one with the shorter expected time.
 fn pick_sooner(
     directory: &Directory,
     rng: &mut ChaCha8Rng,
@@ -168,11 +171,13 @@
     }
 }
 
+/// Returns the unhealthy candidate whose backoff ends first.
 fn earliest_probe(directory: &Directory, unhealthy: &[Candidate]) -> Option<Candidate> {
     let backoff_until = |c: &&Candidate| directory.replicas[c.replica].health.backoff_until();
     unhealthy.iter().min_by_key(backoff_until).copied()
 }
 
+/// Returns the expected time until rows arrive: queue wait, service time and round trip.
 fn expected_time(directory: &Directory, now: Duration, candidate: Candidate) -> Duration {
     let health = &directory.replicas[candidate.replica].health;
     let round_trip = directory.relays[candidate.relay].round_trip();
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -68,6 +68,7 @@
     /// Address of the VM.
     pub vm: VmAddress,
     round_trip: Duration,
+    /// Whether the round trip has been measured; otherwise it is the default.
     measured: bool,
     down_until: Duration,
 }
