--- a/crates/ebonyfork/benches/fleet.rs
+++ b/crates/ebonyfork/benches/fleet.rs
@@ -81,7 +81,7 @@
         let view = join.view(Duration::from_secs(1));
         let members = snapshot(size);
         let settings = LocateSettings {
-            own: session(0),
+            session: session(0),
             zone: zone(0),
             caller_port: 7100,
             ttl: Duration::from_secs(5),
--- a/crates/ebonyfork/src/locate/answer.rs
+++ b/crates/ebonyfork/src/locate/answer.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LocateSettings {
     /// Session of the answering process.
-    pub own: SessionId,
+    pub session: SessionId,
     /// Zone of the answering process. Callers ask a VM near them, so it is taken as the caller's zone.
     pub zone: ZoneName,
     /// Caller port, the same on every VM.
@@ -61,20 +61,20 @@
 /// use ebonyfork::topology::{TopologyView, VmEntry};
 /// use rand::SeedableRng;
 ///
-/// let own: SessionId = "127.0.0.1-7".parse()?;
+/// let session: SessionId = "127.0.0.1-7".parse()?;
 /// let zone: ebonyfork::ident::ZoneName = "zone-a".parse()?;
 /// let entry = VmEntry {
-///     vm: own.vm,
+///     vm: session.vm,
 ///     zone: zone.clone(),
-///     incarnation: Some(own.incarnation),
+///     incarnation: Some(session.incarnation),
 ///     leaving: false,
 /// };
 /// let view = TopologyView::new([entry], []);
-/// let settings = LocateSettings { own, zone, caller_port: 7100, ttl: Duration::from_secs(5) };
+/// let settings = LocateSettings { session, zone, caller_port: 7100, ttl: Duration::from_secs(5) };
 /// let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
 /// let answer = locate_addresses(&view, &MemberSnapshot::default(), &settings, None, &mut rng);
 /// assert_eq!(answer.addresses[0].to_string(), "127.0.0.1:7100");
-/// assert_eq!(answer.session, own);
+/// assert_eq!(answer.session, session);
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
 /// ```
 pub fn locate_addresses(
@@ -98,7 +98,7 @@
             .into_iter()
             .take(MAX_ADDRESSES.saturating_sub(selected.len())),
     );
-    let session = selected.first().map_or(settings.own, |first| {
+    let session = selected.first().map_or(settings.session, |first| {
         SessionId::new(first.vm, first.incarnation)
     });
     let mut addresses: SmallVec<[SocketAddr; 4]> = SmallVec::new();
@@ -106,7 +106,7 @@
         addresses.push(SocketAddr::new(candidate.vm.0, settings.caller_port));
     }
     if addresses.is_empty() {
-        addresses.push(SocketAddr::new(settings.own.vm.0, settings.caller_port));
+        addresses.push(SocketAddr::new(settings.session.vm.0, settings.caller_port));
     }
     LocateAnswer {
         addresses,
--- a/crates/ebonyfork/src/locate/answer_tests.rs
+++ b/crates/ebonyfork/src/locate/answer_tests.rs
@@ -23,7 +23,7 @@
 
 fn settings() -> LocateSettings {
     LocateSettings {
-        own: SessionId::new(vm(1), IncarnationNumber(1)),
+        session: SessionId::new(vm(1), IncarnationNumber(1)),
         zone: "a".parse().unwrap(),
         caller_port: 7100,
         ttl: Duration::from_secs(5),
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -387,7 +387,7 @@
         members: &MemberHandle,
     ) -> impl Fn(Option<OrganisationName>) -> LocateAnswer + Send + Sync + 'static {
         let settings = LocateSettings {
-            own: self.session,
+            session: self.session,
             zone: self.settings.zone.clone(),
             caller_port: self.settings.caller_port,
             ttl: self.settings.locate_ttl,
