--- a/crates/ebonyfork/src/caller/server.rs
+++ b/crates/ebonyfork/src/caller/server.rs
@@ -26,7 +26,8 @@
 
 /// Serves callers until `stop` is cancelled and all requests in flight have been answered.
 ///
-/// After that no connection is accepted; requests in flight are completed, and their answers carry `connection: close`.
+/// After the stop no connection is accepted; requests in flight are completed, and their answers carry
+/// `connection: close`.
 pub async fn serve_callers(listener: TcpListener, service: CallerService, stop: CancellationToken) {
     let connections = TaskTracker::new();
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
