--- a/crates/ebonyfork/src/caller/message.rs
+++ b/crates/ebonyfork/src/caller/message.rs
@@ -200,6 +200,6 @@
 }
 
 fn malformed_rows() -> QueryRefusal {
-    let message = CompactString::const_new("an upstream returned malformed rows");
+    let message = CompactString::const_new("an upstream's rows are malformed");
     QueryRefusal::new(RefusalCode::UpstreamFailed, RunState::Ran, message)
 }
--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -67,7 +67,7 @@
     };
     let deadline = Duration::from_millis(millis);
     if deadline > MAX_DEADLINE {
-        return Err(bad_request(DEADLINE_HEADER, "expected at most 24 hours"));
+        return Err(bad_request(DEADLINE_HEADER, "expected at most a day"));
     }
     Ok(Some(deadline))
 }
@@ -112,7 +112,7 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad_request(name, "the header occurs more than once"));
+        return Err(bad_request(name, "the header stands more than once"));
     }
     let text = value.to_str();
     text.map(Some)
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -92,7 +92,7 @@
         let Some(class) = path.strip_prefix(QUERY_PATH) else {
             return Err(not_run(
                 RefusalCode::NotFound,
-                "no resource exists at this path",
+                "there is nothing at this path",
             ));
         };
         if request.method() != Method::POST {
@@ -136,7 +136,7 @@
     let reading = Limited::new(body, SELECTION_LIMIT).collect();
     let read = match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(read) => read,
-        Err(_elapsed) => return Err(bad_body("the body was not received in time")),
+        Err(_elapsed) => return Err(bad_body("the body did not come in time")),
     };
     match read {
         Ok(body) => Ok(body.to_bytes()),
@@ -144,7 +144,7 @@
             let message = "the selection exceeds 64 KiB";
             Err(not_run(RefusalCode::TooLarge, message).with_field("body"))
         }
-        Err(_error) => Err(bad_body("the body could not be read completely")),
+        Err(_error) => Err(bad_body("the body broke off")),
     }
 }
 
@@ -164,10 +164,7 @@
 }
 
 fn method_not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
-    let refusal = not_run(
-        RefusalCode::BadRequest,
-        "the method is not allowed for this path",
-    );
+    let refusal = not_run(RefusalCode::BadRequest, "the method is not allowed here");
     let mut response = refusal_response(&refusal.with_field("method"), None);
     *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     let allowed = HeaderValue::from_static(allowed);
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -152,7 +152,7 @@
     pub async fn run(&self, request: QueryRequest) -> QueryOutcome {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
         if (self.is_quarantined)(fingerprint) {
-            let message = "the request is quarantined because it crashed upstreams";
+            let message = "the request has crashed upstreams";
             let refusal = QueryRefusal::new(RefusalCode::Quarantined, RunState::NotRun, message);
             self.metrics.record_refusal(&request.class, &refusal);
             return Err(refusal);
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -195,11 +195,8 @@
         } = &mut self.shared;
         let route = routes.pin(&target.index, directory, now);
         route.ok_or_else(|| {
-            not_run(
-                RefusalCode::NoUpstream,
-                "the index has no published version",
-            )
-            .with_retry_after(NO_VERSION_RETRY_AFTER)
+            not_run(RefusalCode::NoUpstream, "the index has no version")
+                .with_retry_after(NO_VERSION_RETRY_AFTER)
         })
     }
 
@@ -418,7 +415,7 @@
     if !organisation.classes.contains(&request.class) {
         return Err(not_run(
             RefusalCode::UnknownOrganisation,
-            "the organisation is not allowed to use this class",
+            "the organisation may not use this class",
         ));
     }
     Ok(target)
@@ -426,13 +423,13 @@
 
 fn check_request(target: &ClassTarget, request: &QueryRequest) -> Result<(), QueryRefusal> {
     if target.scope == ClassScope::One && request.record.is_none() {
-        let refusal = not_run(RefusalCode::BadRequest, "the class requires a record name");
+        let refusal = not_run(RefusalCode::BadRequest, "the class needs a record name");
         return Err(refusal.with_field("x-record"));
     }
     if !target.idempotent && request.key.is_none() {
         let refusal = not_run(
             RefusalCode::BadRequest,
-            "the class requires an idempotency key",
+            "the class needs an idempotency key",
         );
         return Err(refusal.with_field("idempotency-key"));
     }
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -68,7 +68,7 @@
         );
         registry.register(
             "entry_latency_seconds",
-            "Time from accepting a query to its outcome",
+            "Time from taking a query in to its outcome",
             self.latency.clone(),
         );
         registry.register(
@@ -78,7 +78,7 @@
         );
         registry.register(
             "entry_attempts_denied",
-            "Hedges and retries denied by the attempt budget",
+            "Hedges and retries for which the budget held nothing",
             self.denied.clone(),
         );
         registry.register(
@@ -88,12 +88,12 @@
         );
         registry.register(
             "entry_shards_needed",
-            "Shards needed by answered queries",
+            "Shards that answered queries needed",
             self.shards_needed.clone(),
         );
         registry.register(
             "entry_shards_answered",
-            "Shards whose rows were included in answers",
+            "Shards whose rows were in answers",
             self.shards_answered.clone(),
         );
     }
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -265,7 +265,7 @@
                 None
             }
             AdmissionDecision::Refused { excess } => {
-                let message = "the latency target can't be met at the present load";
+                let message = "the class's latency can't be met at the present load";
                 let refusal = QueryRefusal::new(RefusalCode::Overloaded, RunState::NotRun, message);
                 let after = shared.jitter_retry_after(excess);
                 Some(Err(refusal.with_retry_after(after)))
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -84,8 +84,8 @@
         let code = self.code(run.progress, ran);
         let coverage = run.gather.coverage();
         let message = match self {
-            Self::Deadline => format_compact!("{coverage} shards answered before the deadline"),
-            _ => format_compact!("{coverage} shards answered, and no replica is left to try"),
+            Self::Deadline => format_compact!("{coverage} shards answered in time"),
+            _ => format_compact!("{coverage} shards answered, and no other replica can bring more"),
         };
         let refusal = QueryRefusal::new(code, ran, message);
         // No retry-after for a quarantined request, which would be refused again, nor for an idempotency key whose
