--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -23,7 +23,7 @@
 };
 use crate::views::{NodeReadiness, NodeViews};
 
-const RAN_HEADER: HeaderName = HeaderName::from_static("x-ran");
+const RUN_STATE_HEADER: HeaderName = HeaderName::from_static("x-ran");
 const SNAPSHOT_HEADER: HeaderName = HeaderName::from_static("x-snapshot");
 const COVERAGE_HEADER: HeaderName = HeaderName::from_static("x-coverage");
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
@@ -176,7 +176,7 @@
     let mut response = json_response(StatusCode::OK, answer_body(answer)?);
     let headers = response.headers_mut();
     headers.insert(SNAPSHOT_HEADER, HeaderValue::from(answer.snapshot.0));
-    headers.insert(RAN_HEADER, HeaderValue::from_static("ran"));
+    headers.insert(RUN_STATE_HEADER, HeaderValue::from_static("ran"));
     let coverage = compact_str::format_compact!("{}", answer.coverage);
     insert_text(&mut response, COVERAGE_HEADER, &coverage);
     let query_id = HeaderName::from_static(QUERY_ID_HEADER);
@@ -192,7 +192,7 @@
     let mut response = json_response(refusal_status(refusal.code), body);
     insert_text(
         &mut response,
-        RAN_HEADER,
+        RUN_STATE_HEADER,
         &compact_str::format_compact!("{}", refusal.ran),
     );
     if let Some(query_id) = query_id {
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -36,7 +36,7 @@
 /// Settings and inputs of an entry.
 #[derive(Clone)]
 pub struct EntrySettings {
-    own: SessionId,
+    session: SessionId,
     zone: ZoneName,
     views: NodeViews,
     experiment: ExperimentSwitches,
@@ -47,7 +47,7 @@
 impl fmt::Debug for EntrySettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("EntrySettings")
-            .field("own", &self.own)
+            .field("own", &self.session)
             .field("zone", &self.zone)
             .field("experiment", &self.experiment)
             .finish_non_exhaustive()
@@ -56,9 +56,9 @@
 
 impl EntrySettings {
     /// Creates the settings of the entry in process incarnation `own`, with default switches and without quarantine.
-    pub fn new(own: SessionId, zone: ZoneName, views: NodeViews) -> Self {
+    pub fn new(session: SessionId, zone: ZoneName, views: NodeViews) -> Self {
         Self {
-            own,
+            session,
             zone,
             views,
             experiment: ExperimentSwitches::default(),
@@ -126,15 +126,15 @@
         let is_suspect = Arc::clone(&settings.is_suspect);
         let (timer, timer_updates) = watch::channel(None);
         let actor = EntryActor {
-            core: EntryCore::new(settings.own, settings.zone, settings.experiment),
+            core: EntryCore::new(settings.session, settings.zone, settings.experiment),
             views: settings.views,
             epoch: Instant::now(),
             send: Box::new(send),
             callers: FxHashMap::default(),
             in_flight: Arc::clone(&in_flight),
             metrics: metrics.clone(),
-            metrics_updated: Duration::ZERO,
-            callers_checked: Duration::ZERO,
+            metrics_updated_at: Duration::ZERO,
+            callers_checked_at: Duration::ZERO,
             timer,
         };
         let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
@@ -157,19 +157,19 @@
             self.metrics.record_refusal(&request.class, &refusal);
             return Err(refusal);
         }
-        let (reply, outcome) = oneshot::channel();
+        let (reply, outcome_receiver) = oneshot::channel();
         let suspect = (self.is_suspect)(fingerprint);
-        let query = StartQuery {
+        let start_query = StartQuery {
             request,
             suspect,
             reply,
         };
-        let accepted = self.address.send(query).detach().await;
-        if accepted.is_err() {
+        let send_result = self.address.send(start_query).detach().await;
+        if send_result.is_err() {
             return Err(stopping_refusal(RunState::NotRun));
         }
         // The actor accepted the query and ended without answering it, so its attempts may have run.
-        outcome
+        outcome_receiver
             .await
             .unwrap_or_else(|_closed| Err(stopping_refusal(RunState::Unknown)))
     }
@@ -208,15 +208,15 @@
     mut timer_updates: watch::Receiver<Option<Instant>>,
 ) {
     loop {
-        let at = *timer_updates.borrow_and_update();
-        let due = async {
-            match at {
-                Some(at) => tokio::time::sleep_until(at).await,
+        let wake_at = *timer_updates.borrow_and_update();
+        let timer_due = async {
+            match wake_at {
+                Some(wake_at) => tokio::time::sleep_until(wake_at).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = due => {
+            () = timer_due => {
                 if address.send(TimerFired).await.is_err() {
                     return;
                 }
@@ -252,7 +252,7 @@
 struct WaitingCaller {
     reply: oneshot::Sender<QueryOutcome>,
     class: crate::ident::ClassName,
-    started: Duration,
+    started_at: Duration,
 }
 
 #[derive(xtra::Actor)]
@@ -266,9 +266,9 @@
     in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
     /// When the decision metrics were last updated.
-    metrics_updated: Duration,
+    metrics_updated_at: Duration,
     /// When callers were last checked for disconnects.
-    callers_checked: Duration,
+    callers_checked_at: Duration,
     /// When the actor is to be woken next.
     timer: watch::Sender<Option<Instant>>,
 }
@@ -301,20 +301,20 @@
         self.update_metrics(now);
         self.in_flight
             .store(self.core.in_flight(), Ordering::Relaxed);
-        let next = self.core.next_wake().map(|at| self.epoch + at);
+        let next_wake = self.core.next_wake().map(|wake_at| self.epoch + wake_at);
         self.timer.send_if_modified(|timer| {
-            let changed = *timer != next;
-            *timer = next;
-            changed
+            let is_changed = *timer != next_wake;
+            *timer = next_wake;
+            is_changed
         });
     }
 
     /// Updates the decision metrics periodically, and whenever nothing is in flight.
     fn update_metrics(&mut self, now: Duration) {
-        if now < self.metrics_updated + METRICS_PERIOD && self.core.in_flight() > 0 {
+        if now < self.metrics_updated_at + METRICS_PERIOD && self.core.in_flight() > 0 {
             return;
         }
-        self.metrics_updated = now;
+        self.metrics_updated_at = now;
         for (class, counts) in self.core.decision_counts() {
             self.metrics.update_decision_counts(class, counts);
         }
@@ -322,10 +322,10 @@
 
     /// Abandons the queries whose callers have disconnected.
     fn abandon_closed_queries(&mut self, now: Duration) {
-        if now < self.callers_checked + CALLER_CHECK_PERIOD {
+        if now < self.callers_checked_at + CALLER_CHECK_PERIOD {
             return;
         }
-        self.callers_checked = now;
+        self.callers_checked_at = now;
         let core = &mut self.core;
         for (number, caller) in &self.callers {
             if caller.reply.is_closed() {
@@ -353,8 +353,9 @@
         let Some(caller) = self.callers.remove(&query) else {
             return;
         };
-        let took = now.saturating_sub(caller.started);
-        self.metrics.record_outcome(&caller.class, &outcome, took);
+        let duration = now.saturating_sub(caller.started_at);
+        self.metrics
+            .record_outcome(&caller.class, &outcome, duration);
         // A caller that has disconnected needs no answer.
         drop(caller.reply.send(outcome));
     }
@@ -372,7 +373,7 @@
         let caller = WaitingCaller {
             reply: message.reply,
             class: message.request.class.clone(),
-            started: now,
+            started_at: now,
         };
         let number = self
             .core
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -56,9 +56,9 @@
     /// The query's organisation.
     pub organisation: &'a OrganisationName,
     /// Latency target of the class, or the caller's deadline if that is shorter.
-    pub latency: Duration,
+    pub latency_target: Duration,
     /// Predicted queue wait of the slowest shard that the coverage target needs.
-    pub wait: Duration,
+    pub predicted_wait: Duration,
     /// Expected time of that shard on an idle upstream, including the round trip.
     pub unloaded_time: Duration,
     /// Upstream time that the whole query takes, in seconds.
@@ -76,7 +76,7 @@
     /// The query is refused.
     Refused {
         /// Time until the backlog has drained far enough for the query to be admitted.
-        excess: Duration,
+        excess_wait: Duration,
     },
 }
 
@@ -95,18 +95,18 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct DecayingSum {
     value: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl DecayingSum {
     fn value(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
         self.value * 0.5_f64.powf(age / USAGE_HALF_LIFE.as_secs_f64())
     }
 
     fn add(&mut self, now: Duration, amount: f64) {
         self.value = self.value(now) + amount;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
@@ -135,9 +135,9 @@
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
     organisations: FxHashMap<OrganisationName, DecayingSum>,
-    total: DecayingSum,
+    total_usage: DecayingSum,
     /// Number of organisations that are not idle.
-    active: u32,
+    active_organisations: u32,
     last_count: Duration,
     classes: SecondaryMap<ClassId, ClassLimit>,
 }
@@ -146,38 +146,43 @@
     /// Decides whether to admit a query, and records the usage of one that is admitted.
     pub fn admit(&mut self, now: Duration, request: AdmissionRequest<'_>) -> AdmissionDecision {
         self.forget_idle_organisations(now);
-        let share = match self.usage(now, request.organisation, request.cost) {
+        let usage_share = match self.usage(now, request.organisation, request.cost) {
             OrganisationUsage::Light => LIGHT_LATENCY_SHARE,
             OrganisationUsage::Fair => FAIR_LATENCY_SHARE,
             OrganisationUsage::Heavy => HEAVY_LATENCY_SHARE,
         };
-        let factor = self.classes[request.class].factor;
-        let latency_share = request.latency.mul_f64(share * factor);
-        let minimum = request.latency / MIN_WAIT_DIVISOR;
+        let limit_factor = self.classes[request.class].factor;
+        let latency_share = request.latency_target.mul_f64(usage_share * limit_factor);
+        let min_wait = request.latency_target / MIN_WAIT_DIVISOR;
         let allowed_wait = latency_share
             .saturating_sub(request.unloaded_time)
-            .max(minimum);
-        if let Some(excess) = request.wait.checked_sub(allowed_wait)
-            && !excess.is_zero()
+            .max(min_wait);
+        if let Some(excess_wait) = request.predicted_wait.checked_sub(allowed_wait)
+            && !excess_wait.is_zero()
         {
-            return AdmissionDecision::Refused { excess };
+            return AdmissionDecision::Refused { excess_wait };
         }
         self.record_usage(now, request.organisation, request.cost);
         AdmissionDecision::Admitted {
-            under_load: request.wait > allowed_wait / LOADED_WAIT_DIVISOR,
+            under_load: request.predicted_wait > allowed_wait / LOADED_WAIT_DIVISOR,
         }
     }
 
     /// Records whether a query that was admitted under load met its target, and adjusts the class's limit.
-    pub fn record_target_result(&mut self, class: ClassId, percentile: f64, met: bool) {
+    pub fn record_target_result(
+        &mut self,
+        class: ClassId,
+        latency_percentile: f64,
+        target_met: bool,
+    ) {
         let limit = &mut self.classes[class];
         limit.queries += 1;
-        limit.misses += u32::from(!met);
+        limit.misses += u32::from(!target_met);
         if limit.queries < LIMIT_UPDATE_QUERIES {
             return;
         }
-        let missed = f64::from(limit.misses) / f64::from(limit.queries);
-        limit.factor = if missed > 1.0 - percentile / 100.0 + MISS_TOLERANCE {
+        let miss_rate = f64::from(limit.misses) / f64::from(limit.queries);
+        limit.factor = if miss_rate > 1.0 - latency_percentile / 100.0 + MISS_TOLERANCE {
             (limit.factor * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT_FACTOR)
         } else {
             (limit.factor + LIMIT_INCREASE_STEP).min(1.0)
@@ -193,16 +198,16 @@
         organisation: &OrganisationName,
         cost: f64,
     ) -> OrganisationUsage {
-        let used = self
+        let recent_usage = self
             .organisations
             .get(organisation)
             .map_or(0.0, |s| s.value(now));
-        let fair_share = self.total.value(now) / f64::from(self.active.max(1));
-        if used <= cost * LIGHT_QUERY_COUNT
-            || (self.active > 1 && used < fair_share * LIGHT_USAGE_FACTOR)
+        let fair_share = self.total_usage.value(now) / f64::from(self.active_organisations.max(1));
+        if recent_usage <= cost * LIGHT_QUERY_COUNT
+            || (self.active_organisations > 1 && recent_usage < fair_share * LIGHT_USAGE_FACTOR)
         {
             OrganisationUsage::Light
-        } else if self.active > 1 && used > fair_share * HEAVY_USAGE_FACTOR {
+        } else if self.active_organisations > 1 && recent_usage > fair_share * HEAVY_USAGE_FACTOR {
             OrganisationUsage::Heavy
         } else {
             OrganisationUsage::Fair
@@ -210,7 +215,7 @@
     }
 
     fn record_usage(&mut self, now: Duration, organisation: &OrganisationName, cost: f64) {
-        self.total.add(now, cost);
+        self.total_usage.add(now, cost);
         if let Some(sum) = self.organisations.get_mut(organisation) {
             sum.add(now, cost);
             return;
@@ -218,7 +223,7 @@
         let mut sum = DecayingSum::default();
         sum.add(now, cost);
         self.organisations.insert(organisation.clone(), sum);
-        self.active += 1;
+        self.active_organisations += 1;
     }
 
     fn forget_idle_organisations(&mut self, now: Duration) {
@@ -228,7 +233,7 @@
         self.last_count = now;
         self.organisations
             .retain(|_, sum| sum.value(now) > IDLE_USAGE);
-        self.active = self.organisations.len() as u32;
+        self.active_organisations = self.organisations.len() as u32;
     }
 }
 
--- a/crates/ebonyfork/src/entry/admission_tests.rs
+++ b/crates/ebonyfork/src/entry/admission_tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::entry::fixture::ms;
 
-fn request(organisation: &OrganisationName, wait: Duration) -> AdmissionRequest<'_> {
+fn request(organisation: &OrganisationName, predicted_wait: Duration) -> AdmissionRequest<'_> {
     AdmissionRequest {
         class: ClassId::from_u32(0),
         organisation,
-        latency: ms(100),
-        wait,
+        latency_target: ms(100),
+        predicted_wait,
         unloaded_time: ms(20),
         cost: 0.2,
     }
@@ -37,7 +37,10 @@
         let name = &names[organisation];
         expect_that!(admission.usage(now, name, 0.2), eq(usage));
         let refused = admission.admit(now, request(name, ms(allowed_wait + 5)));
-        expect_that!(refused, eq(AdmissionDecision::Refused { excess: ms(5) }));
+        expect_that!(
+            refused,
+            eq(AdmissionDecision::Refused { excess_wait: ms(5) })
+        );
         let admitted = admission.admit(now, request(name, ms(allowed_wait)));
         expect_that!(
             admitted,
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -33,29 +33,29 @@
 /// Fingerprints of requests that have returned rows recently.
 #[derive(Debug, Default)]
 pub struct KnownRequests {
-    current: FxHashSet<RequestFingerprint>,
-    previous: FxHashSet<RequestFingerprint>,
+    current_generation: FxHashSet<RequestFingerprint>,
+    previous_generation: FxHashSet<RequestFingerprint>,
 }
 
 impl KnownRequests {
     /// Returns whether a request has returned rows recently.
     pub fn contains(&self, request: RequestFingerprint) -> bool {
-        self.current.contains(&request) || self.previous.contains(&request)
+        self.current_generation.contains(&request) || self.previous_generation.contains(&request)
     }
 
     /// Records that a request has returned rows.
     pub fn insert(&mut self, request: RequestFingerprint) {
-        if self.current.len() >= KNOWN_REQUESTS_PER_GENERATION {
-            std::mem::swap(&mut self.current, &mut self.previous);
-            self.current.clear();
+        if self.current_generation.len() >= KNOWN_REQUESTS_PER_GENERATION {
+            std::mem::swap(&mut self.current_generation, &mut self.previous_generation);
+            self.current_generation.clear();
         }
-        self.current.insert(request);
+        self.current_generation.insert(request);
     }
 
     /// Removes a request that was running when an upstream was lost.
     pub fn remove(&mut self, request: RequestFingerprint) {
-        self.current.remove(&request);
-        self.previous.remove(&request);
+        self.current_generation.remove(&request);
+        self.previous_generation.remove(&request);
     }
 }
 
@@ -75,18 +75,26 @@
         shared: &SharedState,
         now: Duration,
     ) -> Option<PlannedAttempt> {
-        let needed = self.gather.total() >= MIN_CANARY_SHARDS && self.params.idempotent;
-        if !needed || (!self.suspect && shared.known_requests.contains(self.fingerprint)) {
+        let canary_applicable = self.gather.total() >= MIN_CANARY_SHARDS && self.params.idempotent;
+        if !canary_applicable || (!self.suspect && shared.known_requests.contains(self.fingerprint))
+        {
             return None;
         }
-        let first = shared.plan.iter().min_by_key(|p| p.choice.expected)?;
-        let slowest = shared.plan.iter().map(|p| p.choice.unloaded_time()).max()?;
-        let has_time =
-            first.choice.unloaded_time() + slowest <= self.params.latency / CANARY_LATENCY_DIVISOR;
-        let recent_loss = shared
+        let fastest_attempt = shared
+            .planned_attempts
+            .iter()
+            .min_by_key(|p| p.route_choice.expected_time)?;
+        let slowest_time = shared
+            .planned_attempts
+            .iter()
+            .map(|p| p.route_choice.unloaded_time())
+            .max()?;
+        let has_time = fastest_attempt.route_choice.unloaded_time() + slowest_time
+            <= self.params.latency_target / CANARY_LATENCY_DIVISOR;
+        let has_recent_loss = shared
             .last_upstream_loss
             .is_some_and(|lost_at| now < lost_at + LOSS_ALERT_DURATION);
-        (has_time || recent_loss || self.suspect).then_some(*first)
+        (has_time || has_recent_loss || self.suspect).then_some(*fastest_attempt)
     }
 
     /// Requests the other shards once the canary's shard has answered or the canary has been overdue for long, or tries
@@ -98,13 +106,13 @@
         match self.gather.slots()[canary.slot as usize].status() {
             ShardStatus::Answered => {
                 shared.known_requests.insert(self.fingerprint);
-                self.send_held_back(shared, now);
+                self.send_held_back_attempts(shared, now);
             }
             ShardStatus::Open
                 if canary.overdue_checks >= MAX_OVERDUE_CHECKS
                     && self.progress.broken_upstreams == 0 =>
             {
-                self.send_held_back(shared, now);
+                self.send_held_back_attempts(shared, now);
             }
             ShardStatus::Open => {}
             ShardStatus::Lost => self.start_next_canary(shared, now),
@@ -124,32 +132,40 @@
         if !self.params.idempotent || self.progress.ran || !others_open {
             return false;
         }
-        self.has_deferred = true;
+        self.has_deferred_shards = true;
         // A hedge of the same shard that is still in flight serves as the second try.
-        let hedged_or_exhausted = self.gather.slots()[slot].in_flight > 0
+        let second_try_used = self.gather.slots()[slot].attempts_in_flight > 0
             || self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT;
-        if self.canary.is_some() && !hedged_or_exhausted {
+        if self.canary.is_some() && !second_try_used {
             self.start_next_canary(shared, now);
         }
         true
     }
 
     /// Requests the deferred shards once rows have arrived or nothing else is in flight.
-    pub(super) fn resume_deferred(&mut self, shared: &mut SharedState, now: Duration) {
-        let none_in_flight = || self.gather.slots().iter().all(|slot| slot.in_flight == 0);
-        if !self.has_deferred || self.canary.is_some() || !(self.progress.ran || none_in_flight()) {
+    pub(super) fn resume_deferred_shards(&mut self, shared: &mut SharedState, now: Duration) {
+        let none_in_flight = || {
+            self.gather
+                .slots()
+                .iter()
+                .all(|slot| slot.attempts_in_flight == 0)
+        };
+        if !self.has_deferred_shards
+            || self.canary.is_some()
+            || !(self.progress.ran || none_in_flight())
+        {
             return;
         }
-        self.has_deferred = false;
-        self.send_held_back(shared, now);
+        self.has_deferred_shards = false;
+        self.send_held_back_attempts(shared, now);
     }
 
     /// Sends the canary to the next shard that has received no attempt, or ends the canary if there is none.
     fn start_next_canary(&mut self, shared: &mut SharedState, now: Duration) {
-        let not_sent = |slot: &super::gather::ShardSlot| {
+        let has_no_attempt = |slot: &super::gather::ShardSlot| {
             slot.attempts_made == 0 && slot.status() == ShardStatus::Open
         };
-        while let Some(slot) = self.gather.slots().iter().position(not_sent) {
+        while let Some(slot) = self.gather.slots().iter().position(has_no_attempt) {
             self.canary = Some(CanaryProbe {
                 slot: slot as u32,
                 overdue_checks: 0,
@@ -163,11 +179,11 @@
     }
 
     /// Requests all open shards that have no attempt in flight.
-    fn send_held_back(&mut self, shared: &mut SharedState, now: Duration) {
+    fn send_held_back_attempts(&mut self, shared: &mut SharedState, now: Duration) {
         self.canary = None;
         for slot in 0..self.gather.slots().len() {
-            let state = &self.gather.slots()[slot];
-            if state.in_flight == 0 && state.status() == ShardStatus::Open {
+            let shard_slot = &self.gather.slots()[slot];
+            if shard_slot.attempts_in_flight == 0 && shard_slot.status() == ShardStatus::Open {
                 self.send_first_attempt(shared, now, slot);
             }
         }
@@ -175,15 +191,16 @@
 
     /// Sends the first attempt at a shard, or marks the shard as lost if it has no route.
     fn send_first_attempt(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
-        let Some(choice) = self.choose(shared, now, slot, self.params.idempotent) else {
-            self.gather.mark_lost(slot);
+        let Some(route_choice) = self.choose_shard_route(shared, now, slot, self.params.idempotent)
+        else {
+            self.gather.mark_shard_lost(slot);
             return;
         };
         shared.budget.deposit();
-        shared.directory.replicas[choice.replica]
+        shared.directory.replicas[route_choice.replica]
             .health
             .record_submit(now);
-        self.send(shared, now, slot, choice, AttemptPurpose::First);
+        self.send_attempt(shared, now, slot, route_choice, AttemptPurpose::First);
     }
 }
 
--- a/crates/ebonyfork/src/entry/canary_tests.rs
+++ b/crates/ebonyfork/src/entry/canary_tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-fn broken() -> ShardVerdict {
+fn broken_connection() -> ShardVerdict {
     ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason: FailureReason::Broken,
@@ -25,9 +25,9 @@
     let mut fixture = EntryFixture::new(20, |_class| {});
     let query = fixture.start(unknown_request());
     let mut broken_shards = Vec::new();
-    while let [attempt] = fixture.take_sent().as_slice() {
+    while let [attempt] = fixture.take_sent_attempts().as_slice() {
         broken_shards.push(attempt.shard);
-        fixture.deliver(attempt, broken());
+        fixture.deliver(attempt, broken_connection());
     }
     // Two upstreams, of different services.
     expect_that!(broken_shards.len(), eq(2));
@@ -42,26 +42,26 @@
     for request in [unknown_request(), request()] {
         let mut fixture = EntryFixture::new(20, |_class| {});
         let query = fixture.start(request);
-        let first = fixture.take_sent();
-        fixture.deliver(&first[0], broken());
-        let mut in_flight = first[1..].to_vec();
+        let first_attempts = fixture.take_sent_attempts();
+        fixture.deliver(&first_attempts[0], broken_connection());
+        let mut attempts_in_flight = first_attempts[1..].to_vec();
         loop {
-            in_flight.extend(fixture.take_sent());
-            let Some(attempt) = in_flight.pop() else {
+            attempts_in_flight.extend(fixture.take_sent_attempts());
+            let Some(attempt) = attempts_in_flight.pop() else {
                 break;
             };
             // The shard whose upstream was lost is not requested again before another shard has returned rows.
-            expect_that!(attempt.shard, not(eq(first[0].shard)));
+            expect_that!(attempt.shard, not(eq(first_attempts[0].shard)));
             fixture.deliver(&attempt, rows(17));
-            let (again, others) = fixture
-                .take_sent()
+            let (retries, other_attempts) = fixture
+                .take_sent_attempts()
                 .into_iter()
-                .partition(|attempt| attempt.shard == first[0].shard);
-            for attempt in Vec::into_iter(again) {
-                expect_that!(attempt.upstream, not(eq(first[0].upstream)));
+                .partition(|attempt| attempt.shard == first_attempts[0].shard);
+            for attempt in Vec::into_iter(retries) {
+                expect_that!(attempt.upstream, not(eq(first_attempts[0].upstream)));
                 fixture.deliver(&attempt, rows(17));
             }
-            in_flight.extend::<Vec<_>>(others);
+            attempts_in_flight.extend::<Vec<_>>(other_attempts);
         }
         let answer = fixture.outcome(query).as_ref().unwrap();
         expect_that!(answer.bodies.len(), eq(20));
@@ -72,12 +72,12 @@
 fn the_other_shards_follow_the_canary_and_the_request_is_known_then() {
     let mut fixture = EntryFixture::new(20, |_class| {});
     let query = fixture.start(unknown_request());
-    let canary = fixture.take_sent();
-    expect_that!(canary.len(), eq(1));
-    fixture.deliver(&canary[0], rows(17));
-    let rest = fixture.take_sent();
-    expect_that!(rest.len(), eq(19));
-    for attempt in &rest {
+    let canary_attempts = fixture.take_sent_attempts();
+    expect_that!(canary_attempts.len(), eq(1));
+    fixture.deliver(&canary_attempts[0], rows(17));
+    let other_attempts = fixture.take_sent_attempts();
+    expect_that!(other_attempts.len(), eq(19));
+    for attempt in &other_attempts {
         fixture.deliver(attempt, rows(17));
     }
     expect_that!(
@@ -85,55 +85,62 @@
         eq(20)
     );
     fixture.start(unknown_request());
-    expect_that!(fixture.take_sent().len(), eq(20));
+    expect_that!(fixture.take_sent_attempts().len(), eq(20));
 }
 
 #[gtest]
 fn a_short_latency_skips_the_canary_except_for_a_suspect_or_after_a_loss() {
     let mut fixture = EntryFixture::new(20, |class| class.latency = ms(59));
     fixture.start(unknown_request());
-    expect_that!(fixture.take_sent().len(), eq(20));
+    expect_that!(fixture.take_sent_attempts().len(), eq(20));
     fixture
         .core
         .start_suspect(fixture.now, unknown_request(), true);
     fixture.run_actions();
-    let suspect = fixture.take_sent();
-    expect_that!(suspect.len(), eq(1));
+    let suspect_attempts = fixture.take_sent_attempts();
+    expect_that!(suspect_attempts.len(), eq(1));
     // For a while after the loss of an upstream, every unknown request starts with a canary.
-    fixture.deliver(&suspect[0], broken());
-    fixture.take_sent();
-    for (passed, sent) in [(1_000, 1), (60_000, 20)] {
-        fixture.advance(fixture.now + ms(passed));
-        fixture.take_sent();
+    fixture.deliver(&suspect_attempts[0], broken_connection());
+    fixture.take_sent_attempts();
+    for (passed_ms, sent_count) in [(1_000, 1), (60_000, 20)] {
+        fixture.advance(fixture.now + ms(passed_ms));
+        fixture.take_sent_attempts();
         fixture.start(unknown_request());
-        expect_that!(fixture.take_sent().len(), eq(sent), "{passed} ms later");
+        expect_that!(
+            fixture.take_sent_attempts().len(),
+            eq(sent_count),
+            "{passed_ms} ms later"
+        );
     }
 }
 
 #[gtest]
 fn a_canary_that_is_refused_or_silent_does_not_block_the_query() {
     let mut fixture = EntryFixture::new(20, |_class| {});
-    let refused = fixture.start(unknown_request());
+    let refused_query = fixture.start(unknown_request());
     for _ in 0..2 {
-        let canary = fixture.take_sent();
-        expect_that!(canary.len(), eq(1));
-        fixture.deliver(&canary[0], ShardVerdict::NotRun(RefusalReason::Shed));
+        let canary_attempts = fixture.take_sent_attempts();
+        expect_that!(canary_attempts.len(), eq(1));
+        fixture.deliver(
+            &canary_attempts[0],
+            ShardVerdict::NotRun(RefusalReason::Shed),
+        );
     }
     // Both replicas refused, so another shard receives the canary.
-    let canary = fixture.take_sent();
-    fixture.deliver(&canary[0], rows(17));
-    expect_that!(fixture.take_sent().len(), eq(18));
-    expect_that!(fixture.finished.contains_key(&refused), eq(false));
+    let canary_attempts = fixture.take_sent_attempts();
+    fixture.deliver(&canary_attempts[0], rows(17));
+    expect_that!(fixture.take_sent_attempts().len(), eq(18));
+    expect_that!(fixture.finished.contains_key(&refused_query), eq(false));
 
-    let silent = fixture.start(QueryRequest {
+    let silent_query = fixture.start(QueryRequest {
         selection: Bytes::from_static(b"never seen either"),
         ..request()
     });
-    expect_that!(fixture.take_sent().len(), eq(1));
+    expect_that!(fixture.take_sent_attempts().len(), eq(1));
     fixture.advance(fixture.now + ms(200));
-    let hedged_or_sent = fixture.take_sent();
-    let hedged_or_sent = hedged_or_sent
+    let later_attempts = fixture.take_sent_attempts();
+    let later_attempts = later_attempts
         .iter()
-        .filter(|attempt| attempt.query == silent);
-    expect_that!(hedged_or_sent.count(), ge(19));
+        .filter(|attempt| attempt.query == silent_query);
+    expect_that!(later_attempts.count(), ge(19));
 }
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -47,17 +47,17 @@
     /// Why this replica was chosen.
     pub reason: ChoiceReason,
     /// Whether the relay is the replica's standby rather than its primary.
-    pub standby: bool,
+    pub uses_standby: bool,
     /// Part of the expected time that the request spends in the relay's queue.
-    pub wait: Duration,
+    pub queue_wait: Duration,
     /// Expected time until the rows arrive.
-    pub expected: Duration,
+    pub expected_time: Duration,
 }
 
 impl RouteChoice {
     /// Returns the expected time on an idle upstream, including the round trip to the relay.
     pub fn unloaded_time(&self) -> Duration {
-        self.expected.saturating_sub(self.wait)
+        self.expected_time.saturating_sub(self.queue_wait)
     }
 }
 
@@ -77,7 +77,7 @@
 struct Candidate {
     replica: ReplicaId,
     relay: RelayId,
-    standby: bool,
+    uses_standby: bool,
     status: ReplicaStatus,
 }
 
@@ -89,8 +89,8 @@
     service: ServiceId,
     constraints: RouteConstraints<'_>,
 ) -> Option<RouteChoice> {
-    let mut healthy = SmallVec::<[Candidate; 4]>::new();
-    let mut unhealthy = SmallVec::<[Candidate; 4]>::new();
+    let mut healthy_candidates = SmallVec::<[Candidate; 4]>::new();
+    let mut unhealthy_candidates = SmallVec::<[Candidate; 4]>::new();
     for replica in directory.replicas_of(service) {
         if constraints.excluded_replicas.contains(&replica) {
             continue;
@@ -100,31 +100,36 @@
             continue;
         };
         if candidate.status == ReplicaStatus::Healthy {
-            healthy.push(candidate);
+            healthy_candidates.push(candidate);
         } else {
-            unhealthy.push(candidate);
+            unhealthy_candidates.push(candidate);
         }
     }
-    let due_probe = unhealthy
+    let probe_candidate = unhealthy_candidates
         .iter()
         .find(|c| c.status == ReplicaStatus::ProbeDue);
-    if let Some(due_probe) = due_probe
+    if let Some(probe_candidate) = probe_candidate
         && constraints.allow_probe
     {
-        return Some(make_choice(directory, now, *due_probe, ChoiceReason::Probe));
+        return Some(build_route_choice(
+            directory,
+            now,
+            *probe_candidate,
+            ChoiceReason::Probe,
+        ));
     }
-    let (candidate, reason) = match healthy.len() {
+    let (candidate, reason) = match healthy_candidates.len() {
         0 => (
-            earliest_probe(directory, &unhealthy)?,
+            earliest_probe_candidate(directory, &unhealthy_candidates)?,
             ChoiceReason::LastResort,
         ),
-        1 => (healthy[0], ChoiceReason::Only),
+        1 => (healthy_candidates[0], ChoiceReason::Only),
         _ => (
-            pick_sooner(directory, rng, now, &healthy),
+            pick_faster_candidate(directory, rng, now, &healthy_candidates),
             ChoiceReason::Sooner,
         ),
     };
-    Some(make_choice(directory, now, candidate, reason))
+    Some(build_route_choice(directory, now, candidate, reason))
 }
 
 /// Returns a replica with the preferred relay that is up, or `None` if no relay may be used.
@@ -136,45 +141,60 @@
 ) -> Option<Candidate> {
     let (primary, standby) = directory.owners(replica)?;
     let status = directory.replicas[replica].health.status(now);
-    let allowed = |relay: RelayId| !excluded_relays.contains(&relay);
-    let up = |relay: RelayId| allowed(relay) && !directory.relays[relay].is_down(now);
+    let is_allowed = |relay: RelayId| !excluded_relays.contains(&relay);
+    let is_up = |relay: RelayId| is_allowed(relay) && !directory.relays[relay].is_down(now);
     // A relay whose link broke recently is still better than none: the link is reopened.
     let relay = [primary, standby]
         .into_iter()
-        .find(|relay| up(*relay))
-        .or_else(|| [primary, standby].into_iter().find(|relay| allowed(*relay)))?;
+        .find(|relay| is_up(*relay))
+        .or_else(|| {
+            [primary, standby]
+                .into_iter()
+                .find(|relay| is_allowed(*relay))
+        })?;
     Some(Candidate {
         replica,
         relay,
-        standby: relay != primary,
+        uses_standby: relay != primary,
         status,
     })
 }
 
 /// Draws two healthy candidates at random and returns the one with the shorter expected time.
-fn pick_sooner(
+fn pick_faster_candidate(
     directory: &Directory,
     rng: &mut ChaCha8Rng,
     now: Duration,
-    healthy: &[Candidate],
+    healthy_candidates: &[Candidate],
 ) -> Candidate {
-    let first = rng.random_range(0..healthy.len());
-    let mut second = rng.random_range(0..healthy.len() - 1);
-    if second >= first {
-        second += 1;
+    let first_index = rng.random_range(0..healthy_candidates.len());
+    let mut second_index = rng.random_range(0..healthy_candidates.len() - 1);
+    if second_index >= first_index {
+        second_index += 1;
     }
-    let (first, second) = (healthy[first], healthy[second]);
-    if expected_time(directory, now, second) < expected_time(directory, now, first) {
-        second
+    let (first_candidate, second_candidate) = (
+        healthy_candidates[first_index],
+        healthy_candidates[second_index],
+    );
+    if expected_time(directory, now, second_candidate)
+        < expected_time(directory, now, first_candidate)
+    {
+        second_candidate
     } else {
-        first
+        first_candidate
     }
 }
 
 /// Returns the unhealthy candidate whose backoff ends first.
-fn earliest_probe(directory: &Directory, unhealthy: &[Candidate]) -> Option<Candidate> {
+fn earliest_probe_candidate(
+    directory: &Directory,
+    unhealthy_candidates: &[Candidate],
+) -> Option<Candidate> {
     let backoff_until = |c: &&Candidate| directory.replicas[c.replica].health.backoff_until();
-    unhealthy.iter().min_by_key(backoff_until).copied()
+    unhealthy_candidates
+        .iter()
+        .min_by_key(backoff_until)
+        .copied()
 }
 
 /// Returns the expected time until rows arrive: queue wait, service time and round trip.
@@ -184,7 +204,7 @@
     health.expected_wait(now) + health.service_time(now) + round_trip
 }
 
-fn make_choice(
+fn build_route_choice(
     directory: &Directory,
     now: Duration,
     candidate: Candidate,
@@ -194,10 +214,10 @@
         replica: candidate.replica,
         relay: candidate.relay,
         reason,
-        standby: candidate.standby,
-        wait: directory.replicas[candidate.replica]
+        uses_standby: candidate.uses_standby,
+        queue_wait: directory.replicas[candidate.replica]
             .health
             .expected_wait(now),
-        expected: expected_time(directory, now, candidate),
+        expected_time: expected_time(directory, now, candidate),
     }
 }
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -82,7 +82,7 @@
     )]
     run_pool: Vec<Box<QueryRun>>,
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
-    last_query: u64,
+    last_query_number: u64,
     actions: VecDeque<EntryAction>,
 }
 
@@ -96,7 +96,7 @@
             runs: FxHashMap::default(),
             run_pool: Vec::new(),
             timers: BinaryHeap::new(),
-            last_query: 0,
+            last_query_number: 0,
             actions: VecDeque::new(),
         }
     }
@@ -127,7 +127,7 @@
 
     /// Marks a request as one that has returned rows recently.
     #[cfg(test)]
-    pub(super) fn mark_known(&mut self, request: &QueryRequest) {
+    pub(super) fn mark_request_known(&mut self, request: &QueryRequest) {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
         self.shared.known_requests.insert(fingerprint);
     }
@@ -149,10 +149,10 @@
 
     /// Starts a query like [`EntryCore::start`]; `suspect` says whether the request may have crashed upstreams.
     pub fn start_suspect(&mut self, now: Duration, request: QueryRequest, suspect: bool) -> u64 {
-        self.last_query += 1;
-        let number = self.last_query;
+        self.last_query_number += 1;
+        let number = self.last_query_number;
         let (class, caller_id) = (request.class.clone(), request.caller_id.clone());
-        match self.plan(now, number, request) {
+        match self.prepare_run(now, number, request) {
             Ok(mut run) => {
                 run.suspect = suspect;
                 self.begin_run(now, run);
@@ -166,7 +166,7 @@
         number
     }
 
-    fn plan(
+    fn prepare_run(
         &mut self,
         now: Duration,
         number: u64,
@@ -175,7 +175,7 @@
         let config = Arc::clone(&self.config);
         let target = find_class(&config, &request)?;
         check_request(target, &request)?;
-        let route = self.pin(now, target)?;
+        let route = self.pin_version(now, target)?;
         let class = self.class_id(&target.name);
         let params = QueryParams::new(class, target, request.deadline, now);
         let Some(mut run) = self.run_pool.pop() else {
@@ -185,7 +185,7 @@
         Ok(run)
     }
 
-    fn pin(
+    fn pin_version(
         &mut self,
         now: Duration,
         target: &ClassTarget,
@@ -193,7 +193,7 @@
         let SharedState {
             routes, directory, ..
         } = &mut self.shared;
-        let route = routes.pin(&target.index, directory, now);
+        let route = routes.pin_version(&target.index, directory, now);
         route.ok_or_else(|| {
             not_run(RefusalCode::NoUpstream, "the index has no version")
                 .with_retry_after(NO_VERSION_RETRY_AFTER)
@@ -219,7 +219,7 @@
     /// Handles the outcomes and load reports sent by the relay on `from`.
     pub fn take_outcomes(&mut self, now: Duration, from: VmAddress, batch: OutcomeBatch) {
         let relay = self.shared.directory.relay_id(from);
-        self.shared.directory.relays[relay].link_up();
+        self.shared.directory.relays[relay].record_link_up();
         for load in &batch.loads {
             if let Some(replica) = self.shared.directory.find_replica(load.upstream) {
                 self.shared.directory.replicas[replica]
@@ -229,8 +229,8 @@
         }
         for outcome in batch.outcomes {
             let times = OutcomeTimes {
-                waited: Duration::from_micros(outcome.waited_us.into()),
-                served: Duration::from_micros(outcome.served_us.into()),
+                queue_time: Duration::from_micros(outcome.waited_us.into()),
+                upstream_time: Duration::from_micros(outcome.served_us.into()),
             };
             let (query, attempt) = (outcome.query, outcome.attempt);
             self.handle_outcome(now, query, attempt, outcome.verdict, times);
@@ -248,15 +248,15 @@
         let Some(run) = self.runs.get_mut(&query) else {
             return;
         };
-        let completed = run.handle_outcome(&mut self.shared, now, attempt, verdict, times);
-        self.finish_event(now, query, completed);
+        let query_outcome = run.handle_outcome(&mut self.shared, now, attempt, verdict, times);
+        self.finish_event(now, query, query_outcome);
     }
 
     /// Handles a broken link to a VM. The messages in `unsent` were never transmitted; other attempts sent to that VM
     /// may have run.
     pub fn link_down(&mut self, now: Duration, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
         let relay = self.shared.directory.relay_id(vm);
-        self.shared.directory.relays[relay].link_down(now);
+        self.shared.directory.relays[relay].record_link_down(now);
         for message in unsent {
             let PeerMessage::Submit(batch) = message else {
                 continue;
@@ -269,15 +269,15 @@
             let Some(run) = self.runs.get_mut(&number) else {
                 continue;
             };
-            let completed = run.handle_link_down(&mut self.shared, now, relay);
-            self.finish_event(now, number, completed);
+            let query_outcome = run.handle_link_down(&mut self.shared, now, relay);
+            self.finish_event(now, number, query_outcome);
         }
     }
 
     /// Handles attempts that could not be passed to the link of a VM and therefore did not run.
     pub fn not_sent(&mut self, now: Duration, vm: VmAddress, query: u64, attempts: &[u32]) {
         let relay = self.shared.directory.relay_id(vm);
-        self.shared.directory.relays[relay].link_down(now);
+        self.shared.directory.relays[relay].record_link_down(now);
         for &attempt in attempts {
             let verdict = ShardVerdict::NotRun(RefusalReason::LinkDown);
             self.handle_outcome(now, query, attempt, verdict, OutcomeTimes::default());
@@ -298,29 +298,29 @@
                 continue;
             }
             run.timer_at = Duration::MAX;
-            let completed = run.wake(&mut self.shared, now);
-            self.finish_event(now, number, completed);
+            let query_outcome = run.handle_timer(&mut self.shared, now);
+            self.finish_event(now, number, query_outcome);
         }
     }
 
     /// Queues the messages that the event produced, then completes the query or schedules its next timer.
-    fn finish_event(&mut self, now: Duration, number: u64, completed: Option<QueryOutcome>) {
+    fn finish_event(&mut self, now: Duration, number: u64, query_outcome: Option<QueryOutcome>) {
         let (outbox, relays) = (&mut self.shared.outbox, &self.shared.directory.relays);
         outbox.flush(|relay, message| {
             let vm = relays[relay].vm;
             self.actions.push_back(EntryAction::Send { vm, message });
         });
-        if let Some(outcome) = completed {
+        if let Some(outcome) = query_outcome {
             self.complete(now, number, outcome);
             return;
         }
         let Some(run) = self.runs.get_mut(&number) else {
             return;
         };
-        let next = run.next_wake(now);
-        if next < run.timer_at {
-            run.timer_at = next;
-            self.timers.push(Reverse((next, number)));
+        let next_timer = run.next_wake(now);
+        if next_timer < run.timer_at {
+            run.timer_at = next_timer;
+            self.timers.push(Reverse((next_timer, number)));
         }
     }
 
@@ -329,14 +329,18 @@
             return;
         };
         if run.under_load {
-            let met = run.meets_target(now, &outcome);
+            let target_met = run.meets_target(now, &outcome);
             let admission = &mut self.shared.admission;
-            admission.record_target_result(run.params.class, run.params.percentile, met);
+            admission.record_target_result(
+                run.params.class,
+                run.params.latency_percentile,
+                target_met,
+            );
         }
-        let took = now.saturating_sub(run.params.started);
+        let duration = now.saturating_sub(run.params.started_at);
         let caller_id = run.request.caller_id.take();
         let class = run.request.class.clone();
-        self.record_finish(number, caller_id, class, &outcome, took);
+        self.record_finish(number, caller_id, class, &outcome, duration);
         self.finish(number, outcome);
         self.recycle(run);
     }
@@ -357,7 +361,7 @@
         if !run.params.idempotent {
             return;
         }
-        run.cancel_outstanding(&mut self.shared);
+        run.cancel_attempts_in_flight(&mut self.shared);
         if let Some(run) = self.runs.remove(&number) {
             self.recycle(run);
         }
@@ -376,10 +380,10 @@
         caller_id: Option<CompactString>,
         class: ClassName,
         outcome: &QueryOutcome,
-        took: Duration,
+        duration: Duration,
     ) {
         if self.shared.log_decisions {
-            let finished = FinishedQuery::new(number, caller_id, class, outcome, took);
+            let finished = FinishedQuery::new(number, caller_id, class, outcome, duration);
             self.shared
                 .pending_decisions
                 .push(EntryDecision::Finish(finished));
--- a/crates/ebonyfork/src/entry/core_tests.rs
+++ b/crates/ebonyfork/src/entry/core_tests.rs
@@ -9,9 +9,9 @@
 fn a_whole_answer_comes_at_once_when_every_shard_has_answered() {
     let mut fixture = EntryFixture::new(20, |_class| {});
     let query = fixture.start(request());
-    let sent = fixture.take_sent();
-    expect_that!(sent.len(), eq(20));
-    for attempt in sent.iter().rev() {
+    let sent_attempts = fixture.take_sent_attempts();
+    expect_that!(sent_attempts.len(), eq(20));
+    for attempt in sent_attempts.iter().rev() {
         expect_that!(fixture.finished.is_empty(), eq(true));
         fixture.deliver(attempt, rows(17));
     }
@@ -26,7 +26,7 @@
 fn latency_first_answers_thin_at_the_target_and_lists_missing_shards() {
     let mut fixture = EntryFixture::new(4, |_class| {});
     let query = fixture.start(request());
-    for attempt in &fixture.take_sent()[1..] {
+    for attempt in &fixture.take_sent_attempts()[1..] {
         fixture.deliver(attempt, rows(17));
     }
     fixture.advance(ms(400));
@@ -44,19 +44,21 @@
         key: Some("127.0.0.1-7.1".parse().unwrap()),
         ..request()
     });
-    let first = fixture.take_sent().remove(0);
-    fixture.core.not_sent(fixture.now, first.vm, query, &[0]);
+    let first_attempt = fixture.take_sent_attempts().remove(0);
+    fixture
+        .core
+        .not_sent(fixture.now, first_attempt.vm, query, &[0]);
     fixture.run_actions();
-    let second = fixture.take_sent().remove(0);
-    expect_that!(second.attempt, eq(1));
+    let second_attempt = fixture.take_sent_attempts().remove(0);
+    expect_that!(second_attempt.attempt, eq(1));
     fixture
         .core
-        .link_down(fixture.now, second.vm, VecDeque::new());
+        .link_down(fixture.now, second_attempt.vm, VecDeque::new());
     fixture.run_actions();
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
     expect_that!(refusal.ran, eq(RunState::Unknown));
     expect_that!(refusal.code, eq(RefusalCode::UpstreamFailed));
-    expect_that!(fixture.take_sent(), is_empty());
+    expect_that!(fixture.take_sent_attempts(), is_empty());
 }
 
 #[gtest]
@@ -69,7 +71,7 @@
         .link_down(fixture.now, lost_relay, VecDeque::new());
     fixture.run_actions();
     let mut lost_attempts = 0;
-    for attempt in fixture.take_sent() {
+    for attempt in fixture.take_sent_attempts() {
         lost_attempts += u32::from(attempt.vm == lost_relay);
         fixture.deliver(&attempt, rows(17));
     }
@@ -103,25 +105,25 @@
         let refusal = fixture.outcome(number).as_ref().unwrap_err();
         expect_that!((refusal.code, refusal.ran), eq((code, RunState::NotRun)));
     }
-    expect_that!(fixture.take_sent(), is_empty());
+    expect_that!(fixture.take_sent_attempts(), is_empty());
 }
 
 #[gtest]
 fn the_second_upstream_that_breaks_ends_the_query() {
     let mut fixture = EntryFixture::new(4, |_class| {});
     let query = fixture.start(request());
-    let broken = || ShardVerdict::Failed {
+    let broken_connection = || ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason: FailureReason::Broken,
     };
-    let sent = fixture.take_sent();
-    fixture.deliver(&sent[0], broken());
+    let sent_attempts = fixture.take_sent_attempts();
+    fixture.deliver(&sent_attempts[0], broken_connection());
     expect_that!(fixture.finished.is_empty(), eq(true));
-    fixture.deliver(&sent[1], broken());
+    fixture.deliver(&sent_attempts[1], broken_connection());
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
     expect_that!(refusal.code, eq(RefusalCode::UpstreamFailed));
     // All attempts still in flight are cancelled.
-    let in_flight = sent.len() - 2 + fixture.take_sent().len();
+    let in_flight = sent_attempts.len() - 2 + fixture.take_sent_attempts().len();
     expect_that!(fixture.cancelled.len(), eq(in_flight));
 }
 
@@ -133,10 +135,13 @@
         caller_id: Some("mine".into()),
         ..request()
     });
-    let sent = fixture.take_sent();
-    fixture.deliver(&sent[0], rows(17));
+    let sent_attempts = fixture.take_sent_attempts();
+    fixture.deliver(&sent_attempts[0], rows(17));
     for _ in 0..2 {
-        let attempt = fixture.sent.pop().unwrap_or_else(|| sent[1].clone());
+        let attempt = fixture
+            .sent
+            .pop()
+            .unwrap_or_else(|| sent_attempts[1].clone());
         fixture.deliver(&attempt, ShardVerdict::NotRun(RefusalReason::Shed));
     }
     expect_that!(fixture.outcome(query).is_ok(), eq(true));
@@ -148,8 +153,8 @@
         .collect();
     let expected = ["route", "route", "setback", "route", "setback", "finish"];
     expect_that!(kinds, eq(&expected));
-    let last = "finish query=q1 class=search id=mine outcome=answer snapshot=17 coverage=1/2 missing=1 took_us=0";
-    expect_that!(lines[5], eq(last));
+    let finish_line = "finish query=q1 class=search id=mine outcome=answer snapshot=17 coverage=1/2 missing=1 took_us=0";
+    expect_that!(lines[5], eq(finish_line));
     expect_that!(
         lines[2],
         contains_substring("query=q1 attempt=a1 shard=1 verdict=not-run reason=Shed")
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -25,7 +25,7 @@
     /// VM of the relay that forwards the attempt.
     pub relay: VmAddress,
     /// Whether that relay is the upstream's standby rather than its primary.
-    pub standby: bool,
+    pub uses_standby: bool,
     /// Why the attempt is made.
     pub purpose: AttemptPurpose,
     /// Why this upstream was chosen.
@@ -40,7 +40,11 @@
             AttemptPurpose::Retry => "retry",
             AttemptPurpose::AfterLoss => "after-loss",
         };
-        let role = if self.standby { "standby" } else { "primary" };
+        let role = if self.uses_standby {
+            "standby"
+        } else {
+            "primary"
+        };
         write!(
             f,
             "query=q{} attempt=a{} shard={} upstream={} relay={} role={role} purpose={purpose} reason={}",
@@ -74,7 +78,7 @@
     /// Snapshot and coverage of the answer, or the code of the refusal.
     pub result: Result<(SnapshotVersion, QueryCoverage), RefusalCode>,
     /// Time from the start of the query to its outcome.
-    pub took: Duration,
+    pub duration: Duration,
 }
 
 impl FinishedQuery {
@@ -84,7 +88,7 @@
         caller_id: Option<CompactString>,
         class: ClassName,
         outcome: &QueryOutcome,
-        took: Duration,
+        duration: Duration,
     ) -> Self {
         let result = match outcome {
             Ok(answer) => Ok((answer.snapshot, answer.coverage.clone())),
@@ -95,7 +99,7 @@
             caller_id,
             class,
             result,
-            took,
+            duration,
         }
     }
 }
@@ -155,7 +159,7 @@
             }
             Err(code) => write!(f, " outcome={code}")?,
         }
-        write!(f, " took_us={}", self.took.as_micros())
+        write!(f, " took_us={}", self.duration.as_micros())
     }
 }
 
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -69,7 +69,7 @@
     pub vm: VmAddress,
     round_trip: Duration,
     /// Whether the round trip has been measured; otherwise it is the default.
-    measured: bool,
+    is_measured: bool,
     down_until: Duration,
 }
 
@@ -81,21 +81,21 @@
 
     /// Records a measured round trip.
     pub fn record_round_trip(&mut self, sample: Duration) {
-        if !self.measured || sample < self.round_trip {
+        if !self.is_measured || sample < self.round_trip {
             self.round_trip = sample;
-            self.measured = true;
+            self.is_measured = true;
             return;
         }
         self.round_trip += sample.abs_diff(self.round_trip) / ROUND_TRIP_SMOOTHING;
     }
 
     /// Records that the link broke.
-    pub fn link_down(&mut self, now: Duration) {
+    pub fn record_link_down(&mut self, now: Duration) {
         self.down_until = now + LINK_DOWN_DURATION;
     }
 
     /// Records that a message arrived on the link.
-    pub fn link_up(&mut self) {
+    pub fn record_link_up(&mut self) {
         self.down_until = Duration::ZERO;
     }
 
@@ -180,8 +180,8 @@
         let view = Arc::clone(&self.view);
         let mut replicas = ReplicaList::new();
         for &address in view.service(&self.services[service].name) {
-            let available = view.upstreams.get(&address).is_some_and(|e| !e.leaving);
-            if available {
+            let is_available = view.upstreams.get(&address).is_some_and(|e| !e.leaving);
+            if is_available {
                 replicas.push(self.replica_id(address));
             }
         }
@@ -223,8 +223,8 @@
 
     fn find_owners(&mut self, address: UpstreamAddress) -> Option<(RelayId, RelayId)> {
         if self.ownership == OwnershipMode::Direct {
-            let own = self.relay_id(self.own_vm);
-            return Some((own, own));
+            let own_relay = self.relay_id(self.own_vm);
+            return Some((own_relay, own_relay));
         }
         let pair = owner_pair(&self.view, address)?;
         let primary = self.relay_id(pair.primary);
@@ -240,7 +240,7 @@
         let entry = RelayEntry {
             vm,
             round_trip: self.default_round_trip(vm),
-            measured: false,
+            is_measured: false,
             down_until: Duration::ZERO,
         };
         let id = self.relays.push(entry);
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -120,7 +120,7 @@
 
     /// Takes the attempts sent and schedules their replies.
     fn answer(&mut self, fixture: &mut EntryFixture) {
-        for attempt in fixture.take_sent() {
+        for attempt in fixture.take_sent_attempts() {
             if let Some((after, verdict)) = self.reply(fixture, &attempt) {
                 let key = (fixture.now + after, self.sent.len());
                 self.replies.insert(key, (attempt.clone(), verdict));
@@ -144,8 +144,8 @@
         if service == 0 || service > self.faulty_services {
             return success;
         }
-        let first = attempt.purpose == AttemptPurpose::First;
-        let primary = attempt.upstream == upstream(service as usize, 0);
+        let is_first_attempt = attempt.purpose == AttemptPurpose::First;
+        let is_first_upstream = attempt.upstream == upstream(service as usize, 0);
         let not_run = |reason| Some((ms(2), ShardVerdict::NotRun(reason)));
         if self.has(NextVersion) && attempt.version.0 == 17 {
             if !self.published {
@@ -171,14 +171,16 @@
         match () {
             () if self.has(BothRefusing) => not_run(RefusalReason::Unreachable),
             () if self.has(BothShedding) => not_run(RefusalReason::Shed),
-            () if self.has(Refusing) && primary => not_run(RefusalReason::Unreachable),
-            () if self.has(Shedding) && primary => not_run(RefusalReason::Shed),
-            () if self.has(Silent) && primary => None,
-            () if self.has(NotOwner) && first => not_run(RefusalReason::NotOwner),
-            () if self.has(Broken) && first => failed(FailureReason::Broken),
-            () if self.has(ErrorStatus) && first => failed(FailureReason::Status),
-            () if self.has(WrongVersion) && first => Some((ms(5), rows(SnapshotVersion(16)))),
-            () if self.has(Straggler) && first => Some((ms(900), rows(attempt.version))),
+            () if self.has(Refusing) && is_first_upstream => not_run(RefusalReason::Unreachable),
+            () if self.has(Shedding) && is_first_upstream => not_run(RefusalReason::Shed),
+            () if self.has(Silent) && is_first_upstream => None,
+            () if self.has(NotOwner) && is_first_attempt => not_run(RefusalReason::NotOwner),
+            () if self.has(Broken) && is_first_attempt => failed(FailureReason::Broken),
+            () if self.has(ErrorStatus) && is_first_attempt => failed(FailureReason::Status),
+            () if self.has(WrongVersion) && is_first_attempt => {
+                Some((ms(5), rows(SnapshotVersion(16))))
+            }
+            () if self.has(Straggler) && is_first_attempt => Some((ms(900), rows(attempt.version))),
             () if self.has(SlowService) => Some((ms(80), rows(attempt.version))),
             () => success,
         }
@@ -260,7 +262,7 @@
                     class.coverage = 0.95;
                 });
                 fixture.publish(5, &[(17, SHARDS)]);
-                let (took, outcome, sent) =
+                let (duration, outcome, sent) =
                     run_query(&mut fixture, faults, faulty_services, request());
                 let expected = match priority {
                     TargetPriority::LatencyFirst => *latency_first,
@@ -268,9 +270,13 @@
                 };
                 check(&name, faulty_services, expected, &outcome);
                 // The query does not wait until near its deadline, and no shard is retried more than a few times.
-                expect_that!(took, le(ms(300)), "{name}");
-                let extra = sent.iter().filter(|a| a.purpose != AttemptPurpose::First);
-                expect_that!(extra.count(), le(3 * faulty_services as usize), "{name}");
+                expect_that!(duration, le(ms(300)), "{name}");
+                let extra_attempts = sent.iter().filter(|a| a.purpose != AttemptPurpose::First);
+                expect_that!(
+                    extra_attempts.count(),
+                    le(3 * faulty_services as usize),
+                    "{name}"
+                );
             }
         }
     }
@@ -330,8 +336,9 @@
     };
     let faulty_services = SHARDS as u32 - 1;
     let (_, outcome, sent) = run_query(&mut fixture, faults, faulty_services, request);
-    let first = &sent[0];
-    let hit_fault = first.shard > 0 && first.upstream == upstream(first.shard as usize, 0);
+    let first_attempt = &sent[0];
+    let hit_fault = first_attempt.shard > 0
+        && first_attempt.upstream == upstream(first_attempt.shard as usize, 0);
     hit_fault.then_some(outcome)
 }
 
@@ -342,18 +349,18 @@
     for round in 0..200 {
         fixture.now += ms(50);
         let query = fixture.start(request());
-        for attempt in fixture.take_sent() {
+        for attempt in fixture.take_sent_attempts() {
             // The misreporting server claims to have no queue, and fails every request.
-            let misreports = attempt.upstream == upstream(0, 0);
-            misreporting_attempts += u32::from(misreports && round >= 20);
+            let is_misreporting = attempt.upstream == upstream(0, 0);
+            misreporting_attempts += u32::from(is_misreporting && round >= 20);
             let load = UpstreamLoad {
                 upstream: attempt.upstream,
-                wait_us: if misreports { 0 } else { 4_000 },
-                service_us: if misreports { 100 } else { 5_000 },
+                wait_us: if is_misreporting { 0 } else { 4_000 },
+                service_us: if is_misreporting { 100 } else { 5_000 },
                 limit: 2,
                 leaving: false,
             };
-            let verdict = if misreports {
+            let verdict = if is_misreporting {
                 let ran = RunState::Ran;
                 let reason = FailureReason::Status;
                 ShardVerdict::Failed { ran, reason }
@@ -362,7 +369,7 @@
             };
             fixture.deliver_with_load(&attempt, verdict, Some(load));
         }
-        for attempt in fixture.take_sent() {
+        for attempt in fixture.take_sent_attempts() {
             fixture.deliver(&attempt, super::fixture::rows(17));
         }
         fixture.advance(fixture.now + ms(10));
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -145,7 +145,7 @@
             finished: FxHashMap::default(),
         };
         fixture.publish(5, &[(17, shards)]);
-        fixture.core.mark_known(&request());
+        fixture.core.mark_request_known(&request());
         fixture
     }
 
@@ -173,18 +173,18 @@
     pub(super) fn run_actions(&mut self) {
         while let Some(action) = self.core.next_action() {
             match action {
-                EntryAction::Send { vm, message } => self.take_message(vm, message),
+                EntryAction::Send { vm, message } => self.receive_message(vm, message),
                 EntryAction::Finish { query, outcome } => {
-                    let before = self.finished.insert(query, (self.now, outcome));
-                    assert!(before.is_none(), "query {query} finished twice");
+                    let previous_outcome = self.finished.insert(query, (self.now, outcome));
+                    assert!(previous_outcome.is_none(), "query {query} finished twice");
                 }
             }
         }
     }
 
-    fn take_message(&mut self, vm: VmAddress, message: PeerMessage) {
+    fn receive_message(&mut self, vm: VmAddress, message: PeerMessage) {
         match message {
-            PeerMessage::Submit(batch) => self.take_submit(vm, &batch),
+            PeerMessage::Submit(batch) => self.receive_submit_batch(vm, &batch),
             PeerMessage::Cancel(batch) => {
                 let attempts = batch.attempts.iter();
                 let cancelled = attempts.map(|attempt| (batch.query, *attempt));
@@ -194,7 +194,7 @@
         }
     }
 
-    fn take_submit(&mut self, vm: VmAddress, batch: &SubmitBatch) {
+    fn receive_submit_batch(&mut self, vm: VmAddress, batch: &SubmitBatch) {
         let sent = batch.targets.iter().map(|target| SentAttempt {
             query: batch.query,
             attempt: target.attempt,
@@ -208,7 +208,7 @@
     }
 
     /// Returns the attempts sent since the last call.
-    pub(super) fn take_sent(&mut self) -> Vec<SentAttempt> {
+    pub(super) fn take_sent_attempts(&mut self) -> Vec<SentAttempt> {
         std::mem::take(&mut self.sent)
     }
 
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -29,7 +29,7 @@
     /// The service that holds the shard; updated if the shard has moved.
     pub service: ServiceId,
     /// Number of attempts in flight.
-    pub in_flight: u8,
+    pub attempts_in_flight: u8,
     /// Number of attempts made.
     pub attempts_made: u8,
     /// Replicas that must not be tried again.
@@ -45,7 +45,7 @@
         Self {
             shard,
             service,
-            in_flight: 0,
+            attempts_in_flight: 0,
             attempts_made: 0,
             excluded_replicas: SmallVec::new(),
             excluded_relays: SmallVec::new(),
@@ -125,11 +125,11 @@
     /// Stores a shard's rows and returns true if they are the shard's first rows and of the pinned version; else
     /// returns false.
     pub fn accept(&mut self, slot: usize, version: SnapshotVersion, body: Bytes) -> bool {
-        let pinned = self.version;
+        let pinned_version = self.version;
         let Some(slot) = self.slots.get_mut(slot) else {
             return false;
         };
-        if version != pinned || slot.status == ShardStatus::Answered {
+        if version != pinned_version || slot.status == ShardStatus::Answered {
             return false;
         }
         if slot.status == ShardStatus::Lost {
@@ -142,7 +142,7 @@
     }
 
     /// Marks an open shard as lost.
-    pub fn mark_lost(&mut self, slot: usize) {
+    pub fn mark_shard_lost(&mut self, slot: usize) {
         let slot = &mut self.slots[slot];
         if slot.status != ShardStatus::Open {
             return;
@@ -153,8 +153,12 @@
 
     /// Returns the coverage of the rows received so far.
     pub fn coverage(&self) -> QueryCoverage {
-        let unanswered = |slot: &&ShardSlot| slot.status != ShardStatus::Answered;
-        let missing = self.slots.iter().filter(unanswered).map(|slot| slot.shard);
+        let is_unanswered = |slot: &&ShardSlot| slot.status != ShardStatus::Answered;
+        let missing = self
+            .slots
+            .iter()
+            .filter(is_unanswered)
+            .map(|slot| slot.shard);
         QueryCoverage {
             answered: self.answered,
             total: self.total(),
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -61,14 +61,15 @@
 
     /// Withdraws the token for one attempt; returns false if too few tokens are left for this urgency.
     pub fn try_withdraw(&mut self, now: Duration, urgency: AttemptUrgency) -> bool {
-        let elapsed = now.saturating_sub(self.last_refill);
+        let refill_interval = now.saturating_sub(self.last_refill);
         self.last_refill = self.last_refill.max(now);
-        self.tokens = (self.tokens + elapsed.as_secs_f64() * TOKENS_PER_SECOND).min(MAX_TOKENS);
-        let reserved = match urgency {
+        self.tokens =
+            (self.tokens + refill_interval.as_secs_f64() * TOKENS_PER_SECOND).min(MAX_TOKENS);
+        let reserved_tokens = match urgency {
             AttemptUrgency::Urgent => 0.0,
             AttemptUrgency::Ordinary => RESERVED_TOKENS,
         };
-        if self.tokens < reserved + 1.0 {
+        if self.tokens < reserved_tokens + 1.0 {
             return false;
         }
         self.tokens -= 1.0;
@@ -85,14 +86,14 @@
 #[derive(Debug, Clone)]
 pub struct LatenessHistogram {
     counts: [u32; BUCKET_COUNT],
-    total: u32,
+    sample_count: u32,
 }
 
 impl Default for LatenessHistogram {
     fn default() -> Self {
         Self {
             counts: [0; BUCKET_COUNT],
-            total: 0,
+            sample_count: 0,
         }
     }
 }
@@ -101,48 +102,48 @@
     /// Adds a sample of how much later than expected rows arrived.
     pub fn record(&mut self, lateness: Duration) {
         self.counts[bucket_index(lateness)] += 1;
-        self.total += 1;
-        if self.total < DECAY_SAMPLES {
+        self.sample_count += 1;
+        if self.sample_count < DECAY_SAMPLES {
             return;
         }
-        self.total = 0;
+        self.sample_count = 0;
         for count in &mut self.counts {
             *count /= 2;
-            self.total += *count;
+            self.sample_count += *count;
         }
     }
 
     /// Returns whether there are enough samples to use the quantile.
     pub fn has_enough_samples(&self) -> bool {
-        self.total >= MIN_SAMPLES
+        self.sample_count >= MIN_SAMPLES
     }
 
     /// Returns the delay after which an attempt expected to take `expected` counts as a straggler.
-    pub fn hedge_delay(&self, expected: Duration) -> Duration {
+    pub fn hedge_delay(&self, expected_time: Duration) -> Duration {
         if !self.has_enough_samples() {
-            return expected * 2 + DEFAULT_LATENESS;
+            return expected_time * 2 + DEFAULT_LATENESS;
         }
-        let rank = (f64::from(self.total) * HEDGE_QUANTILE) as u32;
-        let mut cumulative = 0;
+        let rank = (f64::from(self.sample_count) * HEDGE_QUANTILE) as u32;
+        let mut cumulative_count = 0;
         for (bucket, count) in self.counts.iter().enumerate() {
-            cumulative += count;
-            if cumulative > rank {
-                return expected + bucket_bound(bucket).max(MIN_LATENESS);
+            cumulative_count += count;
+            if cumulative_count > rank {
+                return expected_time + bucket_bound(bucket).max(MIN_LATENESS);
             }
         }
-        expected + bucket_bound(BUCKET_COUNT - 1)
+        expected_time + bucket_bound(BUCKET_COUNT - 1)
     }
 }
 
 fn bucket_index(lateness: Duration) -> usize {
-    let ratio = lateness.as_micros() as f64 / FIRST_BUCKET_BOUND_US;
-    if ratio <= 1.0 {
+    let bound_ratio = lateness.as_micros() as f64 / FIRST_BUCKET_BOUND_US;
+    if bound_ratio <= 1.0 {
         return 0;
     }
-    ((ratio.log2() * 4.0).ceil() as usize).min(BUCKET_COUNT - 1)
+    ((bound_ratio.log2() * 4.0).ceil() as usize).min(BUCKET_COUNT - 1)
 }
 
 fn bucket_bound(bucket: usize) -> Duration {
-    let micros = FIRST_BUCKET_BOUND_US * 2_f64.powf(bucket as f64 / 4.0);
-    Duration::from_micros(micros as u64)
+    let bound_us = FIRST_BUCKET_BOUND_US * 2_f64.powf(bucket as f64 / 4.0);
+    Duration::from_micros(bound_us as u64)
 }
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -37,7 +37,7 @@
     arrived: Duration,
     results_deadline: Duration,
     /// Whether the query started after the warm-up.
-    counted: bool,
+    is_counted: bool,
 }
 
 impl Job {
@@ -49,7 +49,7 @@
 #[derive(Debug, Default)]
 struct FakeUpstream {
     queue: VecDeque<Job>,
-    busy: usize,
+    busy_slots: usize,
     /// Service time spent on each organisation in seconds, for fair queueing.
     served_seconds: BTreeMap<OrganisationName, f64>,
     /// Factor on service times; an upstream with an infinite factor never answers.
@@ -101,11 +101,11 @@
 pub(super) struct OrganisationResult {
     pub(super) latencies: Vec<Duration>,
     pub(super) queries: u32,
-    pub(super) refused: u32,
-    pub(super) failed: u32,
-    pub(super) thin: u32,
+    pub(super) refusals: u32,
+    pub(super) failures: u32,
+    pub(super) thin_answers: u32,
     /// Answers that met the latency and coverage targets.
-    pub(super) good: u32,
+    pub(super) good_answers: u32,
 }
 
 impl OrganisationResult {
@@ -124,7 +124,7 @@
     entries: Vec<EntryCore>,
     upstreams: BTreeMap<UpstreamAddress, FakeUpstream>,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
-    pending: FxHashMap<u64, Event>,
+    pending_events: FxHashMap<u64, Event>,
     /// Time of the earliest timer scheduled for each entry.
     timer_at: Vec<Duration>,
     /// The upstream at which each attempt is queued or running.
@@ -135,12 +135,12 @@
     arrivals: ChaCha8Rng,
     rng: ChaCha8Rng,
     organisations: Vec<OrganisationLoad>,
-    started: BTreeMap<(usize, u64), (usize, Duration)>,
+    started_queries: BTreeMap<(usize, u64), (usize, Duration)>,
     pub(super) results: Vec<OrganisationResult>,
     /// Number of requests that upstreams began to run.
     pub(super) runs: u64,
     /// Number of shard requests needed by admitted queries.
-    pub(super) needed: u64,
+    pub(super) needed_requests: u64,
     /// Fraction of requests that are stragglers.
     pub(super) straggler_share: f64,
     /// Whether every query has a selection of its own, so that none is known.
@@ -169,7 +169,7 @@
             let zone = format!("zone-{}", number - 1).parse().unwrap();
             let mut core = EntryCore::new(session, zone, switches);
             core.refresh(&fixture.views);
-            core.mark_known(&request());
+            core.mark_request_known(&request());
             entries.push(core);
         }
         let upstreams = fixture.views.topology.upstreams.keys().map(|&address| {
@@ -184,7 +184,7 @@
             entries,
             upstreams: upstreams.collect(),
             events: BinaryHeap::new(),
-            pending: FxHashMap::default(),
+            pending_events: FxHashMap::default(),
             timer_at: vec![Duration::MAX; 3],
             locations: FxHashMap::default(),
             sequence: 0,
@@ -192,10 +192,10 @@
             arrivals: ChaCha8Rng::seed_from_u64(13),
             rng: ChaCha8Rng::seed_from_u64(11),
             organisations: organisations.to_vec(),
-            started: BTreeMap::new(),
+            started_queries: BTreeMap::new(),
             results: vec![OrganisationResult::default(); organisations.len()],
             runs: 0,
-            needed: 0,
+            needed_requests: 0,
             straggler_share: 0.01,
             unique_selections: false,
         }
@@ -225,7 +225,7 @@
                 break;
             }
             self.now = at;
-            let event = self.pending.remove(&number).unwrap();
+            let event = self.pending_events.remove(&number).unwrap();
             self.handle(event);
         }
     }
@@ -233,7 +233,7 @@
     fn schedule(&mut self, after: Duration, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now + after, self.sequence)));
-        self.pending.insert(self.sequence, event);
+        self.pending_events.insert(self.sequence, event);
     }
 
     fn schedule_caller(&mut self, organisation: usize) {
@@ -258,11 +258,11 @@
                 let Some(upstream) = self.locations.remove(&key) else {
                     return;
                 };
-                let fake = self.upstreams.get_mut(&upstream).unwrap();
-                let before = fake.queue.len();
-                fake.queue.retain(|job| job.key() != key);
-                if fake.queue.len() == before {
-                    fake.busy -= 1;
+                let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
+                let previous_length = fake_upstream.queue.len();
+                fake_upstream.queue.retain(|job| job.key() != key);
+                if fake_upstream.queue.len() == previous_length {
+                    fake_upstream.busy_slots -= 1;
                     self.start_queued(upstream);
                 }
             }
@@ -274,9 +274,9 @@
                 if self.locations.remove(&job.key()).is_none() {
                     return;
                 }
-                let fake = self.upstreams.get_mut(&upstream).unwrap();
-                fake.busy -= 1;
-                *fake
+                let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
+                fake_upstream.busy_slots -= 1;
+                *fake_upstream
                     .served_seconds
                     .entry(job.organisation.clone())
                     .or_default() += served.as_secs_f64();
@@ -306,7 +306,7 @@
             request.selection = self.sequence.to_be_bytes().to_vec().into();
         }
         let number = self.entries[entry].start(self.now, request);
-        self.started
+        self.started_queries
             .insert((entry, number), (organisation, self.now));
         self.run_actions(entry);
     }
@@ -345,11 +345,11 @@
     }
 
     fn submit(&mut self, entry: usize, batch: &SubmitBatch) {
-        let (_, started) = self.started[&(entry, batch.query)];
-        let counted = started >= WARM_UP;
+        let (_, started) = self.started_queries[&(entry, batch.query)];
+        let is_counted = started >= WARM_UP;
         for target in &batch.targets {
-            let first = target.purpose == AttemptPurpose::First;
-            self.needed += u64::from(counted && first);
+            let is_first_attempt = target.purpose == AttemptPurpose::First;
+            self.needed_requests += u64::from(is_counted && is_first_attempt);
             let job = Job {
                 entry,
                 query: batch.query,
@@ -357,7 +357,7 @@
                 organisation: batch.organisation.clone(),
                 arrived: self.now + LINK_DELAY,
                 results_deadline: self.now + Duration::from_micros(batch.remaining_us),
-                counted,
+                is_counted,
             };
             let upstream = target.upstream;
             self.schedule(LINK_DELAY, Event::Arrive { upstream, job });
@@ -365,61 +365,67 @@
     }
 
     fn enqueue(&mut self, upstream: UpstreamAddress, job: Job) {
-        let fake = self.upstreams.get_mut(&upstream).unwrap();
-        let present = fake
+        let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
+        let is_queued = fake_upstream
             .queue
             .iter()
             .any(|other| other.organisation == job.organisation);
-        if !present {
+        if !is_queued {
             // An organisation that returns to the queue starts at the least service time of those queued.
             let served = |job: &Job| {
-                fake.served_seconds
+                fake_upstream
+                    .served_seconds
                     .get(&job.organisation)
                     .copied()
                     .unwrap_or_default()
             };
-            let least = fake.queue.iter().map(served).fold(f64::INFINITY, f64::min);
-            let own = fake
+            let least_served = fake_upstream
+                .queue
+                .iter()
+                .map(served)
+                .fold(f64::INFINITY, f64::min);
+            let own_served = fake_upstream
                 .served_seconds
                 .entry(job.organisation.clone())
                 .or_default();
-            if least.is_finite() {
-                *own = own.max(least);
+            if least_served.is_finite() {
+                *own_served = own_served.max(least_served);
             }
         }
         self.locations.insert(job.key(), upstream);
-        fake.queue.push_back(job);
+        fake_upstream.queue.push_back(job);
     }
 
     /// Starts queued requests while slots are free.
     fn start_queued(&mut self, upstream: UpstreamAddress) {
         loop {
-            let fake = self.upstreams.get_mut(&upstream).unwrap();
-            if fake.busy >= SLOTS || fake.queue.is_empty() {
+            let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
+            if fake_upstream.busy_slots >= SLOTS || fake_upstream.queue.is_empty() {
                 return;
             }
             let share = |job: &Job| {
-                fake.served_seconds
+                fake_upstream
+                    .served_seconds
                     .get(&job.organisation)
                     .copied()
                     .unwrap_or_default()
             };
-            let (next, _) = fake
+            let (next, _) = fake_upstream
                 .queue
                 .iter()
                 .enumerate()
                 .min_by(|(_, a), (_, b)| share(a).total_cmp(&share(b)))
                 .unwrap();
-            let job = fake.queue.remove(next).unwrap();
+            let job = fake_upstream.queue.remove(next).unwrap();
             if job.results_deadline <= self.now {
                 self.locations.remove(&job.key());
                 let verdict = ShardVerdict::NotRun(RefusalReason::Expired);
                 self.reply(upstream, &job, verdict, Duration::ZERO);
                 continue;
             }
-            fake.busy += 1;
-            let service_time_factor = fake.service_time_factor;
-            self.runs += u64::from(job.counted);
+            fake_upstream.busy_slots += 1;
+            let service_time_factor = fake_upstream.service_time_factor;
+            self.runs += u64::from(job.is_counted);
             if service_time_factor.is_infinite() {
                 continue;
             }
@@ -437,9 +443,13 @@
 
     fn service_time(&mut self) -> Duration {
         let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
-        let body = MEAN_SERVICE_SECONDS * (0.6 - 0.4 * uniform.ln());
-        let straggles = self.rng.random_bool(self.straggler_share);
-        Duration::from_secs_f64(if straggles { body * 10.0 } else { body })
+        let typical_seconds = MEAN_SERVICE_SECONDS * (0.6 - 0.4 * uniform.ln());
+        let is_straggler = self.rng.random_bool(self.straggler_share);
+        Duration::from_secs_f64(if is_straggler {
+            typical_seconds * 10.0
+        } else {
+            typical_seconds
+        })
     }
 
     fn reply(
@@ -449,9 +459,11 @@
         verdict: ShardVerdict,
         served: Duration,
     ) {
-        let fake = &self.upstreams[&upstream];
-        let ahead = (fake.queue.len() + fake.busy + 1).saturating_sub(SLOTS);
-        let wait = ahead as f64 * MEAN_SERVICE_SECONDS * STRAGGLER_MEAN_FACTOR / SLOTS as f64;
+        let fake_upstream = &self.upstreams[&upstream];
+        let requests_ahead =
+            (fake_upstream.queue.len() + fake_upstream.busy_slots + 1).saturating_sub(SLOTS);
+        let wait =
+            requests_ahead as f64 * MEAN_SERVICE_SECONDS * STRAGGLER_MEAN_FACTOR / SLOTS as f64;
         let load = UpstreamLoad {
             upstream,
             wait_us: (wait * 1e6) as u32,
@@ -477,29 +489,29 @@
     }
 
     fn record(&mut self, entry: usize, query: u64, outcome: &QueryOutcome) {
-        let known = self.started.remove(&(entry, query));
-        let (organisation, started) = known.expect("each query finishes once");
+        let started_query = self.started_queries.remove(&(entry, query));
+        let (organisation, started) = started_query.expect("each query finishes once");
         if started < WARM_UP {
             return;
         }
-        let took = self.now.saturating_sub(started);
+        let duration = self.now.saturating_sub(started);
         let result = &mut self.results[organisation];
         result.queries += 1;
         match outcome {
             Ok(answer) => {
-                result.latencies.push(took);
-                result.thin += u32::from(answer.coverage.is_thin());
-                let covered = answer.coverage.share() >= self.class.coverage;
-                result.good += u32::from(covered && took <= self.class.latency);
+                result.latencies.push(duration);
+                result.thin_answers += u32::from(answer.coverage.is_thin());
+                let met_coverage = answer.coverage.share() >= self.class.coverage;
+                result.good_answers += u32::from(met_coverage && duration <= self.class.latency);
             }
-            Err(refusal) if refusal.ran == crate::ident::RunState::NotRun => result.refused += 1,
-            Err(_refusal) => result.failed += 1,
+            Err(refusal) if refusal.ran == crate::ident::RunState::NotRun => result.refusals += 1,
+            Err(_refusal) => result.failures += 1,
         }
     }
 
     /// Returns the extra load on upstreams: requests run divided by requests needed, minus 1.
     pub(super) fn extra_load(&self) -> f64 {
-        self.runs as f64 / self.needed.max(1) as f64 - 1.0
+        self.runs as f64 / self.needed_requests.max(1) as f64 - 1.0
     }
 }
 
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -13,10 +13,10 @@
         println!(
             "{name}: queries={} good={} thin={} refused={} failed={} p50={:.1} p99={:.1} p999={:.1} extra={:.3}",
             result.queries,
-            result.good,
-            result.thin,
-            result.refused,
-            result.failed,
+            result.good_answers,
+            result.thin_answers,
+            result.refusals,
+            result.failures,
             result.quantile(0.5).as_secs_f64() * 1e3,
             result.quantile(0.99).as_secs_f64() * 1e3,
             result.quantile(0.999).as_secs_f64() * 1e3,
@@ -30,13 +30,13 @@
     let coverage_first = |class: &mut crate::declaration::ClassTarget| {
         class.priority = TargetPriority::CoverageFirst;
     };
-    let hedged = run_at(0.5, ExperimentSwitches::default(), coverage_first);
-    let plain = run_at(0.5, switches_with(|s| s.hedge = false), coverage_first);
-    print("hedged", &hedged);
-    print("plain", &plain);
+    let hedged_model = run_at(0.5, ExperimentSwitches::default(), coverage_first);
+    let unhedged_model = run_at(0.5, switches_with(|s| s.hedge = false), coverage_first);
+    print("hedged", &hedged_model);
+    print("plain", &unhedged_model);
     let tail = |model: &LoadModel| model.results[0].quantile(0.99);
-    expect_that!(tail(&hedged), le(tail(&plain) / 2));
-    expect_that!(hedged.extra_load(), le(0.05));
+    expect_that!(tail(&hedged_model), le(tail(&unhedged_model) / 2));
+    expect_that!(hedged_model.extra_load(), le(0.05));
 }
 
 #[gtest]
@@ -47,11 +47,15 @@
                 class.priority = priority;
             });
             print(&format!("{priority:?} {share}"), &model);
-            model.results[0].good
+            model.results[0].good_answers
         };
-        let peak = run(0.95);
-        let over = run(1.3);
-        expect_that!(f64::from(over), ge(f64::from(peak) * 0.95), "{priority:?}");
+        let peak_goodput = run(0.95);
+        let overload_goodput = run(1.3);
+        expect_that!(
+            f64::from(overload_goodput),
+            ge(f64::from(peak_goodput) * 0.95),
+            "{priority:?}"
+        );
     }
 }
 
@@ -78,12 +82,15 @@
     });
     model.run(RUN_SPAN);
     print("flood", &model);
-    for light in &model.results[1..] {
-        expect_that!(light.refused, le(light.queries / 50));
-        expect_that!(light.quantile(0.99), le(ms(150)));
-        expect_that!(f64::from(light.good), ge(f64::from(light.queries) * 0.95));
+    for light_result in &model.results[1..] {
+        expect_that!(light_result.refusals, le(light_result.queries / 50));
+        expect_that!(light_result.quantile(0.99), le(ms(150)));
+        expect_that!(
+            f64::from(light_result.good_answers),
+            ge(f64::from(light_result.queries) * 0.95)
+        );
     }
-    expect_that!(model.results[0].refused, gt(0));
+    expect_that!(model.results[0].refusals, gt(0));
 }
 
 #[gtest]
@@ -107,8 +114,8 @@
         let (known, unique) = (run(false), run(true));
         let p50 = |model: &LoadModel| model.results[0].quantile(0.5);
         expect_that!(p50(&unique), le(p50(&known) + ms(20)));
-        let good = |model: &LoadModel| f64::from(model.results[0].good);
-        expect_that!(good(&unique), ge(good(&known) * 0.95));
+        let good_answers = |model: &LoadModel| f64::from(model.results[0].good_answers);
+        expect_that!(good_answers(&unique), ge(good_answers(&known) * 0.95));
         expect_that!(unique.extra_load(), le(0.05));
     }
 }
@@ -132,7 +139,10 @@
     model.run(RUN_SPAN);
     print("silent", &model);
     let result = &model.results[0];
-    expect_that!(f64::from(result.thin), le(f64::from(result.queries) * 0.01));
+    expect_that!(
+        f64::from(result.thin_answers),
+        le(f64::from(result.queries) * 0.01)
+    );
     expect_that!(model.extra_load(), le(0.05));
 }
 
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -63,7 +63,7 @@
     consecutive_overdue: u32,
     backoff_until: Duration,
     /// When the probe that is in flight was sent.
-    probe_sent: Option<Duration>,
+    probe_sent_at: Option<Duration>,
 }
 
 impl ReplicaHealth {
@@ -83,14 +83,14 @@
     pub fn record_submit(&mut self, now: Duration) {
         self.submitted_since_report += 1;
         if self.consecutive_failures > 0 {
-            self.probe_sent = Some(now);
+            self.probe_sent_at = Some(now);
         }
     }
 
     /// Reverts [`ReplicaHealth::record_submit`] for a request that is not sent after all.
     pub fn undo_submit(&mut self) {
         self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
-        self.probe_sent = None;
+        self.probe_sent_at = None;
     }
 
     /// Records that a submitted request was cancelled, which says nothing about the server.
@@ -107,11 +107,12 @@
 
     /// Records rows and the time that the upstream took for them.
     pub fn record_success(&mut self, served: Duration) {
-        let average = self.service_time.unwrap_or(served);
-        let blended = (average * (SERVICE_TIME_SMOOTHING - 1) + served) / SERVICE_TIME_SMOOTHING;
-        self.service_time = Some(blended);
+        let previous_average = self.service_time.unwrap_or(served);
+        let new_average =
+            (previous_average * (SERVICE_TIME_SMOOTHING - 1) + served) / SERVICE_TIME_SMOOTHING;
+        self.service_time = Some(new_average);
         self.consecutive_failures = 0;
-        self.probe_sent = None;
+        self.probe_sent_at = None;
     }
 
     /// Records a failure and starts a backoff twice as long as the previous one.
@@ -120,23 +121,23 @@
         let backoff = (INITIAL_BACKOFF * (1 << doublings)).min(MAX_BACKOFF);
         self.consecutive_failures += 1;
         self.backoff_until = now + backoff;
-        self.probe_sent = None;
+        self.probe_sent_at = None;
     }
 
     /// Records that the server shed a request, and avoids it for a short time.
     pub fn record_shed(&mut self, now: Duration) {
         self.consecutive_failures = self.consecutive_failures.max(1);
         self.backoff_until = self.backoff_until.max(now + SHED_BACKOFF);
-        self.probe_sent = None;
+        self.probe_sent_at = None;
     }
 
     /// Records that an attempt is overdue. Several in a row count as a failure if the server has been silent meanwhile.
     /// A server that is merely slow still returns outcomes, and its expected wait accounts for that.
     pub fn record_overdue(&mut self, now: Duration) {
         self.consecutive_overdue += 1;
-        let silent = now.saturating_sub(self.last_heard);
+        let silence = now.saturating_sub(self.last_heard);
         let threshold = (self.service_time(now) * SILENCE_SERVICE_TIMES).max(MIN_SILENCE);
-        if self.consecutive_overdue >= MAX_CONSECUTIVE_OVERDUE && silent >= threshold {
+        if self.consecutive_overdue >= MAX_CONSECUTIVE_OVERDUE && silence >= threshold {
             self.consecutive_overdue = 0;
             self.record_failure(now);
         }
@@ -157,10 +158,10 @@
         if self.consecutive_failures == 0 {
             return ReplicaStatus::Healthy;
         }
-        let probing = self
-            .probe_sent
+        let probe_in_flight = self
+            .probe_sent_at
             .is_some_and(|sent| now < sent + PROBE_TIMEOUT);
-        if now < self.backoff_until || probing {
+        if now < self.backoff_until || probe_in_flight {
             ReplicaStatus::BackingOff
         } else {
             ReplicaStatus::ProbeDue
@@ -195,8 +196,8 @@
             .saturating_sub(now.saturating_sub(self.reported_at));
         let own_backlog = self.service_time(now) * self.submitted_since_report
             / u32::from(self.concurrency_limit());
-        let slots = u32::from(self.concurrency_limit());
-        if self.submitted_since_report < slots && remaining_backlog.is_zero() {
+        let concurrency = u32::from(self.concurrency_limit());
+        if self.submitted_since_report < concurrency && remaining_backlog.is_zero() {
             return Duration::ZERO;
         }
         remaining_backlog + own_backlog
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -30,7 +30,7 @@
     /// The tables of the catalogue's versions, newest first.
     tables: Vec<Arc<RouteTable>>,
     /// A version that some shard recently lacked, and until when it is not pinned.
-    avoided: Option<(SnapshotVersion, Duration)>,
+    avoided_version: Option<(SnapshotVersion, Duration)>,
 }
 
 /// How long a version that some shard lacked is not pinned if there is another.
@@ -52,18 +52,21 @@
     }
 
     /// Pins the newest version of an index that no shard lacked recently, or the newest if there is no such version.
-    pub fn pin(
+    pub fn pin_version(
         &mut self,
         index: &IndexName,
         directory: &mut Directory,
         now: Duration,
     ) -> Option<Arc<RouteTable>> {
         let routes = self.current_routes(index, directory)?;
-        let avoided = routes.avoided.filter(|(_, until)| now < *until);
-        let not_avoided =
-            |table: &&Arc<RouteTable>| avoided.is_none_or(|(version, _)| table.version != version);
-        let newest = routes.tables.iter().find(not_avoided);
-        newest.or_else(|| routes.tables.first()).map(Arc::clone)
+        let avoided_version = routes.avoided_version.filter(|(_, until)| now < *until);
+        let is_not_avoided = |table: &&Arc<RouteTable>| {
+            avoided_version.is_none_or(|(version, _)| table.version != version)
+        };
+        let newest_table = routes.tables.iter().find(is_not_avoided);
+        newest_table
+            .or_else(|| routes.tables.first())
+            .map(Arc::clone)
     }
 
     /// Returns the tables of an index, rebuilt if its catalogue has changed.
@@ -87,24 +90,25 @@
     /// Records that some shard lacks a version.
     pub fn avoid_version(&mut self, index: &IndexName, version: SnapshotVersion, now: Duration) {
         if let Some(routes) = self.indexes.get_mut(index) {
-            routes.avoided = Some((version, now + VERSION_AVOID_DURATION));
+            routes.avoided_version = Some((version, now + VERSION_AVOID_DURATION));
         }
     }
 
     /// Returns the newest version on the same side of `pinned` as `available`, the version held by the shard that lacks
     /// `pinned`: a newer version if `available` is newer, else an older one.
-    pub fn find_alternative(
+    pub fn find_alternative_version(
         &mut self,
         index: &IndexName,
         directory: &mut Directory,
-        pinned: SnapshotVersion,
-        available: SnapshotVersion,
+        pinned_version: SnapshotVersion,
+        available_version: SnapshotVersion,
     ) -> Option<Arc<RouteTable>> {
-        let same_side =
-            |table: &&Arc<RouteTable>| table.version.cmp(&pinned) == available.cmp(&pinned);
+        let is_same_side = |table: &&Arc<RouteTable>| {
+            table.version.cmp(&pinned_version) == available_version.cmp(&pinned_version)
+        };
         let routes = self.current_routes(index, directory)?;
-        let newest = routes.tables.iter().find(same_side)?;
-        (newest.version != pinned).then(|| Arc::clone(newest))
+        let newest_table = routes.tables.iter().find(is_same_side)?;
+        (newest_table.version != pinned_version).then(|| Arc::clone(newest_table))
     }
 }
 
@@ -113,12 +117,12 @@
     catalog: &IndexCatalog,
     directory: &mut Directory,
 ) -> Vec<Arc<RouteTable>> {
-    let make_table = |shards: &VersionShards| {
-        let services = shards.shards.iter();
+    let make_table = |version_shards: &VersionShards| {
+        let services = version_shards.shards.iter();
         let services = services.map(|service| directory.service_id(service));
         Arc::new(RouteTable {
             index: index.clone(),
-            version: shards.version,
+            version: version_shards.version,
             shards: services.collect(),
         })
     };
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -43,7 +43,7 @@
     /// When the attempt was sent.
     pub(super) sent: Duration,
     /// Expected time from sending the attempt to receiving its rows.
-    pub(super) expected: Duration,
+    pub(super) expected_time: Duration,
     /// When the attempt becomes a straggler, or is checked again as one.
     pub(super) straggler_check_at: Duration,
     /// Whether the attempt has been recorded as overdue.
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct OutcomeTimes {
     /// Time in the relay's queue.
-    pub(super) waited: Duration,
+    pub(super) queue_time: Duration,
     /// Time at the upstream.
-    pub(super) served: Duration,
+    pub(super) upstream_time: Duration,
 }
 
 /// Events of a query that determine its outcome.
@@ -93,7 +93,7 @@
     /// Whether the same request was in flight when an upstream was lost.
     pub(super) suspect: bool,
     /// Whether a shard whose upstream was lost waits until another shard returns rows.
-    pub(super) has_deferred: bool,
+    pub(super) has_deferred_shards: bool,
     /// The canary, while requests to the other shards are held back.
     pub(super) canary: Option<CanaryProbe>,
     /// When the next attempt may become a straggler.
@@ -121,7 +121,7 @@
             under_load: false,
             suspect: false,
             canary: None,
-            has_deferred: false,
+            has_deferred_shards: false,
             next_straggler_check: Duration::MAX,
             route,
             attempts: Vec::new(),
@@ -153,25 +153,25 @@
         shared: &mut SharedState,
         now: Duration,
     ) -> Option<QueryOutcome> {
-        self.plan(shared, now);
+        self.plan_attempts(shared, now);
         let canary = self.pick_canary(shared, now);
-        let canary_time = canary.map_or(Duration::ZERO, |canary| canary.choice.expected);
-        let refused = self
+        let canary_time = canary.map_or(Duration::ZERO, |canary| canary.route_choice.expected_time);
+        let early_outcome = self
             .check_completion(shared, now)
             .or_else(|| self.admit(shared, now, canary_time));
-        if refused.is_some() {
-            for planned in shared.plan.drain(..) {
-                let replica = planned.choice.replica;
+        if early_outcome.is_some() {
+            for planned_attempt in shared.planned_attempts.drain(..) {
+                let replica = planned_attempt.route_choice.replica;
                 shared.directory.replicas[replica].health.undo_submit();
             }
-            return refused;
+            return early_outcome;
         }
-        self.dispatch(shared, now, canary);
+        self.send_first_attempts(shared, now, canary);
         None
     }
 
     /// Sends all planned attempts, or only the canary if there is one.
-    pub(super) fn dispatch(
+    pub(super) fn send_first_attempts(
         &mut self,
         shared: &mut SharedState,
         now: Duration,
@@ -179,60 +179,75 @@
     ) {
         match canary {
             Some(canary) => self.send_canary(shared, now, canary),
-            None => self.send_plan(shared, now),
+            None => self.send_planned_attempts(shared, now),
         }
     }
 
     /// Sends the canary; the other planned attempts are held back until the canary's shard has answered or is given up.
     fn send_canary(&mut self, shared: &mut SharedState, now: Duration, canary: PlannedAttempt) {
-        let mut plan = std::mem::take(&mut shared.plan);
-        for planned in plan.drain(..) {
-            if planned.slot == canary.slot {
+        let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
+        for planned_attempt in planned_attempts.drain(..) {
+            if planned_attempt.slot == canary.slot {
                 continue;
             }
-            let replica = &mut shared.directory.replicas[planned.choice.replica];
+            let replica = &mut shared.directory.replicas[planned_attempt.route_choice.replica];
             replica.health.undo_submit();
         }
-        shared.plan = plan;
+        shared.planned_attempts = planned_attempts;
         self.canary = Some(CanaryProbe {
             slot: canary.slot,
             overdue_checks: 0,
         });
         shared.budget.deposit();
         let slot = canary.slot as usize;
-        self.send(shared, now, slot, canary.choice, AttemptPurpose::First);
+        self.send_attempt(
+            shared,
+            now,
+            slot,
+            canary.route_choice,
+            AttemptPurpose::First,
+        );
     }
 
     /// Chooses a route for every shard that the query needs; a shard without a route is marked as lost.
-    pub(super) fn plan(&mut self, shared: &mut SharedState, now: Duration) {
+    pub(super) fn plan_attempts(&mut self, shared: &mut SharedState, now: Duration) {
         let route = Arc::clone(&self.route);
-        let required = self.params.scope.required_shards(&self.request, &route);
-        let shards = required.map(|shard| (ShardNumber(shard), route.shards[shard as usize]));
+        let required_numbers = self.params.scope.required_shards(&self.request, &route);
+        let shards =
+            required_numbers.map(|shard| (ShardNumber(shard), route.shards[shard as usize]));
         self.gather.reset(route.version, shards);
-        let mut plan = std::mem::take(&mut shared.plan);
-        plan.clear();
+        let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
+        planned_attempts.clear();
         for slot in 0..self.gather.slots().len() {
-            let Some(choice) = self.choose(shared, now, slot, self.params.idempotent) else {
-                self.gather.mark_lost(slot);
+            let Some(route_choice) =
+                self.choose_shard_route(shared, now, slot, self.params.idempotent)
+            else {
+                self.gather.mark_shard_lost(slot);
                 continue;
             };
-            let health = &mut shared.directory.replicas[choice.replica].health;
+            let health = &mut shared.directory.replicas[route_choice.replica].health;
             health.record_submit(now);
             let slot = slot as u32;
-            plan.push(PlannedAttempt { slot, choice });
+            planned_attempts.push(PlannedAttempt { slot, route_choice });
         }
-        shared.plan = plan;
+        shared.planned_attempts = planned_attempts;
     }
 
     /// Sends all planned attempts.
-    fn send_plan(&mut self, shared: &mut SharedState, now: Duration) {
-        let mut plan = std::mem::take(&mut shared.plan);
-        for planned in plan.drain(..) {
-            let slot = planned.slot as usize;
+    fn send_planned_attempts(&mut self, shared: &mut SharedState, now: Duration) {
+        let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
+        for planned_attempt in planned_attempts.drain(..) {
+            let slot = planned_attempt.slot as usize;
             shared.budget.deposit();
-            self.send(shared, now, slot, planned.choice, AttemptPurpose::First);
+            self.send_attempt(
+                shared,
+                now,
+                slot,
+                planned_attempt.route_choice,
+                AttemptPurpose::First,
+            );
         }
-        shared.plan = plan;
+        shared.planned_attempts = planned_attempts;
     }
 
     /// Returns a refusal if the target can't be met at the present load.
@@ -245,17 +260,19 @@
         if !shared.switches.admission {
             return None;
         }
-        let (wait, unloaded_time) = self.params.predict(self.gather.total(), &mut shared.plan);
+        let (predicted_wait, unloaded_time) = self
+            .params
+            .predict(self.gather.total(), &mut shared.planned_attempts);
         let cost: f64 = shared
-            .plan
+            .planned_attempts
             .iter()
-            .map(|p| p.choice.unloaded_time().as_secs_f64())
+            .map(|p| p.route_choice.unloaded_time().as_secs_f64())
             .sum();
         let admission = AdmissionRequest {
             class: self.params.class,
             organisation: &self.request.organisation,
-            latency: self.params.latency,
-            wait,
+            latency_target: self.params.latency_target,
+            predicted_wait,
             unloaded_time: unloaded_time + canary_time,
             cost,
         };
@@ -264,26 +281,26 @@
                 self.under_load = under_load;
                 None
             }
-            AdmissionDecision::Refused { excess } => {
+            AdmissionDecision::Refused { excess_wait } => {
                 let message = "the class's latency can't be met at the present load";
                 let refusal = QueryRefusal::new(RefusalCode::Overloaded, RunState::NotRun, message);
-                let after = shared.jitter_retry_after(excess);
-                Some(Err(refusal.with_retry_after(after)))
+                let retry_after = shared.jitter_retry_after(excess_wait);
+                Some(Err(refusal.with_retry_after(retry_after)))
             }
         }
     }
 
     /// Returns whether an outcome at `now` meets the class target.
     pub(super) fn meets_target(&self, now: Duration, outcome: &QueryOutcome) -> bool {
-        let in_time = now <= self.params.started + self.params.latency;
-        in_time
+        let met_latency = now <= self.params.started_at + self.params.latency_target;
+        met_latency
             && outcome
                 .as_ref()
-                .is_ok_and(|answer| answer.coverage.share() >= self.params.coverage)
+                .is_ok_and(|answer| answer.coverage.share() >= self.params.coverage_target)
     }
 
     /// Cancels all attempts in flight.
-    pub(super) fn cancel_outstanding(&mut self, shared: &mut SharedState) {
+    pub(super) fn cancel_attempts_in_flight(&mut self, shared: &mut SharedState) {
         for number in 0..self.attempts.len() {
             self.cancel_attempt(shared, number);
         }
@@ -296,29 +313,31 @@
             return None;
         }
         attempt.state = AttemptState::Closed;
-        let closed = *attempt;
-        self.gather.slot_mut(closed.slot as usize).in_flight -= 1;
-        Some(closed)
+        let closed_attempt = *attempt;
+        self.gather
+            .slot_mut(closed_attempt.slot as usize)
+            .attempts_in_flight -= 1;
+        Some(closed_attempt)
     }
 
     /// Cancels an attempt at its relay if it is in flight. The attempt may have run by then.
     pub(super) fn cancel_attempt(&mut self, shared: &mut SharedState, number: usize) {
-        let Some(closed) = self.close_attempt(number as u32) else {
+        let Some(closed_attempt) = self.close_attempt(number as u32) else {
             return;
         };
         shared
             .outbox
-            .cancel(closed.relay, self.number, number as u32);
-        shared.directory.replicas[closed.replica]
+            .cancel(closed_attempt.relay, self.number, number as u32);
+        shared.directory.replicas[closed_attempt.replica]
             .health
             .record_cancel();
         self.progress.may_have_run = true;
     }
 
     /// Marks a shard as lost unless another attempt at it is in flight.
-    pub(super) fn mark_lost_if_idle(&mut self, slot: usize) {
-        if self.gather.slots()[slot].in_flight == 0 {
-            self.gather.mark_lost(slot);
+    pub(super) fn mark_shard_lost_if_idle(&mut self, slot: usize) {
+        if self.gather.slots()[slot].attempts_in_flight == 0 {
+            self.gather.mark_shard_lost(slot);
         }
     }
 
@@ -330,40 +349,41 @@
         slot: usize,
     ) {
         if self.gather.slots()[slot].attempts_made >= MAX_ATTEMPTS_PER_SHARD {
-            self.mark_lost_if_idle(slot);
+            self.mark_shard_lost_if_idle(slot);
             return;
         }
-        let Some(choice) = self.choose(shared, now, slot, self.params.idempotent) else {
-            self.mark_lost_if_idle(slot);
+        let Some(route_choice) = self.choose_shard_route(shared, now, slot, self.params.idempotent)
+        else {
+            self.mark_shard_lost_if_idle(slot);
             return;
         };
-        shared.directory.replicas[choice.replica]
+        shared.directory.replicas[route_choice.replica]
             .health
             .record_submit(now);
-        self.send(shared, now, slot, choice, AttemptPurpose::Retry);
+        self.send_attempt(shared, now, slot, route_choice, AttemptPurpose::Retry);
     }
 
     /// Chooses a route for a shard, leaving out replicas with an attempt of this query in flight.
-    pub(super) fn choose(
+    pub(super) fn choose_shard_route(
         &self,
         shared: &mut SharedState,
         now: Duration,
         slot: usize,
         allow_probe: bool,
     ) -> Option<RouteChoice> {
-        let state = &self.gather.slots()[slot];
-        let mut excluded_replicas = state.excluded_replicas.clone();
-        if state.in_flight > 0 {
-            let in_flight =
+        let shard_slot = &self.gather.slots()[slot];
+        let mut excluded_replicas = shard_slot.excluded_replicas.clone();
+        if shard_slot.attempts_in_flight > 0 {
+            let is_in_flight =
                 |a: &&AttemptRecord| a.slot as usize == slot && a.state == AttemptState::InFlight;
-            excluded_replicas.extend(self.attempts.iter().filter(in_flight).map(|a| a.replica));
+            excluded_replicas.extend(self.attempts.iter().filter(is_in_flight).map(|a| a.replica));
         }
         let constraints = RouteConstraints {
             excluded_replicas: &excluded_replicas,
-            excluded_relays: &state.excluded_relays,
+            excluded_relays: &shard_slot.excluded_relays,
             allow_probe,
         };
-        let service = state.service;
+        let service = shard_slot.service;
         choose_route(
             &mut shared.directory,
             &mut shared.rng,
@@ -374,37 +394,38 @@
     }
 
     /// Adds an attempt to the outbox and records it.
-    pub(super) fn send(
+    pub(super) fn send_attempt(
         &mut self,
         shared: &mut SharedState,
         now: Duration,
         slot: usize,
-        choice: RouteChoice,
+        route_choice: RouteChoice,
         purpose: AttemptPurpose,
     ) {
         let attempt = self.attempts.len() as u32;
-        let state = self.gather.slot_mut(slot);
-        state.in_flight += 1;
-        state.attempts_made += 1;
-        let (shard, service) = (state.shard, state.service);
+        let shard_slot = self.gather.slot_mut(slot);
+        shard_slot.attempts_in_flight += 1;
+        shard_slot.attempts_made += 1;
+        let (shard, service) = (shard_slot.shard, shard_slot.service);
         // A hedge of an attempt at a server that failed recently is due as soon as the expected time has passed.
-        let (delay, urgency) = match choice.reason {
+        let (hedge_delay, urgency) = match route_choice.reason {
             ChoiceReason::Probe | ChoiceReason::LastResort => {
-                (choice.expected, AttemptUrgency::Urgent)
+                (route_choice.expected_time, AttemptUrgency::Urgent)
             }
             _ => {
-                let delay = shared.hedge_delay(self.params.class, service, choice.expected);
-                (delay, AttemptUrgency::Ordinary)
+                let straggler_delay =
+                    shared.hedge_delay(self.params.class, service, route_choice.expected_time);
+                (straggler_delay, AttemptUrgency::Ordinary)
             }
         };
-        self.next_straggler_check = self.next_straggler_check.min(now + delay);
+        self.next_straggler_check = self.next_straggler_check.min(now + hedge_delay);
         self.attempts.push(AttemptRecord {
             slot: slot as u32,
-            replica: choice.replica,
-            relay: choice.relay,
+            replica: route_choice.replica,
+            relay: route_choice.relay,
             sent: now,
-            expected: choice.expected,
-            straggler_check_at: now + delay,
+            expected_time: route_choice.expected_time,
+            straggler_check_at: now + hedge_delay,
             overdue: false,
             urgency,
             state: AttemptState::InFlight,
@@ -415,7 +436,7 @@
             AttemptPurpose::Hedge => counts.hedges += 1,
             AttemptPurpose::Retry | AttemptPurpose::AfterLoss => counts.retries += 1,
         }
-        let upstream = shared.directory.replicas[choice.replica].address;
+        let upstream_address = shared.directory.replicas[route_choice.replica].address;
         let purpose = if self.progress.broken_upstreams > 0 {
             AttemptPurpose::AfterLoss
         } else {
@@ -424,24 +445,24 @@
         let target = ShardTarget {
             attempt,
             shard,
-            upstream,
+            upstream: upstream_address,
             purpose,
         };
-        shared.record_route(self.number, &target, choice);
+        shared.record_route(self.number, &target, route_choice);
         let new_batch = || self.new_batch(now);
-        shared.outbox.submit(choice.relay, target, new_batch);
+        shared.outbox.submit(route_choice.relay, target, new_batch);
     }
 
     /// Creates a batch without targets for the attempts sent to one relay.
     pub(super) fn new_batch(&self, now: Duration) -> SubmitBatch {
-        let remaining = self.params.results_deadline().saturating_sub(now);
+        let remaining_time = self.params.results_deadline().saturating_sub(now);
         SubmitBatch {
             query: self.number,
             class: self.request.class.clone(),
             organisation: self.request.organisation.clone(),
             index: self.route.index.clone(),
             version: self.route.version,
-            remaining_us: remaining.as_micros() as u64,
+            remaining_us: remaining_time.as_micros() as u64,
             fingerprint: self.fingerprint,
             idempotent: self.params.idempotent,
             key: self.request.key,
@@ -457,7 +478,7 @@
         now: Duration,
     ) -> Option<QueryOutcome> {
         let completion = QueryCompletion::evaluate(&self.params, &self.gather, self.progress, now)?;
-        self.cancel_outstanding(shared);
+        self.cancel_attempts_in_flight(shared);
         Some(completion.into_outcome(self, shared, now))
     }
 }
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -15,16 +15,22 @@
 /// An event: the outcome of one of the attempts sent so far, the passage of time, or a broken link.
 #[derive(Debug, Clone)]
 enum Step {
-    Deliver { pick: usize, kind: u8 },
+    Deliver { attempt_index: usize, kind: u8 },
     Advance { millis: u64 },
     LinkDown { vm: u8 },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let deliver = (0..64_usize, 0..10_u8).prop_map(|(pick, kind)| Step::Deliver { pick, kind });
+    let deliver = (0..64_usize, 0..10_u8).prop_map(|(attempt_index, kind)| Step::Deliver {
+        attempt_index,
+        kind,
+    });
     let advance = (1..60_u64).prop_map(|millis| Step::Advance { millis });
-    let down = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
-    prop::collection::vec(prop_oneof![12 => deliver, 2 => advance, 1 => down], 1..60)
+    let link_down = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
+    prop::collection::vec(
+        prop_oneof![12 => deliver, 2 => advance, 1 => link_down],
+        1..60,
+    )
 }
 
 fn config() -> Config {
@@ -65,16 +71,16 @@
     sent: Vec<SentAttempt>,
     /// For each attempt, whether it may have run.
     may_have_run: Vec<bool>,
-    delivered: Vec<bool>,
+    has_verdict: Vec<bool>,
 }
 
 impl Observed {
     fn record_sent(&mut self, fixture: &mut EntryFixture) {
-        for attempt in fixture.take_sent() {
+        for attempt in fixture.take_sent_attempts() {
             self.sent.push(attempt);
             // An attempt that was sent may run until it is explicitly refused.
             self.may_have_run.push(true);
-            self.delivered.push(false);
+            self.has_verdict.push(false);
         }
     }
 }
@@ -84,23 +90,26 @@
     observed.record_sent(fixture);
     for step in steps {
         match *step {
-            Step::Deliver { pick, kind } => {
+            Step::Deliver {
+                attempt_index,
+                kind,
+            } => {
                 if observed.sent.is_empty() {
                     continue;
                 }
-                let pick = pick % observed.sent.len();
-                let attempt = observed.sent[pick].clone();
+                let attempt_index = attempt_index % observed.sent.len();
+                let attempt = observed.sent[attempt_index].clone();
                 let verdict = verdict(&attempt, kind);
-                let refused = matches!(
+                let is_refused = matches!(
                     verdict,
                     ShardVerdict::NotRun(_)
                         | ShardVerdict::VersionGone { .. }
                         | ShardVerdict::Moved { .. }
                 );
                 // Only the first verdict of an attempt counts; later ones are duplicates.
-                if !observed.delivered[pick] && !fixture.finished.contains_key(&query) {
-                    observed.delivered[pick] = true;
-                    observed.may_have_run[pick] = !refused;
+                if !observed.has_verdict[attempt_index] && !fixture.finished.contains_key(&query) {
+                    observed.has_verdict[attempt_index] = true;
+                    observed.may_have_run[attempt_index] = !is_refused;
                 }
                 fixture.deliver(&attempt, verdict);
             }
@@ -111,7 +120,7 @@
                 fixture.core.link_down(fixture.now, vm, unsent);
                 fixture.run_actions();
                 for (number, attempt) in observed.sent.iter().enumerate() {
-                    observed.delivered[number] |= attempt.vm == vm;
+                    observed.has_verdict[number] |= attempt.vm == vm;
                 }
             }
         }
@@ -125,17 +134,18 @@
 fn check_truth(outcome: &QueryOutcome, observed: &Observed) {
     match outcome {
         Ok(answer) => {
-            let missing = answer.coverage.missing.iter().map(|shard| shard.0);
-            let missing: Vec<u32> = missing.collect();
-            let answered = (0..SHARDS as u32).filter(|shard| !missing.contains(shard));
-            let expected =
-                answered.map(|shard| format!(r#"{{"rows":["{shard}@{}"]}}"#, answer.snapshot));
+            let missing_numbers = answer.coverage.missing.iter().map(|shard| shard.0);
+            let missing_shards: Vec<u32> = missing_numbers.collect();
+            let answered_shards =
+                (0..SHARDS as u32).filter(|shard| !missing_shards.contains(shard));
+            let expected_bodies = answered_shards
+                .map(|shard| format!(r#"{{"rows":["{shard}@{}"]}}"#, answer.snapshot));
             let bodies = answer
                 .bodies
                 .iter()
                 .map(|body| String::from_utf8_lossy(body).into());
             let bodies: Vec<String> = bodies.collect();
-            expect_that!(bodies, eq(&expected.collect::<Vec<String>>()));
+            expect_that!(bodies, eq(&expected_bodies.collect::<Vec<String>>()));
             expect_that!(answer.coverage.answered as usize, eq(bodies.len()));
             expect_that!(answer.coverage.total as usize, eq(SHARDS));
         }
@@ -180,8 +190,8 @@
         let may_have_run = observed.may_have_run.iter().filter(|run| **run).count();
         prop_assert!(may_have_run <= 1, "{} attempts may have run", may_have_run);
         if let Err(refusal) = fixture.outcome(query) {
-            let not_run = refusal.ran == RunState::NotRun;
-            prop_assert!(!not_run || may_have_run == 0, "{}", refusal);
+            let is_not_run = refusal.ran == RunState::NotRun;
+            prop_assert!(!is_not_run || may_have_run == 0, "{}", refusal);
         }
     });
 }
--- a/crates/ebonyfork/src/entry/settle.rs
+++ b/crates/ebonyfork/src/entry/settle.rs
@@ -29,9 +29,9 @@
         verdict: ShardVerdict,
         times: OutcomeTimes,
     ) -> Option<QueryOutcome> {
-        let closed = self.close_attempt(attempt)?;
-        self.record_statistics(shared, now, closed, &verdict, times);
-        let slot = closed.slot as usize;
+        let closed_attempt = self.close_attempt(attempt)?;
+        self.record_statistics(shared, now, closed_attempt, &verdict, times);
+        let slot = closed_attempt.slot as usize;
         if !matches!(verdict, ShardVerdict::Rows { .. }) {
             shared.record_failed_attempt(|| FailedAttempt {
                 query: self.number,
@@ -49,8 +49,8 @@
                 self.gather
                     .slot_mut(slot)
                     .excluded_replicas
-                    .push(closed.replica);
-                self.resend(shared, now, slot);
+                    .push(closed_attempt.replica);
+                self.resend_shard(shared, now, slot);
                 if self.gather.slots()[slot].status() == ShardStatus::Lost {
                     self.replan(shared, now, newest);
                 }
@@ -61,18 +61,18 @@
                 shard.service = service;
                 shard.excluded_replicas.clear();
                 shard.excluded_relays.clear();
-                self.resend(shared, now, slot);
+                self.resend_shard(shared, now, slot);
             }
             ShardVerdict::NotRun(reason) => {
-                self.handle_not_run(shared, now, closed, reason);
+                self.handle_not_run(shared, now, closed_attempt, reason);
             }
             ShardVerdict::Failed { ran, reason } => {
-                self.handle_failure(shared, now, closed, ran, reason);
+                self.handle_failure(shared, now, closed_attempt, ran, reason);
             }
         }
         if self.progress.broken_upstreams < BROKEN_UPSTREAM_LIMIT {
             self.advance_canary(shared, now);
-            self.resume_deferred(shared, now);
+            self.resume_deferred_shards(shared, now);
         }
         self.check_completion(shared, now)
     }
@@ -108,20 +108,21 @@
         &self,
         shared: &mut SharedState,
         now: Duration,
-        closed: AttemptRecord,
+        closed_attempt: AttemptRecord,
         verdict: &ShardVerdict,
         times: OutcomeTimes,
     ) {
-        let elapsed = now.saturating_sub(closed.sent);
-        let health = &mut shared.directory.replicas[closed.replica].health;
+        let time_in_flight = now.saturating_sub(closed_attempt.sent);
+        let health = &mut shared.directory.replicas[closed_attempt.replica].health;
         health.record_outcome(now);
         match verdict {
             ShardVerdict::Rows { .. } => {
-                health.record_success(times.served);
-                let round_trip = elapsed.saturating_sub(times.waited + times.served);
-                shared.directory.relays[closed.relay].record_round_trip(round_trip);
-                let service = self.gather.slots()[closed.slot as usize].service;
-                let lateness = elapsed.saturating_sub(closed.expected);
+                health.record_success(times.upstream_time);
+                let round_trip =
+                    time_in_flight.saturating_sub(times.queue_time + times.upstream_time);
+                shared.directory.relays[closed_attempt.relay].record_round_trip(round_trip);
+                let service = self.gather.slots()[closed_attempt.slot as usize].service;
+                let lateness = time_in_flight.saturating_sub(closed_attempt.expected_time);
                 shared.record_lateness(self.params.class, service, lateness);
             }
             ShardVerdict::NotRun(RefusalReason::Unreachable) => health.record_failure(now),
@@ -152,10 +153,10 @@
     ) {
         if !self.gather.accept(slot, version, body) {
             // Rows of another version are never accepted; the shard is requested again if it still lacks rows.
-            self.retry(shared, now, slot);
+            self.retry_shard(shared, now, slot);
             return;
         }
-        if self.gather.slots()[slot].in_flight == 0 {
+        if self.gather.slots()[slot].attempts_in_flight == 0 {
             return;
         }
         for number in 0..self.attempts.len() {
@@ -170,22 +171,22 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        closed: AttemptRecord,
+        closed_attempt: AttemptRecord,
         reason: RefusalReason,
     ) {
         self.progress.refusal = Some(reason);
-        let slot = self.gather.slot_mut(closed.slot as usize);
+        let slot = self.gather.slot_mut(closed_attempt.slot as usize);
         match reason {
             RefusalReason::NotOwner | RefusalReason::NotReady | RefusalReason::LinkDown => {
-                slot.excluded_relays.push(closed.relay);
+                slot.excluded_relays.push(closed_attempt.relay);
             }
             RefusalReason::Expired | RefusalReason::Quarantined => {
-                self.mark_lost_if_idle(closed.slot as usize);
+                self.mark_shard_lost_if_idle(closed_attempt.slot as usize);
                 return;
             }
-            _ => slot.excluded_replicas.push(closed.replica),
+            _ => slot.excluded_replicas.push(closed_attempt.replica),
         }
-        self.resend(shared, now, closed.slot as usize);
+        self.resend_shard(shared, now, closed_attempt.slot as usize);
     }
 
     /// Handles an attempt that failed and may have run.
@@ -193,7 +194,7 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        closed: AttemptRecord,
+        closed_attempt: AttemptRecord,
         ran: RunState,
         reason: FailureReason,
     ) {
@@ -207,23 +208,23 @@
             shared.known_requests.remove(self.fingerprint);
             shared.last_upstream_loss = Some(now);
         }
-        let slot = self.gather.slot_mut(closed.slot as usize);
+        let slot = self.gather.slot_mut(closed_attempt.slot as usize);
         if reason == FailureReason::LinkDown {
-            slot.excluded_relays.push(closed.relay);
+            slot.excluded_relays.push(closed_attempt.relay);
         } else {
-            slot.excluded_replicas.push(closed.replica);
+            slot.excluded_replicas.push(closed_attempt.replica);
         }
         // The loss of a relay fails many attempts at once and is no evidence against the upstreams, so the resends are
         // not charged to the budget. The extra load is bounded by the attempts that were in flight there.
-        let relay_gone = reason == FailureReason::LinkDown && self.params.idempotent;
-        if ran == RunState::NotRun || relay_gone {
-            self.resend(shared, now, closed.slot as usize);
+        let relay_lost = reason == FailureReason::LinkDown && self.params.idempotent;
+        if ran == RunState::NotRun || relay_lost {
+            self.resend_shard(shared, now, closed_attempt.slot as usize);
         } else if reason == FailureReason::Broken
-            && self.defer_shard(shared, now, closed.slot as usize)
+            && self.defer_shard(shared, now, closed_attempt.slot as usize)
         {
             // The shard stays open without an attempt in flight until `resume_deferred`.
         } else {
-            self.retry(shared, now, closed.slot as usize);
+            self.retry_shard(shared, now, closed_attempt.slot as usize);
         }
     }
 
@@ -233,57 +234,59 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        available: SnapshotVersion,
+        available_version: SnapshotVersion,
     ) {
-        let pinned = self.gather.version();
+        let pinned_version = self.gather.version();
         let index = self.route.index.clone();
-        shared.routes.avoid_version(&index, pinned, now);
+        shared.routes.avoid_version(&index, pinned_version, now);
         let any_may_have_run = self.progress.ran || self.progress.may_have_run;
         if self.progress.replanned || (!self.params.idempotent && any_may_have_run) {
             return;
         }
-        let time_left = self.params.finish_by.saturating_sub(now);
+        let time_left = self.params.final_deadline.saturating_sub(now);
         if time_left < self.params.total_time() / REPLAN_TIME_DIVISOR {
             return;
         }
         let SharedState {
             routes, directory, ..
         } = &mut *shared;
-        let Some(route) = routes.find_alternative(&index, directory, pinned, available) else {
+        let Some(route) =
+            routes.find_alternative_version(&index, directory, pinned_version, available_version)
+        else {
             return;
         };
-        self.cancel_outstanding(shared);
+        self.cancel_attempts_in_flight(shared);
         self.progress.replanned = true;
         shared.decision_counts[self.params.class].replans += 1;
         self.route = route;
         self.canary = None;
-        self.plan(shared, now);
+        self.plan_attempts(shared, now);
         let canary = self.pick_canary(shared, now);
-        self.dispatch(shared, now, canary);
+        self.send_first_attempts(shared, now, canary);
     }
 
     /// Sends another attempt after one that may have run, if the query is idempotent and the budget allows it.
-    pub(super) fn retry(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
+    pub(super) fn retry_shard(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
         if self.gather.slots()[slot].status() != ShardStatus::Open {
             return;
         }
-        let in_flight = self.gather.slots()[slot].in_flight > 0;
-        if self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || in_flight {
+        let has_attempt_in_flight = self.gather.slots()[slot].attempts_in_flight > 0;
+        if self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || has_attempt_in_flight {
             return;
         }
         if !self.params.idempotent
             || !shared.try_withdraw_attempt(now, self.params.class, AttemptUrgency::Urgent)
         {
-            self.mark_lost_if_idle(slot);
+            self.mark_shard_lost_if_idle(slot);
             return;
         }
         self.send_next_attempt(shared, now, slot);
     }
 
     /// Sends another attempt after one that was not run.
-    pub(super) fn resend(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
-        let state = &self.gather.slots()[slot];
-        if state.status() != ShardStatus::Open || state.in_flight > 0 {
+    pub(super) fn resend_shard(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
+        let shard_slot = &self.gather.slots()[slot];
+        if shard_slot.status() != ShardStatus::Open || shard_slot.attempts_in_flight > 0 {
             return;
         }
         self.send_next_attempt(shared, now, slot);
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -16,7 +16,11 @@
 
 impl QueryRun {
     /// Handles a due timer: hedges stragglers and returns the outcome if a deadline has passed.
-    pub(super) fn wake(&mut self, shared: &mut SharedState, now: Duration) -> Option<QueryOutcome> {
+    pub(super) fn handle_timer(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+    ) -> Option<QueryOutcome> {
         if let Some(outcome) = self.check_completion(shared, now) {
             return Some(outcome);
         }
@@ -56,62 +60,66 @@
                 AttemptUrgency::Ordinary => replica.health.record_overdue(now),
             }
         }
-        let elapsed = now.saturating_sub(attempt.sent);
+        let time_in_flight = now.saturating_sub(attempt.sent);
         let urgency = attempt.urgency;
-        attempt.straggler_check_at = now + (elapsed / 4).max(MIN_RECHECK_INTERVAL);
+        attempt.straggler_check_at = now + (time_in_flight / 4).max(MIN_RECHECK_INTERVAL);
         self.next_straggler_check = self.next_straggler_check.min(attempt.straggler_check_at);
         let slot = attempt.slot as usize;
         if let Some(canary) = &mut self.canary {
             // The requests to all other shards wait for the canary.
             canary.overdue_checks += 1;
-            self.hedge(shared, now, slot, elapsed, AttemptUrgency::Urgent);
+            self.send_hedge(shared, now, slot, time_in_flight, AttemptUrgency::Urgent);
             self.advance_canary(shared, now);
             return;
         }
-        self.hedge(shared, now, slot, elapsed, urgency);
+        self.send_hedge(shared, now, slot, time_in_flight, urgency);
     }
 
     /// Returns the time at which the run needs its next timer.
     pub(super) fn next_wake(&self, now: Duration) -> Duration {
-        let mut next = self.params.finish_by.min(self.next_straggler_check);
-        if self.params.answer_by > now {
-            next = next.min(self.params.answer_by);
+        let mut next_wake = self.params.final_deadline.min(self.next_straggler_check);
+        if self.params.answer_deadline > now {
+            next_wake = next_wake.min(self.params.answer_deadline);
         }
-        next.max(now + MIN_WAKE_INTERVAL)
+        next_wake.max(now + MIN_WAKE_INTERVAL)
     }
 
     /// Sends a hedge for the only attempt in flight at a shard, if it is likely to bring the rows sooner.
-    pub(super) fn hedge(
+    pub(super) fn send_hedge(
         &mut self,
         shared: &mut SharedState,
         now: Duration,
         slot: usize,
-        elapsed: Duration,
+        time_in_flight: Duration,
         urgency: AttemptUrgency,
     ) {
-        let state = &self.gather.slots()[slot];
-        let single_attempt = state.status() == ShardStatus::Open && state.in_flight == 1;
-        if !single_attempt || !self.params.idempotent || !shared.switches.hedge {
+        let shard_slot = &self.gather.slots()[slot];
+        let has_single_attempt =
+            shard_slot.status() == ShardStatus::Open && shard_slot.attempts_in_flight == 1;
+        if !has_single_attempt || !self.params.idempotent || !shared.switches.hedge {
             return;
         }
         // If most shards are still open, the cause is load rather than a straggler.
         if self.canary.is_none() && self.gather.open() > (self.gather.total() / 2).max(1) {
             return;
         }
-        let Some(choice) = self.choose(shared, now, slot, false) else {
+        let Some(route_choice) = self.choose_shard_route(shared, now, slot, false) else {
             return;
         };
         // An attempt that has been in flight for some time is likely to take as long again. A hedge is worth its load
         // only if it is expected to finish sooner than that; if the other replica has a long queue too, a hedge only
         // lengthens it.
-        let too_slow = choice.expected > elapsed;
-        let too_late = now + choice.expected > self.params.results_deadline();
-        if too_slow || too_late || !shared.try_withdraw_attempt(now, self.params.class, urgency) {
+        let hedge_too_slow = route_choice.expected_time > time_in_flight;
+        let hedge_too_late = now + route_choice.expected_time > self.params.results_deadline();
+        if hedge_too_slow
+            || hedge_too_late
+            || !shared.try_withdraw_attempt(now, self.params.class, urgency)
+        {
             return;
         }
-        shared.directory.replicas[choice.replica]
+        shared.directory.replicas[route_choice.replica]
             .health
             .record_submit(now);
-        self.send(shared, now, slot, choice, AttemptPurpose::Hedge);
+        self.send_attempt(shared, now, slot, route_choice, AttemptPurpose::Hedge);
     }
 }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -37,14 +37,14 @@
         request: &QueryRequest,
         route: &RouteTable,
     ) -> std::ops::Range<u32> {
-        let total = route.shards.len() as u32;
+        let shard_count = route.shards.len() as u32;
         match self {
-            Self::All => 0..total,
-            Self::One if total == 0 => 0..0,
+            Self::All => 0..shard_count,
+            Self::One if shard_count == 0 => 0..0,
             Self::One => {
                 let record = request.record.as_deref().unwrap_or_default();
                 let hash = xxhash_rust::xxh3::xxh3_64(record.as_bytes());
-                let shard = (hash % u64::from(total)) as u32;
+                let shard = (hash % u64::from(shard_count)) as u32;
                 shard..shard + 1
             }
         }
@@ -61,19 +61,19 @@
     /// Whether latency or coverage takes precedence when the target can't be met in full.
     pub priority: TargetPriority,
     /// Latency target of the class, or the caller's deadline if that is shorter.
-    pub latency: Duration,
+    pub latency_target: Duration,
     /// Percentile of queries that must meet the latency target, in per cent.
-    pub percentile: f64,
+    pub latency_percentile: f64,
     /// Coverage target, 0 to 1.
-    pub coverage: f64,
+    pub coverage_target: f64,
     /// Whether an attempt may be run more than once.
     pub idempotent: bool,
     /// When the query was accepted.
-    pub started: Duration,
+    pub started_at: Duration,
     /// When a class that puts latency first answers with the rows received so far.
-    pub answer_by: Duration,
+    pub answer_deadline: Duration,
     /// When the query completes regardless of what has been received.
-    pub finish_by: Duration,
+    pub final_deadline: Duration,
 }
 
 impl QueryParams {
@@ -84,25 +84,25 @@
         deadline: Option<Duration>,
         now: Duration,
     ) -> Self {
-        let bound = deadline.map_or(target.bound, |d| d.min(target.bound));
-        let latency = target.latency.min(bound);
+        let time_bound = deadline.map_or(target.bound, |d| d.min(target.bound));
+        let latency_target = target.latency.min(time_bound);
         Self {
             class,
             scope: target.scope,
             priority: target.priority,
-            latency,
-            percentile: target.percentile,
-            coverage: target.coverage,
+            latency_target,
+            latency_percentile: target.percentile,
+            coverage_target: target.coverage,
             idempotent: target.idempotent,
-            started: now,
-            answer_by: now + subtract_return_margin(latency),
-            finish_by: now + subtract_return_margin(bound),
+            started_at: now,
+            answer_deadline: now + subtract_return_margin(latency_target),
+            final_deadline: now + subtract_return_margin(time_bound),
         }
     }
 
     /// Returns the time between the start of the query and its final deadline.
     pub fn total_time(&self) -> Duration {
-        self.finish_by.saturating_sub(self.started)
+        self.final_deadline.saturating_sub(self.started_at)
     }
 
     /// Predicts the queue wait and the unloaded time of the slowest shard that counts, from the routes chosen for a
@@ -111,33 +111,46 @@
     /// A latency-first class answers once the shards that its coverage target needs have answered, so only those count;
     /// a coverage-first class waits for all shards. Up to a quarter of the shards is ignored if they are outliers, so
     /// that one overloaded service does not cause all queries to be refused.
-    pub(super) fn predict(&self, total: u32, plan: &mut [PlannedAttempt]) -> (Duration, Duration) {
-        plan.sort_unstable_by_key(|planned| planned.choice.expected);
-        let required = match self.priority {
-            TargetPriority::LatencyFirst => (f64::from(total) * self.coverage).ceil() as usize,
-            TargetPriority::CoverageFirst => plan.len(),
+    pub(super) fn predict(
+        &self,
+        shard_count: u32,
+        planned_attempts: &mut [PlannedAttempt],
+    ) -> (Duration, Duration) {
+        planned_attempts
+            .sort_unstable_by_key(|planned_attempt| planned_attempt.route_choice.expected_time);
+        let required_count = match self.priority {
+            TargetPriority::LatencyFirst => {
+                (f64::from(shard_count) * self.coverage_target).ceil() as usize
+            }
+            TargetPriority::CoverageFirst => planned_attempts.len(),
         };
-        let mut last = required.clamp(1, plan.len().max(1)) - 1;
-        for _ in 0..total as usize / OUTLIER_SHARD_DIVISOR {
-            let Some(planned) = plan.get(last) else {
+        let mut last_index = required_count.clamp(1, planned_attempts.len().max(1)) - 1;
+        for _ in 0..shard_count as usize / OUTLIER_SHARD_DIVISOR {
+            let Some(planned_attempt) = planned_attempts.get(last_index) else {
                 break;
             };
-            if last == 0 || planned.choice.expected < self.latency * OUTLIER_LATENCY_FACTOR {
+            if last_index == 0
+                || planned_attempt.route_choice.expected_time
+                    < self.latency_target * OUTLIER_LATENCY_FACTOR
+            {
                 break;
             }
-            last -= 1;
+            last_index -= 1;
         }
-        let planned = plan.get(last);
-        planned.map_or((Duration::ZERO, Duration::ZERO), |planned| {
-            (planned.choice.wait, planned.choice.unloaded_time())
+        let planned_attempt = planned_attempts.get(last_index);
+        planned_attempt.map_or((Duration::ZERO, Duration::ZERO), |planned_attempt| {
+            (
+                planned_attempt.route_choice.queue_wait,
+                planned_attempt.route_choice.unloaded_time(),
+            )
         })
     }
 
     /// Returns the time until which rows are still useful; sent to upstreams as the deadline.
     pub fn results_deadline(&self) -> Duration {
         match (self.priority, self.scope) {
-            (TargetPriority::LatencyFirst, ClassScope::All) => self.answer_by,
-            _ => self.finish_by,
+            (TargetPriority::LatencyFirst, ClassScope::All) => self.answer_deadline,
+            _ => self.final_deadline,
         }
     }
 }
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -30,7 +30,7 @@
     /// Position of the shard in the gather.
     pub(super) slot: u32,
     /// The chosen route.
-    pub(super) choice: RouteChoice,
+    pub(super) route_choice: RouteChoice,
 }
 
 /// State shared by all queries of an entry.
@@ -48,7 +48,7 @@
     /// When an upstream connection last broke during an attempt.
     pub(super) last_upstream_loss: Option<Duration>,
     /// Scratch space for the routes chosen for the query that is being planned.
-    pub(super) plan: Vec<PlannedAttempt>,
+    pub(super) planned_attempts: Vec<PlannedAttempt>,
     pub(super) lateness_by_service: FxHashMap<(ClassId, ServiceId), LatenessHistogram>,
     pub(super) lateness_by_class: SecondaryMap<ClassId, LatenessHistogram>,
     /// Whether decisions are collected for the decision log.
@@ -71,7 +71,7 @@
             budget: AttemptBudget::default(),
             known_requests: KnownRequests::default(),
             last_upstream_loss: None,
-            plan: Vec::new(),
+            planned_attempts: Vec::new(),
             lateness_by_service: FxHashMap::default(),
             lateness_by_class: SecondaryMap::new(),
             log_decisions: false,
@@ -86,14 +86,14 @@
         &self,
         class: ClassId,
         service: ServiceId,
-        expected: Duration,
+        expected_time: Duration,
     ) -> Duration {
-        let by_service = self
+        let service_histogram = self
             .lateness_by_service
             .get(&(class, service))
             .filter(|m| m.has_enough_samples());
-        let histogram = by_service.unwrap_or(&self.lateness_by_class[class]);
-        histogram.hedge_delay(expected)
+        let histogram = service_histogram.unwrap_or(&self.lateness_by_class[class]);
+        histogram.hedge_delay(expected_time)
     }
 
     /// Records how much later than expected rows arrived.
@@ -109,21 +109,26 @@
     }
 
     /// Collects a routing decision for the decision log.
-    pub(super) fn record_route(&mut self, query: u64, target: &ShardTarget, choice: RouteChoice) {
+    pub(super) fn record_route(
+        &mut self,
+        query: u64,
+        target: &ShardTarget,
+        route_choice: RouteChoice,
+    ) {
         if !self.log_decisions {
             return;
         }
-        let route = RouteDecision {
+        let decision = RouteDecision {
             query,
             attempt: target.attempt,
             shard: target.shard,
             upstream: target.upstream,
-            relay: self.directory.relays[choice.relay].vm,
-            standby: choice.standby,
+            relay: self.directory.relays[route_choice.relay].vm,
+            uses_standby: route_choice.uses_standby,
             purpose: target.purpose,
-            reason: choice.reason,
+            reason: route_choice.reason,
         };
-        self.pending_decisions.push(EntryDecision::Route(route));
+        self.pending_decisions.push(EntryDecision::Route(decision));
     }
 
     /// Collects an attempt without rows for the decision log.
@@ -141,26 +146,26 @@
         class: ClassId,
         urgency: AttemptUrgency,
     ) -> bool {
-        let granted = self.budget.try_withdraw(now, urgency);
-        self.decision_counts[class].denied += u64::from(!granted);
-        granted
+        let is_granted = self.budget.try_withdraw(now, urgency);
+        self.decision_counts[class].denied += u64::from(!is_granted);
+        is_granted
     }
 
     /// Adds random jitter to a retry-after, so that callers refused together do not retry together.
-    pub(super) fn jitter_retry_after(&mut self, after: Duration) -> Duration {
-        let factor = self.rng.random_range(1.0..1.5);
-        after.max(MIN_RETRY_AFTER).mul_f64(factor)
+    pub(super) fn jitter_retry_after(&mut self, retry_after: Duration) -> Duration {
+        let jitter_factor = self.rng.random_range(1.0..1.5);
+        retry_after.max(MIN_RETRY_AFTER).mul_f64(jitter_factor)
     }
 
     /// Returns the retry-after of a refused query: the time until the longest backlog among its replicas has drained.
     pub(super) fn retry_after(&mut self, run: &QueryRun, now: Duration) -> Duration {
-        let mut longest = Duration::ZERO;
+        let mut longest_wait = Duration::ZERO;
         for slot in run.gather.slots() {
             for replica in self.directory.replicas_of(slot.service) {
                 let health = &self.directory.replicas[replica].health;
-                longest = longest.max(health.expected_wait(now));
+                longest_wait = longest_wait.max(health.expected_wait(now));
             }
         }
-        self.jitter_retry_after(longest)
+        self.jitter_retry_after(longest_wait)
     }
 }
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -41,31 +41,35 @@
         if gather.answered() == gather.total() {
             return Some(Self::Answer);
         }
-        let quarantined = progress.refusal == Some(RefusalReason::Quarantined);
-        if progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || quarantined {
+        let is_quarantined = progress.refusal == Some(RefusalReason::Quarantined);
+        if progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || is_quarantined {
             return Some(Self::TargetUnreachable);
         }
-        let share = f64::from(gather.answered()) / f64::from(gather.total());
-        let enough = match params.priority {
+        let answered_share = f64::from(gather.answered()) / f64::from(gather.total());
+        let has_enough_shards = match params.priority {
             TargetPriority::LatencyFirst => gather.answered() > 0,
-            TargetPriority::CoverageFirst => share >= params.coverage,
+            TargetPriority::CoverageFirst => answered_share >= params.coverage_target,
         };
         if gather.open() == 0 {
-            return Some(if enough {
+            return Some(if has_enough_shards {
                 Self::Answer
             } else {
                 Self::TargetUnreachable
             });
         }
-        let coverage_first = params.priority == TargetPriority::CoverageFirst;
-        if coverage_first && gather.reachable_coverage() < params.coverage {
+        let is_coverage_first = params.priority == TargetPriority::CoverageFirst;
+        if is_coverage_first && gather.reachable_coverage() < params.coverage_target {
             return Some(Self::TargetUnreachable);
         }
-        if !coverage_first && enough && now >= params.answer_by {
+        if !is_coverage_first && has_enough_shards && now >= params.answer_deadline {
             return Some(Self::Answer);
         }
-        if now >= params.finish_by {
-            return Some(if enough { Self::Answer } else { Self::Deadline });
+        if now >= params.final_deadline {
+            return Some(if has_enough_shards {
+                Self::Answer
+            } else {
+                Self::Deadline
+            });
         }
         None
     }
@@ -78,34 +82,34 @@
         now: Duration,
     ) -> QueryOutcome {
         if self == Self::Answer {
-            return Ok(answer(run, shared));
+            return Ok(build_answer(run, shared));
         }
-        let ran = run_state(run.progress);
-        let code = self.code(run.progress, ran);
+        let run_state = run_state(run.progress);
+        let refusal_code = self.refusal_code(run.progress, run_state);
         let coverage = run.gather.coverage();
         let message = match self {
             Self::Deadline => format_compact!("{coverage} shards answered in time"),
             _ => format_compact!("{coverage} shards answered, and no other replica can bring more"),
         };
-        let refusal = QueryRefusal::new(code, ran, message);
+        let refusal = QueryRefusal::new(refusal_code, run_state, message);
         // No retry-after for a quarantined request, which would be refused again, nor for an idempotency key whose
         // outcome is kept.
-        let retryable = run.params.idempotent || ran == RunState::NotRun;
-        if retryable && code != RefusalCode::Quarantined {
+        let is_retryable = run.params.idempotent || run_state == RunState::NotRun;
+        if is_retryable && refusal_code != RefusalCode::Quarantined {
             let retry_after = shared.retry_after(run, now);
             return Err(refusal.with_retry_after(retry_after));
         }
         Err(refusal)
     }
 
-    fn code(self, progress: QueryProgress, ran: RunState) -> RefusalCode {
+    fn refusal_code(self, progress: QueryProgress, run_state: RunState) -> RefusalCode {
         if progress.refusal == Some(RefusalReason::Quarantined) {
             return RefusalCode::Quarantined;
         }
         if self == Self::Deadline {
             return RefusalCode::Deadline;
         }
-        if ran != RunState::NotRun {
+        if run_state != RunState::NotRun {
             return RefusalCode::UpstreamFailed;
         }
         match progress.refusal {
@@ -128,17 +132,17 @@
 
 /// Returns the id by which the caller knows a query: its own id if it sent one, else the generated one.
 pub(super) fn query_id(run: &QueryRun, shared: &SharedState) -> CompactString {
-    let generated = || {
+    let generate_id = || {
         let id = QueryId {
             session: shared.session,
             number: run.number,
         };
         id.to_compact_string()
     };
-    run.request.caller_id.clone().unwrap_or_else(generated)
+    run.request.caller_id.clone().unwrap_or_else(generate_id)
 }
 
-fn answer(run: &mut QueryRun, shared: &SharedState) -> QueryAnswer {
+fn build_answer(run: &mut QueryRun, shared: &SharedState) -> QueryAnswer {
     QueryAnswer {
         query: query_id(run, shared),
         snapshot: run.gather.version(),
