--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -27,8 +27,8 @@
 /// Longest deadline that a caller may set.
 const MAX_DEADLINE: Duration = Duration::from_hours(24);
 
-/// Builds a query from its class and headers. The service passes an empty selection first and adds the body once its size
-/// has been checked.
+/// Builds a query from the class in the request path, the headers and `selection`, the request body that selects the
+/// rows; refuses a malformed class or header. The size of `selection` is not checked.
 pub(super) fn read_query(
     class: &str,
     headers: &HeaderMap,
--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -14,6 +14,7 @@
 use crate::query::{QueryAnswer, QueryCoverage, QueryOutcome, QueryRefusal, RefusalCode};
 use crate::views::{NodeReadiness, view_channels};
 
+/// A running server, with the controls of its queries.
 struct CallerFixture {
     address: std::net::SocketAddr,
     stop: CancellationToken,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Starts a server whose query outcome can be set; queries of class `held` wait for the gate.
+/// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release` is notified.
 async fn serve() -> CallerFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -23,8 +23,11 @@
 };
 use crate::views::{NodeReadiness, NodeViews};
 
+/// Header that says whether any part of the query ran.
 const RUN_STATE_HEADER: HeaderName = HeaderName::from_static("x-ran");
+/// Header with the index version of the answer.
 const SNAPSHOT_HEADER: HeaderName = HeaderName::from_static("x-snapshot");
+/// Header with the numbers of answered and needed shards.
 const COVERAGE_HEADER: HeaderName = HeaderName::from_static("x-coverage");
 const JSON_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/json");
 const QUERY_PATH: &str = "/v1/query/";
@@ -112,6 +115,7 @@
             self.check_ready()?;
         }
         let (head, body) = request.into_parts();
+        // The selection is empty here and is set below, once the size of the body has been checked.
         let query = read_query(class, &head.headers, Bytes::new())?;
         let selection = read_selection(body).await?;
         let query = QueryRequest { selection, ..query };
@@ -214,8 +218,8 @@
 }
 
 fn insert_text(response: &mut Response<Full<Bytes>>, name: HeaderName, text: &str) {
-    // The values are valid: generated names and numbers are visible ASCII, and the caller's id was received in a
-    // header.
+    // Every value passed in is a valid header value: generated ids and numbers are visible ASCII, and the caller's id
+    // was received in a header.
     if let Ok(value) = HeaderValue::from_str(text) {
         response.headers_mut().insert(name, value);
     }
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -55,7 +55,8 @@
 }
 
 impl EntrySettings {
-    /// Creates the settings of the entry in process incarnation `own`, with default switches and without quarantine.
+    /// Creates the settings of the entry in process incarnation `session`, with default switches and without
+    /// quarantine.
     pub fn new(session: SessionId, zone: ZoneName, views: NodeViews) -> Self {
         Self {
             session,
@@ -174,15 +175,15 @@
             .unwrap_or_else(|_closed| Err(stopping_refusal(RunState::Unknown)))
     }
 
-    /// Passes on the outcomes reported by a relay.
+    /// Passes the outcomes reported by the relay in process incarnation `from` to the actor.
     pub async fn take_outcomes(&self, from: SessionId, batch: OutcomeBatch) {
         let report = RelayReport { vm: from.vm, batch };
         // The actor lives as long as this handle; if it has ended, so have its queries.
         drop(self.address.send(report).detach().await);
     }
 
-    /// Reports a broken link to a VM: the messages in `unsent` were not transmitted, other attempts in flight there may
-    /// have run.
+    /// Reports that the link to a VM broke: the messages in `unsent` were not transmitted, other attempts sent over the
+    /// link may have run.
     pub async fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
         drop(self.address.send(LinkDown { vm, unsent }).detach().await);
     }
@@ -202,7 +203,7 @@
     QueryRefusal::new(RefusalCode::Stopping, ran, "this VM is stopping")
 }
 
-/// Wakes the actor at the time that it requested last.
+/// Sends [`TimerFired`] to the actor at the time most recently published in `timer_updates`.
 async fn run_timer(
     address: Address<EntryActor, xtra::refcount::Weak>,
     mut timer_updates: watch::Receiver<Option<Instant>>,
@@ -230,25 +231,29 @@
     }
 }
 
+/// Asks the actor to run a query and to send its outcome to `reply`.
 struct StartQuery {
     request: QueryRequest,
     suspect: bool,
     reply: oneshot::Sender<QueryOutcome>,
 }
 
+/// Passes the outcomes reported by the relay on `vm` to the actor.
 struct RelayReport {
     vm: VmAddress,
     batch: OutcomeBatch,
 }
 
+/// Tells the actor that the link to `vm` broke, with the messages that were not transmitted.
 struct LinkDown {
     vm: VmAddress,
     unsent: VecDeque<PeerMessage>,
 }
 
-/// The time requested last has come.
+/// Tells the actor that its timer is due.
 struct TimerFired;
 
+/// A caller whose query is in flight.
 struct WaitingCaller {
     reply: oneshot::Sender<QueryOutcome>,
     class: crate::ident::ClassName,
@@ -269,7 +274,7 @@
     metrics_updated_at: Duration,
     /// When callers were last checked for disconnects.
     callers_checked_at: Duration,
-    /// When the actor is to be woken next.
+    /// Passes the time at which the actor must be woken next to the timer task.
     timer: watch::Sender<Option<Instant>>,
 }
 
@@ -309,7 +314,7 @@
         });
     }
 
-    /// Updates the decision metrics periodically, and whenever nothing is in flight.
+    /// Updates the decision metrics every [`METRICS_PERIOD`], and whenever no query is in flight.
     fn update_metrics(&mut self, now: Duration) {
         if now < self.metrics_updated_at + METRICS_PERIOD && self.core.in_flight() > 0 {
             return;
--- a/crates/ebonyfork/src/entry/actor_tests.rs
+++ b/crates/ebonyfork/src/entry/actor_tests.rs
@@ -11,6 +11,7 @@
 
 type SentMessages = Arc<Mutex<Vec<(VmAddress, PeerMessage)>>>;
 
+/// An entry whose messages are recorded instead of being sent.
 struct HandleFixture {
     handle: EntryHandle,
     sent_messages: SentMessages,
@@ -95,7 +96,7 @@
     });
     tokio::time::sleep(ms(1)).await;
     expect_that!(fixture.handle.in_flight(), eq(1));
-    // First the canary, then the other shards.
+    // The first round answers the canary, the second the attempts at the other three shards.
     for sent_count in [1, 3] {
         expect_that!(fixture.answer_all().await, eq(sent_count));
     }
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -1,8 +1,8 @@
 //! Admission control: refuses a query whose target can't be met before anything is sent.
 //!
 //! The queue wait of a query is predicted from the waits reported by the relays: it is the wait of the slowest shard
-//! that the coverage target needs. The wait may use what the class's latency leaves after the time that the query takes
-//! on idle upstreams. How much of the latency may be used depends on the organisation: nearly all for an organisation
+//! that the coverage target needs. The wait may use what the latency target leaves after the time that the query takes
+//! on idle upstreams. How much of the target may be used depends on the organisation: nearly all for an organisation
 //! that uses little, only half as much for one that uses more than its fair share. An organisation that overloads
 //! the upstreams thus leaves the queues short enough for the others to be admitted. A class that misses its target
 //! although its queries were admitted lowers its own limit.
@@ -15,17 +15,21 @@
 use super::terms::ClassId;
 use crate::ident::OrganisationName;
 
-/// Share of a class's latency, waiting included, that a query of a light organisation may take.
+/// Share of the latency target that the queue wait and the unloaded time of a query may take together if the usage of
+/// its organisation is [`OrganisationUsage::Light`].
 const LIGHT_LATENCY_SHARE: f64 = 0.8;
-/// Share of a class's latency, waiting included, that a query of an organisation near its fair share may take.
+/// Share of the latency target that the queue wait and the unloaded time of a query may take together if the usage of
+/// its organisation is [`OrganisationUsage::Fair`].
 const FAIR_LATENCY_SHARE: f64 = 0.65;
-/// Share of a class's latency, waiting included, that a query of a heavy organisation may take.
+/// Share of the latency target that the queue wait and the unloaded time of a query may take together if the usage of
+/// its organisation is [`OrganisationUsage::Heavy`].
 const HEAVY_LATENCY_SHARE: f64 = 0.4;
-/// Fraction of the fair share below which an organisation is light.
+/// Fraction of the fair share below which the usage of an organisation is [`OrganisationUsage::Light`].
 const LIGHT_USAGE_FACTOR: f64 = 0.5;
-/// Multiple of the fair share above which an organisation is heavy.
+/// Multiple of the fair share above which the usage of an organisation is [`OrganisationUsage::Heavy`].
 const HEAVY_USAGE_FACTOR: f64 = 1.5;
-/// An organisation whose recent usage is at most that of this many such queries is light.
+/// Number of queries, each as costly as the one to admit, up to whose total cost the usage of an organisation is
+/// [`OrganisationUsage::Light`].
 const LIGHT_QUERY_COUNT: f64 = 2.0;
 /// Time in which recorded usage loses half its weight.
 const USAGE_HALF_LIFE: Duration = Duration::from_secs(1);
@@ -33,22 +37,23 @@
 const IDLE_USAGE: f64 = 0.001;
 /// Interval at which idle organisations are dropped and the active ones counted.
 const ORGANISATION_COUNT_PERIOD: Duration = Duration::from_millis(250);
-/// Divisor of the latency that gives the least wait allowed, even if the unloaded time takes up all of the latency.
+/// Divisor of the latency target that gives the minimum allowed wait, which applies even if the unloaded time takes up
+/// the whole target.
 const MIN_WAIT_DIVISOR: u32 = 10;
 /// Number of queries admitted under load after which a class updates its limit.
 const LIMIT_UPDATE_QUERIES: u32 = 32;
-/// Lower bound of the factor on a class's limit.
+/// Lower bound of the limit factor of a class.
 const MIN_LIMIT_FACTOR: f64 = 0.3;
-/// Multiplier of the limit factor after too many misses.
+/// Multiplier of the limit factor after an update period in which too many queries missed their target.
 const LIMIT_DECREASE_FACTOR: f64 = 0.85;
-/// Increment of the limit factor otherwise.
+/// Increment of the limit factor after an update period in which enough queries met their target.
 const LIMIT_INCREASE_STEP: f64 = 0.05;
-/// Share of misses tolerated in addition to those that the percentile allows.
+/// Share of queries that may miss their target in addition to the share that the latency percentile allows.
 const MISS_TOLERANCE: f64 = 0.02;
 /// Divisor of the allowed wait that gives the wait above which a query counts as admitted under load.
 const LOADED_WAIT_DIVISOR: u32 = 4;
 
-/// A query that requests admission.
+/// The figures by which the admission of one query is decided.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionRequest<'a> {
     /// The query's class.
@@ -59,7 +64,7 @@
     pub latency_target: Duration,
     /// Predicted queue wait of the slowest shard that the coverage target needs.
     pub predicted_wait: Duration,
-    /// Expected time of that shard on an idle upstream, including the round trip.
+    /// Expected time of the request to that shard on an idle upstream, including the round trip.
     pub unloaded_time: Duration,
     /// Upstream time that the whole query takes, in seconds.
     pub cost: f64,
@@ -70,12 +75,13 @@
 pub enum AdmissionDecision {
     /// The query may be sent.
     Admitted {
-        /// Whether the predicted wait was a considerable part of the allowed wait.
+        /// Whether the predicted wait exceeds the allowed wait divided by `LOADED_WAIT_DIVISOR`.
         under_load: bool,
     },
     /// The query is refused.
     Refused {
-        /// Time until the backlog has drained far enough for the query to be admitted.
+        /// Time by which the predicted wait exceeds the allowed wait. After this time the backlog has drained far
+        /// enough for the query to be admitted.
         excess_wait: Duration,
     },
 }
@@ -83,11 +89,11 @@
 /// Usage of an organisation relative to its fair share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrganisationUsage {
-    /// It was idle or uses well below its fair share.
+    /// The organisation was idle or uses well below its fair share.
     Light,
-    /// It uses about its fair share.
+    /// The organisation uses about its fair share.
     Fair,
-    /// It uses well above its fair share.
+    /// The organisation uses well above its fair share.
     Heavy,
 }
 
@@ -113,11 +119,11 @@
 /// Adaptive limit of one class.
 #[derive(Debug, Clone, Copy)]
 struct ClassLimit {
-    /// Factor on the share of the latency that queries may take, at most 1.
+    /// Factor on the share of the latency target that queries may take, at most 1.
     factor: f64,
-    /// Queries admitted under load since the last update of the factor.
+    /// Number of queries admitted under load that completed since the last update of the factor.
     queries: u32,
-    /// Queries among these that missed their target.
+    /// Number of those queries that missed their target.
     misses: u32,
 }
 
@@ -191,7 +197,8 @@
         limit.misses = 0;
     }
 
-    /// Returns an organisation's usage relative to its fair share, before a query that costs `cost`.
+    /// Returns an organisation's usage relative to its fair share, without the next query, which takes `cost` seconds
+    /// of upstream time.
     pub fn usage(
         &self,
         now: Duration,
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -4,8 +4,8 @@
 //! replicas when its caller retries. With a canary it can take down at most two upstreams, at the first shard and then
 //! at another one, and never both replicas of a service.
 //!
-//! The price is the time of one shard request. A class whose latency is too short for that skips the canary, unless the
-//! request is suspected already or an upstream was lost recently.
+//! A canary delays the query by the time of one shard request. A query whose latency target is too short for that skips
+//! the canary, unless the request was in flight when an upstream was lost or any upstream was lost recently.
 
 use std::time::Duration;
 
@@ -18,13 +18,15 @@
 use crate::ident::RequestFingerprint;
 use crate::relay::AttemptPurpose;
 
-/// Number of requests remembered in each of two generations.
+/// Maximum number of fingerprints in each of the two generations of [`KnownRequests`].
 const KNOWN_REQUESTS_PER_GENERATION: usize = 8_192;
 /// Fewest shards of a query for which a canary is used.
 const MIN_CANARY_SHARDS: u32 = 3;
-/// Divisor of the class's latency that gives the time which canary and query may take together.
+/// Divisor of the latency target that gives the longest time which the canary and the requests to the other shards may
+/// be expected to take together.
 const CANARY_LATENCY_DIVISOR: u32 = 2;
-/// How long after the loss of an upstream every unknown request starts with a canary, even if the latency is short.
+/// How long after the loss of an upstream a request that is not in [`KnownRequests`] starts with a canary even if the
+/// latency target is too short for that.
 const LOSS_ALERT_DURATION: Duration = Duration::from_mins(1);
 /// Number of checks of an overdue canary after which the other shards are requested anyway. Silent upstreams must not
 /// hold up a query, and a request that crashes its upstream does so early.
@@ -98,8 +100,8 @@
         (has_time || has_recent_loss || self.suspect).then_some(*fastest_attempt)
     }
 
-    /// Requests the other shards once the canary's shard has answered or the canary has been overdue for long, or tries
-    /// another shard if the canary's shard is lost.
+    /// Requests the other shards once the canary's shard has answered or the canary has been overdue for
+    /// [`MAX_OVERDUE_CHECKS`] checks, or sends the canary to another shard if its shard is lost.
     pub(super) fn advance_canary(&mut self, shared: &mut SharedState, now: Duration) {
         let Some(canary) = self.canary else {
             return;
@@ -179,7 +181,7 @@
         self.canary = None;
     }
 
-    /// Requests all open shards that have no attempt in flight.
+    /// Ends the canary and requests all open shards that have no attempt in flight.
     fn send_held_back_attempts(&mut self, shared: &mut SharedState, now: Duration) {
         self.canary = None;
         for slot in 0..self.gather.slots().len() {
--- a/crates/ebonyfork/src/entry/canary_tests.rs
+++ b/crates/ebonyfork/src/entry/canary_tests.rs
@@ -6,6 +6,7 @@
 use crate::query::{QueryRequest, RefusalCode};
 use crate::relay::{FailureReason, RefusalReason, ShardVerdict};
 
+/// Returns a request that the entry has not seen before.
 fn unknown_request() -> QueryRequest {
     QueryRequest {
         selection: Bytes::from_static(b"never seen"),
@@ -13,6 +14,7 @@
     }
 }
 
+/// Returns the verdict on an attempt during which the connection to the upstream broke.
 fn broken_connection() -> ShardVerdict {
     ShardVerdict::Failed {
         ran: RunState::Unknown,
@@ -29,7 +31,7 @@
         broken_shards.push(attempt.shard);
         fixture.deliver(attempt, broken_connection());
     }
-    // Two upstreams, of different services.
+    // The request broke two upstreams, of different services, because each shard is held by a service of its own.
     expect_that!(broken_shards.len(), eq(2));
     expect_that!(broken_shards[0], not(eq(broken_shards[1])));
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
@@ -99,7 +101,8 @@
     fixture.run_actions();
     let suspect_attempts = fixture.take_sent_attempts();
     expect_that!(suspect_attempts.len(), eq(1));
-    // For a while after the loss of an upstream, every unknown request starts with a canary.
+    // One second after the loss of an upstream, a request that has not returned rows starts with a canary although the
+    // latency target is too short for that. After `LOSS_ALERT_DURATION` it is sent to all shards at once.
     fixture.deliver(&suspect_attempts[0], broken_connection());
     fixture.take_sent_attempts();
     for (passed_ms, sent_count) in [(1_000, 1), (60_000, 20)] {
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -16,11 +16,11 @@
 /// Why a replica was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ChoiceReason {
-    /// It was the only healthy replica.
+    /// The replica was the only healthy one.
     Only,
-    /// Its expected time was no longer than that of another replica drawn at random.
+    /// The replica's expected time was no longer than that of another replica drawn at random.
     Sooner,
-    /// It failed recently and is due for a probe.
+    /// The replica failed recently and is due for a probe.
     Probe,
     /// All replicas have failed recently.
     LastResort,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A chosen route.
+/// The replica and the relay chosen for one attempt, with the time that the attempt is expected to take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
     /// The chosen replica.
@@ -48,14 +48,15 @@
     pub reason: ChoiceReason,
     /// Whether the relay is the replica's standby rather than its primary.
     pub uses_standby: bool,
-    /// Part of the expected time that the request spends in the relay's queue.
+    /// Part of the expected time that the attempt spends in the relay's queue.
     pub queue_wait: Duration,
-    /// Expected time until the rows arrive.
+    /// Expected time from sending the attempt until its rows arrive.
     pub expected_time: Duration,
 }
 
 impl RouteChoice {
-    /// Returns the expected time on an idle upstream, including the round trip to the relay.
+    /// Returns the time that the attempt is expected to take on an idle upstream, including the round trip to the
+    /// relay.
     pub fn unloaded_time(&self) -> Duration {
         self.expected_time.saturating_sub(self.queue_wait)
     }
@@ -204,6 +205,7 @@
     health.expected_wait(now) + health.service_time(now) + round_trip
 }
 
+/// Returns the choice of a candidate, with its current expected times.
 fn build_route_choice(
     directory: &Directory,
     now: Duration,
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -31,7 +31,7 @@
 /// Retry-after sent to a caller whose index has no version yet.
 const NO_VERSION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Maximum number of completed runs kept for reuse of their allocations.
+/// Maximum number of runs of completed queries that are kept for reuse of their allocations.
 const RUN_POOL_LIMIT: usize = 64;
 
 /// An action that the entry requests in response to an event.
@@ -75,7 +75,7 @@
     config: Arc<DeclaredConfig>,
     class_ids: FxHashMap<ClassName, ClassId>,
     runs: FxHashMap<u64, Box<QueryRun>>,
-    /// Completed runs, kept for reuse of their allocations.
+    /// Runs of completed queries, kept for reuse of their allocations.
     #[expect(
         clippy::vec_box,
         reason = "runs move between here and the map without being copied"
@@ -166,6 +166,7 @@
         number
     }
 
+    /// Checks a request, pins an index version and returns the run of the query, or the refusal of the request.
     fn prepare_run(
         &mut self,
         now: Duration,
@@ -190,6 +191,7 @@
         Ok(run)
     }
 
+    /// Pins a version of the index of a class; returns a refusal if the index has no version.
     fn pin_version(
         &mut self,
         now: Duration,
@@ -205,6 +207,7 @@
         })
     }
 
+    /// Returns the id of a class, assigning one on first use.
     fn class_id(&mut self, name: &ClassName) -> ClassId {
         if let Some(&id) = self.class_ids.get(name) {
             return id;
@@ -350,7 +353,7 @@
         self.recycle_run(run);
     }
 
-    /// Returns a completed run to the pool for reuse of its allocations.
+    /// Puts the run of a completed query into the pool for reuse of its allocations.
     fn recycle_run(&mut self, mut run: Box<QueryRun>) {
         if self.run_pool.len() < RUN_POOL_LIMIT {
             run.request.selection = Bytes::new();
--- a/crates/ebonyfork/src/entry/core_tests.rs
+++ b/crates/ebonyfork/src/entry/core_tests.rs
@@ -75,7 +75,7 @@
         lost_attempts += u32::from(attempt.vm == lost_relay);
         fixture.deliver(&attempt, rows(17));
     }
-    // More attempts than the budget initially allows.
+    // The attempts lost with the relay outnumber the tokens that the attempt budget starts with.
     expect_that!(lost_attempts, gt(15));
     let answer = fixture.outcome(query).as_ref().unwrap();
     expect_that!(answer.coverage.answered, eq(60));
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -166,14 +166,14 @@
 /// Numbers of decisions made for one class, for the metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DecisionCounts {
-    /// First attempts.
+    /// Number of first attempts at a shard.
     pub first_attempts: u64,
-    /// Hedges.
+    /// Number of hedges.
     pub hedges: u64,
-    /// Attempts made after another one returned no rows.
+    /// Number of attempts made after another one returned no rows.
     pub retries: u64,
-    /// Hedges and retries that the budget did not allow.
+    /// Number of hedges and retries that the attempt budget did not allow.
     pub denied_attempts: u64,
-    /// Queries planned again at another version.
+    /// Number of queries planned again at another version.
     pub replans: u64,
 }
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -32,7 +32,7 @@
     pub(super) version: SnapshotVersion,
 }
 
-/// An entry core, with the actions that it has requested.
+/// An entry core with the attempts that it has sent and cancelled and the outcomes that it has returned.
 pub(super) struct EntryFixture {
     pub(super) core: EntryCore,
     pub(super) views: EntryViews,
@@ -240,7 +240,7 @@
         self.run_actions();
     }
 
-    /// Advances the time, running each timer that becomes due.
+    /// Advances the time to `end`, running each timer that becomes due.
     pub(super) fn advance(&mut self, end: Duration) {
         while let Some(wake_at) = self.core.next_wake() {
             if wake_at > end {
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -13,11 +13,11 @@
 /// Progress of one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShardStatus {
-    /// Its rows may still arrive.
+    /// The rows of the shard may still arrive.
     Open,
-    /// Its rows have been received.
+    /// The rows of the shard have been received.
     Answered,
-    /// No attempt in flight or planned can return its rows.
+    /// No attempt in flight or planned can return the rows of the shard.
     Lost,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Rows and shard states of one query.
+/// The shards that one query needs, with their states and the rows received.
 #[derive(Debug, Default)]
 pub struct ShardGather {
     version: SnapshotVersion,
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -31,7 +31,8 @@
 /// How urgent an attempt charged to the budget is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptUrgency {
-    /// Without the attempt a shard is lost: a retry, or a hedge of an attempt at a server that failed recently.
+    /// Without the attempt a shard may be lost or all shards held up: a retry, a hedge of a canary, or a hedge of an
+    /// attempt at a server that failed recently.
     Urgent,
     /// The attempt only brings the rows sooner.
     Ordinary,
@@ -54,7 +55,7 @@
 }
 
 impl AttemptBudget {
-    /// Credits the share of one first attempt.
+    /// Credits `TOKENS_PER_FIRST_ATTEMPT` tokens for one first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_FIRST_ATTEMPT).min(MAX_TOKENS);
     }
@@ -79,7 +80,7 @@
 
 /// Number of buckets of a [`LatenessHistogram`], four per doubling of the lateness.
 const BUCKET_COUNT: usize = 64;
-/// Upper bound of the first bucket, in microseconds.
+/// Upper bound of the first bucket of a [`LatenessHistogram`], in microseconds.
 const FIRST_BUCKET_BOUND_US: f64 = 250.0;
 
 /// Histogram of the lateness of rows, for one class or for one class and service.
@@ -118,7 +119,7 @@
         self.sample_count >= MIN_SAMPLES
     }
 
-    /// Returns the delay after which an attempt expected to take `expected` counts as a straggler.
+    /// Returns the delay after which an attempt expected to take `expected_time` counts as a straggler.
     pub fn hedge_delay(&self, expected_time: Duration) -> Duration {
         if !self.has_enough_samples() {
             return expected_time * 2 + DEFAULT_LATENESS;
@@ -135,6 +136,7 @@
     }
 }
 
+/// Returns the index of the bucket that counts a lateness.
 fn bucket_index(lateness: Duration) -> usize {
     let bound_ratio = lateness.as_micros() as f64 / FIRST_BUCKET_BOUND_US;
     if bound_ratio <= 1.0 {
@@ -143,6 +145,7 @@
     ((bound_ratio.log2() * 4.0).ceil() as usize).min(BUCKET_COUNT - 1)
 }
 
+/// Returns the upper bound of a bucket.
 fn bucket_bound(bucket: usize) -> Duration {
     let bound_us = FIRST_BUCKET_BOUND_US * 2_f64.powf(bucket as f64 / 4.0);
     Duration::from_micros(bound_us as u64)
--- a/crates/ebonyfork/src/entry/mod.rs
+++ b/crates/ebonyfork/src/entry/mod.rs
@@ -8,7 +8,8 @@
 //! 2. `route`: the shards of the pinned version; their number is the denominator of the coverage.
 //! 3. `choice`: a replica and a relay for each shard, based on the statistics kept in `replica` and `directory`.
 //! 4. `admission`: refuses the query before anything is sent if the present load does not allow its target to be met.
-//! 5. `canary`: sends a request that is not known to be safe to a single shard first.
+//! 5. `canary`: sends a request that has not returned rows recently to a single shard first, because it may crash
+//!    upstreams.
 //! 6. `run`: sends attempts; `settle` handles their outcomes, and `straggler` hedges late ones from the budget in
 //!    `hedge`.
 //! 7. `gather`: collects rows at the pinned version, the first response of each shard.
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -104,7 +104,7 @@
     pub(super) refusals: u32,
     pub(super) failures: u32,
     pub(super) thin_answers: u32,
-    /// Answers that met the latency and coverage targets.
+    /// Number of answers that met the latency and coverage targets.
     pub(super) good_answers: u32,
 }
 
@@ -137,13 +137,13 @@
     organisations: Vec<OrganisationLoad>,
     started_queries: BTreeMap<(usize, u64), (usize, Duration)>,
     pub(super) results: Vec<OrganisationResult>,
-    /// Number of requests that upstreams began to run.
+    /// Number of requests that upstreams began to run, of queries started after the warm-up.
     pub(super) run_count: u64,
-    /// Number of shard requests needed by admitted queries.
+    /// Number of shard requests needed by the admitted queries among those.
     pub(super) needed_requests: u64,
     /// Fraction of requests that are stragglers.
     pub(super) straggler_share: f64,
-    /// Whether every query has a selection of its own, so that none is known.
+    /// Whether every query has a selection of its own, so that no request has returned rows before.
     pub(super) unique_selections: bool,
 }
 
@@ -371,7 +371,8 @@
             .iter()
             .any(|other| other.organisation == job.organisation);
         if !is_queued {
-            // An organisation that returns to the queue starts at the least service time of those queued.
+            // An organisation that joins the queue is counted with at least the smallest service time among those
+            // queued, so that a time without requests gives it no priority.
             let served = |job: &Job| {
                 fake_upstream
                     .served_seconds
@@ -509,7 +510,7 @@
         }
     }
 
-    /// Returns the extra load on upstreams: requests run divided by requests needed, minus 1.
+    /// Returns the extra load on upstreams: `run_count` divided by `needed_requests`, minus 1.
     pub(super) fn extra_load(&self) -> f64 {
         self.run_count as f64 / self.needed_requests.max(1) as f64 - 1.0
     }
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -7,7 +7,7 @@
 use crate::declaration::TargetPriority;
 use crate::settings::ExperimentSwitches;
 
-/// Prints the results for the design note; shown with `--nocapture`.
+/// Prints the results of each organisation's queries; shown with `--nocapture`.
 fn print(name: &str, model: &LoadModel) {
     for result in &model.results {
         println!(
@@ -133,8 +133,8 @@
     let mut model = LoadModel::new(20, switches, &organisations, |class| {
         class.latency = ms(150);
     });
-    // No ordinary stragglers: a service with a single working replica could not hedge them, and only the silent
-    // replicas are under test.
+    // The model has no ordinary stragglers, because a service with a single working replica could not hedge them and
+    // only the silent replicas are under test.
     model.straggler_share = 0.0;
     for service in 0..2 {
         model.slow_down(upstream(service, 0), f64::INFINITY);
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -94,8 +94,9 @@
         }
     }
 
-    /// Returns the newest version on the same side of `pinned` as `available`, the version held by the shard that lacks
-    /// `pinned`: a newer version if `available` is newer, else an older one.
+    /// Returns the route table to use instead of the pinned version, which some shard lacks. `available_version` is the
+    /// version that this shard holds: if it is newer than the pinned version, the newest version is returned, else the
+    /// newest of the older ones.
     pub fn find_alternative_version(
         &mut self,
         index: &IndexName,
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -53,27 +53,27 @@
     pub(super) state: AttemptState,
 }
 
-/// Time spent on an attempt at each stage, measured by the relay.
+/// Times of one attempt as measured by the relay.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct OutcomeTimes {
-    /// Time in the relay's queue.
+    /// Time that the attempt spent in the relay's queue.
     pub(super) queue_time: Duration,
-    /// Time at the upstream.
+    /// Time that the attempt took at the upstream.
     pub(super) upstream_time: Duration,
 }
 
 /// Events of a query that determine its outcome.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct QueryProgress {
-    /// An upstream has run part of the query.
+    /// Whether an upstream has run part of the query.
     pub(super) has_run: bool,
-    /// An upstream may have run part of the query.
+    /// Whether an upstream may have run part of the query.
     pub(super) may_have_run: bool,
     /// Number of upstreams whose connection broke while they ran part of the query.
     pub(super) broken_upstreams: u8,
     /// The most recent reason for which part of the query was not run.
     pub(super) last_refusal_reason: Option<RefusalReason>,
-    /// The query has been planned again at another version.
+    /// Whether the query has been planned again at another version.
     pub(super) was_replanned: bool,
 }
 
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -71,6 +71,7 @@
     sent_attempts: Vec<SentAttempt>,
     /// For each attempt, whether it may have run.
     may_have_run: Vec<bool>,
+    /// For each attempt, whether its verdict has been delivered or its link has broken.
     has_verdict: Vec<bool>,
 }
 
--- a/crates/ebonyfork/src/entry/settle.rs
+++ b/crates/ebonyfork/src/entry/settle.rs
@@ -16,7 +16,7 @@
 use crate::query::QueryOutcome;
 use crate::relay::{FailureReason, RefusalReason, ShardVerdict};
 
-/// Divisor of the query's total time that gives the least time that must be left for it to be planned again.
+/// Divisor of the total time of a query that gives the time which must be left for the query to be planned again.
 const REPLAN_TIME_DIVISOR: u32 = 4;
 
 impl QueryRun {
@@ -222,7 +222,7 @@
         } else if reason == FailureReason::Broken
             && self.defer_shard(shared, now, closed_attempt.slot as usize)
         {
-            // The shard stays open without an attempt in flight until `resume_deferred`.
+            // The shard stays open without an attempt in flight until `resume_deferred_shards`.
         } else {
             self.retry_shard(shared, now, closed_attempt.slot as usize);
         }
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -55,7 +55,7 @@
             attempt.is_overdue = true;
             let replica = &mut shared.directory.replicas[attempt.replica];
             match attempt.urgency {
-                // A probe that is late counts as failed.
+                // The attempt probes a server that failed recently: if it is overdue, the server has failed again.
                 AttemptUrgency::Urgent => replica.health.record_failure(now),
                 AttemptUrgency::Ordinary => replica.health.record_overdue(now),
             }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -15,14 +15,14 @@
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// Divisor of a time limit that gives the part reserved for returning the answer to the caller.
+/// Divisor of a time limit that gives the part of it reserved for returning the answer to the caller.
 const RETURN_MARGIN_DIVISOR: u32 = 20;
 /// Upper bound of the time reserved for returning the answer.
 const MAX_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
 /// Divisor of the shard count that gives the number of outlier shards that admission may ignore.
 const OUTLIER_SHARD_DIVISOR: usize = 4;
-/// Multiple of the class's latency from which a shard's expected time makes it an outlier.
+/// Multiple of the latency target from which a shard's expected time makes it an outlier.
 const OUTLIER_LATENCY_FACTOR: u32 = 2;
 
 /// Subtracts the time reserved for returning the answer from a limit that the caller observes.
@@ -70,7 +70,7 @@
     pub idempotent: bool,
     /// When the query was accepted.
     pub started_at: Duration,
-    /// When a class that puts latency first answers with the rows received so far.
+    /// When a query of a latency-first class is answered with the rows received so far.
     pub answer_deadline: Duration,
     /// When the query completes regardless of what has been received.
     pub final_deadline: Duration,
@@ -106,7 +106,7 @@
     }
 
     /// Predicts the queue wait and the unloaded time of the slowest shard that counts, from the routes chosen for a
-    /// query of `total` shards.
+    /// query of `shard_count` shards.
     ///
     /// A latency-first class answers once the shards that its coverage target needs have answered, so only those count;
     /// a coverage-first class waits for all shards. Up to a quarter of the shards is ignored if they are outliers, so
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -24,12 +24,12 @@
 /// Shortest retry-after sent to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A route chosen for a shard, not sent yet.
+/// An attempt whose route has been chosen but which has not been sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedAttempt {
     /// Position of the shard in the gather.
     pub(super) slot: u32,
-    /// The chosen route.
+    /// The replica and the relay to use.
     pub(super) route_choice: RouteChoice,
 }
 
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Returns the delay after which an attempt counts as a straggler, from the histogram of the service if it has enough
-    /// samples, else from that of the class.
+    /// Returns the delay after which an attempt counts as a straggler, from the histogram of the service if it has
+    /// enough samples, else from that of the class.
     pub(super) fn hedge_delay(
         &self,
         class: ClassId,
@@ -131,7 +131,7 @@
         self.pending_decisions.push(EntryDecision::Route(decision));
     }
 
-    /// Collects an attempt without rows for the decision log.
+    /// Collects an attempt that returned no rows for the decision log.
     pub(super) fn record_failed_attempt(&mut self, failed_attempt: impl FnOnce() -> FailedAttempt) {
         if self.log_decisions {
             self.pending_decisions
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Withdraws one attempt from the budget, and counts a denial if it does not allow one.
+    /// Withdraws the token for one attempt from the budget; returns false and counts a denied attempt if the budget
+    /// does not allow it.
     pub(super) fn try_withdraw_attempt(
         &mut self,
         now: Duration,
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -22,11 +22,12 @@
 /// How a query completes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueryCompletion {
-    /// With an answer, whole or thin.
+    /// The query is answered with the rows of all shards, or without those of the missing shards.
     Answer,
-    /// With a refusal: time is up and too few shards have answered.
+    /// The query is refused because its deadline has passed and too few shards have answered.
     Deadline,
-    /// With a refusal: no pending attempt can bring enough shards.
+    /// The query is refused because no pending attempt can bring it to its target, because it broke too many upstreams,
+    /// or because the request is quarantined.
     TargetUnreachable,
 }
 
@@ -92,8 +93,8 @@
             _ => format_compact!("{coverage} shards answered, and no other replica can bring more"),
         };
         let refusal = QueryRefusal::new(refusal_code, run_state, message);
-        // No retry-after for a quarantined request, which would be refused again, nor for an idempotency key whose
-        // outcome is kept.
+        // A quarantined request would be refused again, and a repeated idempotency key gets the outcome that is kept,
+        // so neither refusal carries a retry-after.
         let is_retryable = run.params.idempotent || run_state == RunState::NotRun;
         if is_retryable && refusal_code != RefusalCode::Quarantined {
             let retry_after = shared.retry_after(run, now);
@@ -120,6 +121,7 @@
     }
 }
 
+/// Returns whether any part of a query ran.
 fn run_state(progress: QueryProgress) -> RunState {
     if progress.has_run {
         RunState::Ran
--- a/crates/ebonyfork/src/locate/answer.rs
+++ b/crates/ebonyfork/src/locate/answer.rs
@@ -13,9 +13,10 @@
 
 /// Maximum number of addresses in one answer.
 pub const MAX_ADDRESSES: usize = 4;
-/// Initial number of VMs per zone that serve one organisation; doubled while they are busy.
+/// Initial number of VMs in the subset that serves one organisation; doubled while they are busy. The organisation has
+/// one subset of the VMs in the caller's zone and one of the VMs in all other zones.
 pub const INITIAL_SUBSET_SIZE: usize = 8;
-/// Maximum number of VMs per zone that serve one organisation.
+/// Maximum number of VMs in the subset that serves one organisation.
 const MAX_SUBSET_SIZE: usize = 128;
 /// Mean load of a subset, in per mille, at which it is doubled.
 const BUSY_LOAD_PER_MILLE: u32 = 600;
@@ -38,7 +39,7 @@
 struct Candidate {
     vm: VmAddress,
     incarnation: IncarnationNumber,
-    /// Load that the VM reports, in per mille.
+    /// Load that the VM reports, in per mille; 0 if it is unknown.
     load: u16,
     /// Rendezvous hash of the organisation and the VM; 0 without an organisation.
     subset_score: u64,
@@ -46,9 +47,9 @@
 
 /// Selects the addresses that a caller of `organisation` should use.
 ///
-/// The first is the less loaded of two VMs drawn at random from the organisation's subset in this zone. The rest are
-/// alternatives, the last of them in another zone if there is one. If no VM qualifies, the answer holds the address of
-/// this VM.
+/// The first address is that of the less loaded of two VMs drawn at random from the organisation's subset in this zone.
+/// The other addresses are alternatives, the last of them in another zone if a VM there qualifies. If no VM qualifies,
+/// the answer holds the address of this VM.
 ///
 /// # Examples
 ///
@@ -119,8 +120,8 @@
     }
 }
 
-/// Returns the VMs that are not leaving in the zones for which `in_zone` is true; with an organisation, only its subset
-/// of them.
+/// Returns the VMs in the zones accepted by `in_zone`, without those that are leaving or whose incarnation is unknown.
+/// If `organisation` is given, only the VMs of the organisation's subset are returned.
 fn zone_candidates(
     view: &TopologyView,
     members: &MemberSnapshot,
@@ -150,9 +151,9 @@
     candidates
 }
 
-/// Truncates the candidates to the organisation's subset: the VMs with the highest scores, twice as many for each step
-/// at which they are busy. Each larger subset contains the smaller ones, so a growing organisation keeps its VMs and
-/// only gains others.
+/// Truncates the candidates to the organisation's subset, the VMs with the highest scores. The subset starts with
+/// [`INITIAL_SUBSET_SIZE`] VMs and doubles while their mean load is at least [`BUSY_LOAD_PER_MILLE`]. Each larger
+/// subset contains the smaller ones, so a growing organisation keeps its VMs and only gains others.
 fn truncate_to_subset(candidates: &mut Vec<Candidate>) {
     let by_score = |candidate: &Candidate| std::cmp::Reverse(candidate.subset_score);
     if candidates.len() > MAX_SUBSET_SIZE {
--- a/crates/ebonyfork/src/locate/answer_tests.rs
+++ b/crates/ebonyfork/src/locate/answer_tests.rs
@@ -48,7 +48,7 @@
         incarnation: None,
         ..entry(4, "a")
     };
-    // VMs, the VMs that may be first in the answer, and the number of addresses.
+    // Each case holds the VMs of the view, the VMs that may come first in the answer, and the number of addresses.
     let cases = [
         (vec![], vec![1], 1),
         (vec![entry(1, "a")], vec![1], 1),
@@ -148,7 +148,8 @@
     let view = TopologyView::new(vms.iter().cloned(), []);
     let organisation = "roofers".parse().unwrap();
     let mut vms_before = BTreeSet::new();
-    // Load of every VM in per mille, and the number of VMs that serve the organisation at that load.
+    // Each case holds the load of every VM in per mille, and the number of VMs that serve the organisation at that
+    // load.
     for (load, subset_size) in [(0, 8), (599, 8), (600, 128), (1_000, 128)] {
         let members = MemberSnapshot::new(vms.iter().map(|entry| MemberEntry {
             vm: entry.vm,
