--- a/crates/ebonyfork/src/caller/message.rs
+++ b/crates/ebonyfork/src/caller/message.rs
@@ -173,7 +173,7 @@
     let mut is_first_row_list = true;
     for shard_body in &answer.bodies {
         let Some(rows) = rows_text(shard_body) else {
-            return Err(malformed_rows());
+            return Err(malformed_rows_refusal());
         };
         if rows.is_empty() {
             continue;
@@ -199,7 +199,7 @@
     Some(rows.trim())
 }
 
-fn malformed_rows() -> QueryRefusal {
+fn malformed_rows_refusal() -> QueryRefusal {
     let message = CompactString::const_new("an upstream's rows are malformed");
     QueryRefusal::new(RefusalCode::UpstreamFailed, RunState::Ran, message)
 }
--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -34,10 +34,12 @@
     headers: &HeaderMap,
     selection: Bytes,
 ) -> Result<QueryRequest, QueryRefusal> {
-    let class: ClassName = class.parse().map_err(|error| bad_request("class", error))?;
+    let class: ClassName = class
+        .parse()
+        .map_err(|error| bad_request_refusal("class", error))?;
     let organisation = parse_header(headers, ORGANISATION_HEADER)?;
-    let organisation =
-        organisation.ok_or_else(|| bad_request(ORGANISATION_HEADER, "the header is missing"))?;
+    let organisation = organisation
+        .ok_or_else(|| bad_request_refusal(ORGANISATION_HEADER, "the header is missing"))?;
     Ok(QueryRequest {
         class,
         organisation,
@@ -67,7 +69,10 @@
     };
     let deadline = Duration::from_millis(millis);
     if deadline > MAX_DEADLINE {
-        return Err(bad_request(DEADLINE_HEADER, "expected at most a day"));
+        return Err(bad_request_refusal(
+            DEADLINE_HEADER,
+            "expected at most a day",
+        ));
     }
     Ok(Some(deadline))
 }
@@ -81,7 +86,9 @@
         return Ok(None);
     };
     let value = text.parse();
-    value.map(Some).map_err(|error| bad_request(name, error))
+    value
+        .map(Some)
+        .map_err(|error| bad_request_refusal(name, error))
 }
 
 /// Returns the value of a header if it has 1 to `limit` bytes, or `None` if the header is missing.
@@ -94,7 +101,7 @@
         return Ok(None);
     };
     if text.is_empty() || text.len() > limit {
-        return Err(bad_request(
+        return Err(bad_request_refusal(
             name,
             format_args!("expected 1 to {limit} bytes"),
         ));
@@ -112,14 +119,17 @@
         return Ok(None);
     };
     if values.next().is_some() {
-        return Err(bad_request(name, "the header stands more than once"));
+        return Err(bad_request_refusal(
+            name,
+            "the header stands more than once",
+        ));
     }
     let text = value.to_str();
     text.map(Some)
-        .map_err(|_error| bad_request(name, "expected visible ASCII characters"))
+        .map_err(|_error| bad_request_refusal(name, "expected visible ASCII characters"))
 }
 
-fn bad_request(field: &'static str, problem: impl Display) -> QueryRefusal {
+fn bad_request_refusal(field: &'static str, problem: impl Display) -> QueryRefusal {
     let message = compact_str::format_compact!("{problem}");
     QueryRefusal::new(RefusalCode::BadRequest, RunState::NotRun, message).with_field(field)
 }
--- a/crates/ebonyfork/src/caller/server.rs
+++ b/crates/ebonyfork/src/caller/server.rs
@@ -65,7 +65,7 @@
         log::debug!("caller connection failed: {error}");
         return;
     }
-    let http_service = service_fn(move |request| service.clone().handle(request));
+    let http_service = service_fn(move |request| service.clone().handle_request(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -43,7 +43,7 @@
 }
 
 /// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release` is notified.
-async fn serve() -> CallerFixture {
+async fn start_server() -> CallerFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (writers, views) = view_channels();
@@ -97,7 +97,7 @@
     Response::from_parts(head, body)
 }
 
-fn query(class: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Request<Full<Bytes>> {
+fn query_request(class: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Request<Full<Bytes>> {
     let path = format!("/v1/query/{class}");
     let mut request = Request::post(path).header("x-organisation", "roofers");
     for (name, value) in headers {
@@ -109,8 +109,8 @@
 #[gtest]
 #[tokio::test]
 async fn an_answer_concatenates_the_rows_of_all_shards() {
-    let fixture = serve().await;
-    let response = send_request(fixture.address, query("search", &[], Vec::new())).await;
+    let fixture = start_server().await;
+    let response = send_request(fixture.address, query_request("search", &[], Vec::new())).await;
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["x-coverage"], eq("2/2"));
     expect_that!(response.headers()["x-snapshot"], eq("17"));
@@ -125,36 +125,36 @@
 #[gtest]
 #[tokio::test]
 async fn each_malformed_request_is_refused_with_its_field_and_is_not_run() {
-    let fixture = serve().await;
+    let fixture = start_server().await;
     let long_record = "x".repeat(257);
     let cases = [
         (
-            query("search", &[("x-deadline-ms", "soon")], vec![]),
+            query_request("search", &[("x-deadline-ms", "soon")], vec![]),
             400,
             "x-deadline-ms",
         ),
         (
-            query("search", &[("x-organisation", "twice")], vec![]),
+            query_request("search", &[("x-organisation", "twice")], vec![]),
             400,
             "x-organisation",
         ),
         (
-            query("search", &[("x-record", &long_record)], vec![]),
+            query_request("search", &[("x-record", &long_record)], vec![]),
             400,
             "x-record",
         ),
         (
-            query("search", &[("idempotency-key", "7")], vec![]),
+            query_request("search", &[("idempotency-key", "7")], vec![]),
             400,
             "idempotency-key",
         ),
         (
-            query("search", &[("x-query-id", "")], vec![]),
+            query_request("search", &[("x-query-id", "")], vec![]),
             400,
             "x-query-id",
         ),
-        (query("Search", &[], vec![]), 400, "class"),
-        (query("search", &[], vec![0; 70_000]), 413, "body"),
+        (query_request("Search", &[], vec![]), 400, "class"),
+        (query_request("search", &[], vec![0; 70_000]), 413, "body"),
         (
             Request::get("/v1/query/search")
                 .body(Full::default())
@@ -181,11 +181,11 @@
 #[gtest]
 #[tokio::test]
 async fn a_refusal_carries_its_retry_after() {
-    let fixture = serve().await;
+    let fixture = start_server().await;
     let refusal = QueryRefusal::new(RefusalCode::Overloaded, RunState::NotRun, "full")
         .with_retry_after(Duration::from_millis(250));
     *fixture.outcome.lock().unwrap() = Err(refusal);
-    let request = query("search", &[("x-query-id", "mine")], vec![]);
+    let request = query_request("search", &[("x-query-id", "mine")], vec![]);
     let response = send_request(fixture.address, request).await;
     expect_that!(response.status().as_u16(), eq(503));
     expect_that!(response.headers()["retry-after"], eq("1"));
@@ -195,7 +195,7 @@
         .writers
         .readiness
         .send_replace(NodeReadiness::Fenced);
-    let response = send_request(fixture.address, query("search", &[], vec![])).await;
+    let response = send_request(fixture.address, query_request("search", &[], vec![])).await;
     let body: serde_json::Value = serde_json::from_slice(response.body()).unwrap();
     expect_that!(body["error"]["code"].as_str(), some(eq("not-ready")));
 }
@@ -203,10 +203,12 @@
 #[gtest]
 #[tokio::test]
 async fn a_stop_completes_requests_in_flight_and_closes_the_listener() {
-    let fixture = serve().await;
+    let fixture = start_server().await;
     let address = fixture.address;
     let pending_response =
-        tokio::spawn(async move { send_request(address, query("held", &[], vec![])).await });
+        tokio::spawn(
+            async move { send_request(address, query_request("held", &[], vec![])).await },
+        );
     fixture.query_started.notified().await;
     fixture.stop.cancel();
     fixture.query_release.notify_one();
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -69,7 +69,7 @@
     }
 
     /// Handles one request.
-    pub(super) async fn handle(
+    pub(super) async fn handle_request(
         self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
@@ -85,7 +85,7 @@
         let path = request.uri().path();
         if path == LOCATE_PATH {
             if request.method() != Method::GET {
-                return Ok(method_not_allowed("GET"));
+                return Ok(method_not_allowed_response("GET"));
             }
             let organisation = read_organisation(request.headers())?;
             let answer = (self.locate)(organisation);
@@ -93,13 +93,13 @@
             return Ok(json_response(StatusCode::OK, body.into()));
         }
         let Some(class) = path.strip_prefix(QUERY_PATH) else {
-            return Err(not_run(
+            return Err(not_run_refusal(
                 RefusalCode::NotFound,
                 "there is nothing at this path",
             ));
         };
         if request.method() != Method::POST {
-            return Ok(method_not_allowed("POST"));
+            return Ok(method_not_allowed_response("POST"));
         }
         let class = CompactString::new(class);
         self.run_query(&class, request).await
@@ -129,8 +129,10 @@
             return Ok(());
         }
         let refusal = match readiness {
-            NodeReadiness::Stopping => not_run(RefusalCode::Stopping, "this VM is stopping"),
-            _ => not_run(RefusalCode::NotReady, "this VM has not synchronised yet"),
+            NodeReadiness::Stopping => {
+                not_run_refusal(RefusalCode::Stopping, "this VM is stopping")
+            }
+            _ => not_run_refusal(RefusalCode::NotReady, "this VM has not synchronised yet"),
         };
         Err(refusal.with_retry_after(NOT_READY_RETRY_AFTER))
     }
@@ -140,23 +142,23 @@
     let body_future = Limited::new(body, SELECTION_LIMIT).collect();
     let read_result = match tokio::time::timeout(BODY_TIMEOUT, body_future).await {
         Ok(read_result) => read_result,
-        Err(_elapsed) => return Err(bad_body("the body did not come in time")),
+        Err(_elapsed) => return Err(bad_body_refusal("the body did not come in time")),
     };
     match read_result {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let message = "the selection exceeds 64 KiB";
-            Err(not_run(RefusalCode::TooLarge, message).with_field("body"))
+            Err(not_run_refusal(RefusalCode::TooLarge, message).with_field("body"))
         }
-        Err(_error) => Err(bad_body("the body broke off")),
+        Err(_error) => Err(bad_body_refusal("the body broke off")),
     }
 }
 
-fn bad_body(message: &str) -> QueryRefusal {
-    not_run(RefusalCode::BadRequest, message).with_field("body")
+fn bad_body_refusal(message: &str) -> QueryRefusal {
+    not_run_refusal(RefusalCode::BadRequest, message).with_field("body")
 }
 
-fn not_run(code: RefusalCode, message: &str) -> QueryRefusal {
+fn not_run_refusal(code: RefusalCode, message: &str) -> QueryRefusal {
     QueryRefusal::new(code, RunState::NotRun, message)
 }
 
@@ -169,8 +171,8 @@
     response
 }
 
-fn method_not_allowed(allowed: &'static str) -> Response<Full<Bytes>> {
-    let refusal = not_run(RefusalCode::BadRequest, "the method is not allowed here");
+fn method_not_allowed_response(allowed: &'static str) -> Response<Full<Bytes>> {
+    let refusal = not_run_refusal(RefusalCode::BadRequest, "the method is not allowed here");
     let mut response = refusal_response(&refusal.with_field("method"), None);
     *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     let allowed = HeaderValue::from_static(allowed);
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -297,7 +297,7 @@
         while let Some(action) = self.core.next_action() {
             match action {
                 EntryAction::Send { vm, message } => self.send_message(now, vm, message),
-                EntryAction::Finish { query, outcome } => self.finish(now, query, outcome),
+                EntryAction::Finish { query, outcome } => self.send_outcome(now, query, outcome),
             }
         }
         for decision in self.core.take_decisions() {
@@ -354,7 +354,7 @@
         }
     }
 
-    fn finish(&mut self, now: Duration, query: u64, outcome: QueryOutcome) {
+    fn send_outcome(&mut self, now: Duration, query: u64, outcome: QueryOutcome) {
         let Some(caller) = self.callers.remove(&query) else {
             return;
         };
--- a/crates/ebonyfork/src/entry/actor_tests.rs
+++ b/crates/ebonyfork/src/entry/actor_tests.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 
 use super::*;
-use crate::entry::fixture::{EntryFixture, ms, request, rows, vm};
+use crate::entry::fixture::{EntryFixture, ms, request, rows_verdict, vm};
 use crate::relay::ShardOutcome;
 use crate::views::{ViewWriters, view_channels};
 
@@ -20,7 +20,7 @@
     _writers: ViewWriters,
 }
 
-fn start(shards: usize) -> HandleFixture {
+fn start_entry(shards: usize) -> HandleFixture {
     let (writers, views) = view_channels();
     let fixture = EntryFixture::new(shards, |_class| {});
     writers.topology.send_replace(fixture.views.topology);
@@ -62,7 +62,7 @@
 
 impl HandleFixture {
     /// Answers every attempt sent so far and returns their number.
-    async fn answer_all(&self) -> usize {
+    async fn answer_sent_attempts(&self) -> usize {
         let mut answered_attempts = 0;
         for (vm, batch) in self.take_submits() {
             answered_attempts += batch.targets.len();
@@ -70,7 +70,7 @@
                 query: batch.query,
                 attempt: target.attempt,
                 upstream: target.upstream,
-                verdict: rows(17),
+                verdict: rows_verdict(17),
                 waited_us: 0,
                 served_us: 500,
             });
@@ -89,7 +89,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_query_is_answered_through_the_handle() {
-    let fixture = start(4);
+    let fixture = start_entry(4);
     let query_task = tokio::spawn({
         let handle = fixture.handle.clone();
         async move { handle.run(request()).await }
@@ -98,7 +98,7 @@
     expect_that!(fixture.handle.in_flight(), eq(1));
     // The first round answers the canary, the second the attempts at the other three shards.
     for sent_count in [1, 3] {
-        expect_that!(fixture.answer_all().await, eq(sent_count));
+        expect_that!(fixture.answer_sent_attempts().await, eq(sent_count));
     }
     let answer = query_task.await.unwrap().unwrap();
     expect_that!(answer.coverage.answered, eq(4));
@@ -119,13 +119,13 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_disconnected_caller_has_its_attempts_cancelled() {
-    let fixture = start(4);
+    let fixture = start_entry(4);
     let query_task = tokio::spawn({
         let handle = fixture.handle.clone();
         async move { handle.run(request()).await }
     });
     tokio::time::sleep(ms(1)).await;
-    expect_that!(fixture.answer_all().await, eq(1));
+    expect_that!(fixture.answer_sent_attempts().await, eq(1));
     query_task.abort();
     tokio::time::sleep(ms(100)).await;
     expect_that!(fixture.handle.in_flight(), eq(0));
@@ -140,7 +140,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn attempts_that_no_link_accepts_are_not_run() {
-    let fixture = start(4);
+    let fixture = start_entry(4);
     fixture.refuses_messages.store(true, Ordering::Relaxed);
     let refusal = fixture.handle.run(request()).await.unwrap_err();
     expect_that!(refusal.ran, eq(RunState::NotRun));
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -140,12 +140,12 @@
 /// Admission state of one entry.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    organisations: FxHashMap<OrganisationName, DecayingSum>,
+    usage_by_organisation: FxHashMap<OrganisationName, DecayingSum>,
     total_usage: DecayingSum,
     /// Number of organisations that are not idle.
     active_organisations: u32,
-    last_count: Duration,
-    classes: SecondaryMap<ClassId, ClassLimit>,
+    last_count_at: Duration,
+    class_limits: SecondaryMap<ClassId, ClassLimit>,
 }
 
 impl AdmissionControl {
@@ -157,7 +157,7 @@
             OrganisationUsage::Fair => FAIR_LATENCY_SHARE,
             OrganisationUsage::Heavy => HEAVY_LATENCY_SHARE,
         };
-        let limit_factor = self.classes[request.class].factor;
+        let limit_factor = self.class_limits[request.class].factor;
         let latency_share = request.latency_target.mul_f64(usage_share * limit_factor);
         let min_wait = request.latency_target / MIN_WAIT_DIVISOR;
         let allowed_wait = latency_share
@@ -181,7 +181,7 @@
         latency_percentile: f64,
         target_met: bool,
     ) {
-        let limit = &mut self.classes[class];
+        let limit = &mut self.class_limits[class];
         limit.queries += 1;
         limit.misses += u32::from(!target_met);
         if limit.queries < LIMIT_UPDATE_QUERIES {
@@ -206,9 +206,9 @@
         cost: f64,
     ) -> OrganisationUsage {
         let recent_usage = self
-            .organisations
+            .usage_by_organisation
             .get(organisation)
-            .map_or(0.0, |s| s.value(now));
+            .map_or(0.0, |sum| sum.value(now));
         let fair_share = self.total_usage.value(now) / f64::from(self.active_organisations.max(1));
         if recent_usage <= cost * LIGHT_QUERY_COUNT
             || (self.active_organisations > 1 && recent_usage < fair_share * LIGHT_USAGE_FACTOR)
@@ -223,24 +223,24 @@
 
     fn record_usage(&mut self, now: Duration, organisation: &OrganisationName, cost: f64) {
         self.total_usage.add(now, cost);
-        if let Some(sum) = self.organisations.get_mut(organisation) {
+        if let Some(sum) = self.usage_by_organisation.get_mut(organisation) {
             sum.add(now, cost);
             return;
         }
         let mut sum = DecayingSum::default();
         sum.add(now, cost);
-        self.organisations.insert(organisation.clone(), sum);
+        self.usage_by_organisation.insert(organisation.clone(), sum);
         self.active_organisations += 1;
     }
 
     fn forget_idle_organisations(&mut self, now: Duration) {
-        if now < self.last_count + ORGANISATION_COUNT_PERIOD {
+        if now < self.last_count_at + ORGANISATION_COUNT_PERIOD {
             return;
         }
-        self.last_count = now;
-        self.organisations
+        self.last_count_at = now;
+        self.usage_by_organisation
             .retain(|_, sum| sum.value(now) > IDLE_USAGE);
-        self.active_organisations = self.organisations.len() as u32;
+        self.active_organisations = self.usage_by_organisation.len() as u32;
     }
 }
 
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CanaryProbe {
     /// Position of the shard that receives the canary.
-    pub(super) slot: u32,
+    pub(super) slot_index: u32,
     /// How often the canary has been checked while overdue.
     pub(super) overdue_checks: u8,
 }
@@ -86,11 +86,11 @@
         let fastest_attempt = shared
             .planned_attempts
             .iter()
-            .min_by_key(|p| p.route_choice.expected_time)?;
+            .min_by_key(|planned_attempt| planned_attempt.route_choice.expected_time)?;
         let slowest_time = shared
             .planned_attempts
             .iter()
-            .map(|p| p.route_choice.unloaded_time())
+            .map(|planned_attempt| planned_attempt.route_choice.unloaded_time())
             .max()?;
         let has_time = fastest_attempt.route_choice.unloaded_time() + slowest_time
             <= self.params.latency_target / CANARY_LATENCY_DIVISOR;
@@ -106,7 +106,7 @@
         let Some(canary) = self.canary else {
             return;
         };
-        match self.gather.slots()[canary.slot as usize].status() {
+        match self.gather.slots()[canary.slot_index as usize].status() {
             ShardStatus::Answered => {
                 shared.known_requests.insert(self.fingerprint);
                 self.send_held_back_attempts(shared, now);
@@ -129,7 +129,7 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        slot: usize,
+        slot_index: usize,
     ) -> bool {
         let others_open = self.gather.open_count() > 1;
         if !self.params.idempotent || self.progress.has_run || !others_open {
@@ -137,7 +137,7 @@
         }
         self.has_deferred_shards = true;
         // A hedge of the same shard that is still in flight serves as the second try.
-        let second_try_used = self.gather.slots()[slot].attempts_in_flight > 0
+        let second_try_used = self.gather.slots()[slot_index].attempts_in_flight > 0
             || self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT;
         if self.canary.is_some() && !second_try_used {
             self.start_next_canary(shared, now);
@@ -151,7 +151,7 @@
             self.gather
                 .slots()
                 .iter()
-                .all(|slot| slot.attempts_in_flight == 0)
+                .all(|shard| shard.attempts_in_flight == 0)
         };
         if !self.has_deferred_shards
             || self.canary.is_some()
@@ -165,16 +165,16 @@
 
     /// Sends the canary to the next shard that has received no attempt, or ends the canary if there is none.
     fn start_next_canary(&mut self, shared: &mut SharedState, now: Duration) {
-        let has_no_attempt = |slot: &super::gather::ShardSlot| {
-            slot.attempts_made == 0 && slot.status() == ShardStatus::Open
+        let has_no_attempt = |shard: &super::gather::ShardSlot| {
+            shard.attempts_made == 0 && shard.status() == ShardStatus::Open
         };
-        while let Some(slot) = self.gather.slots().iter().position(has_no_attempt) {
+        while let Some(slot_index) = self.gather.slots().iter().position(has_no_attempt) {
             self.canary = Some(CanaryProbe {
-                slot: slot as u32,
+                slot_index: slot_index as u32,
                 overdue_checks: 0,
             });
-            self.send_first_attempt(shared, now, slot);
-            if self.gather.slots()[slot].status() == ShardStatus::Open {
+            self.send_first_attempt(shared, now, slot_index);
+            if self.gather.slots()[slot_index].status() == ShardStatus::Open {
                 return;
             }
         }
@@ -184,26 +184,27 @@
     /// Ends the canary and requests all open shards that have no attempt in flight.
     fn send_held_back_attempts(&mut self, shared: &mut SharedState, now: Duration) {
         self.canary = None;
-        for slot in 0..self.gather.slots().len() {
-            let shard_slot = &self.gather.slots()[slot];
+        for slot_index in 0..self.gather.slots().len() {
+            let shard_slot = &self.gather.slots()[slot_index];
             if shard_slot.attempts_in_flight == 0 && shard_slot.status() == ShardStatus::Open {
-                self.send_first_attempt(shared, now, slot);
+                self.send_first_attempt(shared, now, slot_index);
             }
         }
     }
 
     /// Sends the first attempt at a shard, or marks the shard as lost if it has no route.
-    fn send_first_attempt(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
-        let Some(route_choice) = self.choose_shard_route(shared, now, slot, self.params.idempotent)
+    fn send_first_attempt(&mut self, shared: &mut SharedState, now: Duration, slot_index: usize) {
+        let Some(route_choice) =
+            self.choose_shard_route(shared, now, slot_index, self.params.idempotent)
         else {
-            self.gather.mark_shard_lost(slot);
+            self.gather.mark_shard_lost(slot_index);
             return;
         };
         shared.budget.deposit();
         shared.directory.replicas[route_choice.replica]
             .health
             .record_submit(now);
-        self.send_attempt(shared, now, slot, route_choice, AttemptPurpose::First);
+        self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::First);
     }
 }
 
--- a/crates/ebonyfork/src/entry/canary_tests.rs
+++ b/crates/ebonyfork/src/entry/canary_tests.rs
@@ -1,7 +1,7 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 
-use crate::entry::fixture::{EntryFixture, ms, request, rows};
+use crate::entry::fixture::{EntryFixture, ms, request, rows_verdict};
 use crate::ident::RunState;
 use crate::query::{QueryRequest, RefusalCode};
 use crate::relay::{FailureReason, RefusalReason, ShardVerdict};
@@ -54,14 +54,14 @@
             };
             // The shard whose upstream was lost is not requested again before another shard has returned rows.
             expect_that!(attempt.shard, not(eq(first_attempts[0].shard)));
-            fixture.deliver(&attempt, rows(17));
+            fixture.deliver(&attempt, rows_verdict(17));
             let (retries, other_attempts) = fixture
                 .take_sent_attempts()
                 .into_iter()
                 .partition(|attempt| attempt.shard == first_attempts[0].shard);
             for attempt in Vec::into_iter(retries) {
                 expect_that!(attempt.upstream, not(eq(first_attempts[0].upstream)));
-                fixture.deliver(&attempt, rows(17));
+                fixture.deliver(&attempt, rows_verdict(17));
             }
             attempts_in_flight.extend::<Vec<_>>(other_attempts);
         }
@@ -76,11 +76,11 @@
     let query = fixture.start(unknown_request());
     let canary_attempts = fixture.take_sent_attempts();
     expect_that!(canary_attempts.len(), eq(1));
-    fixture.deliver(&canary_attempts[0], rows(17));
+    fixture.deliver(&canary_attempts[0], rows_verdict(17));
     let other_attempts = fixture.take_sent_attempts();
     expect_that!(other_attempts.len(), eq(19));
     for attempt in &other_attempts {
-        fixture.deliver(attempt, rows(17));
+        fixture.deliver(attempt, rows_verdict(17));
     }
     expect_that!(
         fixture.outcome(query).as_ref().unwrap().bodies.len(),
@@ -131,7 +131,7 @@
     }
     // Both replicas refused, so another shard receives the canary.
     let canary_attempts = fixture.take_sent_attempts();
-    fixture.deliver(&canary_attempts[0], rows(17));
+    fixture.deliver(&canary_attempts[0], rows_verdict(17));
     expect_that!(fixture.take_sent_attempts().len(), eq(18));
     expect_that!(
         fixture.finished_queries.contains_key(&refused_query),
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -108,7 +108,7 @@
     }
     let probe_candidate = unhealthy_candidates
         .iter()
-        .find(|c| c.status == ReplicaStatus::ProbeDue);
+        .find(|candidate| candidate.status == ReplicaStatus::ProbeDue);
     if let Some(probe_candidate) = probe_candidate
         && constraints.allow_probe
     {
@@ -191,7 +191,8 @@
     directory: &Directory,
     unhealthy_candidates: &[Candidate],
 ) -> Option<Candidate> {
-    let backoff_until = |c: &&Candidate| directory.replicas[c.replica].health.backoff_until();
+    let backoff_until =
+        |candidate: &&Candidate| directory.replicas[candidate.replica].health.backoff_until();
     unhealthy_candidates
         .iter()
         .min_by_key(backoff_until)
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -150,27 +150,27 @@
     /// Starts a query like [`EntryCore::start`]; `suspect` says whether the request may have crashed upstreams.
     pub fn start_suspect(&mut self, now: Duration, request: QueryRequest, suspect: bool) -> u64 {
         self.last_query_number += 1;
-        let number = self.last_query_number;
+        let query_number = self.last_query_number;
         let (class, caller_id) = (request.class.clone(), request.caller_id.clone());
-        match self.prepare_run(now, number, request) {
+        match self.prepare_run(now, query_number, request) {
             Ok(mut run) => {
                 run.suspect = suspect;
                 self.begin_run(now, run);
             }
             Err(refusal) => {
                 let outcome = Err(refusal);
-                self.record_finish(number, caller_id, class, &outcome, Duration::ZERO);
-                self.finish(number, outcome);
+                self.record_finish(query_number, caller_id, class, &outcome, Duration::ZERO);
+                self.push_outcome(query_number, outcome);
             }
         }
-        number
+        query_number
     }
 
     /// Checks a request, pins an index version and returns the run of the query, or the refusal of the request.
     fn prepare_run(
         &mut self,
         now: Duration,
-        number: u64,
+        query_number: u64,
         request: QueryRequest,
     ) -> Result<Box<QueryRun>, QueryRefusal> {
         let config = Arc::clone(&self.config);
@@ -181,13 +181,13 @@
         let params = QueryParams::new(class, target, request.deadline, now);
         let Some(mut run) = self.run_pool.pop() else {
             return Ok(Box::new(QueryRun::new(
-                number,
+                query_number,
                 request,
                 params,
                 route_table,
             )));
         };
-        run.reuse(number, request, params, route_table);
+        run.reuse(query_number, request, params, route_table);
         Ok(run)
     }
 
@@ -202,7 +202,7 @@
         } = &mut self.shared;
         let route_table = routes.pin_version(&target.index, directory, now);
         route_table.ok_or_else(|| {
-            not_run(RefusalCode::NoUpstream, "the index has no version")
+            not_run_refusal(RefusalCode::NoUpstream, "the index has no version")
                 .with_retry_after(NO_VERSION_RETRY_AFTER)
         })
     }
@@ -218,10 +218,10 @@
     }
 
     fn begin_run(&mut self, now: Duration, mut run: Box<QueryRun>) {
-        let number = run.number;
+        let query_number = run.query_number;
         let outcome = run.begin(&mut self.shared, now);
-        self.runs.insert(number, run);
-        self.finish_event(now, number, outcome);
+        self.runs.insert(query_number, run);
+        self.finish_event(now, query_number, outcome);
     }
 
     /// Handles the outcomes and load reports sent by the relay on `from`.
@@ -269,16 +269,16 @@
             let PeerMessage::Submit(batch) = message else {
                 continue;
             };
-            let attempts: Vec<u32> = batch.targets.iter().map(|t| t.attempt).collect();
+            let attempts: Vec<u32> = batch.targets.iter().map(|target| target.attempt).collect();
             self.not_sent(now, vm, batch.query, &attempts);
         }
         let numbers: Vec<u64> = self.runs.keys().copied().collect();
-        for number in numbers {
-            let Some(run) = self.runs.get_mut(&number) else {
+        for query_number in numbers {
+            let Some(run) = self.runs.get_mut(&query_number) else {
                 continue;
             };
             let query_outcome = run.handle_link_down(&mut self.shared, now, relay);
-            self.finish_event(now, number, query_outcome);
+            self.finish_event(now, query_number, query_outcome);
         }
     }
 
@@ -294,12 +294,12 @@
 
     /// Handles the timers that are due at `now`.
     pub fn wake(&mut self, now: Duration) {
-        while let Some(&Reverse((at, number))) = self.timers.peek() {
+        while let Some(&Reverse((at, query_number))) = self.timers.peek() {
             if at > now {
                 return;
             }
             self.timers.pop();
-            let Some(run) = self.runs.get_mut(&number) else {
+            let Some(run) = self.runs.get_mut(&query_number) else {
                 continue;
             };
             if run.timer_at != at {
@@ -307,33 +307,38 @@
             }
             run.timer_at = Duration::MAX;
             let query_outcome = run.handle_timer(&mut self.shared, now);
-            self.finish_event(now, number, query_outcome);
+            self.finish_event(now, query_number, query_outcome);
         }
     }
 
     /// Queues the messages that the event produced, then completes the query or schedules its next timer.
-    fn finish_event(&mut self, now: Duration, number: u64, query_outcome: Option<QueryOutcome>) {
+    fn finish_event(
+        &mut self,
+        now: Duration,
+        query_number: u64,
+        query_outcome: Option<QueryOutcome>,
+    ) {
         let (outbox, relays) = (&mut self.shared.outbox, &self.shared.directory.relays);
         outbox.flush(|relay, message| {
             let vm = relays[relay].vm;
             self.actions.push_back(EntryAction::Send { vm, message });
         });
         if let Some(outcome) = query_outcome {
-            self.complete_query(now, number, outcome);
+            self.complete_query(now, query_number, outcome);
             return;
         }
-        let Some(run) = self.runs.get_mut(&number) else {
+        let Some(run) = self.runs.get_mut(&query_number) else {
             return;
         };
         let next_timer = run.next_wake(now);
         if next_timer < run.timer_at {
             run.timer_at = next_timer;
-            self.timers.push(Reverse((next_timer, number)));
+            self.timers.push(Reverse((next_timer, query_number)));
         }
     }
 
-    fn complete_query(&mut self, now: Duration, number: u64, outcome: QueryOutcome) {
-        let Some(mut run) = self.runs.remove(&number) else {
+    fn complete_query(&mut self, now: Duration, query_number: u64, outcome: QueryOutcome) {
+        let Some(mut run) = self.runs.remove(&query_number) else {
             return;
         };
         if run.under_load {
@@ -348,8 +353,8 @@
         let duration = now.saturating_sub(run.params.started_at);
         let caller_id = run.request.caller_id.take();
         let class = run.request.class.clone();
-        self.record_finish(number, caller_id, class, &outcome, duration);
-        self.finish(number, outcome);
+        self.record_finish(query_number, caller_id, class, &outcome, duration);
+        self.push_outcome(query_number, outcome);
         self.recycle_run(run);
     }
 
@@ -362,18 +367,18 @@
     }
 
     /// Cancels an idempotent query whose caller has disconnected. A non-idempotent query continues to completion.
-    pub fn abandon_query(&mut self, now: Duration, number: u64) {
-        let Some(run) = self.runs.get_mut(&number) else {
+    pub fn abandon_query(&mut self, now: Duration, query_number: u64) {
+        let Some(run) = self.runs.get_mut(&query_number) else {
             return;
         };
         if !run.params.idempotent {
             return;
         }
         run.cancel_attempts_in_flight(&mut self.shared);
-        if let Some(run) = self.runs.remove(&number) {
+        if let Some(run) = self.runs.remove(&query_number) {
             self.recycle_run(run);
         }
-        self.finish_event(now, number, None);
+        self.finish_event(now, query_number, None);
     }
 
     /// Returns the decision counts of each class since the start.
@@ -384,27 +389,27 @@
 
     fn record_finish(
         &mut self,
-        number: u64,
+        query_number: u64,
         caller_id: Option<CompactString>,
         class: ClassName,
         outcome: &QueryOutcome,
         duration: Duration,
     ) {
         if self.shared.log_decisions {
-            let finished = FinishedQuery::new(number, caller_id, class, outcome, duration);
+            let finished = FinishedQuery::new(query_number, caller_id, class, outcome, duration);
             self.shared
                 .pending_decisions
                 .push(EntryDecision::Finish(finished));
         }
     }
 
-    fn finish(&mut self, query: u64, outcome: QueryOutcome) {
+    fn push_outcome(&mut self, query: u64, outcome: QueryOutcome) {
         self.actions
             .push_back(EntryAction::Finish { query, outcome });
     }
 }
 
-fn not_run(code: RefusalCode, message: &str) -> QueryRefusal {
+fn not_run_refusal(code: RefusalCode, message: &str) -> QueryRefusal {
     QueryRefusal::new(code, RunState::NotRun, message)
 }
 
@@ -413,19 +418,19 @@
     request: &QueryRequest,
 ) -> Result<&'a ClassTarget, QueryRefusal> {
     let Some(target) = config.classes.get(&request.class) else {
-        return Err(not_run(
+        return Err(not_run_refusal(
             RefusalCode::UnknownClass,
             "the class is not declared",
         ));
     };
     let Some(organisation) = config.organisations.get(&request.organisation) else {
-        return Err(not_run(
+        return Err(not_run_refusal(
             RefusalCode::UnknownOrganisation,
             "the organisation is not declared",
         ));
     };
     if !organisation.classes.contains(&request.class) {
-        return Err(not_run(
+        return Err(not_run_refusal(
             RefusalCode::UnknownOrganisation,
             "the organisation may not use this class",
         ));
@@ -435,18 +440,21 @@
 
 fn check_request(target: &ClassTarget, request: &QueryRequest) -> Result<(), QueryRefusal> {
     if target.scope == ClassScope::One && request.record.is_none() {
-        let refusal = not_run(RefusalCode::BadRequest, "the class needs a record name");
+        let refusal = not_run_refusal(RefusalCode::BadRequest, "the class needs a record name");
         return Err(refusal.with_field("x-record"));
     }
     if !target.idempotent && request.key.is_none() {
-        let refusal = not_run(
+        let refusal = not_run_refusal(
             RefusalCode::BadRequest,
             "the class needs an idempotency key",
         );
         return Err(refusal.with_field("idempotency-key"));
     }
     if request.deadline.is_some_and(|deadline| deadline.is_zero()) {
-        return Err(not_run(RefusalCode::Deadline, "the deadline has passed"));
+        return Err(not_run_refusal(
+            RefusalCode::Deadline,
+            "the deadline has passed",
+        ));
     }
     Ok(())
 }
--- a/crates/ebonyfork/src/entry/core_tests.rs
+++ b/crates/ebonyfork/src/entry/core_tests.rs
@@ -1,7 +1,7 @@
 use googletest::prelude::*;
 
 use super::*;
-use crate::entry::fixture::{EntryFixture, ms, request, rows, vm};
+use crate::entry::fixture::{EntryFixture, ms, request, rows_verdict, vm};
 use crate::ident::{ShardNumber, SnapshotVersion};
 use crate::relay::FailureReason;
 
@@ -13,7 +13,7 @@
     expect_that!(sent_attempts.len(), eq(20));
     for attempt in sent_attempts.iter().rev() {
         expect_that!(fixture.finished_queries.is_empty(), eq(true));
-        fixture.deliver(attempt, rows(17));
+        fixture.deliver(attempt, rows_verdict(17));
     }
     let answer = fixture.outcome(query).as_ref().unwrap();
     expect_that!(answer.coverage.answered, eq(20));
@@ -27,7 +27,7 @@
     let mut fixture = EntryFixture::new(4, |_class| {});
     let query = fixture.start(request());
     for attempt in &fixture.take_sent_attempts()[1..] {
-        fixture.deliver(attempt, rows(17));
+        fixture.deliver(attempt, rows_verdict(17));
     }
     fixture.advance(ms(400));
     let (at, outcome) = &fixture.finished_queries[&query];
@@ -73,7 +73,7 @@
     let mut lost_attempts = 0;
     for attempt in fixture.take_sent_attempts() {
         lost_attempts += u32::from(attempt.vm == lost_relay);
-        fixture.deliver(&attempt, rows(17));
+        fixture.deliver(&attempt, rows_verdict(17));
     }
     // The attempts lost with the relay outnumber the tokens that the attempt budget starts with.
     expect_that!(lost_attempts, gt(15));
@@ -136,7 +136,7 @@
         ..request()
     });
     let sent_attempts = fixture.take_sent_attempts();
-    fixture.deliver(&sent_attempts[0], rows(17));
+    fixture.deliver(&sent_attempts[0], rows_verdict(17));
     for _ in 0..2 {
         let attempt = fixture
             .sent_attempts
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -111,7 +111,7 @@
     own_vm: VmAddress,
     zone: ZoneName,
     ownership: OwnershipMode,
-    view: Arc<TopologyView>,
+    topology: Arc<TopologyView>,
     /// Incremented when the view changes; entries with another generation are looked up again at their next use.
     generation: u32,
     services: PrimaryMap<ServiceId, ServiceEntry>,
@@ -131,7 +131,7 @@
             own_vm,
             zone,
             ownership,
-            view: Arc::default(),
+            topology: Arc::default(),
             generation: 1,
             services: PrimaryMap::new(),
             service_ids: FxHashMap::default(),
@@ -143,11 +143,11 @@
     }
 
     /// Switches to the given view; does nothing if it is unchanged.
-    pub fn refresh(&mut self, view: &Arc<TopologyView>) {
-        if Arc::ptr_eq(&self.view, view) {
+    pub fn refresh(&mut self, topology: &Arc<TopologyView>) {
+        if Arc::ptr_eq(&self.topology, topology) {
             return;
         }
-        self.view = Arc::clone(view);
+        self.topology = Arc::clone(topology);
         self.generation = self.generation.wrapping_add(1);
     }
 
@@ -177,10 +177,13 @@
     }
 
     fn update_service(&mut self, service: ServiceId) {
-        let view = Arc::clone(&self.view);
+        let topology = Arc::clone(&self.topology);
         let mut replicas = ReplicaList::new();
-        for &address in view.service(&self.services[service].name) {
-            let is_available = view.upstreams.get(&address).is_some_and(|e| !e.leaving);
+        for &address in topology.service(&self.services[service].name) {
+            let is_available = topology
+                .upstreams
+                .get(&address)
+                .is_some_and(|entry| !entry.leaving);
             if is_available {
                 replicas.push(self.replica_id(address));
             }
@@ -226,7 +229,7 @@
             let own_relay = self.relay_id(self.own_vm);
             return Some((own_relay, own_relay));
         }
-        let pair = owner_pair(&self.view, address)?;
+        let pair = owner_pair(&self.topology, address)?;
         let primary = self.relay_id(pair.primary);
         let standby = self.relay_id(pair.standby);
         Some((primary, standby))
@@ -252,7 +255,7 @@
         if vm == self.own_vm {
             return Duration::ZERO;
         }
-        match self.view.vms.get(&vm) {
+        match self.topology.vms.get(&vm) {
             Some(entry) if entry.zone == self.zone => SAME_ZONE_ROUND_TRIP,
             _ => OTHER_ZONE_ROUND_TRIP,
         }
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -76,7 +76,7 @@
     NextVersion,
 ];
 
-const CASES: &[FaultCase] = &[
+const FAULT_CASES: &[FaultCase] = &[
     (&[], Whole { version: 17 }, Whole { version: 17 }),
     (&[Straggler], Whole { version: 17 }, Whole { version: 17 }),
     (&[Refusing], Whole { version: 17 }, Whole { version: 17 }),
@@ -114,7 +114,7 @@
 }
 
 impl FaultScript<'_> {
-    fn has(&self, fault: Fault) -> bool {
+    fn has_fault(&self, fault: Fault) -> bool {
         self.faults.contains(&fault)
     }
 
@@ -147,7 +147,7 @@
         let is_first_attempt = attempt.purpose == AttemptPurpose::First;
         let is_first_upstream = attempt.upstream == upstream(service as usize, 0);
         let not_run_verdict = |reason| Some((ms(2), ShardVerdict::NotRun(reason)));
-        if self.has(NextVersion) && attempt.version.0 == 17 {
+        if self.has_fault(NextVersion) && attempt.version.0 == 17 {
             if !self.is_published {
                 self.is_published = true;
                 fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
@@ -155,12 +155,12 @@
             let newest = SnapshotVersion(18);
             return Some((ms(12), ShardVerdict::VersionGone { newest }));
         }
-        if self.has(VersionMissing) {
+        if self.has_fault(VersionMissing) {
             let newest = SnapshotVersion(18);
             return Some((ms(2), ShardVerdict::VersionGone { newest }));
         }
         let new_upstreams = [0, 1].map(|replica| upstream(SHARDS, replica));
-        if self.has(Move) && !new_upstreams.contains(&attempt.upstream) {
+        if self.has_fault(Move) && !new_upstreams.contains(&attempt.upstream) {
             let service = format!("tender-{SHARDS:02}").parse().unwrap();
             return Some((ms(2), ShardVerdict::Moved { service }));
         }
@@ -169,25 +169,31 @@
             Some((ms(5), ShardVerdict::Failed { ran, reason }))
         };
         match () {
-            () if self.has(BothRefusing) => not_run_verdict(RefusalReason::Unreachable),
-            () if self.has(BothShedding) => not_run_verdict(RefusalReason::Shed),
-            () if self.has(Refusing) && is_first_upstream => {
+            () if self.has_fault(BothRefusing) => not_run_verdict(RefusalReason::Unreachable),
+            () if self.has_fault(BothShedding) => not_run_verdict(RefusalReason::Shed),
+            () if self.has_fault(Refusing) && is_first_upstream => {
                 not_run_verdict(RefusalReason::Unreachable)
             }
-            () if self.has(Shedding) && is_first_upstream => not_run_verdict(RefusalReason::Shed),
-            () if self.has(Silent) && is_first_upstream => None,
-            () if self.has(NotOwner) && is_first_attempt => {
+            () if self.has_fault(Shedding) && is_first_upstream => {
+                not_run_verdict(RefusalReason::Shed)
+            }
+            () if self.has_fault(Silent) && is_first_upstream => None,
+            () if self.has_fault(NotOwner) && is_first_attempt => {
                 not_run_verdict(RefusalReason::NotOwner)
             }
-            () if self.has(Broken) && is_first_attempt => failed_verdict(FailureReason::Broken),
-            () if self.has(ErrorStatus) && is_first_attempt => {
+            () if self.has_fault(Broken) && is_first_attempt => {
+                failed_verdict(FailureReason::Broken)
+            }
+            () if self.has_fault(ErrorStatus) && is_first_attempt => {
                 failed_verdict(FailureReason::Status)
             }
-            () if self.has(WrongVersion) && is_first_attempt => {
+            () if self.has_fault(WrongVersion) && is_first_attempt => {
                 Some((ms(5), rows(SnapshotVersion(16))))
             }
-            () if self.has(Straggler) && is_first_attempt => Some((ms(900), rows(attempt.version))),
-            () if self.has(SlowService) => Some((ms(80), rows(attempt.version))),
+            () if self.has_fault(Straggler) && is_first_attempt => {
+                Some((ms(900), rows(attempt.version)))
+            }
+            () if self.has_fault(SlowService) => Some((ms(80), rows(attempt.version))),
             () => success,
         }
     }
@@ -225,7 +231,7 @@
     (at.saturating_sub(started_at), outcome, script.sent_attempts)
 }
 
-fn check(name: &str, faulty_services: u32, expected: Expected, outcome: &QueryOutcome) {
+fn check_outcome(name: &str, faulty_services: u32, expected: Expected, outcome: &QueryOutcome) {
     match (expected, outcome) {
         (Whole { version }, Ok(answer)) => {
             expect_that!(answer.coverage.missing, is_empty(), "{name}");
@@ -259,7 +265,7 @@
 #[gtest]
 fn each_fault_at_one_and_at_two_services() {
     let priorities = [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst];
-    for (faults, latency_first, coverage_first) in CASES {
+    for (faults, latency_first, coverage_first) in FAULT_CASES {
         for faulty_services in [1, 2] {
             for priority in priorities {
                 let name = format!("{faults:?} x{faulty_services} {priority:?}");
@@ -274,12 +280,12 @@
                     TargetPriority::LatencyFirst => *latency_first,
                     TargetPriority::CoverageFirst => *coverage_first,
                 };
-                check(&name, faulty_services, expected, &outcome);
+                check_outcome(&name, faulty_services, expected, &outcome);
                 // The query does not wait until near its deadline, and no shard is retried more than a few times.
                 expect_that!(duration, le(ms(300)), "{name}");
                 let extra_attempts = sent_attempts
                     .iter()
-                    .filter(|a| a.purpose != AttemptPurpose::First);
+                    .filter(|attempt| attempt.purpose != AttemptPurpose::First);
                 expect_that!(
                     extra_attempts.count(),
                     le(3 * faulty_services as usize),
@@ -373,12 +379,12 @@
                 let reason = FailureReason::Status;
                 ShardVerdict::Failed { ran, reason }
             } else {
-                super::fixture::rows(17)
+                super::fixture::rows_verdict(17)
             };
             fixture.deliver_with_load(&attempt, verdict, Some(load));
         }
         for attempt in fixture.take_sent_attempts() {
-            fixture.deliver(&attempt, super::fixture::rows(17));
+            fixture.deliver(&attempt, super::fixture::rows_verdict(17));
         }
         fixture.advance(fixture.now + ms(10));
         expect_that!(fixture.outcome(query).is_ok(), eq(true), "round {round}");
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -56,7 +56,7 @@
     UpstreamAddress((ip, 80).into())
 }
 
-pub(super) fn rows(version: u64) -> ShardVerdict {
+pub(super) fn rows_verdict(version: u64) -> ShardVerdict {
     ShardVerdict::Rows {
         version: SnapshotVersion(version),
         body: Bytes::from_static(br#"{"rows":["r"]}"#),
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -95,8 +95,8 @@
     }
 
     /// Returns one slot for modification.
-    pub fn slot_mut(&mut self, slot: usize) -> &mut ShardSlot {
-        &mut self.slots[slot]
+    pub fn slot_mut(&mut self, slot_index: usize) -> &mut ShardSlot {
+        &mut self.slots[slot_index]
     }
 
     /// Returns the number of shards that the query needs.
@@ -124,9 +124,9 @@
 
     /// Stores a shard's rows and returns true if they are the shard's first rows and of the pinned version; else
     /// returns false.
-    pub fn accept(&mut self, slot: usize, version: SnapshotVersion, body: Bytes) -> bool {
+    pub fn accept(&mut self, slot_index: usize, version: SnapshotVersion, body: Bytes) -> bool {
         let pinned_version = self.version;
-        let Some(slot) = self.slots.get_mut(slot) else {
+        let Some(slot) = self.slots.get_mut(slot_index) else {
             return false;
         };
         if version != pinned_version || slot.status == ShardStatus::Answered {
@@ -142,8 +142,8 @@
     }
 
     /// Marks an open shard as lost.
-    pub fn mark_shard_lost(&mut self, slot: usize) {
-        let slot = &mut self.slots[slot];
+    pub fn mark_shard_lost(&mut self, slot_index: usize) {
+        let slot = &mut self.slots[slot_index];
         if slot.status != ShardStatus::Open {
             return;
         }
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -42,14 +42,14 @@
 #[derive(Debug, Clone)]
 pub struct AttemptBudget {
     tokens: f64,
-    last_refill: Duration,
+    last_refill_at: Duration,
 }
 
 impl Default for AttemptBudget {
     fn default() -> Self {
         Self {
             tokens: MAX_TOKENS / 2.0,
-            last_refill: Duration::ZERO,
+            last_refill_at: Duration::ZERO,
         }
     }
 }
@@ -62,8 +62,8 @@
 
     /// Withdraws the token for one attempt; returns false if too few tokens are left for this urgency.
     pub fn try_withdraw(&mut self, now: Duration, urgency: AttemptUrgency) -> bool {
-        let refill_interval = now.saturating_sub(self.last_refill);
-        self.last_refill = self.last_refill.max(now);
+        let refill_interval = now.saturating_sub(self.last_refill_at);
+        self.last_refill_at = self.last_refill_at.max(now);
         self.tokens =
             (self.tokens + refill_interval.as_secs_f64() * TOKENS_PER_SECOND).min(MAX_TOKENS);
         let reserved_tokens = match urgency {
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct EntryMetrics {
     outcomes: Family<OutcomeLabels, Counter>,
-    latency: LatencyFamily,
+    latency_seconds: LatencyFamily,
     attempts: Family<AttemptLabels, Counter>,
     denied_attempts: Family<ClassLabels, Counter>,
     replans: Family<ClassLabels, Counter>,
@@ -47,7 +47,7 @@
     fn default() -> Self {
         Self {
             outcomes: Family::default(),
-            latency: LatencyFamily::new_with_constructor(|| {
+            latency_seconds: LatencyFamily::new_with_constructor(|| {
                 Histogram::new(exponential_buckets(0.001, 1.5, 24))
             }),
             attempts: Family::default(),
@@ -69,7 +69,7 @@
         registry.register(
             "entry_latency_seconds",
             "Time from taking a query in to its outcome",
-            self.latency.clone(),
+            self.latency_seconds.clone(),
         );
         registry.register(
             "entry_attempts",
@@ -121,7 +121,7 @@
                 self.shards_answered
                     .get_or_create(&labels)
                     .inc_by(coverage.answered.into());
-                self.latency
+                self.latency_seconds
                     .get_or_create(&labels)
                     .observe(duration.as_secs_f64());
             }
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rustc_hash::FxHashMap;
 
-use super::fixture::{EntryFixture, ms, request, rows};
+use super::fixture::{EntryFixture, ms, request, rows_verdict};
 use super::{EntryAction, EntryCore};
 use crate::declaration::ClassTarget;
 use crate::ident::{IncarnationNumber, OrganisationName, SessionId, UpstreamAddress};
@@ -238,8 +238,11 @@
 
     fn schedule_caller(&mut self, organisation: usize) {
         let uniform: f64 = self.arrivals.random_range(f64::EPSILON..1.0);
-        let gap = -uniform.ln() / self.organisations[organisation].rate;
-        self.schedule(Duration::from_secs_f64(gap), Event::Caller { organisation });
+        let arrival_gap = -uniform.ln() / self.organisations[organisation].rate;
+        self.schedule(
+            Duration::from_secs_f64(arrival_gap),
+            Event::Caller { organisation },
+        );
     }
 
     fn handle(&mut self, event: Event) {
@@ -280,7 +283,7 @@
                     .served_seconds
                     .entry(job.organisation.clone())
                     .or_default() += served.as_secs_f64();
-                self.reply(upstream, &job, rows(17), served);
+                self.reply(upstream, &job, rows_verdict(17), served);
                 self.start_queued(upstream);
             }
             Event::Deliver { entry, vm, batch } => {
@@ -404,7 +407,7 @@
             if fake_upstream.busy_slots >= SLOTS || fake_upstream.queue.is_empty() {
                 return;
             }
-            let share = |job: &Job| {
+            let served = |job: &Job| {
                 fake_upstream
                     .served_seconds
                     .get(&job.organisation)
@@ -415,7 +418,9 @@
                 .queue
                 .iter()
                 .enumerate()
-                .min_by(|(_, a), (_, b)| share(a).total_cmp(&share(b)))
+                .min_by(|(_, first_job), (_, second_job)| {
+                    served(first_job).total_cmp(&served(second_job))
+                })
                 .unwrap();
             let job = fake_upstream.queue.remove(next_index).unwrap();
             if job.results_deadline <= self.now {
--- a/crates/ebonyfork/src/entry/outbox.rs
+++ b/crates/ebonyfork/src/entry/outbox.rs
@@ -18,7 +18,7 @@
 
 impl RelayOutbox {
     /// Adds an attempt to the batch for a relay; `new_batch` creates the batch if there is none yet.
-    pub fn submit(
+    pub fn add_attempt(
         &mut self,
         relay: RelayId,
         target: ShardTarget,
@@ -35,7 +35,7 @@
     }
 
     /// Adds a cancellation of one attempt.
-    pub fn cancel(&mut self, relay: RelayId, query: u64, attempt: u32) {
+    pub fn add_cancellation(&mut self, relay: RelayId, query: u64, attempt: u32) {
         let is_same_batch = |(batch_relay, batch): &&mut (RelayId, CancelBatch)| {
             *batch_relay == relay && batch.query == query
         };
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -31,7 +31,11 @@
         class.priority = TargetPriority::CoverageFirst;
     };
     let hedged_model = run_at(0.5, ExperimentSwitches::default(), coverage_first);
-    let unhedged_model = run_at(0.5, switches_with(|s| s.hedge = false), coverage_first);
+    let unhedged_model = run_at(
+        0.5,
+        switches_with(|switches| switches.hedge = false),
+        coverage_first,
+    );
     print("hedged", &hedged_model);
     print("plain", &unhedged_model);
     let tail = |model: &LoadModel| model.results[0].quantile(0.99);
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -96,7 +96,7 @@
 
     /// Returns the route table to use instead of the pinned version, which some shard lacks. `available_version` is the
     /// version that this shard holds: if it is newer than the pinned version, the newest version is returned, else the
-    /// newest of the older ones.
+    /// newest of the older ones. Returns `None` if the catalogue lists no such version.
     pub fn find_alternative_version(
         &mut self,
         index: &IndexName,
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptRecord {
     /// Position of the shard in the gather.
-    pub(super) slot: u32,
+    pub(super) slot_index: u32,
     pub(super) replica: ReplicaId,
     pub(super) relay: RelayId,
     /// When the attempt was sent.
@@ -80,7 +80,7 @@
 /// A query in flight.
 #[derive(Debug)]
 pub(super) struct QueryRun {
-    pub(super) number: u64,
+    pub(super) query_number: u64,
     pub(super) request: QueryRequest,
     pub(super) fingerprint: RequestFingerprint,
     pub(super) params: QueryParams,
@@ -104,14 +104,14 @@
 
 impl QueryRun {
     pub(super) fn new(
-        number: u64,
+        query_number: u64,
         request: QueryRequest,
         params: QueryParams,
         route_table: Arc<RouteTable>,
     ) -> Self {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
         Self {
-            number,
+            query_number,
             request,
             fingerprint,
             params,
@@ -131,7 +131,7 @@
     /// Reinitialises a completed run for another query, reusing its allocations.
     pub(super) fn reuse(
         &mut self,
-        number: u64,
+        query_number: u64,
         request: QueryRequest,
         params: QueryParams,
         route_table: Arc<RouteTable>,
@@ -142,7 +142,7 @@
         *self = Self {
             gather,
             attempts,
-            ..Self::new(number, request, params, route_table)
+            ..Self::new(query_number, request, params, route_table)
         };
     }
 
@@ -187,7 +187,7 @@
     fn send_canary(&mut self, shared: &mut SharedState, now: Duration, canary: PlannedAttempt) {
         let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
         for planned_attempt in planned_attempts.drain(..) {
-            if planned_attempt.slot == canary.slot {
+            if planned_attempt.slot_index == canary.slot_index {
                 continue;
             }
             let replica = &mut shared.directory.replicas[planned_attempt.route_choice.replica];
@@ -195,15 +195,15 @@
         }
         shared.planned_attempts = planned_attempts;
         self.canary = Some(CanaryProbe {
-            slot: canary.slot,
+            slot_index: canary.slot_index,
             overdue_checks: 0,
         });
         shared.budget.deposit();
-        let slot = canary.slot as usize;
+        let slot_index = canary.slot_index as usize;
         self.send_attempt(
             shared,
             now,
-            slot,
+            slot_index,
             canary.route_choice,
             AttemptPurpose::First,
         );
@@ -221,17 +221,20 @@
         self.gather.reset(route_table.version, shards);
         let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
         planned_attempts.clear();
-        for slot in 0..self.gather.slots().len() {
+        for slot_index in 0..self.gather.slots().len() {
             let Some(route_choice) =
-                self.choose_shard_route(shared, now, slot, self.params.idempotent)
+                self.choose_shard_route(shared, now, slot_index, self.params.idempotent)
             else {
-                self.gather.mark_shard_lost(slot);
+                self.gather.mark_shard_lost(slot_index);
                 continue;
             };
             let health = &mut shared.directory.replicas[route_choice.replica].health;
             health.record_submit(now);
-            let slot = slot as u32;
-            planned_attempts.push(PlannedAttempt { slot, route_choice });
+            let slot_index = slot_index as u32;
+            planned_attempts.push(PlannedAttempt {
+                slot_index,
+                route_choice,
+            });
         }
         shared.planned_attempts = planned_attempts;
     }
@@ -240,12 +243,12 @@
     fn send_planned_attempts(&mut self, shared: &mut SharedState, now: Duration) {
         let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
         for planned_attempt in planned_attempts.drain(..) {
-            let slot = planned_attempt.slot as usize;
+            let slot_index = planned_attempt.slot_index as usize;
             shared.budget.deposit();
             self.send_attempt(
                 shared,
                 now,
-                slot,
+                slot_index,
                 planned_attempt.route_choice,
                 AttemptPurpose::First,
             );
@@ -269,7 +272,7 @@
         let cost: f64 = shared
             .planned_attempts
             .iter()
-            .map(|p| p.route_choice.unloaded_time().as_secs_f64())
+            .map(|planned_attempt| planned_attempt.route_choice.unloaded_time().as_secs_f64())
             .sum();
         let admission = AdmissionRequest {
             class: self.params.class,
@@ -304,33 +307,35 @@
 
     /// Cancels all attempts in flight.
     pub(super) fn cancel_attempts_in_flight(&mut self, shared: &mut SharedState) {
-        for number in 0..self.attempts.len() {
-            self.cancel_attempt(shared, number);
+        for attempt_number in 0..self.attempts.len() {
+            self.cancel_attempt(shared, attempt_number);
         }
     }
 
     /// Marks an attempt as closed and returns it, or `None` if it is not in flight.
-    pub(super) fn close_attempt(&mut self, attempt: u32) -> Option<AttemptRecord> {
-        let attempt = self.attempts.get_mut(attempt as usize)?;
+    pub(super) fn close_attempt(&mut self, attempt_number: u32) -> Option<AttemptRecord> {
+        let attempt = self.attempts.get_mut(attempt_number as usize)?;
         if attempt.state != AttemptState::InFlight {
             return None;
         }
         attempt.state = AttemptState::Closed;
         let closed_attempt = *attempt;
         self.gather
-            .slot_mut(closed_attempt.slot as usize)
+            .slot_mut(closed_attempt.slot_index as usize)
             .attempts_in_flight -= 1;
         Some(closed_attempt)
     }
 
     /// Cancels an attempt at its relay if it is in flight. The attempt may have run by then.
-    pub(super) fn cancel_attempt(&mut self, shared: &mut SharedState, number: usize) {
-        let Some(closed_attempt) = self.close_attempt(number as u32) else {
+    pub(super) fn cancel_attempt(&mut self, shared: &mut SharedState, attempt_number: usize) {
+        let Some(closed_attempt) = self.close_attempt(attempt_number as u32) else {
             return;
         };
-        shared
-            .outbox
-            .cancel(closed_attempt.relay, self.number, number as u32);
+        shared.outbox.add_cancellation(
+            closed_attempt.relay,
+            self.query_number,
+            attempt_number as u32,
+        );
         shared.directory.replicas[closed_attempt.replica]
             .health
             .record_cancel();
@@ -338,9 +343,9 @@
     }
 
     /// Marks a shard as lost unless another attempt at it is in flight.
-    pub(super) fn mark_shard_lost_if_idle(&mut self, slot: usize) {
-        if self.gather.slots()[slot].attempts_in_flight == 0 {
-            self.gather.mark_shard_lost(slot);
+    pub(super) fn mark_shard_lost_if_idle(&mut self, slot_index: usize) {
+        if self.gather.slots()[slot_index].attempts_in_flight == 0 {
+            self.gather.mark_shard_lost(slot_index);
         }
     }
 
@@ -349,21 +354,22 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        slot: usize,
+        slot_index: usize,
     ) {
-        if self.gather.slots()[slot].attempts_made >= MAX_ATTEMPTS_PER_SHARD {
-            self.mark_shard_lost_if_idle(slot);
+        if self.gather.slots()[slot_index].attempts_made >= MAX_ATTEMPTS_PER_SHARD {
+            self.mark_shard_lost_if_idle(slot_index);
             return;
         }
-        let Some(route_choice) = self.choose_shard_route(shared, now, slot, self.params.idempotent)
+        let Some(route_choice) =
+            self.choose_shard_route(shared, now, slot_index, self.params.idempotent)
         else {
-            self.mark_shard_lost_if_idle(slot);
+            self.mark_shard_lost_if_idle(slot_index);
             return;
         };
         shared.directory.replicas[route_choice.replica]
             .health
             .record_submit(now);
-        self.send_attempt(shared, now, slot, route_choice, AttemptPurpose::Retry);
+        self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::Retry);
     }
 
     /// Chooses a route for a shard, leaving out replicas with an attempt of this query in flight.
@@ -371,15 +377,21 @@
         &self,
         shared: &mut SharedState,
         now: Duration,
-        slot: usize,
+        slot_index: usize,
         allow_probe: bool,
     ) -> Option<RouteChoice> {
-        let shard_slot = &self.gather.slots()[slot];
+        let shard_slot = &self.gather.slots()[slot_index];
         let mut excluded_replicas = shard_slot.excluded_replicas.clone();
         if shard_slot.attempts_in_flight > 0 {
-            let is_in_flight =
-                |a: &&AttemptRecord| a.slot as usize == slot && a.state == AttemptState::InFlight;
-            excluded_replicas.extend(self.attempts.iter().filter(is_in_flight).map(|a| a.replica));
+            let is_in_flight = |attempt: &&AttemptRecord| {
+                attempt.slot_index as usize == slot_index && attempt.state == AttemptState::InFlight
+            };
+            excluded_replicas.extend(
+                self.attempts
+                    .iter()
+                    .filter(is_in_flight)
+                    .map(|attempt| attempt.replica),
+            );
         }
         let constraints = RouteConstraints {
             excluded_replicas: &excluded_replicas,
@@ -401,12 +413,12 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        slot: usize,
+        slot_index: usize,
         route_choice: RouteChoice,
         purpose: AttemptPurpose,
     ) {
         let attempt = self.attempts.len() as u32;
-        let shard_slot = self.gather.slot_mut(slot);
+        let shard_slot = self.gather.slot_mut(slot_index);
         shard_slot.attempts_in_flight += 1;
         shard_slot.attempts_made += 1;
         let (shard, service) = (shard_slot.shard, shard_slot.service);
@@ -423,7 +435,7 @@
         };
         self.next_straggler_check = self.next_straggler_check.min(now + hedge_delay);
         self.attempts.push(AttemptRecord {
-            slot: slot as u32,
+            slot_index: slot_index as u32,
             replica: route_choice.replica,
             relay: route_choice.relay,
             sent_at: now,
@@ -451,16 +463,18 @@
             upstream: upstream_address,
             purpose,
         };
-        shared.record_route(self.number, &target, route_choice);
+        shared.record_route(self.query_number, &target, route_choice);
         let new_batch = || self.new_batch(now);
-        shared.outbox.submit(route_choice.relay, target, new_batch);
+        shared
+            .outbox
+            .add_attempt(route_choice.relay, target, new_batch);
     }
 
     /// Creates a batch without targets for the attempts sent to one relay.
     pub(super) fn new_batch(&self, now: Duration) -> SubmitBatch {
         let remaining_time = self.params.results_deadline().saturating_sub(now);
         SubmitBatch {
-            query: self.number,
+            query: self.query_number,
             class: self.request.class.clone(),
             organisation: self.request.organisation.clone(),
             index: self.route_table.index.clone(),
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -33,7 +33,7 @@
     )
 }
 
-fn config() -> Config {
+fn proptest_config() -> Config {
     Config {
         cases: 400,
         rng_seed: RngSeed::Fixed(23),
@@ -166,7 +166,7 @@
 #[gtest]
 fn answers_are_of_one_version_and_their_coverage_is_true() {
     for priority in [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst] {
-        proptest!(config(), |(steps in steps())| {
+        proptest!(proptest_config(), |(steps in steps())| {
             let mut fixture = EntryFixture::new(SHARDS, |class| class.priority = priority);
             let query = fixture.start(request());
             fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
@@ -179,7 +179,7 @@
 
 #[gtest]
 fn a_non_idempotent_query_may_run_at_most_once() {
-    proptest!(config(), |(steps in steps())| {
+    proptest!(proptest_config(), |(steps in steps())| {
         let mut fixture = EntryFixture::new(SHARDS, |class| {
             class.idempotent = false;
             class.scope = ClassScope::One;
--- a/crates/ebonyfork/src/entry/settle.rs
+++ b/crates/ebonyfork/src/entry/settle.rs
@@ -31,37 +31,37 @@
     ) -> Option<QueryOutcome> {
         let closed_attempt = self.close_attempt(attempt)?;
         self.record_statistics(shared, now, closed_attempt, &verdict, times);
-        let slot = closed_attempt.slot as usize;
+        let slot_index = closed_attempt.slot_index as usize;
         if !matches!(verdict, ShardVerdict::Rows { .. }) {
             shared.record_failed_attempt(|| FailedAttempt {
-                query: self.number,
+                query: self.query_number,
                 attempt,
-                shard: self.gather.slots()[slot].shard,
+                shard: self.gather.slots()[slot_index].shard,
                 verdict: verdict.clone(),
             });
         }
         match verdict {
             ShardVerdict::Rows { version, body } => {
                 self.progress.has_run = true;
-                self.handle_rows(shared, now, slot, version, body);
+                self.handle_rows(shared, now, slot_index, version, body);
             }
             ShardVerdict::VersionGone { newest } => {
                 self.gather
-                    .slot_mut(slot)
+                    .slot_mut(slot_index)
                     .excluded_replicas
                     .push(closed_attempt.replica);
-                self.resend_shard(shared, now, slot);
-                if self.gather.slots()[slot].status() == ShardStatus::Lost {
+                self.resend_shard(shared, now, slot_index);
+                if self.gather.slots()[slot_index].status() == ShardStatus::Lost {
                     self.replan(shared, now, newest);
                 }
             }
             ShardVerdict::Moved { service } => {
                 let service = shared.directory.service_id(&service);
-                let shard = self.gather.slot_mut(slot);
-                shard.service = service;
-                shard.excluded_replicas.clear();
-                shard.excluded_relays.clear();
-                self.resend_shard(shared, now, slot);
+                let shard_slot = self.gather.slot_mut(slot_index);
+                shard_slot.service = service;
+                shard_slot.excluded_replicas.clear();
+                shard_slot.excluded_relays.clear();
+                self.resend_shard(shared, now, slot_index);
             }
             ShardVerdict::NotRun(reason) => {
                 self.handle_not_run(shared, now, closed_attempt, reason);
@@ -85,8 +85,8 @@
         now: Duration,
         relay: RelayId,
     ) -> Option<QueryOutcome> {
-        for number in 0..self.attempts.len() {
-            let attempt = self.attempts[number];
+        for attempt_number in 0..self.attempts.len() {
+            let attempt = self.attempts[attempt_number];
             if attempt.state != AttemptState::InFlight || attempt.relay != relay {
                 continue;
             }
@@ -94,8 +94,13 @@
                 ran: RunState::Unknown,
                 reason: FailureReason::LinkDown,
             };
-            let outcome =
-                self.handle_outcome(shared, now, number as u32, verdict, OutcomeTimes::default());
+            let outcome = self.handle_outcome(
+                shared,
+                now,
+                attempt_number as u32,
+                verdict,
+                OutcomeTimes::default(),
+            );
             if outcome.is_some() {
                 return outcome;
             }
@@ -121,7 +126,7 @@
                 let round_trip =
                     time_in_flight.saturating_sub(times.queue_time + times.upstream_time);
                 shared.directory.relays[closed_attempt.relay].record_round_trip(round_trip);
-                let service = self.gather.slots()[closed_attempt.slot as usize].service;
+                let service = self.gather.slots()[closed_attempt.slot_index as usize].service;
                 let lateness = time_in_flight.saturating_sub(closed_attempt.expected_time);
                 shared.record_lateness(self.params.class, service, lateness);
             }
@@ -147,21 +152,21 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        slot: usize,
+        slot_index: usize,
         version: SnapshotVersion,
         body: Bytes,
     ) {
-        if !self.gather.accept(slot, version, body) {
+        if !self.gather.accept(slot_index, version, body) {
             // Rows of another version are never accepted; the shard is requested again if it still lacks rows.
-            self.retry_shard(shared, now, slot);
+            self.retry_shard(shared, now, slot_index);
             return;
         }
-        if self.gather.slots()[slot].attempts_in_flight == 0 {
+        if self.gather.slots()[slot_index].attempts_in_flight == 0 {
             return;
         }
-        for number in 0..self.attempts.len() {
-            if self.attempts[number].slot as usize == slot {
-                self.cancel_attempt(shared, number);
+        for attempt_number in 0..self.attempts.len() {
+            if self.attempts[attempt_number].slot_index as usize == slot_index {
+                self.cancel_attempt(shared, attempt_number);
             }
         }
     }
@@ -175,18 +180,18 @@
         reason: RefusalReason,
     ) {
         self.progress.last_refusal_reason = Some(reason);
-        let slot = self.gather.slot_mut(closed_attempt.slot as usize);
+        let shard_slot = self.gather.slot_mut(closed_attempt.slot_index as usize);
         match reason {
             RefusalReason::NotOwner | RefusalReason::NotReady | RefusalReason::LinkDown => {
-                slot.excluded_relays.push(closed_attempt.relay);
+                shard_slot.excluded_relays.push(closed_attempt.relay);
             }
             RefusalReason::Expired | RefusalReason::Quarantined => {
-                self.mark_shard_lost_if_idle(closed_attempt.slot as usize);
+                self.mark_shard_lost_if_idle(closed_attempt.slot_index as usize);
                 return;
             }
-            _ => slot.excluded_replicas.push(closed_attempt.replica),
+            _ => shard_slot.excluded_replicas.push(closed_attempt.replica),
         }
-        self.resend_shard(shared, now, closed_attempt.slot as usize);
+        self.resend_shard(shared, now, closed_attempt.slot_index as usize);
     }
 
     /// Handles an attempt that failed and may have run.
@@ -208,23 +213,23 @@
             shared.known_requests.remove(self.fingerprint);
             shared.last_upstream_loss = Some(now);
         }
-        let slot = self.gather.slot_mut(closed_attempt.slot as usize);
+        let shard_slot = self.gather.slot_mut(closed_attempt.slot_index as usize);
         if reason == FailureReason::LinkDown {
-            slot.excluded_relays.push(closed_attempt.relay);
+            shard_slot.excluded_relays.push(closed_attempt.relay);
         } else {
-            slot.excluded_replicas.push(closed_attempt.replica);
+            shard_slot.excluded_replicas.push(closed_attempt.replica);
         }
         // The loss of a relay fails many attempts at once and is no evidence against the upstreams, so the resends are
         // not charged to the budget. The extra load is bounded by the attempts that were in flight there.
         let relay_lost = reason == FailureReason::LinkDown && self.params.idempotent;
         if ran == RunState::NotRun || relay_lost {
-            self.resend_shard(shared, now, closed_attempt.slot as usize);
+            self.resend_shard(shared, now, closed_attempt.slot_index as usize);
         } else if reason == FailureReason::Broken
-            && self.defer_shard(shared, now, closed_attempt.slot as usize)
+            && self.defer_shard(shared, now, closed_attempt.slot_index as usize)
         {
             // The shard stays open without an attempt in flight until `resume_deferred_shards`.
         } else {
-            self.retry_shard(shared, now, closed_attempt.slot as usize);
+            self.retry_shard(shared, now, closed_attempt.slot_index as usize);
         }
     }
 
@@ -266,29 +271,39 @@
     }
 
     /// Sends another attempt after one that may have run, if the query is idempotent and the budget allows it.
-    pub(super) fn retry_shard(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
-        if self.gather.slots()[slot].status() != ShardStatus::Open {
+    pub(super) fn retry_shard(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        slot_index: usize,
+    ) {
+        if self.gather.slots()[slot_index].status() != ShardStatus::Open {
             return;
         }
-        let has_attempt_in_flight = self.gather.slots()[slot].attempts_in_flight > 0;
+        let has_attempt_in_flight = self.gather.slots()[slot_index].attempts_in_flight > 0;
         if self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || has_attempt_in_flight {
             return;
         }
         if !self.params.idempotent
             || !shared.try_withdraw_attempt(now, self.params.class, AttemptUrgency::Urgent)
         {
-            self.mark_shard_lost_if_idle(slot);
+            self.mark_shard_lost_if_idle(slot_index);
             return;
         }
-        self.send_next_attempt(shared, now, slot);
+        self.send_next_attempt(shared, now, slot_index);
     }
 
     /// Sends another attempt after one that was not run.
-    pub(super) fn resend_shard(&mut self, shared: &mut SharedState, now: Duration, slot: usize) {
-        let shard_slot = &self.gather.slots()[slot];
+    pub(super) fn resend_shard(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        slot_index: usize,
+    ) {
+        let shard_slot = &self.gather.slots()[slot_index];
         if shard_slot.status() != ShardStatus::Open || shard_slot.attempts_in_flight > 0 {
             return;
         }
-        self.send_next_attempt(shared, now, slot);
+        self.send_next_attempt(shared, now, slot_index);
     }
 }
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -28,8 +28,8 @@
             return None;
         }
         self.next_straggler_check = Duration::MAX;
-        for number in 0..self.attempts.len() {
-            let attempt = self.attempts[number];
+        for attempt_number in 0..self.attempts.len() {
+            let attempt = self.attempts[attempt_number];
             if attempt.state != AttemptState::InFlight {
                 continue;
             }
@@ -38,7 +38,7 @@
                     self.next_straggler_check.min(attempt.straggler_check_at);
                 continue;
             }
-            self.handle_straggler(shared, now, number);
+            self.handle_straggler(shared, now, attempt_number);
         }
         None
     }
@@ -48,9 +48,9 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        number: usize,
+        attempt_number: usize,
     ) {
-        let attempt = &mut self.attempts[number];
+        let attempt = &mut self.attempts[attempt_number];
         if !attempt.is_overdue {
             attempt.is_overdue = true;
             let replica = &mut shared.directory.replicas[attempt.replica];
@@ -64,15 +64,21 @@
         let urgency = attempt.urgency;
         attempt.straggler_check_at = now + (time_in_flight / 4).max(MIN_RECHECK_INTERVAL);
         self.next_straggler_check = self.next_straggler_check.min(attempt.straggler_check_at);
-        let slot = attempt.slot as usize;
+        let slot_index = attempt.slot_index as usize;
         if let Some(canary) = &mut self.canary {
             // The requests to all other shards wait for the canary.
             canary.overdue_checks += 1;
-            self.send_hedge(shared, now, slot, time_in_flight, AttemptUrgency::Urgent);
+            self.send_hedge(
+                shared,
+                now,
+                slot_index,
+                time_in_flight,
+                AttemptUrgency::Urgent,
+            );
             self.advance_canary(shared, now);
             return;
         }
-        self.send_hedge(shared, now, slot, time_in_flight, urgency);
+        self.send_hedge(shared, now, slot_index, time_in_flight, urgency);
     }
 
     /// Returns the time at which the run needs its next timer.
@@ -89,11 +95,11 @@
         &mut self,
         shared: &mut SharedState,
         now: Duration,
-        slot: usize,
+        slot_index: usize,
         time_in_flight: Duration,
         urgency: AttemptUrgency,
     ) {
-        let shard_slot = &self.gather.slots()[slot];
+        let shard_slot = &self.gather.slots()[slot_index];
         let has_single_attempt =
             shard_slot.status() == ShardStatus::Open && shard_slot.attempts_in_flight == 1;
         if !has_single_attempt || !self.params.idempotent || !shared.switches.hedge {
@@ -105,7 +111,7 @@
         {
             return;
         }
-        let Some(route_choice) = self.choose_shard_route(shared, now, slot, false) else {
+        let Some(route_choice) = self.choose_shard_route(shared, now, slot_index, false) else {
             return;
         };
         // An attempt that has been in flight for some time is likely to take as long again. A hedge is worth its load
@@ -122,6 +128,6 @@
         shared.directory.replicas[route_choice.replica]
             .health
             .record_submit(now);
-        self.send_attempt(shared, now, slot, route_choice, AttemptPurpose::Hedge);
+        self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::Hedge);
     }
 }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -84,7 +84,7 @@
         deadline: Option<Duration>,
         now: Duration,
     ) -> Self {
-        let time_bound = deadline.map_or(target.bound, |d| d.min(target.bound));
+        let time_bound = deadline.map_or(target.bound, |deadline| deadline.min(target.bound));
         let latency_target = target.latency.min(time_bound);
         Self {
             class,
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedAttempt {
     /// Position of the shard in the gather.
-    pub(super) slot: u32,
+    pub(super) slot_index: u32,
     /// The replica and the relay to use.
     pub(super) route_choice: RouteChoice,
 }
@@ -91,7 +91,7 @@
         let service_histogram = self
             .lateness_by_service
             .get(&(class, service))
-            .filter(|m| m.has_enough_samples());
+            .filter(|histogram| histogram.has_enough_samples());
         let histogram = service_histogram.unwrap_or(&self.lateness_by_class[class]);
         histogram.hedge_delay(expected_time)
     }
@@ -161,8 +161,8 @@
     /// Returns the retry-after of a refused query: the time until the longest backlog among its replicas has drained.
     pub(super) fn retry_after(&mut self, run: &QueryRun, now: Duration) -> Duration {
         let mut longest_wait = Duration::ZERO;
-        for slot in run.gather.slots() {
-            for replica in self.directory.replicas_of(slot.service) {
+        for shard_slot in run.gather.slots() {
+            for replica in self.directory.replicas_of(shard_slot.service) {
                 let health = &self.directory.replicas[replica].health;
                 longest_wait = longest_wait.max(health.expected_wait(now));
             }
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -137,7 +137,7 @@
     let generate_id = || {
         let id = QueryId {
             session: shared.session,
-            number: run.number,
+            number: run.query_number,
         };
         id.to_compact_string()
     };
--- a/crates/ebonyfork/src/locate/answer.rs
+++ b/crates/ebonyfork/src/locate/answer.rs
@@ -47,9 +47,9 @@
 
 /// Selects the addresses that a caller of `organisation` should use.
 ///
-/// The first address is that of the less loaded of two VMs drawn at random from the organisation's subset in this zone.
-/// The other addresses are alternatives, the last of them in another zone if a VM there qualifies. If no VM qualifies,
-/// the answer holds the address of this VM.
+/// The first address is that of the less loaded of two VMs drawn at random from the organisation's subset in this zone,
+/// or in the other zones if no VM in this zone qualifies. The other addresses are alternatives, the last of them in
+/// another zone if a VM there qualifies. If no VM qualifies, the answer holds the address of this VM.
 ///
 /// # Examples
 ///
@@ -89,8 +89,8 @@
         zone_candidates(view, members, organisation, |zone| *zone == settings.zone);
     let remote_candidates =
         zone_candidates(view, members, organisation, |zone| *zone != settings.zone);
-    let mut selected_candidates = draw_addresses(local_candidates, rng);
-    let remote_candidates = draw_addresses(remote_candidates, rng);
+    let mut selected_candidates = draw_candidates(local_candidates, rng);
+    let remote_candidates = draw_candidates(remote_candidates, rng);
     selected_candidates.truncate(if remote_candidates.is_empty() {
         MAX_ADDRESSES
     } else {
@@ -161,19 +161,22 @@
         candidates.truncate(MAX_SUBSET_SIZE);
     }
     candidates.sort_unstable_by_key(by_score);
-    let mut size = INITIAL_SUBSET_SIZE;
-    while size < candidates.len() {
-        let load_sum: u32 = candidates[..size].iter().map(|vm| u32::from(vm.load)).sum();
-        if load_sum < BUSY_LOAD_PER_MILLE * size as u32 {
+    let mut subset_size = INITIAL_SUBSET_SIZE;
+    while subset_size < candidates.len() {
+        let load_sum: u32 = candidates[..subset_size]
+            .iter()
+            .map(|vm| u32::from(vm.load))
+            .sum();
+        if load_sum < BUSY_LOAD_PER_MILLE * subset_size as u32 {
             break;
         }
-        size *= 2;
+        subset_size *= 2;
     }
-    candidates.truncate(size);
+    candidates.truncate(subset_size);
 }
 
 /// Returns up to [`MAX_ADDRESSES`] candidates drawn at random, the less loaded of the first two first.
-fn draw_addresses(mut candidates: Vec<Candidate>, rng: &mut impl Rng) -> Vec<Candidate> {
+fn draw_candidates(mut candidates: Vec<Candidate>, rng: &mut impl Rng) -> Vec<Candidate> {
     let draw_count = candidates.len().min(MAX_ADDRESSES);
     for index in 0..draw_count {
         let swap_index = rng.random_range(index..candidates.len());
