--- a/crates/ebonyfork/benches/query.rs
+++ b/crates/ebonyfork/benches/query.rs
@@ -176,10 +176,10 @@
     fn gather(&mut self, replies: Vec<(VmAddress, OutcomeBatch)>) {
         self.now += Duration::from_millis(12);
         for (vm, batch) in replies {
-            self.core.take_outcomes(self.now, vm, batch);
+            self.core.handle_outcomes(self.now, vm, batch);
             self.drain();
         }
-        self.core.wake(self.now);
+        self.core.run_due_timers(self.now);
     }
 }
 
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -101,7 +101,7 @@
 #[derive(Clone)]
 pub struct EntryHandle {
     address: Address<EntryActor>,
-    in_flight: Arc<AtomicUsize>,
+    queries_in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
     is_quarantined: Arc<FingerprintPredicate>,
     is_suspect: Arc<FingerprintPredicate>,
@@ -110,7 +110,7 @@
 impl fmt::Debug for EntryHandle {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("EntryHandle")
-            .field("in_flight", &self.in_flight)
+            .field("in_flight", &self.queries_in_flight)
             .finish_non_exhaustive()
     }
 }
@@ -121,7 +121,7 @@
         settings: EntrySettings,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
     ) -> Self {
-        let in_flight = Arc::new(AtomicUsize::new(0));
+        let queries_in_flight = Arc::new(AtomicUsize::new(0));
         let metrics = EntryMetrics::default();
         let is_quarantined = Arc::clone(&settings.is_quarantined);
         let is_suspect = Arc::clone(&settings.is_suspect);
@@ -132,7 +132,7 @@
             epoch: Instant::now(),
             send: Box::new(send),
             callers: FxHashMap::default(),
-            in_flight: Arc::clone(&in_flight),
+            queries_in_flight: Arc::clone(&queries_in_flight),
             metrics: metrics.clone(),
             metrics_updated_at: Duration::ZERO,
             callers_checked_at: Duration::ZERO,
@@ -142,7 +142,7 @@
         tokio::spawn(run_timer(address.downgrade(), timer_updates));
         Self {
             address,
-            in_flight,
+            queries_in_flight,
             metrics,
             is_quarantined,
             is_suspect,
@@ -176,7 +176,7 @@
     }
 
     /// Passes the outcomes reported by the relay in process incarnation `from` to the actor.
-    pub async fn take_outcomes(&self, from: SessionId, batch: OutcomeBatch) {
+    pub async fn handle_outcomes(&self, from: SessionId, batch: OutcomeBatch) {
         let report = RelayReport { vm: from.vm, batch };
         // The actor lives as long as this handle; if it has ended, so have its queries.
         drop(self.address.send(report).detach().await);
@@ -184,13 +184,13 @@
 
     /// Reports that the link to a VM broke: the messages in `unsent` were not transmitted, other attempts sent over the
     /// link may have run.
-    pub async fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
+    pub async fn handle_link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
         drop(self.address.send(LinkDown { vm, unsent }).detach().await);
     }
 
     /// Returns the number of queries in flight.
-    pub fn in_flight(&self) -> usize {
-        self.in_flight.load(Ordering::Relaxed)
+    pub fn queries_in_flight(&self) -> usize {
+        self.queries_in_flight.load(Ordering::Relaxed)
     }
 
     /// Registers the entry's metrics.
@@ -268,7 +268,7 @@
     epoch: Instant,
     send: Box<SendFunction>,
     callers: FxHashMap<u64, WaitingCaller>,
-    in_flight: Arc<AtomicUsize>,
+    queries_in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
     /// When the decision metrics were last updated.
     metrics_updated_at: Duration,
@@ -304,8 +304,8 @@
             log::info!(target: DECISION_TARGET, "{decision}");
         }
         self.update_metrics(now);
-        self.in_flight
-            .store(self.core.in_flight(), Ordering::Relaxed);
+        self.queries_in_flight
+            .store(self.core.queries_in_flight(), Ordering::Relaxed);
         let next_wake = self.core.next_wake().map(|wake_at| self.epoch + wake_at);
         self.timer.send_if_modified(|timer| {
             let is_changed = *timer != next_wake;
@@ -316,7 +316,7 @@
 
     /// Updates the decision metrics every [`METRICS_PERIOD`], and whenever no query is in flight.
     fn update_metrics(&mut self, now: Duration) {
-        if now < self.metrics_updated_at + METRICS_PERIOD && self.core.in_flight() > 0 {
+        if now < self.metrics_updated_at + METRICS_PERIOD && self.core.queries_in_flight() > 0 {
             return;
         }
         self.metrics_updated_at = now;
@@ -350,7 +350,7 @@
         };
         log::debug!("sending to {vm} failed: {error}");
         if let Some((query, attempts)) = attempts {
-            self.core.not_sent(now, vm, query, &attempts);
+            self.core.handle_unsent_attempts(now, vm, query, &attempts);
         }
     }
 
@@ -393,7 +393,7 @@
 
     async fn handle(&mut self, message: RelayReport, _ctx: &mut Context<Self>) {
         let now = self.begin_event();
-        self.core.take_outcomes(now, message.vm, message.batch);
+        self.core.handle_outcomes(now, message.vm, message.batch);
         self.run_actions(now);
     }
 }
@@ -403,7 +403,7 @@
 
     async fn handle(&mut self, message: LinkDown, _ctx: &mut Context<Self>) {
         let now = self.begin_event();
-        self.core.link_down(now, message.vm, message.unsent);
+        self.core.handle_link_down(now, message.vm, message.unsent);
         self.run_actions(now);
     }
 }
@@ -413,7 +413,7 @@
 
     async fn handle(&mut self, _message: TimerFired, _ctx: &mut Context<Self>) {
         let now = self.begin_event();
-        self.core.wake(now);
+        self.core.run_due_timers(now);
         self.abandon_closed_queries(now);
         self.run_actions(now);
     }
--- a/crates/ebonyfork/src/entry/actor_tests.rs
+++ b/crates/ebonyfork/src/entry/actor_tests.rs
@@ -79,7 +79,7 @@
                 loads: SmallVec::new(),
             };
             let session = SessionId::new(vm, crate::ident::IncarnationNumber(7));
-            self.handle.take_outcomes(session, batch).await;
+            self.handle.handle_outcomes(session, batch).await;
         }
         tokio::time::sleep(ms(1)).await;
         answered_attempts
@@ -95,7 +95,7 @@
         async move { handle.run(request()).await }
     });
     tokio::time::sleep(ms(1)).await;
-    expect_that!(fixture.handle.in_flight(), eq(1));
+    expect_that!(fixture.handle.queries_in_flight(), eq(1));
     // The first round answers the canary, the second the attempts at the other three shards.
     for sent_count in [1, 3] {
         expect_that!(fixture.answer_sent_attempts().await, eq(sent_count));
@@ -128,7 +128,7 @@
     expect_that!(fixture.answer_sent_attempts().await, eq(1));
     query_task.abort();
     tokio::time::sleep(ms(100)).await;
-    expect_that!(fixture.handle.in_flight(), eq(0));
+    expect_that!(fixture.handle.queries_in_flight(), eq(0));
     let sent_messages = fixture.sent_messages.lock().unwrap();
     let cancels = sent_messages.iter().map(|(_, message)| match message {
         PeerMessage::Cancel(batch) => batch.attempts.len(),
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -41,7 +41,7 @@
     reason = "the large variant is nearly every action"
 )]
 pub enum EntryAction {
-    /// Send a message to a relay. If it can't be sent, [`EntryCore::not_sent`] must be called.
+    /// Send a message to a relay. If it can't be sent, [`EntryCore::handle_unsent_attempts`] must be called.
     Send {
         /// Address of the VM that runs the relay.
         vm: VmAddress,
@@ -133,11 +133,11 @@
     }
 
     /// Returns the number of queries in flight.
-    pub fn in_flight(&self) -> usize {
+    pub fn queries_in_flight(&self) -> usize {
         self.runs.len()
     }
 
-    /// Returns the time at which [`EntryCore::wake`] must be called next.
+    /// Returns the time at which [`EntryCore::run_due_timers`] must be called next.
     pub fn next_wake(&self) -> Option<Duration> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
@@ -225,7 +225,7 @@
     }
 
     /// Handles the outcomes and load reports sent by the relay on `from`.
-    pub fn take_outcomes(&mut self, now: Duration, from: VmAddress, batch: OutcomeBatch) {
+    pub fn handle_outcomes(&mut self, now: Duration, from: VmAddress, batch: OutcomeBatch) {
         let relay = self.shared.directory.relay_id(from);
         self.shared.directory.relays[relay].record_link_up();
         for load in &batch.loads {
@@ -262,7 +262,12 @@
 
     /// Handles a broken link to a VM. The messages in `unsent` were never transmitted; other attempts sent to that VM
     /// may have run.
-    pub fn link_down(&mut self, now: Duration, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
+    pub fn handle_link_down(
+        &mut self,
+        now: Duration,
+        vm: VmAddress,
+        unsent: VecDeque<PeerMessage>,
+    ) {
         let relay = self.shared.directory.relay_id(vm);
         self.shared.directory.relays[relay].record_link_down(now);
         for message in unsent {
@@ -270,7 +275,7 @@
                 continue;
             };
             let attempts: Vec<u32> = batch.targets.iter().map(|target| target.attempt).collect();
-            self.not_sent(now, vm, batch.query, &attempts);
+            self.handle_unsent_attempts(now, vm, batch.query, &attempts);
         }
         let numbers: Vec<u64> = self.runs.keys().copied().collect();
         for query_number in numbers {
@@ -283,7 +288,13 @@
     }
 
     /// Handles attempts that could not be passed to the link of a VM and therefore did not run.
-    pub fn not_sent(&mut self, now: Duration, vm: VmAddress, query: u64, attempts: &[u32]) {
+    pub fn handle_unsent_attempts(
+        &mut self,
+        now: Duration,
+        vm: VmAddress,
+        query: u64,
+        attempts: &[u32],
+    ) {
         let relay = self.shared.directory.relay_id(vm);
         self.shared.directory.relays[relay].record_link_down(now);
         for &attempt in attempts {
@@ -293,7 +304,7 @@
     }
 
     /// Handles the timers that are due at `now`.
-    pub fn wake(&mut self, now: Duration) {
+    pub fn run_due_timers(&mut self, now: Duration) {
         while let Some(&Reverse((at, query_number))) = self.timers.peek() {
             if at > now {
                 return;
--- a/crates/ebonyfork/src/entry/core_tests.rs
+++ b/crates/ebonyfork/src/entry/core_tests.rs
@@ -19,7 +19,7 @@
     expect_that!(answer.coverage.answered, eq(20));
     expect_that!(answer.bodies.len(), eq(20));
     expect_that!(answer.snapshot, eq(SnapshotVersion(17)));
-    expect_that!(fixture.core.in_flight(), eq(0));
+    expect_that!(fixture.core.queries_in_flight(), eq(0));
 }
 
 #[gtest]
@@ -47,13 +47,13 @@
     let first_attempt = fixture.take_sent_attempts().remove(0);
     fixture
         .core
-        .not_sent(fixture.now, first_attempt.vm, query, &[0]);
+        .handle_unsent_attempts(fixture.now, first_attempt.vm, query, &[0]);
     fixture.run_actions();
     let second_attempt = fixture.take_sent_attempts().remove(0);
     expect_that!(second_attempt.attempt, eq(1));
     fixture
         .core
-        .link_down(fixture.now, second_attempt.vm, VecDeque::new());
+        .handle_link_down(fixture.now, second_attempt.vm, VecDeque::new());
     fixture.run_actions();
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
     expect_that!(refusal.ran, eq(RunState::Unknown));
@@ -68,7 +68,7 @@
     let lost_relay = vm(1);
     fixture
         .core
-        .link_down(fixture.now, lost_relay, VecDeque::new());
+        .handle_link_down(fixture.now, lost_relay, VecDeque::new());
     fixture.run_actions();
     let mut lost_attempts = 0;
     for attempt in fixture.take_sent_attempts() {
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -236,7 +236,7 @@
             outcomes: [outcome].into_iter().collect(),
             loads: load.into_iter().collect(),
         };
-        self.core.take_outcomes(self.now, attempt.vm, batch);
+        self.core.handle_outcomes(self.now, attempt.vm, batch);
         self.run_actions();
     }
 
@@ -247,7 +247,7 @@
                 break;
             }
             self.now = self.now.max(wake_at);
-            self.core.wake(self.now);
+            self.core.run_due_timers(self.now);
             self.run_actions();
         }
         self.now = end;
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -287,12 +287,12 @@
                 self.start_queued(upstream);
             }
             Event::Deliver { entry, vm, batch } => {
-                self.entries[entry].take_outcomes(self.now, vm, batch);
+                self.entries[entry].handle_outcomes(self.now, vm, batch);
                 self.run_actions(entry);
             }
             Event::Wake { entry } => {
                 self.timer_at[entry] = Duration::MAX;
-                self.entries[entry].wake(self.now);
+                self.entries[entry].run_due_timers(self.now);
                 self.run_actions(entry);
             }
         }
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -120,7 +120,7 @@
             Step::LinkDown { vm } => {
                 let vm = crate::entry::fixture::vm(vm);
                 let unsent = std::collections::VecDeque::new();
-                fixture.core.link_down(fixture.now, vm, unsent);
+                fixture.core.handle_link_down(fixture.now, vm, unsent);
                 fixture.run_actions();
                 for (number, attempt) in observed.sent_attempts.iter().enumerate() {
                     observed.has_verdict[number] |= attempt.vm == vm;
@@ -172,7 +172,7 @@
             fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
             let observed = run_steps(&mut fixture, query, &steps);
             check_truth(fixture.outcome(query), &observed);
-            prop_assert_eq!(fixture.core.in_flight(), 0);
+            prop_assert_eq!(fixture.core.queries_in_flight(), 0);
         });
     }
 }
--- a/crates/ebonyfork/src/node/dispatch.rs
+++ b/crates/ebonyfork/src/node/dispatch.rs
@@ -20,7 +20,7 @@
 impl PeerDispatch {
     /// Work that has not been answered.
     pub(super) fn in_flight(&self) -> usize {
-        self.entry.in_flight() + self.once.in_flight() + self.relay.in_flight()
+        self.entry.queries_in_flight() + self.once.in_flight() + self.relay.in_flight()
     }
 
     /// Hands one event to the slice that it concerns.
@@ -31,7 +31,7 @@
                 let is_keyed = |message: &PeerMessage| matches!(message, PeerMessage::Once(_));
                 let (keyed, unsent) = unsent.into_iter().partition(is_keyed);
                 self.once.link_down(vm, keyed).await;
-                self.entry.link_down(vm, unsent).await;
+                self.entry.handle_link_down(vm, unsent).await;
             }
         }
     }
@@ -42,7 +42,7 @@
             PeerMessage::Cancel(batch) => self.relay.cancel(&from, batch).await,
             PeerMessage::Outcomes(batch) => {
                 let Some(peer) = from.peer() else { return };
-                self.entry.take_outcomes(peer, batch).await;
+                self.entry.handle_outcomes(peer, batch).await;
             }
             PeerMessage::Revision(message) => self.revision.take_message(from, message).await,
             PeerMessage::Catalog(message) => self.catalog.take_message(from, message).await,
--- a/crates/ebonyfork/src/node/gossip.rs
+++ b/crates/ebonyfork/src/node/gossip.rs
@@ -38,7 +38,7 @@
 async fn tell_digest(members: MemberHandle, dispatch: PeerDispatch, mut views: NodeViews) {
     let mut told = MemberDigest::default();
     loop {
-        let load = dispatch.entry.in_flight().min(FULL_LOAD) * 1_000 / FULL_LOAD;
+        let load = dispatch.entry.queries_in_flight().min(FULL_LOAD) * 1_000 / FULL_LOAD;
         let revision = views.config.borrow_and_update().revision;
         let digest = MemberDigest {
             revision,
--- a/crates/ebonyfork/src/node/status.rs
+++ b/crates/ebonyfork/src/node/status.rs
@@ -55,7 +55,7 @@
 
     fn in_flight(&self) -> InFlightStatus {
         InFlightStatus {
-            queries: self.dispatch.entry.in_flight(),
+            queries: self.dispatch.entry.queries_in_flight(),
             keyed: self.dispatch.once.in_flight(),
             attempts: self.dispatch.relay.in_flight(),
         }
