--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -114,8 +114,8 @@
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["x-coverage"], eq("2/2"));
     expect_that!(response.headers()["x-snapshot"], eq("17"));
-    let expected = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
-    expect_that!(response.body().as_ref(), eq(&expected[..]));
+    let expected_body = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
+    expect_that!(response.body().as_ref(), eq(&expected_body[..]));
     let locate = Request::get("/v1/locate").body(Full::default()).unwrap();
     let response = send_request(fixture.address, locate).await;
     let answer: LocateAnswer = serde_json::from_slice(response.body()).unwrap();
@@ -189,8 +189,8 @@
     let response = send_request(fixture.address, request).await;
     expect_that!(response.status().as_u16(), eq(503));
     expect_that!(response.headers()["retry-after"], eq("1"));
-    let expected = br#"{"error":{"code":"overloaded","ran":"not-run","message":"full","field":null,"retry_after_ms":250,"query":"mine"}}"#;
-    expect_that!(response.body().as_ref(), eq(&expected[..]));
+    let expected_body = br#"{"error":{"code":"overloaded","ran":"not-run","message":"full","field":null,"retry_after_ms":250,"query":"mine"}}"#;
+    expect_that!(response.body().as_ref(), eq(&expected_body[..]));
     fixture
         .writers
         .readiness
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -74,11 +74,11 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let query_id = read_query_id(request.headers());
-        let response = self.route(request).await;
+        let response = self.route_request(request).await;
         Ok(response.unwrap_or_else(|refusal| refusal_response(&refusal, query_id.as_ref())))
     }
 
-    async fn route(
+    async fn route_request(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, QueryRefusal> {
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -75,24 +75,24 @@
         self
     }
 
-    /// Sets the quarantine check. A request for which `refuses` returns true is refused before anything is sent.
+    /// Sets the quarantine check. A request for which `is_quarantined` returns true is refused before anything is sent.
     #[must_use]
     pub fn with_quarantine(
         mut self,
-        refuses: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
+        is_quarantined: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.is_quarantined = Arc::new(refuses);
+        self.is_quarantined = Arc::new(is_quarantined);
         self
     }
 
-    /// Sets the suspicion check. A request for which `suspects` returns true was in flight when an upstream was lost;
+    /// Sets the suspicion check. A request for which `is_suspect` returns true was in flight when an upstream was lost;
     /// it is sent to a single shard before the others.
     #[must_use]
     pub fn with_suspicion(
         mut self,
-        suspects: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
+        is_suspect: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.is_suspect = Arc::new(suspects);
+        self.is_suspect = Arc::new(is_suspect);
         self
     }
 }
@@ -175,17 +175,28 @@
             .unwrap_or_else(|_closed| Err(stopping_refusal(RunState::Unknown)))
     }
 
-    /// Passes the outcomes reported by the relay in process incarnation `from` to the actor.
-    pub async fn handle_outcomes(&self, from: SessionId, batch: OutcomeBatch) {
-        let report = RelayReport { vm: from.vm, batch };
+    /// Passes the outcomes reported by the relay in process incarnation `relay_session` to the actor.
+    pub async fn handle_outcomes(&self, relay_session: SessionId, batch: OutcomeBatch) {
+        let report = RelayReport {
+            vm: relay_session.vm,
+            batch,
+        };
         // The actor lives as long as this handle; if it has ended, so have its queries.
         drop(self.address.send(report).detach().await);
     }
 
-    /// Reports that the link to a VM broke: the messages in `unsent` were not transmitted, other attempts sent over the
-    /// link may have run.
-    pub async fn handle_link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
-        drop(self.address.send(LinkDown { vm, unsent }).detach().await);
+    /// Reports that the link to a VM broke: the messages in `unsent_messages` were not transmitted, other attempts
+    /// sent over the link may have run.
+    pub async fn handle_link_down(&self, vm: VmAddress, unsent_messages: VecDeque<PeerMessage>) {
+        drop(
+            self.address
+                .send(LinkDown {
+                    vm,
+                    unsent_messages,
+                })
+                .detach()
+                .await,
+        );
     }
 
     /// Returns the number of queries in flight.
@@ -199,8 +210,8 @@
     }
 }
 
-fn stopping_refusal(ran: RunState) -> QueryRefusal {
-    QueryRefusal::new(RefusalCode::Stopping, ran, "this VM is stopping")
+fn stopping_refusal(run_state: RunState) -> QueryRefusal {
+    QueryRefusal::new(RefusalCode::Stopping, run_state, "this VM is stopping")
 }
 
 /// Sends [`TimerFired`] to the actor at the time most recently published in `timer_updates`.
@@ -210,20 +221,20 @@
 ) {
     loop {
         let wake_at = *timer_updates.borrow_and_update();
-        let timer_due = async {
+        let timer_future = async {
             match wake_at {
                 Some(wake_at) => tokio::time::sleep_until(wake_at).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = timer_due => {
+            () = timer_future => {
                 if address.send(TimerFired).await.is_err() {
                     return;
                 }
             }
-            changed = timer_updates.changed() => {
-                if changed.is_err() {
+            change_result = timer_updates.changed() => {
+                if change_result.is_err() {
                     return;
                 }
             }
@@ -247,7 +258,7 @@
 /// Tells the actor that the link to `vm` broke, with the messages that were not transmitted.
 struct LinkDown {
     vm: VmAddress,
-    unsent: VecDeque<PeerMessage>,
+    unsent_messages: VecDeque<PeerMessage>,
 }
 
 /// Tells the actor that its timer is due.
@@ -267,6 +278,7 @@
     /// Zero of the entry's clock.
     epoch: Instant,
     send: Box<SendFunction>,
+    /// Callers of the queries in flight, by query number.
     callers: FxHashMap<u64, WaitingCaller>,
     queries_in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
@@ -287,8 +299,8 @@
             catalog: Arc::clone(&self.views.catalog.borrow()),
         };
         self.core.refresh(&views);
-        let enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
-        self.core.set_decision_logging(enabled);
+        let logging_enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
+        self.core.set_decision_logging(logging_enabled);
         self.epoch.elapsed()
     }
 
@@ -332,17 +344,18 @@
         }
         self.callers_checked_at = now;
         let core = &mut self.core;
-        for (number, caller) in &self.callers {
+        for (query_number, caller) in &self.callers {
             if caller.reply.is_closed() {
-                core.abandon_query(now, *number);
+                core.abandon_query(now, *query_number);
             }
         }
         self.callers.retain(|_, caller| !caller.reply.is_closed());
     }
 
+    /// Passes a message to the link of a VM; attempts that the link does not accept are reported to the core.
     fn send_message(&mut self, now: Duration, vm: VmAddress, message: PeerMessage) {
         let attempts = match &message {
-            PeerMessage::Submit(batch) => Some((batch.query, attempts_of(batch))),
+            PeerMessage::Submit(batch) => Some((batch.query, attempt_numbers(batch))),
             _ => None,
         };
         let Err(error) = (self.send)(vm, message) else {
@@ -354,6 +367,7 @@
         }
     }
 
+    /// Sends the outcome of a query to its caller and records it in the metrics.
     fn send_outcome(&mut self, now: Duration, query: u64, outcome: QueryOutcome) {
         let Some(caller) = self.callers.remove(&query) else {
             return;
@@ -366,7 +380,8 @@
     }
 }
 
-fn attempts_of(batch: &SubmitBatch) -> SmallVec<[u32; 8]> {
+/// Returns the numbers of the attempts in a batch.
+fn attempt_numbers(batch: &SubmitBatch) -> SmallVec<[u32; 8]> {
     batch.targets.iter().map(|target| target.attempt).collect()
 }
 
@@ -380,10 +395,10 @@
             class: message.request.class.clone(),
             started_at: now,
         };
-        let number = self
+        let query_number = self
             .core
             .start_suspect(now, message.request, message.suspect);
-        self.callers.insert(number, caller);
+        self.callers.insert(query_number, caller);
         self.run_actions(now);
     }
 }
@@ -403,7 +418,8 @@
 
     async fn handle(&mut self, message: LinkDown, _ctx: &mut Context<Self>) {
         let now = self.begin_event();
-        self.core.handle_link_down(now, message.vm, message.unsent);
+        self.core
+            .handle_link_down(now, message.vm, message.unsent_messages);
         self.run_actions(now);
     }
 }
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -67,7 +67,7 @@
     /// Expected time of the request to that shard on an idle upstream, including the round trip.
     pub unloaded_time: Duration,
     /// Upstream time that the whole query takes, in seconds.
-    pub cost: f64,
+    pub cost_seconds: f64,
 }
 
 /// Whether a query is admitted.
@@ -122,7 +122,7 @@
     /// Factor on the share of the latency target that queries may take, at most 1.
     factor: f64,
     /// Number of queries admitted under load that completed since the last update of the factor.
-    queries: u32,
+    completed_queries: u32,
     /// Number of those queries that missed their target.
     misses: u32,
 }
@@ -131,7 +131,7 @@
     fn default() -> Self {
         Self {
             factor: 1.0,
-            queries: 0,
+            completed_queries: 0,
             misses: 0,
         }
     }
@@ -152,7 +152,8 @@
     /// Decides whether to admit a query, and records the usage of one that is admitted.
     pub fn admit(&mut self, now: Duration, request: AdmissionRequest<'_>) -> AdmissionDecision {
         self.forget_idle_organisations(now);
-        let usage_share = match self.usage(now, request.organisation, request.cost) {
+        let usage_share = match self.classify_usage(now, request.organisation, request.cost_seconds)
+        {
             OrganisationUsage::Light => LIGHT_LATENCY_SHARE,
             OrganisationUsage::Fair => FAIR_LATENCY_SHARE,
             OrganisationUsage::Heavy => HEAVY_LATENCY_SHARE,
@@ -168,7 +169,7 @@
         {
             return AdmissionDecision::Refused { excess_wait };
         }
-        self.record_usage(now, request.organisation, request.cost);
+        self.record_usage(now, request.organisation, request.cost_seconds);
         AdmissionDecision::Admitted {
             under_load: request.predicted_wait > allowed_wait / LOADED_WAIT_DIVISOR,
         }
@@ -181,36 +182,36 @@
         latency_percentile: f64,
         target_met: bool,
     ) {
-        let limit = &mut self.class_limits[class];
-        limit.queries += 1;
-        limit.misses += u32::from(!target_met);
-        if limit.queries < LIMIT_UPDATE_QUERIES {
+        let class_limit = &mut self.class_limits[class];
+        class_limit.completed_queries += 1;
+        class_limit.misses += u32::from(!target_met);
+        if class_limit.completed_queries < LIMIT_UPDATE_QUERIES {
             return;
         }
-        let miss_rate = f64::from(limit.misses) / f64::from(limit.queries);
-        limit.factor = if miss_rate > 1.0 - latency_percentile / 100.0 + MISS_TOLERANCE {
-            (limit.factor * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT_FACTOR)
+        let miss_rate = f64::from(class_limit.misses) / f64::from(class_limit.completed_queries);
+        class_limit.factor = if miss_rate > 1.0 - latency_percentile / 100.0 + MISS_TOLERANCE {
+            (class_limit.factor * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT_FACTOR)
         } else {
-            (limit.factor + LIMIT_INCREASE_STEP).min(1.0)
+            (class_limit.factor + LIMIT_INCREASE_STEP).min(1.0)
         };
-        limit.queries = 0;
-        limit.misses = 0;
+        class_limit.completed_queries = 0;
+        class_limit.misses = 0;
     }
 
-    /// Returns an organisation's usage relative to its fair share, without the next query, which takes `cost` seconds
+    /// Returns an organisation's usage relative to its fair share, without the next query, which takes `cost_seconds`
     /// of upstream time.
-    pub fn usage(
+    pub fn classify_usage(
         &self,
         now: Duration,
         organisation: &OrganisationName,
-        cost: f64,
+        cost_seconds: f64,
     ) -> OrganisationUsage {
         let recent_usage = self
             .usage_by_organisation
             .get(organisation)
             .map_or(0.0, |sum| sum.value(now));
         let fair_share = self.total_usage.value(now) / f64::from(self.active_organisations.max(1));
-        if recent_usage <= cost * LIGHT_QUERY_COUNT
+        if recent_usage <= cost_seconds * LIGHT_QUERY_COUNT
             || (self.active_organisations > 1 && recent_usage < fair_share * LIGHT_USAGE_FACTOR)
         {
             OrganisationUsage::Light
@@ -221,14 +222,14 @@
         }
     }
 
-    fn record_usage(&mut self, now: Duration, organisation: &OrganisationName, cost: f64) {
-        self.total_usage.add(now, cost);
+    fn record_usage(&mut self, now: Duration, organisation: &OrganisationName, cost_seconds: f64) {
+        self.total_usage.add(now, cost_seconds);
         if let Some(sum) = self.usage_by_organisation.get_mut(organisation) {
-            sum.add(now, cost);
+            sum.add(now, cost_seconds);
             return;
         }
         let mut sum = DecayingSum::default();
-        sum.add(now, cost);
+        sum.add(now, cost_seconds);
         self.usage_by_organisation.insert(organisation.clone(), sum);
         self.active_organisations += 1;
     }
--- a/crates/ebonyfork/src/entry/admission_tests.rs
+++ b/crates/ebonyfork/src/entry/admission_tests.rs
@@ -10,22 +10,22 @@
         latency_target: ms(100),
         predicted_wait,
         unloaded_time: ms(20),
-        cost: 0.2,
+        cost_seconds: 0.2,
     }
 }
 
 #[gtest]
 fn the_allowed_wait_depends_on_usage() {
-    let names: Vec<OrganisationName> = ["flood", "steady", "idle"]
+    let organisation_names: Vec<OrganisationName> = ["flood", "steady", "idle"]
         .map(|name| name.parse().unwrap())
         .into();
     let mut admission = AdmissionControl::default();
     let mut now = ms(0);
     for round in 0..200 {
         now += ms(10);
-        admission.admit(now, request(&names[0], ms(0)));
+        admission.admit(now, request(&organisation_names[0], ms(0)));
         if round % 10 == 0 {
-            admission.admit(now, request(&names[1], ms(0)));
+            admission.admit(now, request(&organisation_names[1], ms(0)));
         }
     }
     let expectations = [
@@ -34,8 +34,8 @@
         (2, OrganisationUsage::Light, 60),
     ];
     for (organisation, usage, allowed_wait) in expectations {
-        let name = &names[organisation];
-        expect_that!(admission.usage(now, name, 0.2), eq(usage));
+        let name = &organisation_names[organisation];
+        expect_that!(admission.classify_usage(now, name, 0.2), eq(usage));
         let refusal_decision = admission.admit(now, request(name, ms(allowed_wait + 5)));
         expect_that!(
             refusal_decision,
@@ -49,9 +49,9 @@
     }
     // After ten idle seconds the usage of the first organisation has decayed.
     now += Duration::from_secs(10);
-    admission.admit(now, request(&names[1], ms(0)));
+    admission.admit(now, request(&organisation_names[1], ms(0)));
     expect_that!(
-        admission.usage(now, &names[0], 0.2),
+        admission.classify_usage(now, &organisation_names[0], 0.2),
         eq(OrganisationUsage::Light)
     );
 }
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -1,4 +1,4 @@
-//! Canaries: a request that is not known to be safe is sent to a single shard before the others.
+//! Canaries: a request that has not returned rows recently is sent to a single shard before the others.
 //!
 //! Otherwise, a request that crashes upstreams would take down one replica of every shard at once, and the other
 //! replicas when its caller retries. With a canary it can take down at most two upstreams, at the first shard and then
@@ -64,7 +64,7 @@
 /// The canary of a query, while requests to the other shards are held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CanaryProbe {
-    /// Position of the shard that receives the canary.
+    /// Position of the shard that receives the canary, in the slots of the gather.
     pub(super) slot_index: u32,
     /// How often the canary has been checked while overdue.
     pub(super) overdue_checks: u8,
@@ -131,8 +131,8 @@
         now: Duration,
         slot_index: usize,
     ) -> bool {
-        let others_open = self.gather.open_count() > 1;
-        if !self.params.idempotent || self.progress.has_run || !others_open {
+        let has_other_open_shards = self.gather.open_count() > 1;
+        if !self.params.idempotent || self.progress.has_run || !has_other_open_shards {
             return false;
         }
         self.has_deferred_shards = true;
@@ -147,7 +147,7 @@
 
     /// Requests the deferred shards once rows have arrived or nothing else is in flight.
     pub(super) fn resume_deferred_shards(&mut self, shared: &mut SharedState, now: Duration) {
-        let none_in_flight = || {
+        let has_no_attempt_in_flight = || {
             self.gather
                 .slots()
                 .iter()
@@ -155,7 +155,7 @@
         };
         if !self.has_deferred_shards
             || self.canary.is_some()
-            || !(self.progress.has_run || none_in_flight())
+            || !(self.progress.has_run || has_no_attempt_in_flight())
         {
             return;
         }
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -96,7 +96,7 @@
         if constraints.excluded_replicas.contains(&replica) {
             continue;
         }
-        let Some(candidate) = candidate(directory, now, replica, constraints.excluded_relays)
+        let Some(candidate) = find_candidate(directory, now, replica, constraints.excluded_relays)
         else {
             continue;
         };
@@ -134,7 +134,7 @@
 }
 
 /// Returns a replica with the preferred relay that is up, or `None` if no relay may be used.
-fn candidate(
+fn find_candidate(
     directory: &mut Directory,
     now: Duration,
     replica: ReplicaId,
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -74,6 +74,7 @@
     shared: SharedState,
     config: Arc<DeclaredConfig>,
     class_ids: FxHashMap<ClassName, ClassId>,
+    /// Queries in flight, by query number.
     runs: FxHashMap<u64, Box<QueryRun>>,
     /// Runs of completed queries, kept for reuse of their allocations.
     #[expect(
@@ -81,6 +82,8 @@
         reason = "runs move between here and the map without being copied"
     )]
     run_pool: Vec<Box<QueryRun>>,
+    /// Times of timers with the query number, earliest first. A timer is ignored if the query's `timer_at` is another
+    /// time.
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
     last_query_number: u64,
     actions: VecDeque<EntryAction>,
@@ -217,6 +220,7 @@
         id
     }
 
+    /// Starts the run of a query and adds it to the queries in flight.
     fn begin_run(&mut self, now: Duration, mut run: Box<QueryRun>) {
         let query_number = run.query_number;
         let outcome = run.begin(&mut self.shared, now);
@@ -224,9 +228,9 @@
         self.finish_event(now, query_number, outcome);
     }
 
-    /// Handles the outcomes and load reports sent by the relay on `from`.
-    pub fn handle_outcomes(&mut self, now: Duration, from: VmAddress, batch: OutcomeBatch) {
-        let relay = self.shared.directory.relay_id(from);
+    /// Handles the outcomes and load reports sent by the relay on `relay_vm`.
+    pub fn handle_outcomes(&mut self, now: Duration, relay_vm: VmAddress, batch: OutcomeBatch) {
+        let relay = self.shared.directory.relay_id(relay_vm);
         self.shared.directory.relays[relay].record_link_up();
         for load in &batch.loads {
             if let Some(replica) = self.shared.directory.find_replica(load.upstream) {
@@ -260,25 +264,25 @@
         self.finish_event(now, query, query_outcome);
     }
 
-    /// Handles a broken link to a VM. The messages in `unsent` were never transmitted; other attempts sent to that VM
-    /// may have run.
+    /// Handles a broken link to a VM. The messages in `unsent_messages` were never transmitted; other attempts sent to
+    /// that VM may have run.
     pub fn handle_link_down(
         &mut self,
         now: Duration,
         vm: VmAddress,
-        unsent: VecDeque<PeerMessage>,
+        unsent_messages: VecDeque<PeerMessage>,
     ) {
         let relay = self.shared.directory.relay_id(vm);
         self.shared.directory.relays[relay].record_link_down(now);
-        for message in unsent {
+        for message in unsent_messages {
             let PeerMessage::Submit(batch) = message else {
                 continue;
             };
             let attempts: Vec<u32> = batch.targets.iter().map(|target| target.attempt).collect();
             self.handle_unsent_attempts(now, vm, batch.query, &attempts);
         }
-        let numbers: Vec<u64> = self.runs.keys().copied().collect();
-        for query_number in numbers {
+        let query_numbers: Vec<u64> = self.runs.keys().copied().collect();
+        for query_number in query_numbers {
             let Some(run) = self.runs.get_mut(&query_number) else {
                 continue;
             };
@@ -305,15 +309,15 @@
 
     /// Handles the timers that are due at `now`.
     pub fn run_due_timers(&mut self, now: Duration) {
-        while let Some(&Reverse((at, query_number))) = self.timers.peek() {
-            if at > now {
+        while let Some(&Reverse((timer_at, query_number))) = self.timers.peek() {
+            if timer_at > now {
                 return;
             }
             self.timers.pop();
             let Some(run) = self.runs.get_mut(&query_number) else {
                 continue;
             };
-            if run.timer_at != at {
+            if run.timer_at != timer_at {
                 continue;
             }
             run.timer_at = Duration::MAX;
@@ -348,6 +352,7 @@
         }
     }
 
+    /// Removes a completed query, records its result and queues its outcome for the caller.
     fn complete_query(&mut self, now: Duration, query_number: u64, outcome: QueryOutcome) {
         let Some(mut run) = self.runs.remove(&query_number) else {
             return;
@@ -398,6 +403,7 @@
         ids.map(|(name, id)| (name, self.shared.decision_counts[*id]))
     }
 
+    /// Collects the outcome of a query for the decision log.
     fn record_finish(
         &mut self,
         query_number: u64,
@@ -407,10 +413,11 @@
         duration: Duration,
     ) {
         if self.shared.log_decisions {
-            let finished = FinishedQuery::new(query_number, caller_id, class, outcome, duration);
+            let finished_query =
+                FinishedQuery::new(query_number, caller_id, class, outcome, duration);
             self.shared
                 .pending_decisions
-                .push(EntryDecision::Finish(finished));
+                .push(EntryDecision::Finish(finished_query));
         }
     }
 
@@ -424,6 +431,7 @@
     QueryRefusal::new(code, RunState::NotRun, message)
 }
 
+/// Returns the declared class of a request; refuses a request whose organisation may not use it.
 fn find_class<'a>(
     config: &'a DeclaredConfig,
     request: &QueryRequest,
@@ -449,6 +457,7 @@
     Ok(target)
 }
 
+/// Refuses a request that lacks a field which its class needs, or whose deadline has passed.
 fn check_request(target: &ClassTarget, request: &QueryRequest) -> Result<(), QueryRefusal> {
     if target.scope == ClassScope::One && request.record.is_none() {
         let refusal = not_run_refusal(RefusalCode::BadRequest, "the class needs a record name");
--- a/crates/ebonyfork/src/entry/core_tests.rs
+++ b/crates/ebonyfork/src/entry/core_tests.rs
@@ -30,9 +30,9 @@
         fixture.deliver(attempt, rows_verdict(17));
     }
     fixture.advance(ms(400));
-    let (at, outcome) = &fixture.finished_queries[&query];
+    let (finished_at, outcome) = &fixture.finished_queries[&query];
     let answer = outcome.as_ref().unwrap();
-    expect_that!(*at, le(ms(310)));
+    expect_that!(*finished_at, le(ms(310)));
     expect_that!(answer.coverage.missing, elements_are![eq(&ShardNumber(0))]);
     expect_that!(answer.bodies.len(), eq(3));
 }
@@ -101,8 +101,8 @@
             "key" => query.key = None,
             _ => query.deadline = Some(Duration::ZERO),
         }
-        let number = fixture.start(query);
-        let refusal = fixture.outcome(number).as_ref().unwrap_err();
+        let query_number = fixture.start(query);
+        let refusal = fixture.outcome(query_number).as_ref().unwrap_err();
         expect_that!((refusal.code, refusal.ran), eq((code, RunState::NotRun)));
     }
     expect_that!(fixture.take_sent_attempts(), is_empty());
@@ -147,12 +147,12 @@
     expect_that!(fixture.outcome(query).is_ok(), eq(true));
     let lines = fixture.core.take_decisions().map(|line| line.to_string());
     let lines: Vec<String> = lines.collect();
-    let kinds: Vec<&str> = lines
+    let line_kinds: Vec<&str> = lines
         .iter()
         .map(|line| &line[..line.find(' ').unwrap()])
         .collect();
-    let expected = ["route", "route", "setback", "route", "setback", "finish"];
-    expect_that!(kinds, eq(&expected));
+    let expected_kinds = ["route", "route", "setback", "route", "setback", "finish"];
+    expect_that!(line_kinds, eq(&expected_kinds));
     let finish_line = "finish query=q1 class=search id=mine outcome=answer snapshot=17 coverage=1/2 missing=1 took_us=0";
     expect_that!(lines[5], eq(finish_line));
     expect_that!(
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -110,7 +110,7 @@
     /// An attempt was routed.
     Route(RouteDecision),
     /// An attempt returned no rows.
-    Setback(FailedAttempt),
+    FailedAttempt(FailedAttempt),
     /// A query was completed.
     Finish(FinishedQuery),
 }
@@ -119,7 +119,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Route(decision) => write!(f, "route {decision}"),
-            Self::Setback(decision) => write!(f, "setback {decision}"),
+            Self::FailedAttempt(decision) => write!(f, "setback {decision}"),
             Self::Finish(decision) => write!(f, "finish {decision}"),
         }
     }
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -15,7 +15,8 @@
 /// Number of shards of the index, each on a service of two upstreams.
 const SHARDS: usize = 8;
 
-/// A fault, injected at services 1 to `faulty_services`.
+/// A fault, injected at services 1 to `faulty_services`. The first upstream of a service is its replica 0; the first
+/// attempt at a shard is the one with [`AttemptPurpose::First`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     /// The first attempt takes far too long.
@@ -61,10 +62,11 @@
     Shedding, Silent, SlowService, Straggler, VersionMissing, WrongVersion,
 };
 
-/// Faults, the expected outcome of a latency-first class, and that of a coverage-first class with a target of 0.95.
+/// A set of faults, the expected outcome of a latency-first class, and that of a coverage-first class with a target of
+/// 0.95.
 type FaultCase = (&'static [Fault], Expected, Expected);
 
-/// Faults, and the refusal of a non-idempotent query, or `None` if it is answered.
+/// A set of faults, and the expected refusal of a non-idempotent query, or `None` if it is answered.
 type NonIdempotentCase = (&'static [Fault], Option<(RefusalCode, RunState)>);
 
 const ALL_AT_ONCE: &[Fault] = &[
@@ -119,7 +121,7 @@
     }
 
     /// Takes the attempts sent and schedules their replies.
-    fn answer(&mut self, fixture: &mut EntryFixture) {
+    fn schedule_replies(&mut self, fixture: &mut EntryFixture) {
         for attempt in fixture.take_sent_attempts() {
             if let Some((delay, verdict)) = self.reply(fixture, &attempt) {
                 let key = (fixture.now + delay, self.sent_attempts.len());
@@ -135,14 +137,14 @@
         attempt: &SentAttempt,
     ) -> Option<(Duration, ShardVerdict)> {
         let body = format!(r#"{{"rows":["{}@{}"]}}"#, attempt.shard, attempt.version);
-        let rows = |version| ShardVerdict::Rows {
+        let rows_of_version = |version| ShardVerdict::Rows {
             version,
             body: Bytes::from(body.clone()),
         };
-        let success = Some((ms(10), rows(attempt.version)));
+        let success_reply = Some((ms(10), rows_of_version(attempt.version)));
         let service = attempt.shard;
         if service == 0 || service > self.faulty_services {
-            return success;
+            return success_reply;
         }
         let is_first_attempt = attempt.purpose == AttemptPurpose::First;
         let is_first_upstream = attempt.upstream == upstream(service as usize, 0);
@@ -188,13 +190,13 @@
                 failed_verdict(FailureReason::Status)
             }
             () if self.has_fault(WrongVersion) && is_first_attempt => {
-                Some((ms(5), rows(SnapshotVersion(16))))
+                Some((ms(5), rows_of_version(SnapshotVersion(16))))
             }
             () if self.has_fault(Straggler) && is_first_attempt => {
-                Some((ms(900), rows(attempt.version)))
+                Some((ms(900), rows_of_version(attempt.version)))
             }
-            () if self.has_fault(SlowService) => Some((ms(80), rows(attempt.version))),
-            () => success,
+            () if self.has_fault(SlowService) => Some((ms(80), rows_of_version(attempt.version))),
+            () => success_reply,
         }
     }
 }
@@ -215,7 +217,7 @@
     };
     let started_at = fixture.now;
     let query = fixture.start(request);
-    script.answer(fixture);
+    script.schedule_replies(fixture);
     while !fixture.finished_queries.contains_key(&query) {
         let reply_at = script.replies.keys().next().map(|(at, _)| *at);
         let wake_at = fixture.core.next_wake();
@@ -225,10 +227,14 @@
             fixture.advance(reply_at.unwrap());
             fixture.deliver(&attempt, verdict);
         }
-        script.answer(fixture);
+        script.schedule_replies(fixture);
     }
-    let (at, outcome) = fixture.finished_queries[&query].clone();
-    (at.saturating_sub(started_at), outcome, script.sent_attempts)
+    let (finished_at, outcome) = fixture.finished_queries[&query].clone();
+    (
+        finished_at.saturating_sub(started_at),
+        outcome,
+        script.sent_attempts,
+    )
 }
 
 fn check_outcome(name: &str, faulty_services: u32, expected: Expected, outcome: &QueryOutcome) {
@@ -243,11 +249,15 @@
             }
         }
         (Thin { missing_each }, Ok(answer)) => {
-            let missing: Vec<_> = (1..=faulty_services * missing_each)
+            let missing_shards: Vec<_> = (1..=faulty_services * missing_each)
                 .map(ShardNumber)
                 .collect();
-            expect_that!(answer.coverage.missing, eq(&missing), "{name}");
-            expect_that!(answer.bodies.len(), eq(SHARDS - missing.len()), "{name}");
+            expect_that!(answer.coverage.missing, eq(&missing_shards), "{name}");
+            expect_that!(
+                answer.bodies.len(),
+                eq(SHARDS - missing_shards.len()),
+                "{name}"
+            );
         }
         (Refused { code, ran }, Err(refusal)) => {
             expect_that!((refusal.code, refusal.ran), eq((code, ran)), "{name}");
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -56,6 +56,7 @@
     UpstreamAddress((ip, 80).into())
 }
 
+/// Returns the verdict on an attempt that returned rows of a version.
 pub(super) fn rows_verdict(version: u64) -> ShardVerdict {
     ShardVerdict::Rows {
         version: SnapshotVersion(version),
@@ -163,6 +164,7 @@
         self.core.refresh(&self.views);
     }
 
+    /// Starts a query, performs the actions that follow and returns the number of the query.
     pub(super) fn start(&mut self, request: QueryRequest) -> u64 {
         let number = self.core.start(self.now, request);
         self.run_actions();
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -124,7 +124,12 @@
 
     /// Stores a shard's rows and returns true if they are the shard's first rows and of the pinned version; else
     /// returns false.
-    pub fn accept(&mut self, slot_index: usize, version: SnapshotVersion, body: Bytes) -> bool {
+    pub fn accept_rows(
+        &mut self,
+        slot_index: usize,
+        version: SnapshotVersion,
+        body: Bytes,
+    ) -> bool {
         let pinned_version = self.version;
         let Some(slot) = self.slots.get_mut(slot_index) else {
             return false;
@@ -154,7 +159,7 @@
     /// Returns the coverage of the rows received so far.
     pub fn coverage(&self) -> QueryCoverage {
         let is_unanswered = |slot: &&ShardSlot| slot.status != ShardStatus::Answered;
-        let missing = self
+        let missing_shards = self
             .slots
             .iter()
             .filter(is_unanswered)
@@ -162,7 +167,7 @@
         QueryCoverage {
             answered: self.answered_count,
             total: self.shard_count(),
-            missing: missing.collect(),
+            missing: missing_shards.collect(),
         }
     }
 
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -101,7 +101,7 @@
 
 impl LatenessHistogram {
     /// Adds a sample of how much later than expected rows arrived.
-    pub fn record(&mut self, lateness: Duration) {
+    pub fn add_sample(&mut self, lateness: Duration) {
         self.counts[bucket_index(lateness)] += 1;
         self.sample_count += 1;
         if self.sample_count < DECAY_SAMPLES {
@@ -124,11 +124,11 @@
         if !self.has_enough_samples() {
             return expected_time * 2 + DEFAULT_LATENESS;
         }
-        let rank = (f64::from(self.sample_count) * HEDGE_QUANTILE) as u32;
+        let quantile_rank = (f64::from(self.sample_count) * HEDGE_QUANTILE) as u32;
         let mut cumulative_count = 0;
         for (bucket, count) in self.counts.iter().enumerate() {
             cumulative_count += count;
-            if cumulative_count > rank {
+            if cumulative_count > quantile_rank {
                 return expected_time + bucket_bound(bucket).max(MIN_LATENESS);
             }
         }
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -34,7 +34,7 @@
     query: u64,
     attempt: u32,
     organisation: OrganisationName,
-    arrived: Duration,
+    arrived_at: Duration,
     results_deadline: Duration,
     /// Whether the query started after the warm-up.
     is_counted: bool,
@@ -76,7 +76,7 @@
     Done {
         upstream: UpstreamAddress,
         job: Job,
-        served: Duration,
+        service_time: Duration,
     },
     Deliver {
         entry: usize,
@@ -109,12 +109,15 @@
 }
 
 impl OrganisationResult {
-    pub(super) fn quantile(&self, share: f64) -> Duration {
-        let mut sorted = self.latencies.clone();
-        sorted.sort();
-        let rank = (sorted.len() as f64 * share) as usize;
-        let last = sorted.len().saturating_sub(1);
-        sorted.get(rank.min(last)).copied().unwrap_or_default()
+    pub(super) fn quantile(&self, fraction: f64) -> Duration {
+        let mut sorted_latencies = self.latencies.clone();
+        sorted_latencies.sort();
+        let rank = (sorted_latencies.len() as f64 * fraction) as usize;
+        let last_rank = sorted_latencies.len().saturating_sub(1);
+        sorted_latencies
+            .get(rank.min(last_rank))
+            .copied()
+            .unwrap_or_default()
     }
 }
 
@@ -128,8 +131,8 @@
     /// Time of the earliest timer scheduled for each entry.
     timer_at: Vec<Duration>,
     /// The upstream at which each attempt is queued or running.
-    locations: FxHashMap<(usize, u64, u32), UpstreamAddress>,
-    sequence: u64,
+    upstream_by_attempt: FxHashMap<(usize, u64, u32), UpstreamAddress>,
+    last_event_number: u64,
     now: Duration,
     /// Generates the callers' arrivals, independently of `rng`, so that they are the same in all variants.
     arrivals: ChaCha8Rng,
@@ -186,8 +189,8 @@
             events: BinaryHeap::new(),
             pending_events: FxHashMap::default(),
             timer_at: vec![Duration::MAX; 3],
-            locations: FxHashMap::default(),
-            sequence: 0,
+            upstream_by_attempt: FxHashMap::default(),
+            last_event_number: 0,
             now: Duration::ZERO,
             arrivals: ChaCha8Rng::seed_from_u64(13),
             rng: ChaCha8Rng::seed_from_u64(11),
@@ -220,37 +223,38 @@
         for organisation in 0..self.organisations.len() {
             self.schedule_caller(organisation);
         }
-        while let Some(Reverse((event_time, number))) = self.events.pop() {
+        while let Some(Reverse((event_time, event_number))) = self.events.pop() {
             if event_time > span {
                 break;
             }
             self.now = event_time;
-            let event = self.pending_events.remove(&number).unwrap();
-            self.handle(event);
+            let event = self.pending_events.remove(&event_number).unwrap();
+            self.handle_event(event);
         }
     }
 
     fn schedule(&mut self, delay: Duration, event: Event) {
-        self.sequence += 1;
-        self.events.push(Reverse((self.now + delay, self.sequence)));
-        self.pending_events.insert(self.sequence, event);
+        self.last_event_number += 1;
+        self.events
+            .push(Reverse((self.now + delay, self.last_event_number)));
+        self.pending_events.insert(self.last_event_number, event);
     }
 
     fn schedule_caller(&mut self, organisation: usize) {
-        let uniform: f64 = self.arrivals.random_range(f64::EPSILON..1.0);
-        let arrival_gap = -uniform.ln() / self.organisations[organisation].rate;
+        let uniform_sample: f64 = self.arrivals.random_range(f64::EPSILON..1.0);
+        let arrival_gap = -uniform_sample.ln() / self.organisations[organisation].rate;
         self.schedule(
             Duration::from_secs_f64(arrival_gap),
             Event::Caller { organisation },
         );
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Caller { organisation } => self.start_query(organisation),
             Event::Arrive { upstream, job } => {
-                self.enqueue(upstream, job);
-                self.start_queued(upstream);
+                self.enqueue_job(upstream, job);
+                self.start_queued_jobs(upstream);
             }
             Event::Cancel {
                 entry,
@@ -258,7 +262,7 @@
                 attempt,
             } => {
                 let key = (entry, query, attempt);
-                let Some(upstream) = self.locations.remove(&key) else {
+                let Some(upstream) = self.upstream_by_attempt.remove(&key) else {
                     return;
                 };
                 let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
@@ -266,15 +270,15 @@
                 fake_upstream.queue.retain(|job| job.key() != key);
                 if fake_upstream.queue.len() == previous_length {
                     fake_upstream.busy_slots -= 1;
-                    self.start_queued(upstream);
+                    self.start_queued_jobs(upstream);
                 }
             }
             Event::Done {
                 upstream,
                 job,
-                served,
+                service_time,
             } => {
-                if self.locations.remove(&job.key()).is_none() {
+                if self.upstream_by_attempt.remove(&job.key()).is_none() {
                     return;
                 }
                 let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
@@ -282,9 +286,9 @@
                 *fake_upstream
                     .served_seconds
                     .entry(job.organisation.clone())
-                    .or_default() += served.as_secs_f64();
-                self.reply(upstream, &job, rows_verdict(17), served);
-                self.start_queued(upstream);
+                    .or_default() += service_time.as_secs_f64();
+                self.reply(upstream, &job, rows_verdict(17), service_time);
+                self.start_queued_jobs(upstream);
             }
             Event::Deliver { entry, vm, batch } => {
                 self.entries[entry].handle_outcomes(self.now, vm, batch);
@@ -306,7 +310,7 @@
             ..request()
         };
         if self.unique_selections {
-            request.selection = self.sequence.to_be_bytes().to_vec().into();
+            request.selection = self.last_event_number.to_be_bytes().to_vec().into();
         }
         let number = self.entries[entry].start(self.now, request);
         self.started_queries
@@ -317,21 +321,21 @@
     fn run_actions(&mut self, entry: usize) {
         while let Some(action) = self.entries[entry].next_action() {
             match action {
-                EntryAction::Send { vm, message } => self.send(entry, vm, message),
-                EntryAction::Finish { query, outcome } => self.record(entry, query, &outcome),
+                EntryAction::Send { vm, message } => self.send_message(entry, vm, message),
+                EntryAction::Finish { query, outcome } => self.count_result(entry, query, &outcome),
             }
         }
-        let next = self.entries[entry].next_wake().unwrap_or(Duration::MAX);
-        if next < self.timer_at[entry] {
-            self.timer_at[entry] = next;
-            let delay = next.saturating_sub(self.now);
+        let next_wake = self.entries[entry].next_wake().unwrap_or(Duration::MAX);
+        if next_wake < self.timer_at[entry] {
+            self.timer_at[entry] = next_wake;
+            let delay = next_wake.saturating_sub(self.now);
             self.schedule(delay, Event::Wake { entry });
         }
     }
 
-    fn send(&mut self, entry: usize, _vm: crate::ident::VmAddress, message: PeerMessage) {
+    fn send_message(&mut self, entry: usize, _vm: crate::ident::VmAddress, message: PeerMessage) {
         match message {
-            PeerMessage::Submit(batch) => self.submit(entry, &batch),
+            PeerMessage::Submit(batch) => self.submit_batch(entry, &batch),
             PeerMessage::Cancel(batch) => {
                 for attempt in batch.attempts {
                     let query = batch.query;
@@ -347,7 +351,7 @@
         }
     }
 
-    fn submit(&mut self, entry: usize, batch: &SubmitBatch) {
+    fn submit_batch(&mut self, entry: usize, batch: &SubmitBatch) {
         let (_, started_at) = self.started_queries[&(entry, batch.query)];
         let is_counted = started_at >= WARM_UP;
         for target in &batch.targets {
@@ -358,7 +362,7 @@
                 query: batch.query,
                 attempt: target.attempt,
                 organisation: batch.organisation.clone(),
-                arrived: self.now + LINK_DELAY,
+                arrived_at: self.now + LINK_DELAY,
                 results_deadline: self.now + Duration::from_micros(batch.remaining_us),
                 is_counted,
             };
@@ -367,16 +371,16 @@
         }
     }
 
-    fn enqueue(&mut self, upstream: UpstreamAddress, job: Job) {
+    fn enqueue_job(&mut self, upstream: UpstreamAddress, job: Job) {
         let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
         let is_queued = fake_upstream
             .queue
             .iter()
-            .any(|other| other.organisation == job.organisation);
+            .any(|queued_job| queued_job.organisation == job.organisation);
         if !is_queued {
             // An organisation that joins the queue is counted with at least the smallest service time among those
             // queued, so that a time without requests gives it no priority.
-            let served = |job: &Job| {
+            let served_seconds_of = |job: &Job| {
                 fake_upstream
                     .served_seconds
                     .get(&job.organisation)
@@ -386,7 +390,7 @@
             let least_served = fake_upstream
                 .queue
                 .iter()
-                .map(served)
+                .map(served_seconds_of)
                 .fold(f64::INFINITY, f64::min);
             let own_served = fake_upstream
                 .served_seconds
@@ -396,18 +400,18 @@
                 *own_served = own_served.max(least_served);
             }
         }
-        self.locations.insert(job.key(), upstream);
+        self.upstream_by_attempt.insert(job.key(), upstream);
         fake_upstream.queue.push_back(job);
     }
 
     /// Starts queued requests while slots are free.
-    fn start_queued(&mut self, upstream: UpstreamAddress) {
+    fn start_queued_jobs(&mut self, upstream: UpstreamAddress) {
         loop {
             let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
             if fake_upstream.busy_slots >= SLOTS || fake_upstream.queue.is_empty() {
                 return;
             }
-            let served = |job: &Job| {
+            let served_seconds_of = |job: &Job| {
                 fake_upstream
                     .served_seconds
                     .get(&job.organisation)
@@ -419,12 +423,12 @@
                 .iter()
                 .enumerate()
                 .min_by(|(_, first_job), (_, second_job)| {
-                    served(first_job).total_cmp(&served(second_job))
+                    served_seconds_of(first_job).total_cmp(&served_seconds_of(second_job))
                 })
                 .unwrap();
             let job = fake_upstream.queue.remove(next_index).unwrap();
             if job.results_deadline <= self.now {
-                self.locations.remove(&job.key());
+                self.upstream_by_attempt.remove(&job.key());
                 let verdict = ShardVerdict::NotRun(RefusalReason::Expired);
                 self.reply(upstream, &job, verdict, Duration::ZERO);
                 continue;
@@ -435,21 +439,21 @@
             if service_time_factor.is_infinite() {
                 continue;
             }
-            let served = self.service_time().mul_f64(service_time_factor);
+            let service_time = self.service_time().mul_f64(service_time_factor);
             self.schedule(
-                served,
+                service_time,
                 Event::Done {
                     upstream,
                     job,
-                    served,
+                    service_time,
                 },
             );
         }
     }
 
     fn service_time(&mut self) -> Duration {
-        let uniform: f64 = self.rng.random_range(f64::EPSILON..1.0);
-        let typical_seconds = MEAN_SERVICE_SECONDS * (0.6 - 0.4 * uniform.ln());
+        let uniform_sample: f64 = self.rng.random_range(f64::EPSILON..1.0);
+        let typical_seconds = MEAN_SERVICE_SECONDS * (0.6 - 0.4 * uniform_sample.ln());
         let is_straggler = self.rng.random_bool(self.straggler_share);
         Duration::from_secs_f64(if is_straggler {
             typical_seconds * 10.0
@@ -463,28 +467,31 @@
         upstream: UpstreamAddress,
         job: &Job,
         verdict: ShardVerdict,
-        served: Duration,
+        service_time: Duration,
     ) {
         let fake_upstream = &self.upstreams[&upstream];
         let requests_ahead =
             (fake_upstream.queue.len() + fake_upstream.busy_slots + 1).saturating_sub(SLOTS);
-        let wait =
+        let wait_seconds =
             requests_ahead as f64 * MEAN_SERVICE_SECONDS * STRAGGLER_MEAN_FACTOR / SLOTS as f64;
         let load = UpstreamLoad {
             upstream,
-            wait_us: (wait * 1e6) as u32,
+            wait_us: (wait_seconds * 1e6) as u32,
             service_us: (MEAN_SERVICE_SECONDS * 1e6) as u32,
             limit: SLOTS as u16,
             leaving: false,
         };
-        let waited = self.now.saturating_sub(job.arrived).saturating_sub(served);
+        let queue_time = self
+            .now
+            .saturating_sub(job.arrived_at)
+            .saturating_sub(service_time);
         let outcome = ShardOutcome {
             query: job.query,
             attempt: job.attempt,
             upstream,
             verdict,
-            waited_us: waited.as_micros() as u32,
-            served_us: served.as_micros() as u32,
+            waited_us: queue_time.as_micros() as u32,
+            served_us: service_time.as_micros() as u32,
         };
         let batch = OutcomeBatch {
             outcomes: [outcome].into_iter().collect(),
@@ -494,7 +501,7 @@
         self.schedule(LINK_DELAY, Event::Deliver { entry, vm, batch });
     }
 
-    fn record(&mut self, entry: usize, query: u64, outcome: &QueryOutcome) {
+    fn count_result(&mut self, entry: usize, query: u64, outcome: &QueryOutcome) {
         let started_query = self.started_queries.remove(&(entry, query));
         let (organisation, started_at) = started_query.expect("each query finishes once");
         if started_at < WARM_UP {
@@ -538,11 +545,11 @@
 
 /// Runs the load of one organisation at a fraction of the capacity.
 pub(super) fn run_at(
-    share: f64,
+    fraction: f64,
     switches: ExperimentSwitches,
     change: impl Fn(&mut ClassTarget),
 ) -> LoadModel {
-    let rate = LoadModel::capacity(20) * share;
+    let rate = LoadModel::capacity(20) * fraction;
     let organisations = [OrganisationLoad {
         name: "roofers",
         rate,
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -38,8 +38,11 @@
     );
     print("hedged", &hedged_model);
     print("plain", &unhedged_model);
-    let tail = |model: &LoadModel| model.results[0].quantile(0.99);
-    expect_that!(tail(&hedged_model), le(tail(&unhedged_model) / 2));
+    let tail_latency = |model: &LoadModel| model.results[0].quantile(0.99);
+    expect_that!(
+        tail_latency(&hedged_model),
+        le(tail_latency(&unhedged_model) / 2)
+    );
     expect_that!(hedged_model.extra_load(), le(0.05));
 }
 
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -136,8 +136,10 @@
     pub fn record_overdue(&mut self, now: Duration) {
         self.consecutive_overdue_attempts += 1;
         let silence = now.saturating_sub(self.last_outcome_at);
-        let threshold = (self.service_time(now) * SILENCE_SERVICE_TIMES).max(MIN_SILENCE);
-        if self.consecutive_overdue_attempts >= MAX_CONSECUTIVE_OVERDUE && silence >= threshold {
+        let silence_threshold = (self.service_time(now) * SILENCE_SERVICE_TIMES).max(MIN_SILENCE);
+        if self.consecutive_overdue_attempts >= MAX_CONSECUTIVE_OVERDUE
+            && silence >= silence_threshold
+        {
             self.consecutive_overdue_attempts = 0;
             self.record_failure(now);
         }
@@ -178,15 +180,15 @@
         let Some(service_time) = self.service_time else {
             return DEFAULT_SERVICE_TIME;
         };
-        let Some(excess) = service_time.checked_sub(DEFAULT_SERVICE_TIME) else {
+        let Some(excess_time) = service_time.checked_sub(DEFAULT_SERVICE_TIME) else {
             return service_time;
         };
-        let age = now.saturating_sub(self.last_outcome_at);
-        if age < SERVICE_TIME_HALF_LIFE / 4 {
+        let outcome_age = now.saturating_sub(self.last_outcome_at);
+        if outcome_age < SERVICE_TIME_HALF_LIFE / 4 {
             return service_time;
         }
-        let halvings = age.as_secs_f64() / SERVICE_TIME_HALF_LIFE.as_secs_f64();
-        DEFAULT_SERVICE_TIME + excess.mul_f64(0.5_f64.powf(halvings))
+        let halvings = outcome_age.as_secs_f64() / SERVICE_TIME_HALF_LIFE.as_secs_f64();
+        DEFAULT_SERVICE_TIME + excess_time.mul_f64(0.5_f64.powf(halvings))
     }
 
     /// Returns the time that a request submitted now is expected to wait at the relay.
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -58,14 +58,16 @@
         directory: &mut Directory,
         now: Duration,
     ) -> Option<Arc<RouteTable>> {
-        let routes = self.current_routes(index, directory)?;
-        let avoided_version = routes.avoided_version.filter(|(_, until)| now < *until);
+        let index_routes = self.current_routes(index, directory)?;
+        let avoided_version = index_routes
+            .avoided_version
+            .filter(|(_, until)| now < *until);
         let is_not_avoided = |table: &&Arc<RouteTable>| {
             avoided_version.is_none_or(|(version, _)| table.version != version)
         };
-        let newest_table = routes.tables.iter().find(is_not_avoided);
+        let newest_table = index_routes.tables.iter().find(is_not_avoided);
         newest_table
-            .or_else(|| routes.tables.first())
+            .or_else(|| index_routes.tables.first())
             .map(Arc::clone)
     }
 
@@ -79,18 +81,18 @@
         if !self.indexes.contains_key(index) {
             self.indexes.insert(index.clone(), IndexRoutes::default());
         }
-        let routes = self.indexes.get_mut(index)?;
-        if routes.epoch != Some(catalog.epoch) {
-            routes.epoch = Some(catalog.epoch);
-            routes.tables = make_tables(index, catalog, directory);
+        let index_routes = self.indexes.get_mut(index)?;
+        if index_routes.epoch != Some(catalog.epoch) {
+            index_routes.epoch = Some(catalog.epoch);
+            index_routes.tables = make_tables(index, catalog, directory);
         }
-        Some(routes)
+        Some(index_routes)
     }
 
     /// Records that some shard lacks a version.
     pub fn avoid_version(&mut self, index: &IndexName, version: SnapshotVersion, now: Duration) {
-        if let Some(routes) = self.indexes.get_mut(index) {
-            routes.avoided_version = Some((version, now + VERSION_AVOID_DURATION));
+        if let Some(index_routes) = self.indexes.get_mut(index) {
+            index_routes.avoided_version = Some((version, now + VERSION_AVOID_DURATION));
         }
     }
 
@@ -107,8 +109,8 @@
         let is_same_side = |table: &&Arc<RouteTable>| {
             table.version.cmp(&pinned_version) == available_version.cmp(&pinned_version)
         };
-        let routes = self.current_routes(index, directory)?;
-        let newest_table = routes.tables.iter().find(is_same_side)?;
+        let index_routes = self.current_routes(index, directory)?;
+        let newest_table = index_routes.tables.iter().find(is_same_side)?;
         (newest_table.version != pinned_version).then(|| Arc::clone(newest_table))
     }
 }
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -158,7 +158,7 @@
         let canary_time = canary.map_or(Duration::ZERO, |canary| canary.route_choice.expected_time);
         let early_outcome = self
             .check_completion(shared, now)
-            .or_else(|| self.admit(shared, now, canary_time));
+            .or_else(|| self.check_admission(shared, now, canary_time));
         if early_outcome.is_some() {
             for planned_attempt in shared.planned_attempts.drain(..) {
                 let replica = planned_attempt.route_choice.replica;
@@ -212,12 +212,16 @@
     /// Chooses a route for every shard that the query needs; a shard without a route is marked as lost.
     pub(super) fn plan_attempts(&mut self, shared: &mut SharedState, now: Duration) {
         let route_table = Arc::clone(&self.route_table);
-        let required_numbers = self
+        let shard_numbers = self
             .params
             .scope
             .required_shards(&self.request, &route_table);
-        let shards =
-            required_numbers.map(|shard| (ShardNumber(shard), route_table.shards[shard as usize]));
+        let shards = shard_numbers.map(|shard_number| {
+            (
+                ShardNumber(shard_number),
+                route_table.shards[shard_number as usize],
+            )
+        });
         self.gather.reset(route_table.version, shards);
         let mut planned_attempts = std::mem::take(&mut shared.planned_attempts);
         planned_attempts.clear();
@@ -257,7 +261,7 @@
     }
 
     /// Returns a refusal if the target can't be met at the present load.
-    fn admit(
+    fn check_admission(
         &mut self,
         shared: &mut SharedState,
         now: Duration,
@@ -268,8 +272,8 @@
         }
         let (predicted_wait, unloaded_time) = self
             .params
-            .predict(self.gather.shard_count(), &mut shared.planned_attempts);
-        let cost: f64 = shared
+            .predict_times(self.gather.shard_count(), &mut shared.planned_attempts);
+        let cost_seconds: f64 = shared
             .planned_attempts
             .iter()
             .map(|planned_attempt| planned_attempt.route_choice.unloaded_time().as_secs_f64())
@@ -280,7 +284,7 @@
             latency_target: self.params.latency_target,
             predicted_wait,
             unloaded_time: unloaded_time + canary_time,
-            cost,
+            cost_seconds,
         };
         match shared.admission.admit(now, admission) {
             AdmissionDecision::Admitted { under_load } => {
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -119,8 +119,10 @@
             Step::Advance { millis } => fixture.advance(fixture.now + ms(millis)),
             Step::LinkDown { vm } => {
                 let vm = crate::entry::fixture::vm(vm);
-                let unsent = std::collections::VecDeque::new();
-                fixture.core.handle_link_down(fixture.now, vm, unsent);
+                let unsent_messages = std::collections::VecDeque::new();
+                fixture
+                    .core
+                    .handle_link_down(fixture.now, vm, unsent_messages);
                 fixture.run_actions();
                 for (number, attempt) in observed.sent_attempts.iter().enumerate() {
                     observed.has_verdict[number] |= attempt.vm == vm;
@@ -190,11 +192,11 @@
         });
         fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
         let observed = run_steps(&mut fixture, query, &steps);
-        let may_have_run = observed.may_have_run.iter().filter(|run| **run).count();
-        prop_assert!(may_have_run <= 1, "{} attempts may have run", may_have_run);
+        let may_have_run_count = observed.may_have_run.iter().filter(|run| **run).count();
+        prop_assert!(may_have_run_count <= 1, "{} attempts may have run", may_have_run_count);
         if let Err(refusal) = fixture.outcome(query) {
             let is_not_run = refusal.ran == RunState::NotRun;
-            prop_assert!(!is_not_run || may_have_run == 0, "{}", refusal);
+            prop_assert!(!is_not_run || may_have_run_count == 0, "{}", refusal);
         }
     });
 }
--- a/crates/ebonyfork/src/entry/settle.rs
+++ b/crates/ebonyfork/src/entry/settle.rs
@@ -156,7 +156,7 @@
         version: SnapshotVersion,
         body: Bytes,
     ) {
-        if !self.gather.accept(slot_index, version, body) {
+        if !self.gather.accept_rows(slot_index, version, body) {
             // Rows of another version are never accepted; the shard is requested again if it still lacks rows.
             self.retry_shard(shared, now, slot_index);
             return;
@@ -200,10 +200,10 @@
         shared: &mut SharedState,
         now: Duration,
         closed_attempt: AttemptRecord,
-        ran: RunState,
+        run_state: RunState,
         reason: FailureReason,
     ) {
-        match ran {
+        match run_state {
             RunState::Ran => self.progress.has_run = true,
             RunState::Unknown => self.progress.may_have_run = true,
             RunState::NotRun => {}
@@ -221,8 +221,8 @@
         }
         // The loss of a relay fails many attempts at once and is no evidence against the upstreams, so the resends are
         // not charged to the budget. The extra load is bounded by the attempts that were in flight there.
-        let relay_lost = reason == FailureReason::LinkDown && self.params.idempotent;
-        if ran == RunState::NotRun || relay_lost {
+        let is_relay_lost = reason == FailureReason::LinkDown && self.params.idempotent;
+        if run_state == RunState::NotRun || is_relay_lost {
             self.resend_shard(shared, now, closed_attempt.slot_index as usize);
         } else if reason == FailureReason::Broken
             && self.defer_shard(shared, now, closed_attempt.slot_index as usize)
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -26,8 +26,8 @@
 const OUTLIER_LATENCY_FACTOR: u32 = 2;
 
 /// Subtracts the time reserved for returning the answer from a limit that the caller observes.
-fn subtract_return_margin(limit: Duration) -> Duration {
-    limit.saturating_sub((limit / RETURN_MARGIN_DIVISOR).min(MAX_RETURN_MARGIN))
+fn subtract_return_margin(time_limit: Duration) -> Duration {
+    time_limit.saturating_sub((time_limit / RETURN_MARGIN_DIVISOR).min(MAX_RETURN_MARGIN))
 }
 
 impl ClassScope {
@@ -43,8 +43,8 @@
             Self::One if shard_count == 0 => 0..0,
             Self::One => {
                 let record = request.record.as_deref().unwrap_or_default();
-                let hash = xxhash_rust::xxh3::xxh3_64(record.as_bytes());
-                let shard = (hash % u64::from(shard_count)) as u32;
+                let record_hash = xxhash_rust::xxh3::xxh3_64(record.as_bytes());
+                let shard = (record_hash % u64::from(shard_count)) as u32;
                 shard..shard + 1
             }
         }
@@ -111,7 +111,7 @@
     /// A latency-first class answers once the shards that its coverage target needs have answered, so only those count;
     /// a coverage-first class waits for all shards. Up to a quarter of the shards is ignored if they are outliers, so
     /// that one overloaded service does not cause all queries to be refused.
-    pub(super) fn predict(
+    pub(super) fn predict_times(
         &self,
         shard_count: u32,
         planned_attempts: &mut [PlannedAttempt],
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -103,9 +103,9 @@
         service: ServiceId,
         lateness: Duration,
     ) {
-        self.lateness_by_class[class].record(lateness);
+        self.lateness_by_class[class].add_sample(lateness);
         let histogram = self.lateness_by_service.entry((class, service));
-        histogram.or_default().record(lateness);
+        histogram.or_default().add_sample(lateness);
     }
 
     /// Collects a routing decision for the decision log.
@@ -135,7 +135,7 @@
     pub(super) fn record_failed_attempt(&mut self, failed_attempt: impl FnOnce() -> FailedAttempt) {
         if self.log_decisions {
             self.pending_decisions
-                .push(EntryDecision::Setback(failed_attempt()));
+                .push(EntryDecision::FailedAttempt(failed_attempt()));
         }
     }
 
--- a/crates/ebonyfork/src/locate/answer.rs
+++ b/crates/ebonyfork/src/locate/answer.rs
@@ -103,8 +103,8 @@
     );
     let session = selected_candidates
         .first()
-        .map_or(settings.session, |first| {
-            SessionId::new(first.vm, first.incarnation)
+        .map_or(settings.session, |first_candidate| {
+            SessionId::new(first_candidate.vm, first_candidate.incarnation)
         });
     let mut addresses: SmallVec<[SocketAddr; 4]> = SmallVec::new();
     for candidate in &selected_candidates {
--- a/crates/ebonyfork/src/locate/answer_tests.rs
+++ b/crates/ebonyfork/src/locate/answer_tests.rs
@@ -12,7 +12,7 @@
     VmAddress(std::net::Ipv4Addr::from(0x0a00_0000 + number).into())
 }
 
-fn entry(number: u32, zone: &str) -> VmEntry {
+fn vm_entry(number: u32, zone: &str) -> VmEntry {
     VmEntry {
         vm: vm(number),
         zone: zone.parse().unwrap(),
@@ -42,39 +42,39 @@
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let leaving_vm = VmEntry {
         leaving: true,
-        ..entry(3, "a")
+        ..vm_entry(3, "a")
     };
     let unknown_vm = VmEntry {
         incarnation: None,
-        ..entry(4, "a")
+        ..vm_entry(4, "a")
     };
     // Each case holds the VMs of the view, the VMs that may come first in the answer, and the number of addresses.
     let cases = [
         (vec![], vec![1], 1),
-        (vec![entry(1, "a")], vec![1], 1),
-        (vec![entry(1, "a"), entry(2, "a")], vec![1, 2], 2),
+        (vec![vm_entry(1, "a")], vec![1], 1),
+        (vec![vm_entry(1, "a"), vm_entry(2, "a")], vec![1, 2], 2),
         (
-            vec![entry(1, "a"), leaving_vm.clone(), unknown_vm.clone()],
+            vec![vm_entry(1, "a"), leaving_vm.clone(), unknown_vm.clone()],
             vec![1],
             1,
         ),
-        (vec![leaving_vm, unknown_vm, entry(5, "b")], vec![5], 1),
+        (vec![leaving_vm, unknown_vm, vm_entry(5, "b")], vec![5], 1),
         (
-            vec![entry(1, "a"), entry(5, "b"), entry(6, "c")],
+            vec![vm_entry(1, "a"), vm_entry(5, "b"), vm_entry(6, "c")],
             vec![1],
             3,
         ),
     ];
-    for (vms, first_vms, count) in cases {
+    for (vms, first_vms, address_count) in cases {
         for _round in 0..20 {
             let answer = locate(&vms, None, &mut rng);
-            let first = answer.session.vm;
+            let first_vm = answer.session.vm;
             expect_that!(
-                first_vms.iter().any(|number| vm(*number) == first),
+                first_vms.iter().any(|number| vm(*number) == first_vm),
                 eq(true)
             );
-            expect_that!(answer.addresses[0].ip(), eq(first.0));
-            expect_that!(answer.addresses.len(), eq(count), "{vms:?}");
+            expect_that!(answer.addresses[0].ip(), eq(first_vm.0));
+            expect_that!(answer.addresses.len(), eq(address_count), "{vms:?}");
         }
     }
 }
@@ -83,17 +83,17 @@
 fn the_last_address_is_in_another_zone() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let vms: Vec<_> = (1..20)
-        .map(|number| entry(number, if number < 10 { "a" } else { "b" }))
+        .map(|number| vm_entry(number, if number < 10 { "a" } else { "b" }))
         .collect();
     for _round in 0..50 {
         let answer = locate(&vms, Some("roofers"), &mut rng);
-        let is_remote: Vec<bool> = answer
+        let remote_flags: Vec<bool> = answer
             .addresses
             .iter()
             .map(|address| address.ip() >= vm(10).0)
             .collect();
         expect_that!(
-            is_remote,
+            remote_flags,
             elements_are![eq(&false), eq(&false), eq(&false), eq(&true)]
         );
     }
@@ -102,7 +102,7 @@
 #[gtest]
 fn an_organisation_keeps_its_subset_when_vms_come_and_go() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut vms: Vec<_> = (1..=490).map(|number| entry(number, "a")).collect();
+    let mut vms: Vec<_> = (1..=490).map(|number| vm_entry(number, "a")).collect();
     let mut first_vms = |vms: &[VmEntry]| -> BTreeSet<VmAddress> {
         (0..400)
             .map(|_| locate(vms, Some("roofers"), &mut rng).session.vm)
@@ -120,7 +120,12 @@
 
 #[gtest]
 fn a_loaded_vm_is_first_less_often() {
-    let vms = [entry(1, "a"), entry(2, "a"), entry(3, "a"), entry(4, "a")];
+    let vms = [
+        vm_entry(1, "a"),
+        vm_entry(2, "a"),
+        vm_entry(3, "a"),
+        vm_entry(4, "a"),
+    ];
     let members = MemberSnapshot::new(vms.iter().map(|entry| MemberEntry {
         vm: entry.vm,
         zone: entry.zone.clone(),
@@ -144,7 +149,7 @@
 
 #[gtest]
 fn an_organisation_that_fills_its_subset_gets_a_larger_one() {
-    let vms: Vec<_> = (1..=200).map(|number| entry(number, "a")).collect();
+    let vms: Vec<_> = (1..=200).map(|number| vm_entry(number, "a")).collect();
     let view = TopologyView::new(vms.iter().cloned(), []);
     let organisation = "roofers".parse().unwrap();
     let mut vms_before = BTreeSet::new();
