--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -44,10 +44,10 @@
         class,
         organisation,
         deadline: read_deadline(headers)?,
-        record: read_bounded(headers, RECORD_HEADER, RECORD_LIMIT)?,
+        record: read_bounded_header(headers, RECORD_HEADER, RECORD_LIMIT)?,
         selection,
         key: parse_header(headers, IDEMPOTENCY_KEY_HEADER)?,
-        caller_id: read_bounded(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES)?,
+        caller_id: read_bounded_header(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES)?,
     })
 }
 
@@ -60,7 +60,7 @@
 
 /// Reads the caller's query id; returns `None` if it is missing or invalid.
 pub(super) fn read_query_id(headers: &HeaderMap) -> Option<CompactString> {
-    read_bounded(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES).unwrap_or_default()
+    read_bounded_header(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES).unwrap_or_default()
 }
 
 fn read_deadline(headers: &HeaderMap) -> Result<Option<Duration>, QueryRefusal> {
@@ -82,7 +82,7 @@
 where
     T: FromStr<Err: Display>,
 {
-    let Some(text) = read_unique(headers, name)? else {
+    let Some(text) = read_unique_header(headers, name)? else {
         return Ok(None);
     };
     let value = text.parse();
@@ -92,12 +92,12 @@
 }
 
 /// Returns the value of a header if it has 1 to `limit` bytes, or `None` if the header is missing.
-fn read_bounded(
+fn read_bounded_header(
     headers: &HeaderMap,
     name: &'static str,
     limit: usize,
 ) -> Result<Option<CompactString>, QueryRefusal> {
-    let Some(text) = read_unique(headers, name)? else {
+    let Some(text) = read_unique_header(headers, name)? else {
         return Ok(None);
     };
     if text.is_empty() || text.len() > limit {
@@ -110,7 +110,7 @@
 }
 
 /// Returns the value of a header, or `None` if it is missing; refuses a header that occurs more than once.
-fn read_unique<'a>(
+fn read_unique_header<'a>(
     headers: &'a HeaderMap,
     name: &'static str,
 ) -> Result<Option<&'a str>, QueryRefusal> {
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -112,7 +112,8 @@
     zone: ZoneName,
     ownership: OwnershipMode,
     topology: Arc<TopologyView>,
-    /// Incremented when the topology view changes; services and replicas with another generation are looked up again at their next use.
+    /// Incremented when the topology view changes; services and replicas with another generation are looked up again at
+    /// their next use.
     generation: u32,
     services: PrimaryMap<ServiceId, ServiceEntry>,
     service_ids: FxHashMap<ServiceName, ServiceId>,
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -166,9 +166,9 @@
 
     /// Starts a query, performs the actions that follow and returns the number of the query.
     pub(super) fn start(&mut self, request: QueryRequest) -> u64 {
-        let number = self.core.start(self.now, request);
+        let query_number = self.core.start(self.now, request);
         self.run_actions();
-        number
+        query_number
     }
 
     /// Performs the actions that the core has requested.
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -108,12 +108,12 @@
         let labels = class_labels(class);
         match outcome {
             Ok(answer) => {
-                let kind = if answer.coverage.is_thin() {
+                let outcome_kind = if answer.coverage.is_thin() {
                     "thin"
                 } else {
                     "whole"
                 };
-                self.count_outcome(class, kind);
+                self.count_outcome(class, outcome_kind);
                 let coverage = &answer.coverage;
                 self.shards_needed
                     .get_or_create(&labels)
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -142,7 +142,7 @@
     pub(super) results: Vec<OrganisationResult>,
     /// Number of requests that upstreams began to run, of queries started after the warm-up.
     pub(super) run_count: u64,
-    /// Number of shard requests needed by the admitted queries among those.
+    /// Number of shard requests that the admitted queries started after the warm-up needed: one first attempt each.
     pub(super) needed_requests: u64,
     /// Fraction of requests that are stragglers.
     pub(super) straggler_share: f64,
@@ -167,9 +167,9 @@
             .unwrap()
             .clone();
         let mut entries = Vec::new();
-        for number in 1..=3 {
-            let session = SessionId::new(super::fixture::vm(number), IncarnationNumber(7));
-            let zone = format!("zone-{}", number - 1).parse().unwrap();
+        for vm_number in 1..=3 {
+            let session = SessionId::new(super::fixture::vm(vm_number), IncarnationNumber(7));
+            let zone = format!("zone-{}", vm_number - 1).parse().unwrap();
             let mut core = EntryCore::new(session, zone, switches);
             core.refresh(&fixture.views);
             core.mark_request_known(&request());
@@ -312,9 +312,9 @@
         if self.unique_selections {
             request.selection = self.last_event_number.to_be_bytes().to_vec().into();
         }
-        let number = self.entries[entry].start(self.now, request);
+        let query_number = self.entries[entry].start(self.now, request);
         self.started_queries
-            .insert((entry, number), (organisation, self.now));
+            .insert((entry, query_number), (organisation, self.now));
         self.run_actions(entry);
     }
 
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -36,7 +36,7 @@
 /// An attempt at one shard, sent through one relay to one replica.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptRecord {
-    /// Position of the shard in the gather.
+    /// Position of the shard in the slots of the gather.
     pub(super) slot_index: u32,
     pub(super) replica: ReplicaId,
     pub(super) relay: RelayId,
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -67,7 +67,7 @@
 
 /// What the fake relays observed during the steps.
 #[derive(Default)]
-struct Observed {
+struct Observations {
     sent_attempts: Vec<SentAttempt>,
     /// For each attempt, whether it may have run.
     may_have_run: Vec<bool>,
@@ -75,8 +75,8 @@
     has_verdict: Vec<bool>,
 }
 
-impl Observed {
-    fn record_sent(&mut self, fixture: &mut EntryFixture) {
+impl Observations {
+    fn record_sent_attempts(&mut self, fixture: &mut EntryFixture) {
         for attempt in fixture.take_sent_attempts() {
             self.sent_attempts.push(attempt);
             // An attempt that was sent may run until it is explicitly refused.
@@ -86,20 +86,20 @@
     }
 }
 
-fn run_steps(fixture: &mut EntryFixture, query: u64, steps: &[Step]) -> Observed {
-    let mut observed = Observed::default();
-    observed.record_sent(fixture);
+fn run_steps(fixture: &mut EntryFixture, query: u64, steps: &[Step]) -> Observations {
+    let mut observations = Observations::default();
+    observations.record_sent_attempts(fixture);
     for step in steps {
         match *step {
             Step::Deliver {
                 attempt_index,
                 kind,
             } => {
-                if observed.sent_attempts.is_empty() {
+                if observations.sent_attempts.is_empty() {
                     continue;
                 }
-                let attempt_index = attempt_index % observed.sent_attempts.len();
-                let attempt = observed.sent_attempts[attempt_index].clone();
+                let attempt_index = attempt_index % observations.sent_attempts.len();
+                let attempt = observations.sent_attempts[attempt_index].clone();
                 let verdict = verdict(&attempt, kind);
                 let is_refused = matches!(
                     verdict,
@@ -108,11 +108,11 @@
                         | ShardVerdict::Moved { .. }
                 );
                 // Only the first verdict of an attempt counts; later ones are duplicates.
-                if !observed.has_verdict[attempt_index]
+                if !observations.has_verdict[attempt_index]
                     && !fixture.finished_queries.contains_key(&query)
                 {
-                    observed.has_verdict[attempt_index] = true;
-                    observed.may_have_run[attempt_index] = !is_refused;
+                    observations.has_verdict[attempt_index] = true;
+                    observations.may_have_run[attempt_index] = !is_refused;
                 }
                 fixture.deliver(&attempt, verdict);
             }
@@ -124,19 +124,19 @@
                     .core
                     .handle_link_down(fixture.now, vm, unsent_messages);
                 fixture.run_actions();
-                for (number, attempt) in observed.sent_attempts.iter().enumerate() {
-                    observed.has_verdict[number] |= attempt.vm == vm;
+                for (number, attempt) in observations.sent_attempts.iter().enumerate() {
+                    observations.has_verdict[number] |= attempt.vm == vm;
                 }
             }
         }
-        observed.record_sent(fixture);
+        observations.record_sent_attempts(fixture);
     }
     fixture.advance(fixture.now + ms(2_000));
-    observed.record_sent(fixture);
-    observed
+    observations.record_sent_attempts(fixture);
+    observations
 }
 
-fn check_truth(outcome: &QueryOutcome, observed: &Observed) {
+fn check_outcome(outcome: &QueryOutcome, observations: &Observations) {
     match outcome {
         Ok(answer) => {
             let missing_numbers = answer.coverage.missing.iter().map(|shard| shard.0);
@@ -156,7 +156,7 @@
         }
         Err(refusal) if refusal.ran == RunState::NotRun => {
             expect_that!(
-                observed.may_have_run.contains(&true),
+                observations.may_have_run.contains(&true),
                 eq(false),
                 "{refusal}"
             );
@@ -172,8 +172,8 @@
             let mut fixture = EntryFixture::new(SHARDS, |class| class.priority = priority);
             let query = fixture.start(request());
             fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
-            let observed = run_steps(&mut fixture, query, &steps);
-            check_truth(fixture.outcome(query), &observed);
+            let observations = run_steps(&mut fixture, query, &steps);
+            check_outcome(fixture.outcome(query), &observations);
             prop_assert_eq!(fixture.core.queries_in_flight(), 0);
         });
     }
@@ -191,8 +191,8 @@
             ..request()
         });
         fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
-        let observed = run_steps(&mut fixture, query, &steps);
-        let may_have_run_count = observed.may_have_run.iter().filter(|run| **run).count();
+        let observations = run_steps(&mut fixture, query, &steps);
+        let may_have_run_count = observations.may_have_run.iter().filter(|run| **run).count();
         prop_assert!(may_have_run_count <= 1, "{} attempts may have run", may_have_run_count);
         if let Err(refusal) = fixture.outcome(query) {
             let is_not_run = refusal.ran == RunState::NotRun;
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -27,7 +27,7 @@
 /// An attempt whose route has been chosen but which has not been sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedAttempt {
-    /// Position of the shard in the gather.
+    /// Position of the shard in the slots of the gather.
     pub(super) slot_index: u32,
     /// The replica and the relay to use.
     pub(super) route_choice: RouteChoice,
