--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -124,8 +124,8 @@
     fn schedule_replies(&mut self, fixture: &mut EntryFixture) {
         for attempt in fixture.take_sent_attempts() {
             if let Some((delay, verdict)) = self.reply(fixture, &attempt) {
-                let key = (fixture.now + delay, self.sent_attempts.len());
-                self.replies.insert(key, (attempt.clone(), verdict));
+                let reply_key = (fixture.now + delay, self.sent_attempts.len());
+                self.replies.insert(reply_key, (attempt.clone(), verdict));
             }
             self.sent_attempts.push(attempt);
         }
@@ -275,7 +275,7 @@
 #[gtest]
 fn each_fault_at_one_and_at_two_services() {
     let priorities = [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst];
-    for (faults, latency_first, coverage_first) in FAULT_CASES {
+    for (faults, latency_first_outcome, coverage_first_outcome) in FAULT_CASES {
         for faulty_services in [1, 2] {
             for priority in priorities {
                 let name = format!("{faults:?} x{faulty_services} {priority:?}");
@@ -287,8 +287,8 @@
                 let (duration, outcome, sent_attempts) =
                     run_query(&mut fixture, faults, faulty_services, request());
                 let expected = match priority {
-                    TargetPriority::LatencyFirst => *latency_first,
-                    TargetPriority::CoverageFirst => *coverage_first,
+                    TargetPriority::LatencyFirst => *latency_first_outcome,
+                    TargetPriority::CoverageFirst => *coverage_first_outcome,
                 };
                 check_outcome(&name, faulty_services, expected, &outcome);
                 // The query does not wait until near its deadline, and no shard is retried more than a few times.
@@ -339,7 +339,7 @@
     ];
     for (faults, expected_refusal) in cases {
         // Tries records until one hits the fault on the first upstream of its shard.
-        let result = (0..64).find_map(|number| run_record(faults, number));
+        let result = (0..64).find_map(|record_number| run_record(faults, record_number));
         let result = result.expect("one of the records hits the fault");
         let result = result.err().map(|refusal| (refusal.code, refusal.ran));
         expect_that!(result, eq(*expected_refusal), "{faults:?}");
@@ -347,7 +347,7 @@
 }
 
 /// Runs a non-idempotent query for one record; returns `None` if its first attempt does not hit the fault.
-fn run_record(faults: &[Fault], number: u32) -> Option<QueryOutcome> {
+fn run_record(faults: &[Fault], record_number: u32) -> Option<QueryOutcome> {
     let mut fixture = EntryFixture::new(SHARDS + 1, |class| {
         class.idempotent = false;
         class.scope = crate::declaration::ClassScope::One;
@@ -355,7 +355,7 @@
     fixture.publish(5, &[(17, SHARDS)]);
     let request = QueryRequest {
         key: Some("127.0.0.1-7.1".parse().unwrap()),
-        record: Some(format!("record {number}").into()),
+        record: Some(format!("record {record_number}").into()),
         ..request()
     };
     let faulty_services = SHARDS as u32 - 1;
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -142,7 +142,7 @@
     pub(super) results: Vec<OrganisationResult>,
     /// Number of requests that upstreams began to run, of queries started after the warm-up.
     pub(super) run_count: u64,
-    /// Number of shard requests that the admitted queries started after the warm-up needed: one first attempt each.
+    /// Number of first attempts sent for queries started after the warm-up: the requests that these queries needed.
     pub(super) needed_requests: u64,
     /// Fraction of requests that are stragglers.
     pub(super) straggler_share: f64,
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -1,9 +1,9 @@
 //! Statistics of one upstream, and the expected cost of sending it the next request.
 //!
 //! There are two sources: the outcomes of the entry's own attempts, and the queue wait that the relay owning the
-//! upstream reports from its exact queue. Between reports, the reported wait is reduced by the time that has passed, and
-//! the requests submitted by this entry since the report are added. Load figures from status endpoints are not used, so
-//! a server that misreports its load attracts no traffic.
+//! upstream reports from its exact queue. Between reports, the reported wait is reduced by the time that has passed,
+//! and the requests submitted by this entry since the report are added. Load figures from status endpoints are not
+//! used, so a server that misreports its load attracts no traffic.
 //!
 //! A server that fails is avoided for a backoff that doubles with each further failure, and is then probed with one
 //! request.
