--- a/crates/ebonyfork/src/caller/server.rs
+++ b/crates/ebonyfork/src/caller/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! Listener for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,42 +13,43 @@
 
 use super::service::CallerService;
 
-/// Longest time between two requests of a connection, and to send a request's head.
+/// Maximum idle time between requests on a connection, and maximum time to receive a request head.
 const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
-/// Most that a request's head may take, in bytes.
-const HEAD_LIMIT: usize = 32 << 10;
-/// Most headers that a request may have.
-const HEADER_LIMIT: usize = 64;
-/// Connections of callers that are open at a time; further ones wait to be accepted.
-const CONNECTION_LIMIT: usize = 8_192;
-/// Pause after the listener failed, so that a shortage of descriptors does not turn into a busy loop.
+/// Maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 32 << 10;
+/// Maximum number of headers per request.
+const MAX_HEADERS: usize = 64;
+/// Maximum number of open caller connections; further connections wait to be accepted.
+const MAX_CONNECTIONS: usize = 8_192;
+/// Pause after a failed accept, which avoids a busy loop when file descriptors run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Serves callers until `stop` is cancelled and all requests in flight are answered.
+/// Serves callers until `stop` is cancelled and all requests in flight have been answered.
 ///
-/// After the stop no connection is accepted, requests in flight finish, and their answers carry `connection: close`.
+/// After the stop no connection is accepted; requests in flight are completed, and their answers carry
+/// `connection: close`.
 pub async fn serve_callers(listener: TcpListener, service: CallerService, stop: CancellationToken) {
     let connections = TaskTracker::new();
-    let places = Arc::new(Semaphore::new(CONNECTION_LIMIT));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let accepting = async {
-            let place = Arc::clone(&places).acquire_owned().await;
-            (place, listener.accept().await)
+        let accept_future = async {
+            let permit = Arc::clone(&permits).acquire_owned().await;
+            (permit, listener.accept().await)
         };
-        let (place, accepted) = tokio::select! {
-            accepted = accepting => accepted,
+        let (permit, accept_result) = tokio::select! {
+            accept_result = accept_future => accept_result,
             () = stop.cancelled() => break,
         };
-        match accepted {
+        match accept_result {
             Ok((stream, _from)) => {
                 let connection = serve_connection(stream, service.clone(), stop.clone());
                 connections.spawn(async move {
                     connection.await;
-                    drop(place);
+                    drop(permit);
                 });
             }
             Err(error) => {
-                log::warn!("caller listener: {error}");
+                log::warn!("accepting a caller connection failed: {error}");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -58,30 +59,32 @@
     connections.wait().await;
 }
 
+/// Serves one caller connection until it closes, or until its current request is answered after a stop.
 async fn serve_connection(stream: TcpStream, service: CallerService, stop: CancellationToken) {
     if let Err(error) = stream.set_nodelay(true) {
-        log::debug!("caller connection: {error}");
+        log::debug!("caller connection failed: {error}");
         return;
     }
-    let answering = service_fn(move |request| service.clone().answer(request));
+    let http_service = service_fn(move |request| service.clone().handle_request(request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
-        .max_buf_size(HEAD_LIMIT)
-        .max_headers(HEADER_LIMIT)
-        .serve_connection(TokioIo::new(stream), answering);
+        .max_buf_size(MAX_HEAD_BYTES)
+        .max_headers(MAX_HEADERS)
+        .serve_connection(TokioIo::new(stream), http_service);
     let mut connection = std::pin::pin!(connection);
-    // The stop is looked at first, so that an answer that becomes ready with it already carries `connection: close`.
-    let served = tokio::select! {
+    // The select is biased towards the stop, so that an answer that becomes ready at the same time already carries
+    // `connection: close`.
+    let serve_result = tokio::select! {
         biased;
         () = stop.cancelled() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
-        served = connection.as_mut() => served,
+        serve_result = connection.as_mut() => serve_result,
     };
-    if let Err(error) = served {
-        log::debug!("caller connection: {error}");
+    if let Err(error) = serve_result {
+        log::debug!("caller connection failed: {error}");
     }
 }
 
--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -14,13 +14,14 @@
 use crate::query::{QueryAnswer, QueryCoverage, QueryOutcome, QueryRefusal, RefusalCode};
 use crate::views::{NodeReadiness, view_channels};
 
+/// A running server, with the controls of its queries.
 struct CallerFixture {
     address: std::net::SocketAddr,
     stop: CancellationToken,
     outcome: Arc<Mutex<QueryOutcome>>,
-    entered: Arc<Notify>,
-    gate: Arc<Notify>,
-    serving: tokio::task::JoinHandle<()>,
+    query_started: Arc<Notify>,
+    query_release: Arc<Notify>,
+    server_task: tokio::task::JoinHandle<()>,
     writers: crate::views::ViewWriters,
 }
 
@@ -41,25 +42,26 @@
     }
 }
 
-/// Serves queries with a settable outcome; those of class `held` wait for the gate.
-async fn serve() -> CallerFixture {
+/// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release` is notified.
+async fn start_server() -> CallerFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (writers, views) = view_channels();
     writers.readiness.send_replace(NodeReadiness::Ready);
     let outcome = Arc::new(Mutex::new(Ok(whole_answer())));
-    let gate = Arc::new(Notify::new());
-    let entered = Arc::new(Notify::new());
-    let entering = Arc::clone(&entered);
-    let (given, held) = (Arc::clone(&outcome), Arc::clone(&gate));
+    let query_release = Arc::new(Notify::new());
+    let query_started = Arc::new(Notify::new());
+    let started_signal = Arc::clone(&query_started);
+    let (shared_outcome, release_signal) = (Arc::clone(&outcome), Arc::clone(&query_release));
     let run = move |request: crate::query::QueryRequest| {
-        let (given, held) = (Arc::clone(&given), Arc::clone(&held));
-        entering.notify_one();
+        let (shared_outcome, release_signal) =
+            (Arc::clone(&shared_outcome), Arc::clone(&release_signal));
+        started_signal.notify_one();
         async move {
             if request.class.as_str() == "held" {
-                held.notified().await;
+                release_signal.notified().await;
             }
-            given.lock().unwrap().clone()
+            shared_outcome.lock().unwrap().clone()
         }
         .boxed()
     };
@@ -70,19 +72,22 @@
     };
     let stop = CancellationToken::new();
     let service = CallerService::new(run, locate, views);
-    let serving = tokio::spawn(serve_callers(listener, service, stop.clone()));
+    let server_task = tokio::spawn(serve_callers(listener, service, stop.clone()));
     CallerFixture {
         address,
         stop,
         outcome,
-        entered,
-        gate,
-        serving,
+        query_started,
+        query_release,
+        server_task,
         writers,
     }
 }
 
-async fn ask(address: std::net::SocketAddr, request: Request<Full<Bytes>>) -> Response<Bytes> {
+async fn send_request(
+    address: std::net::SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Response<Bytes> {
     let stream = TcpStream::connect(address).await.unwrap();
     let (mut sender, connection) = client::handshake(TokioIo::new(stream)).await.unwrap();
     tokio::spawn(connection);
@@ -92,7 +97,7 @@
     Response::from_parts(head, body)
 }
 
-fn query(class: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Request<Full<Bytes>> {
+fn query_request(class: &str, headers: &[(&str, &str)], body: Vec<u8>) -> Request<Full<Bytes>> {
     let path = format!("/v1/query/{class}");
     let mut request = Request::post(path).header("x-organisation", "roofers");
     for (name, value) in headers {
@@ -103,53 +108,53 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_answer_joins_the_rows_of_all_shards() {
-    let fixture = serve().await;
-    let response = ask(fixture.address, query("search", &[], Vec::new())).await;
+async fn an_answer_concatenates_the_rows_of_all_shards() {
+    let fixture = start_server().await;
+    let response = send_request(fixture.address, query_request("search", &[], Vec::new())).await;
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["x-coverage"], eq("2/2"));
     expect_that!(response.headers()["x-snapshot"], eq("17"));
-    let expected = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
-    expect_that!(response.body().as_ref(), eq(&expected[..]));
+    let expected_body = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
+    expect_that!(response.body().as_ref(), eq(&expected_body[..]));
     let locate = Request::get("/v1/locate").body(Full::default()).unwrap();
-    let response = ask(fixture.address, locate).await;
+    let response = send_request(fixture.address, locate).await;
     let answer: LocateAnswer = serde_json::from_slice(response.body()).unwrap();
     expect_that!(answer.ttl, eq(Duration::from_secs(5)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn each_bad_request_names_its_field_and_was_not_run() {
-    let fixture = serve().await;
-    let long = "x".repeat(257);
+async fn each_malformed_request_is_refused_with_its_field_and_is_not_run() {
+    let fixture = start_server().await;
+    let long_record = "x".repeat(257);
     let cases = [
         (
-            query("search", &[("x-deadline-ms", "soon")], vec![]),
+            query_request("search", &[("x-deadline-ms", "soon")], vec![]),
             400,
             "x-deadline-ms",
         ),
         (
-            query("search", &[("x-organisation", "twice")], vec![]),
+            query_request("search", &[("x-organisation", "twice")], vec![]),
             400,
             "x-organisation",
         ),
         (
-            query("search", &[("x-record", &long)], vec![]),
+            query_request("search", &[("x-record", &long_record)], vec![]),
             400,
             "x-record",
         ),
         (
-            query("search", &[("idempotency-key", "7")], vec![]),
+            query_request("search", &[("idempotency-key", "7")], vec![]),
             400,
             "idempotency-key",
         ),
         (
-            query("search", &[("x-query-id", "")], vec![]),
+            query_request("search", &[("x-query-id", "")], vec![]),
             400,
             "x-query-id",
         ),
-        (query("Search", &[], vec![]), 400, "class"),
-        (query("search", &[], vec![0; 70_000]), 413, "body"),
+        (query_request("Search", &[], vec![]), 400, "class"),
+        (query_request("search", &[], vec![0; 70_000]), 413, "body"),
         (
             Request::get("/v1/query/search")
                 .body(Full::default())
@@ -164,49 +169,52 @@
         ),
     ];
     for (request, status, field) in cases {
-        let response = ask(fixture.address, request).await;
+        let response = send_request(fixture.address, request).await;
         expect_that!(response.status().as_u16(), eq(status), "{field}");
         expect_that!(response.headers()["x-ran"], eq("not-run"), "{field}");
         let body: serde_json::Value = serde_json::from_slice(response.body()).unwrap();
-        let named = body["error"]["field"].as_str().unwrap_or_default();
-        expect_that!(named, eq(field));
+        let field_name = body["error"]["field"].as_str().unwrap_or_default();
+        expect_that!(field_name, eq(field));
     }
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_refusal_tells_when_to_come_back() {
-    let fixture = serve().await;
+async fn a_refusal_carries_its_retry_after() {
+    let fixture = start_server().await;
     let refusal = QueryRefusal::new(RefusalCode::Overloaded, RunState::NotRun, "full")
         .with_retry_after(Duration::from_millis(250));
     *fixture.outcome.lock().unwrap() = Err(refusal);
-    let request = query("search", &[("x-query-id", "mine")], vec![]);
-    let response = ask(fixture.address, request).await;
+    let request = query_request("search", &[("x-query-id", "mine")], vec![]);
+    let response = send_request(fixture.address, request).await;
     expect_that!(response.status().as_u16(), eq(503));
     expect_that!(response.headers()["retry-after"], eq("1"));
-    let expected = br#"{"error":{"code":"overloaded","ran":"not-run","message":"full","field":null,"retry_after_ms":250,"query":"mine"}}"#;
-    expect_that!(response.body().as_ref(), eq(&expected[..]));
+    let expected_body = br#"{"error":{"code":"overloaded","ran":"not-run","message":"full","field":null,"retry_after_ms":250,"query":"mine"}}"#;
+    expect_that!(response.body().as_ref(), eq(&expected_body[..]));
     fixture
         .writers
         .readiness
         .send_replace(NodeReadiness::Fenced);
-    let response = ask(fixture.address, query("search", &[], vec![])).await;
+    let response = send_request(fixture.address, query_request("search", &[], vec![])).await;
     let body: serde_json::Value = serde_json::from_slice(response.body()).unwrap();
     expect_that!(body["error"]["code"].as_str(), some(eq("not-ready")));
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_stop_finishes_what_is_in_flight_and_closes() {
-    let fixture = serve().await;
+async fn a_stop_completes_requests_in_flight_and_closes_the_listener() {
+    let fixture = start_server().await;
     let address = fixture.address;
-    let asking = tokio::spawn(async move { ask(address, query("held", &[], vec![])).await });
-    fixture.entered.notified().await;
+    let pending_response =
+        tokio::spawn(
+            async move { send_request(address, query_request("held", &[], vec![])).await },
+        );
+    fixture.query_started.notified().await;
     fixture.stop.cancel();
-    fixture.gate.notify_one();
-    let response = asking.await.unwrap();
+    fixture.query_release.notify_one();
+    let response = pending_response.await.unwrap();
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["connection"], eq("close"));
-    fixture.serving.await.unwrap();
+    fixture.server_task.await.unwrap();
     expect_that!(TcpStream::connect(address).await.is_err(), eq(true));
 }
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -1,4 +1,4 @@
-//! The callers' HTTP service.
+//! HTTP service for callers.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -14,28 +14,33 @@
 use hyper::body::Incoming;
 
 use super::message::{LocateAnswer, answer_body, refusal_body, refusal_status};
-use super::request::{KEY_HEADER, QUERY_HEADER, caller_id, read_organisation, read_query};
+use super::request::{
+    IDEMPOTENCY_KEY_HEADER, QUERY_ID_HEADER, read_organisation, read_query, read_query_id,
+};
 use crate::ident::{OrganisationName, RunState};
 use crate::query::{
     QueryAnswer, QueryOutcome, QueryRefusal, QueryRequest, RefusalCode, SELECTION_LIMIT,
 };
 use crate::views::{NodeReadiness, NodeViews};
 
-const RAN_HEADER: HeaderName = HeaderName::from_static("x-ran");
+/// Header that says whether any part of the query ran.
+const RUN_STATE_HEADER: HeaderName = HeaderName::from_static("x-ran");
+/// Header with the index version of the answer.
 const SNAPSHOT_HEADER: HeaderName = HeaderName::from_static("x-snapshot");
+/// Header with the numbers of answered and needed shards.
 const COVERAGE_HEADER: HeaderName = HeaderName::from_static("x-coverage");
-const JSON: HeaderValue = HeaderValue::from_static("application/json");
+const JSON_CONTENT_TYPE: HeaderValue = HeaderValue::from_static("application/json");
 const QUERY_PATH: &str = "/v1/query/";
 const LOCATE_PATH: &str = "/v1/locate";
-/// Longest time that a caller may take to send its selection.
+/// Maximum time to receive the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// When a caller should come back that met a VM which is not ready.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after sent while this VM is not ready.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 type RunFunction = dyn Fn(QueryRequest) -> BoxFuture<'static, QueryOutcome> + Send + Sync;
 type LocateFunction = dyn Fn(Option<OrganisationName>) -> LocateAnswer + Send + Sync;
 
-/// Answers callers' requests. Cheap to clone.
+/// Handles callers' requests. Cheap to clone.
 #[derive(Clone)]
 pub struct CallerService {
     run: Arc<RunFunction>,
@@ -50,7 +55,7 @@
 }
 
 impl CallerService {
-    /// Makes a service that runs queries by `run` and answers locate requests by `locate`.
+    /// Creates a service that runs queries with `run` and answers locate requests with `locate`.
     pub fn new(
         run: impl Fn(QueryRequest) -> BoxFuture<'static, QueryOutcome> + Send + Sync + 'static,
         locate: impl Fn(Option<OrganisationName>) -> LocateAnswer + Send + Sync + 'static,
@@ -63,24 +68,24 @@
         }
     }
 
-    /// Answers one request.
-    pub(super) async fn answer(
+    /// Handles one request.
+    pub(super) async fn handle_request(
         self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
-        let query = caller_id(request.headers());
-        let reply = self.route(request).await;
-        Ok(reply.unwrap_or_else(|refusal| refusal_response(&refusal, query.as_ref())))
+        let query_id = read_query_id(request.headers());
+        let response = self.route_request(request).await;
+        Ok(response.unwrap_or_else(|refusal| refusal_response(&refusal, query_id.as_ref())))
     }
 
-    async fn route(
+    async fn route_request(
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, QueryRefusal> {
         let path = request.uri().path();
         if path == LOCATE_PATH {
             if request.method() != Method::GET {
-                return Ok(wrong_method("GET"));
+                return Ok(method_not_allowed_response("GET"));
             }
             let organisation = read_organisation(request.headers())?;
             let answer = (self.locate)(organisation);
@@ -88,13 +93,13 @@
             return Ok(json_response(StatusCode::OK, body.into()));
         }
         let Some(class) = path.strip_prefix(QUERY_PATH) else {
-            return Err(not_run(
+            return Err(not_run_refusal(
                 RefusalCode::NotFound,
                 "there is nothing at this path",
             ));
         };
         if request.method() != Method::POST {
-            return Ok(wrong_method("POST"));
+            return Ok(method_not_allowed_response("POST"));
         }
         let class = CompactString::new(class);
         self.run_query(&class, request).await
@@ -105,11 +110,12 @@
         class: &str,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, QueryRefusal> {
-        // A request under a key may be a resend of what ran, so that "not run" is not for this border to say.
-        if !request.headers().contains_key(KEY_HEADER) {
+        // A request with an idempotency key may repeat one that has run, so it must not be refused as "not run" here.
+        if !request.headers().contains_key(IDEMPOTENCY_KEY_HEADER) {
             self.check_ready()?;
         }
         let (head, body) = request.into_parts();
+        // The selection is empty here and is set below, once the size of the body has been checked.
         let query = read_query(class, &head.headers, Bytes::new())?;
         let selection = read_selection(body).await?;
         let query = QueryRequest { selection, ..query };
@@ -123,46 +129,50 @@
             return Ok(());
         }
         let refusal = match readiness {
-            NodeReadiness::Stopping => not_run(RefusalCode::Stopping, "this VM is stopping"),
-            _ => not_run(RefusalCode::NotReady, "this VM has not synchronised yet"),
+            NodeReadiness::Stopping => {
+                not_run_refusal(RefusalCode::Stopping, "this VM is stopping")
+            }
+            _ => not_run_refusal(RefusalCode::NotReady, "this VM has not synchronised yet"),
         };
-        Err(refusal.with_retry_after(NOT_READY_RETRY))
+        Err(refusal.with_retry_after(NOT_READY_RETRY_AFTER))
     }
 }
 
 async fn read_selection(body: Incoming) -> Result<Bytes, QueryRefusal> {
-    let reading = Limited::new(body, SELECTION_LIMIT).collect();
-    let read = match tokio::time::timeout(BODY_TIMEOUT, reading).await {
-        Ok(read) => read,
-        Err(_elapsed) => return Err(bad_body("the body did not come in time")),
+    let body_future = Limited::new(body, SELECTION_LIMIT).collect();
+    let read_result = match tokio::time::timeout(BODY_TIMEOUT, body_future).await {
+        Ok(read_result) => read_result,
+        Err(_elapsed) => return Err(bad_body_refusal("the body did not come in time")),
     };
-    match read {
+    match read_result {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let message = "the selection exceeds 64 KiB";
-            Err(not_run(RefusalCode::TooLarge, message).with_field("body"))
+            Err(not_run_refusal(RefusalCode::TooLarge, message).with_field("body"))
         }
-        Err(_error) => Err(bad_body("the body broke off")),
+        Err(_error) => Err(bad_body_refusal("the body broke off")),
     }
 }
 
-fn bad_body(message: &str) -> QueryRefusal {
-    not_run(RefusalCode::BadRequest, message).with_field("body")
+fn bad_body_refusal(message: &str) -> QueryRefusal {
+    not_run_refusal(RefusalCode::BadRequest, message).with_field("body")
 }
 
-fn not_run(code: RefusalCode, message: &str) -> QueryRefusal {
+fn not_run_refusal(code: RefusalCode, message: &str) -> QueryRefusal {
     QueryRefusal::new(code, RunState::NotRun, message)
 }
 
 fn json_response(status: StatusCode, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
-    response.headers_mut().insert(CONTENT_TYPE, JSON);
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, JSON_CONTENT_TYPE);
     response
 }
 
-fn wrong_method(allowed: &'static str) -> Response<Full<Bytes>> {
-    let refusal = not_run(RefusalCode::BadRequest, "the method is not allowed here");
+fn method_not_allowed_response(allowed: &'static str) -> Response<Full<Bytes>> {
+    let refusal = not_run_refusal(RefusalCode::BadRequest, "the method is not allowed here");
     let mut response = refusal_response(&refusal.with_field("method"), None);
     *response.status_mut() = StatusCode::METHOD_NOT_ALLOWED;
     let allowed = HeaderValue::from_static(allowed);
@@ -174,30 +184,34 @@
     let mut response = json_response(StatusCode::OK, answer_body(answer)?);
     let headers = response.headers_mut();
     headers.insert(SNAPSHOT_HEADER, HeaderValue::from(answer.snapshot.0));
-    headers.insert(RAN_HEADER, HeaderValue::from_static("ran"));
+    headers.insert(RUN_STATE_HEADER, HeaderValue::from_static("ran"));
     let coverage = compact_str::format_compact!("{}", answer.coverage);
     insert_text(&mut response, COVERAGE_HEADER, &coverage);
-    let query = HeaderName::from_static(QUERY_HEADER);
-    insert_text(&mut response, query, &answer.query);
+    let query_id = HeaderName::from_static(QUERY_ID_HEADER);
+    insert_text(&mut response, query_id, &answer.query);
     Ok(response)
 }
 
 fn refusal_response(
     refusal: &QueryRefusal,
-    query: Option<&CompactString>,
+    query_id: Option<&CompactString>,
 ) -> Response<Full<Bytes>> {
-    let body = refusal_body(refusal, query.map(CompactString::as_str));
+    let body = refusal_body(refusal, query_id.map(CompactString::as_str));
     let mut response = json_response(refusal_status(refusal.code), body);
     insert_text(
         &mut response,
-        RAN_HEADER,
+        RUN_STATE_HEADER,
         &compact_str::format_compact!("{}", refusal.ran),
     );
-    if let Some(query) = query {
-        insert_text(&mut response, HeaderName::from_static(QUERY_HEADER), query);
+    if let Some(query_id) = query_id {
+        insert_text(
+            &mut response,
+            HeaderName::from_static(QUERY_ID_HEADER),
+            query_id,
+        );
     }
-    if let Some(after) = refusal.retry_after {
-        let seconds = after.as_millis().div_ceil(1_000) as u64;
+    if let Some(retry_after) = refusal.retry_after {
+        let seconds = retry_after.as_millis().div_ceil(1_000) as u64;
         response
             .headers_mut()
             .insert(RETRY_AFTER, HeaderValue::from(seconds));
@@ -206,7 +220,8 @@
 }
 
 fn insert_text(response: &mut Response<Full<Bytes>>, name: HeaderName, text: &str) {
-    // Names and numbers of ours are visible ASCII, and a caller's name came in a header.
+    // Every value passed in is a valid header value: generated ids and numbers are visible ASCII, and the caller's id
+    // was received in a header.
     if let Ok(value) = HeaderValue::from_str(text) {
         response.headers_mut().insert(name, value);
     }
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -1,4 +1,5 @@
-//! The entry's actor: owns the clock and the callers' reply channels, runs what the decisions ask for.
+//! Actor around [`EntryCore`]: owns the clock and the callers' reply channels, and performs the actions that the core
+//! requests.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -22,31 +23,31 @@
 use crate::views::NodeViews;
 use crate::wire::{LinkError, PeerMessage};
 
-/// How often the metrics of the decisions are brought up to date.
-const COUNT_PERIOD: Duration = Duration::from_millis(200);
-/// How often callers are looked at for having gone away.
-const SWEEP_PERIOD: Duration = Duration::from_millis(10);
-/// Target of the decision log.
+/// Interval between updates of the decision metrics.
+const METRICS_PERIOD: Duration = Duration::from_millis(200);
+/// Shortest interval between checks for callers that have disconnected.
+const CALLER_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// Log target of the decision log.
 const DECISION_TARGET: &str = "ebonyfork::decision";
 
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
-type QuarantineFunction = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
+type FingerprintPredicate = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
 
-/// What an entry needs to know.
+/// Settings and inputs of an entry.
 #[derive(Clone)]
 pub struct EntrySettings {
-    own: SessionId,
+    session: SessionId,
     zone: ZoneName,
     views: NodeViews,
     experiment: ExperimentSwitches,
-    quarantine: Arc<QuarantineFunction>,
-    suspicion: Arc<QuarantineFunction>,
+    is_quarantined: Arc<FingerprintPredicate>,
+    is_suspect: Arc<FingerprintPredicate>,
 }
 
 impl fmt::Debug for EntrySettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("EntrySettings")
-            .field("own", &self.own)
+            .field("own", &self.session)
             .field("zone", &self.zone)
             .field("experiment", &self.experiment)
             .finish_non_exhaustive()
@@ -54,15 +55,16 @@
 }
 
 impl EntrySettings {
-    /// Settings of the entry of one process incarnation.
-    pub fn new(own: SessionId, zone: ZoneName, views: NodeViews) -> Self {
+    /// Creates the settings of the entry in process incarnation `session`, with default switches and without
+    /// quarantine.
+    pub fn new(session: SessionId, zone: ZoneName, views: NodeViews) -> Self {
         Self {
-            own,
+            session,
             zone,
             views,
             experiment: ExperimentSwitches::default(),
-            quarantine: Arc::new(|_fingerprint| false),
-            suspicion: Arc::new(|_fingerprint| false),
+            is_quarantined: Arc::new(|_fingerprint| false),
+            is_suspect: Arc::new(|_fingerprint| false),
         }
     }
 
@@ -73,121 +75,133 @@
         self
     }
 
-    /// Asks `refuses` about each request before anything leaves.
+    /// Sets the quarantine check. A request for which `is_quarantined` returns true is refused before anything is sent.
     #[must_use]
     pub fn with_quarantine(
         mut self,
-        refuses: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
+        is_quarantined: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.quarantine = Arc::new(refuses);
+        self.is_quarantined = Arc::new(is_quarantined);
         self
     }
 
-    /// Asks `suspects` about each request: one that was in flight when an upstream was lost is tried at one shard before
-    /// the others are asked.
+    /// Sets the suspicion check. A request for which `is_suspect` returns true was in flight when an upstream was lost;
+    /// it is sent to a single shard before the others.
     #[must_use]
     pub fn with_suspicion(
         mut self,
-        suspects: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
+        is_suspect: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.suspicion = Arc::new(suspects);
+        self.is_suspect = Arc::new(is_suspect);
         self
     }
 }
 
-/// The entry of this process. Cheap to clone.
+/// Handle to the entry of this process. Cheap to clone.
 #[derive(Clone)]
 pub struct EntryHandle {
     address: Address<EntryActor>,
-    in_flight: Arc<AtomicUsize>,
+    queries_in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
-    quarantine: Arc<QuarantineFunction>,
-    suspicion: Arc<QuarantineFunction>,
+    is_quarantined: Arc<FingerprintPredicate>,
+    is_suspect: Arc<FingerprintPredicate>,
 }
 
 impl fmt::Debug for EntryHandle {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("EntryHandle")
-            .field("in_flight", &self.in_flight)
+            .field("in_flight", &self.queries_in_flight)
             .finish_non_exhaustive()
     }
 }
 
 impl EntryHandle {
-    /// Starts the entry; `send` hands a message to the link of a VM without waiting.
+    /// Starts the entry. `send` passes a message to the link of a VM without blocking.
     pub fn start(
         settings: EntrySettings,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
     ) -> Self {
-        let in_flight = Arc::new(AtomicUsize::new(0));
+        let queries_in_flight = Arc::new(AtomicUsize::new(0));
         let metrics = EntryMetrics::default();
-        let quarantine = Arc::clone(&settings.quarantine);
-        let suspicion = Arc::clone(&settings.suspicion);
-        let (alarm, alarms) = watch::channel(None);
+        let is_quarantined = Arc::clone(&settings.is_quarantined);
+        let is_suspect = Arc::clone(&settings.is_suspect);
+        let (timer, timer_updates) = watch::channel(None);
         let actor = EntryActor {
-            core: EntryCore::new(settings.own, settings.zone, settings.experiment),
+            core: EntryCore::new(settings.session, settings.zone, settings.experiment),
             views: settings.views,
             epoch: Instant::now(),
             send: Box::new(send),
             callers: FxHashMap::default(),
-            in_flight: Arc::clone(&in_flight),
+            queries_in_flight: Arc::clone(&queries_in_flight),
             metrics: metrics.clone(),
-            counted: Duration::ZERO,
-            swept: Duration::ZERO,
-            alarm,
+            metrics_updated_at: Duration::ZERO,
+            callers_checked_at: Duration::ZERO,
+            timer,
         };
         let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-        tokio::spawn(ring(address.downgrade(), alarms));
+        tokio::spawn(run_timer(address.downgrade(), timer_updates));
         Self {
             address,
-            in_flight,
+            queries_in_flight,
             metrics,
-            quarantine,
-            suspicion,
+            is_quarantined,
+            is_suspect,
         }
     }
 
-    /// Runs one query, whole. A non-idempotent one must be handed in at most once per key.
+    /// Runs one query to completion. A non-idempotent query must be passed in at most once per idempotency key.
     pub async fn run(&self, request: QueryRequest) -> QueryOutcome {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
-        if (self.quarantine)(fingerprint) {
+        if (self.is_quarantined)(fingerprint) {
             let message = "the request has crashed upstreams";
             let refusal = QueryRefusal::new(RefusalCode::Quarantined, RunState::NotRun, message);
-            self.metrics.refused(&request.class, &refusal);
+            self.metrics.record_refusal(&request.class, &refusal);
             return Err(refusal);
         }
-        let (reply, outcome) = oneshot::channel();
-        let suspect = (self.suspicion)(fingerprint);
-        let query = StartQuery {
+        let (reply, outcome_receiver) = oneshot::channel();
+        let suspect = (self.is_suspect)(fingerprint);
+        let start_query = StartQuery {
             request,
             suspect,
             reply,
         };
-        let accepted = self.address.send(query).detach().await;
-        if accepted.is_err() {
-            return Err(gone(RunState::NotRun));
+        let send_result = self.address.send(start_query).detach().await;
+        if send_result.is_err() {
+            return Err(stopping_refusal(RunState::NotRun));
         }
-        // The actor took the query and ended without an answer: its attempts may have run.
-        outcome
+        // The actor accepted the query and ended without answering it, so its attempts may have run.
+        outcome_receiver
             .await
-            .unwrap_or_else(|_closed| Err(gone(RunState::Unknown)))
+            .unwrap_or_else(|_closed| Err(stopping_refusal(RunState::Unknown)))
     }
 
-    /// Takes the verdicts that a relay reports.
-    pub async fn take_outcomes(&self, from: SessionId, batch: OutcomeBatch) {
-        let report = RelayReport { vm: from.vm, batch };
-        // The actor lives as long as this handle; if it is gone, so are its queries.
+    /// Passes the outcomes reported by the relay in process incarnation `relay_session` to the actor.
+    pub async fn handle_outcomes(&self, relay_session: SessionId, batch: OutcomeBatch) {
+        let report = RelayReport {
+            vm: relay_session.vm,
+            batch,
+        };
+        // The actor lives as long as this handle; if it has ended, so have its queries.
         drop(self.address.send(report).detach().await);
     }
 
-    /// The link to a VM broke: what is in `unsent` was not run, the rest in flight there may have.
-    pub async fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
-        drop(self.address.send(LinkLoss { vm, unsent }).detach().await);
+    /// Reports that the link to a VM broke: the messages in `unsent_messages` were not transmitted, other attempts
+    /// sent over the link may have run.
+    pub async fn handle_link_down(&self, vm: VmAddress, unsent_messages: VecDeque<PeerMessage>) {
+        drop(
+            self.address
+                .send(LinkDown {
+                    vm,
+                    unsent_messages,
+                })
+                .detach()
+                .await,
+        );
     }
 
-    /// Queries in flight.
-    pub fn in_flight(&self) -> usize {
-        self.in_flight.load(Ordering::Relaxed)
+    /// Returns the number of queries in flight.
+    pub fn queries_in_flight(&self) -> usize {
+        self.queries_in_flight.load(Ordering::Relaxed)
     }
 
     /// Registers the entry's metrics.
@@ -196,31 +210,31 @@
     }
 }
 
-fn gone(ran: RunState) -> QueryRefusal {
-    QueryRefusal::new(RefusalCode::Stopping, ran, "this VM is stopping")
+fn stopping_refusal(run_state: RunState) -> QueryRefusal {
+    QueryRefusal::new(RefusalCode::Stopping, run_state, "this VM is stopping")
 }
 
-/// Wakes the actor at the time that it last asked for.
-async fn ring(
+/// Sends [`TimerFired`] to the actor at the time most recently published in `timer_updates`.
+async fn run_timer(
     address: Address<EntryActor, xtra::refcount::Weak>,
-    mut alarms: watch::Receiver<Option<Instant>>,
+    mut timer_updates: watch::Receiver<Option<Instant>>,
 ) {
     loop {
-        let at = *alarms.borrow_and_update();
-        let due = async {
-            match at {
-                Some(at) => tokio::time::sleep_until(at).await,
+        let wake_at = *timer_updates.borrow_and_update();
+        let timer_future = async {
+            match wake_at {
+                Some(wake_at) => tokio::time::sleep_until(wake_at).await,
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            () = due => {
-                if address.send(AlarmRing).await.is_err() {
+            () = timer_future => {
+                if address.send(TimerFired).await.is_err() {
                     return;
                 }
             }
-            changed = alarms.changed() => {
-                if changed.is_err() {
+            change_result = timer_updates.changed() => {
+                if change_result.is_err() {
                     return;
                 }
             }
@@ -228,134 +242,146 @@
     }
 }
 
+/// Asks the actor to run a query and to send its outcome to `reply`.
 struct StartQuery {
     request: QueryRequest,
     suspect: bool,
     reply: oneshot::Sender<QueryOutcome>,
 }
 
+/// Passes the outcomes reported by the relay on `vm` to the actor.
 struct RelayReport {
     vm: VmAddress,
     batch: OutcomeBatch,
 }
 
-struct LinkLoss {
+/// Tells the actor that the link to `vm` broke, with the messages that were not transmitted.
+struct LinkDown {
     vm: VmAddress,
-    unsent: VecDeque<PeerMessage>,
+    unsent_messages: VecDeque<PeerMessage>,
 }
 
-struct AlarmRing;
+/// Tells the actor that its timer is due.
+struct TimerFired;
 
+/// A caller whose query is in flight.
 struct WaitingCaller {
     reply: oneshot::Sender<QueryOutcome>,
     class: crate::ident::ClassName,
-    since: Duration,
+    started_at: Duration,
 }
 
 #[derive(xtra::Actor)]
 struct EntryActor {
     core: EntryCore,
     views: NodeViews,
+    /// Zero of the entry's clock.
     epoch: Instant,
     send: Box<SendFunction>,
+    /// Callers of the queries in flight, by query number.
     callers: FxHashMap<u64, WaitingCaller>,
-    in_flight: Arc<AtomicUsize>,
+    queries_in_flight: Arc<AtomicUsize>,
     metrics: EntryMetrics,
-    /// When the metrics were last brought up to date.
-    counted: Duration,
-    /// When callers were last looked at for having gone away.
-    swept: Duration,
-    alarm: watch::Sender<Option<Instant>>,
+    /// When the decision metrics were last updated.
+    metrics_updated_at: Duration,
+    /// When callers were last checked for disconnects.
+    callers_checked_at: Duration,
+    /// Passes the time at which the actor must be woken next to the timer task.
+    timer: watch::Sender<Option<Instant>>,
 }
 
 impl EntryActor {
-    /// Makes the decisions ready for an event and returns the time.
-    fn prepare(&mut self) -> Duration {
+    /// Refreshes the core's views and settings before an event, and returns the current time.
+    fn begin_event(&mut self) -> Duration {
         let views = EntryViews {
             topology: Arc::clone(&self.views.topology.borrow()),
             config: Arc::clone(&self.views.config.borrow()),
             catalog: Arc::clone(&self.views.catalog.borrow()),
         };
         self.core.refresh(&views);
-        let noting = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
-        self.core.note_decisions(noting);
+        let logging_enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
+        self.core.set_decision_logging(logging_enabled);
         self.epoch.elapsed()
     }
 
-    /// Does what the decisions ask for, and sets the alarm.
-    fn perform(&mut self, now: Duration) {
+    /// Performs the requested actions and sets the timer.
+    fn run_actions(&mut self, now: Duration) {
         while let Some(action) = self.core.next_action() {
             match action {
                 EntryAction::Send { vm, message } => self.send_message(now, vm, message),
-                EntryAction::Finish { query, outcome } => self.finish(now, query, outcome),
+                EntryAction::Finish { query, outcome } => self.send_outcome(now, query, outcome),
             }
         }
         for decision in self.core.take_decisions() {
             log::info!(target: DECISION_TARGET, "{decision}");
         }
-        self.count(now);
-        self.in_flight
-            .store(self.core.in_flight(), Ordering::Relaxed);
-        let next = self.core.next_wake().map(|at| self.epoch + at);
-        self.alarm.send_if_modified(|alarm| {
-            let changed = *alarm != next;
-            *alarm = next;
-            changed
+        self.update_metrics(now);
+        self.queries_in_flight
+            .store(self.core.queries_in_flight(), Ordering::Relaxed);
+        let next_wake = self.core.next_wake().map(|wake_at| self.epoch + wake_at);
+        self.timer.send_if_modified(|timer| {
+            let is_changed = *timer != next_wake;
+            *timer = next_wake;
+            is_changed
         });
     }
 
-    /// Brings the metrics up to date, now and then and when nothing is in flight.
-    fn count(&mut self, now: Duration) {
-        if now < self.counted + COUNT_PERIOD && self.core.in_flight() > 0 {
+    /// Updates the decision metrics every [`METRICS_PERIOD`], and whenever no query is in flight.
+    fn update_metrics(&mut self, now: Duration) {
+        if now < self.metrics_updated_at + METRICS_PERIOD && self.core.queries_in_flight() > 0 {
             return;
         }
-        self.counted = now;
-        for (class, tally) in self.core.tallies() {
-            self.metrics.tally(class, tally);
+        self.metrics_updated_at = now;
+        for (class, counts) in self.core.decision_counts() {
+            self.metrics.update_decision_counts(class, counts);
         }
     }
 
-    /// Gives up the queries whose callers have gone away.
-    fn drop_abandoned(&mut self, now: Duration) {
-        if now < self.swept + SWEEP_PERIOD {
+    /// Abandons the queries whose callers have disconnected.
+    fn abandon_closed_queries(&mut self, now: Duration) {
+        if now < self.callers_checked_at + CALLER_CHECK_PERIOD {
             return;
         }
-        self.swept = now;
+        self.callers_checked_at = now;
         let core = &mut self.core;
-        for (number, caller) in &self.callers {
+        for (query_number, caller) in &self.callers {
             if caller.reply.is_closed() {
-                core.abandon(now, *number);
+                core.abandon_query(now, *query_number);
             }
         }
         self.callers.retain(|_, caller| !caller.reply.is_closed());
     }
 
+    /// Passes a message to the link of a VM; attempts that the link does not accept are reported to the core.
     fn send_message(&mut self, now: Duration, vm: VmAddress, message: PeerMessage) {
         let attempts = match &message {
-            PeerMessage::Submit(batch) => Some((batch.query, attempts_of(batch))),
+            PeerMessage::Submit(batch) => Some((batch.query, attempt_numbers(batch))),
             _ => None,
         };
         let Err(error) = (self.send)(vm, message) else {
             return;
         };
-        log::debug!("to {vm}: {error}");
+        log::debug!("sending to {vm} failed: {error}");
         if let Some((query, attempts)) = attempts {
-            self.core.not_sent(now, vm, query, &attempts);
+            self.core.handle_unsent_attempts(now, vm, query, &attempts);
         }
     }
 
-    fn finish(&mut self, now: Duration, query: u64, outcome: QueryOutcome) {
+    /// Sends the outcome of a query to its caller and records it in the metrics.
+    fn send_outcome(&mut self, now: Duration, query: u64, outcome: QueryOutcome) {
         let Some(caller) = self.callers.remove(&query) else {
             return;
         };
-        let took = now.saturating_sub(caller.since);
-        self.metrics.finished(&caller.class, &outcome, took);
-        // A caller that has gone away needs no answer.
+        let duration = now.saturating_sub(caller.started_at);
+        self.metrics
+            .record_outcome(&caller.class, &outcome, duration);
+        // A caller that has disconnected needs no answer.
         drop(caller.reply.send(outcome));
     }
 }
 
-fn attempts_of(batch: &SubmitBatch) -> SmallVec<[u32; 8]> {
+/// Returns the numbers of the attempts in a batch.
+fn attempt_numbers(batch: &SubmitBatch) -> SmallVec<[u32; 8]> {
     batch.targets.iter().map(|target| target.attempt).collect()
 }
 
@@ -363,17 +389,17 @@
     type Return = ();
 
     async fn handle(&mut self, message: StartQuery, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
+        let now = self.begin_event();
         let caller = WaitingCaller {
             reply: message.reply,
             class: message.request.class.clone(),
-            since: now,
+            started_at: now,
         };
-        let number = self
+        let query_number = self
             .core
             .start_suspect(now, message.request, message.suspect);
-        self.callers.insert(number, caller);
-        self.perform(now);
+        self.callers.insert(query_number, caller);
+        self.run_actions(now);
     }
 }
 
@@ -381,30 +407,31 @@
     type Return = ();
 
     async fn handle(&mut self, message: RelayReport, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
-        self.core.take_outcomes(now, message.vm, message.batch);
-        self.perform(now);
+        let now = self.begin_event();
+        self.core.handle_outcomes(now, message.vm, message.batch);
+        self.run_actions(now);
     }
 }
 
-impl Handler<LinkLoss> for EntryActor {
+impl Handler<LinkDown> for EntryActor {
     type Return = ();
 
-    async fn handle(&mut self, message: LinkLoss, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
-        self.core.link_down(now, message.vm, message.unsent);
-        self.perform(now);
+    async fn handle(&mut self, message: LinkDown, _ctx: &mut Context<Self>) {
+        let now = self.begin_event();
+        self.core
+            .handle_link_down(now, message.vm, message.unsent_messages);
+        self.run_actions(now);
     }
 }
 
-impl Handler<AlarmRing> for EntryActor {
+impl Handler<TimerFired> for EntryActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: AlarmRing, _ctx: &mut Context<Self>) {
-        let now = self.prepare();
-        self.core.wake(now);
-        self.drop_abandoned(now);
-        self.perform(now);
+    async fn handle(&mut self, _message: TimerFired, _ctx: &mut Context<Self>) {
+        let now = self.begin_event();
+        self.core.run_due_timers(now);
+        self.abandon_closed_queries(now);
+        self.run_actions(now);
     }
 }
 
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -1,11 +1,11 @@
-//! Admission: a query whose target can't be met is refused before anything leaves.
+//! Admission control: refuses a query whose target can't be met before anything is sent.
 //!
-//! The wait that a query would meet is predicted from the relays' reported waits: the wait of the slowest shard that
-//! its coverage target needs. It may take what the class's latency leaves beyond the time that work takes on idle
-//! upstreams. How much of that a query may use depends on its organisation: one that was idle or uses little may use
-//! nearly all, one that uses more than its fair share only half. So an organisation that floods the tier keeps the
-//! queues at a level where the others still get in. A class that misses its target although queries were admitted
-//! tightens its own limit.
+//! The queue wait of a query is predicted from the waits reported by the relays: it is the wait of the slowest shard
+//! that the coverage target needs. The wait may use what the latency target leaves after the time that the query takes
+//! on idle upstreams. How much of the target may be used depends on the organisation: nearly all for an organisation
+//! that uses little, only half as much for one that uses more than its fair share. An organisation that overloads
+//! the upstreams thus leaves the queues short enough for the others to be admitted. A class that misses its target
+//! although its queries were admitted lowers its own limit.
 
 use std::time::Duration;
 
@@ -15,105 +15,115 @@
 use super::terms::ClassId;
 use crate::ident::OrganisationName;
 
-/// Share of a class's latency that a query of an organisation with little use may take, waiting included.
-const LIGHT_SHARE: f64 = 0.8;
-/// The same for an organisation that uses about its fair share.
-const FAIR_SHARE: f64 = 0.65;
-/// The same for an organisation that uses more than its fair share.
-const HEAVY_SHARE: f64 = 0.4;
-/// An organisation is light below this part of the fair share.
-const LIGHT_USE: f64 = 0.5;
-/// An organisation is heavy above this multiple of the fair share.
-const HEAVY_USE: f64 = 1.5;
-/// Queries of its own size that an organisation may have had lately and still count as light.
-const LIGHT_QUERIES: f64 = 2.0;
-/// Time in which use loses half its weight.
-const USE_HALF_LIFE: Duration = Duration::from_secs(1);
-/// Use below which an organisation counts as idle: a thousandth of an upstream's second.
-const USE_LEAST: f64 = 0.001;
-/// How often idle organisations are forgotten and the active ones counted.
-const CENSUS_PERIOD: Duration = Duration::from_millis(250);
-/// Least part of the latency that may be waited, even if work alone takes all of it.
-const WAIT_LEAST_PART: u32 = 10;
-/// Queries admitted under pressure after which a class reviews its limit.
-const REVIEW_QUERIES: u32 = 32;
-/// Least factor that misses can tighten a class's limit to.
-const TIGHTEST: f64 = 0.3;
-/// Factor on the limit when a review finds too many misses.
-const TIGHTEN: f64 = 0.85;
-/// Addition to the factor when it does not.
-const RELAX: f64 = 0.05;
-/// Misses that a review grants beyond those that the percentile allows.
-const MISS_GRACE: f64 = 0.02;
-/// Part of the allowed wait from which a query counts as admitted under pressure.
-const PRESSURE_PART: u32 = 4;
-
-/// What a query asks for.
+/// Share of the latency target that the queue wait and the unloaded time of a query may take together if the usage of
+/// its organisation is [`OrganisationUsage::Light`].
+const LIGHT_LATENCY_SHARE: f64 = 0.8;
+/// Share of the latency target that the queue wait and the unloaded time of a query may take together if the usage of
+/// its organisation is [`OrganisationUsage::Fair`].
+const FAIR_LATENCY_SHARE: f64 = 0.65;
+/// Share of the latency target that the queue wait and the unloaded time of a query may take together if the usage of
+/// its organisation is [`OrganisationUsage::Heavy`].
+const HEAVY_LATENCY_SHARE: f64 = 0.4;
+/// Fraction of the fair share below which the usage of an organisation is [`OrganisationUsage::Light`].
+const LIGHT_USAGE_FACTOR: f64 = 0.5;
+/// Multiple of the fair share above which the usage of an organisation is [`OrganisationUsage::Heavy`].
+const HEAVY_USAGE_FACTOR: f64 = 1.5;
+/// Number of queries, each as costly as the one to admit, up to whose total cost the usage of an organisation is
+/// [`OrganisationUsage::Light`].
+const LIGHT_QUERY_COUNT: f64 = 2.0;
+/// Time in which recorded usage loses half its weight.
+const USAGE_HALF_LIFE: Duration = Duration::from_secs(1);
+/// Usage below which an organisation counts as idle, in seconds of upstream time.
+const IDLE_USAGE: f64 = 0.001;
+/// Interval at which idle organisations are dropped and the active ones counted.
+const ORGANISATION_COUNT_PERIOD: Duration = Duration::from_millis(250);
+/// Divisor of the latency target that gives the minimum allowed wait, which applies even if the unloaded time takes up
+/// the whole target.
+const MIN_WAIT_DIVISOR: u32 = 10;
+/// Number of queries admitted under load after which a class updates its limit.
+const LIMIT_UPDATE_QUERIES: u32 = 32;
+/// Lower bound of the limit factor of a class.
+const MIN_LIMIT_FACTOR: f64 = 0.3;
+/// Multiplier of the limit factor after an update period in which too many queries missed their target.
+const LIMIT_DECREASE_FACTOR: f64 = 0.85;
+/// Increment of the limit factor after an update period in which enough queries met their target.
+const LIMIT_INCREASE_STEP: f64 = 0.05;
+/// Share of queries that may miss their target in addition to the share that the latency percentile allows.
+const MISS_TOLERANCE: f64 = 0.02;
+/// Divisor of the allowed wait that gives the wait above which a query counts as admitted under load.
+const LOADED_WAIT_DIVISOR: u32 = 4;
+
+/// The figures by which the admission of one query is decided.
 #[derive(Debug, Clone, Copy)]
-pub struct AdmissionCase<'a> {
-    /// Its class.
+pub struct AdmissionRequest<'a> {
+    /// The query's class.
     pub class: ClassId,
-    /// Its organisation.
+    /// The query's organisation.
     pub organisation: &'a OrganisationName,
-    /// The class's latency, or the caller's deadline if that is shorter.
-    pub latency: Duration,
-    /// Predicted wait of the slowest shard that the coverage target needs.
-    pub wait: Duration,
-    /// Time that this shard takes on an idle upstream, the way there included.
-    pub work: Duration,
+    /// Latency target of the class, or the caller's deadline if that is shorter.
+    pub latency_target: Duration,
+    /// Predicted queue wait of the slowest shard that the coverage target needs.
+    pub predicted_wait: Duration,
+    /// Expected time of the request to that shard on an idle upstream, including the round trip.
+    pub unloaded_time: Duration,
     /// Upstream time that the whole query takes, in seconds.
-    pub cost: f64,
+    pub cost_seconds: f64,
 }
 
-/// What becomes of a query at the door.
+/// Whether a query is admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AdmissionVerdict {
-    /// It may be sent.
+pub enum AdmissionDecision {
+    /// The query may be sent.
     Admitted {
-        /// Whether the upstreams were under pressure.
-        pressed: bool,
+        /// Whether the predicted wait exceeds the allowed wait divided by `LOADED_WAIT_DIVISOR`.
+        under_load: bool,
     },
-    /// It was refused.
+    /// The query is refused.
     Refused {
-        /// How long the backlog takes to drain to where the query would get in.
-        excess: Duration,
+        /// Time by which the predicted wait exceeds the allowed wait. After this time the backlog has drained far
+        /// enough for the query to be admitted.
+        excess_wait: Duration,
     },
 }
 
-/// How much of its fair share an organisation uses.
+/// Usage of an organisation relative to its fair share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrganisationTier {
-    /// It was idle or uses little.
+pub enum OrganisationUsage {
+    /// The organisation was idle or uses well below its fair share.
     Light,
-    /// It uses about its share.
+    /// The organisation uses about its fair share.
     Fair,
-    /// It uses more than its share.
+    /// The organisation uses well above its fair share.
     Heavy,
 }
 
-/// A sum that loses half its weight every [`USE_HALF_LIFE`].
+/// A sum that loses half its weight every [`USAGE_HALF_LIFE`].
 #[derive(Debug, Clone, Copy, Default)]
 struct DecayingSum {
     value: f64,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl DecayingSum {
     fn value(&self, now: Duration) -> f64 {
-        let age = now.saturating_sub(self.at).as_secs_f64();
-        self.value * 0.5_f64.powf(age / USE_HALF_LIFE.as_secs_f64())
+        let age = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.value * 0.5_f64.powf(age / USAGE_HALF_LIFE.as_secs_f64())
     }
 
     fn add(&mut self, now: Duration, amount: f64) {
         self.value = self.value(now) + amount;
-        self.at = now;
+        self.updated_at = now;
     }
 }
 
+/// Adaptive limit of one class.
 #[derive(Debug, Clone, Copy)]
 struct ClassLimit {
+    /// Factor on the share of the latency target that queries may take, at most 1.
     factor: f64,
-    queries: u32,
+    /// Number of queries admitted under load that completed since the last update of the factor.
+    completed_queries: u32,
+    /// Number of those queries that missed their target.
     misses: u32,
 }
 
@@ -121,105 +131,117 @@
     fn default() -> Self {
         Self {
             factor: 1.0,
-            queries: 0,
+            completed_queries: 0,
             misses: 0,
         }
     }
 }
 
-/// The door of one entry.
+/// Admission state of one entry.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
-    organisations: FxHashMap<OrganisationName, DecayingSum>,
-    total: DecayingSum,
-    active: u32,
-    census: Duration,
-    classes: SecondaryMap<ClassId, ClassLimit>,
+    usage_by_organisation: FxHashMap<OrganisationName, DecayingSum>,
+    total_usage: DecayingSum,
+    /// Number of organisations that are not idle.
+    active_organisations: u32,
+    last_count_at: Duration,
+    class_limits: SecondaryMap<ClassId, ClassLimit>,
 }
 
 impl AdmissionControl {
-    /// Decides on a query. One that is admitted counts as its organisation's use.
-    pub fn admit(&mut self, now: Duration, case: AdmissionCase<'_>) -> AdmissionVerdict {
-        self.count_organisations(now);
-        let share = match self.tier(now, case.organisation, case.cost) {
-            OrganisationTier::Light => LIGHT_SHARE,
-            OrganisationTier::Fair => FAIR_SHARE,
-            OrganisationTier::Heavy => HEAVY_SHARE,
+    /// Decides whether to admit a query, and records the usage of one that is admitted.
+    pub fn admit(&mut self, now: Duration, request: AdmissionRequest<'_>) -> AdmissionDecision {
+        self.forget_idle_organisations(now);
+        let usage_share = match self.classify_usage(now, request.organisation, request.cost_seconds)
+        {
+            OrganisationUsage::Light => LIGHT_LATENCY_SHARE,
+            OrganisationUsage::Fair => FAIR_LATENCY_SHARE,
+            OrganisationUsage::Heavy => HEAVY_LATENCY_SHARE,
         };
-        let factor = self.classes[case.class].factor;
-        let granted = case.latency.mul_f64(share * factor);
-        let least = case.latency / WAIT_LEAST_PART;
-        let allowed = granted.saturating_sub(case.work).max(least);
-        if let Some(excess) = case.wait.checked_sub(allowed)
-            && !excess.is_zero()
+        let limit_factor = self.class_limits[request.class].factor;
+        let latency_share = request.latency_target.mul_f64(usage_share * limit_factor);
+        let min_wait = request.latency_target / MIN_WAIT_DIVISOR;
+        let allowed_wait = latency_share
+            .saturating_sub(request.unloaded_time)
+            .max(min_wait);
+        if let Some(excess_wait) = request.predicted_wait.checked_sub(allowed_wait)
+            && !excess_wait.is_zero()
         {
-            return AdmissionVerdict::Refused { excess };
+            return AdmissionDecision::Refused { excess_wait };
         }
-        self.use_up(now, case.organisation, case.cost);
-        AdmissionVerdict::Admitted {
-            pressed: case.wait > allowed / PRESSURE_PART,
+        self.record_usage(now, request.organisation, request.cost_seconds);
+        AdmissionDecision::Admitted {
+            under_load: request.predicted_wait > allowed_wait / LOADED_WAIT_DIVISOR,
         }
     }
 
-    /// Notes whether a query that was admitted under pressure met its target.
-    pub fn review(&mut self, class: ClassId, percentile: f64, met: bool) {
-        let limit = &mut self.classes[class];
-        limit.queries += 1;
-        limit.misses += u32::from(!met);
-        if limit.queries < REVIEW_QUERIES {
+    /// Records whether a query that was admitted under load met its target, and adjusts the class's limit.
+    pub fn record_target_result(
+        &mut self,
+        class: ClassId,
+        latency_percentile: f64,
+        target_met: bool,
+    ) {
+        let class_limit = &mut self.class_limits[class];
+        class_limit.completed_queries += 1;
+        class_limit.misses += u32::from(!target_met);
+        if class_limit.completed_queries < LIMIT_UPDATE_QUERIES {
             return;
         }
-        let missed = f64::from(limit.misses) / f64::from(limit.queries);
-        limit.factor = if missed > 1.0 - percentile / 100.0 + MISS_GRACE {
-            (limit.factor * TIGHTEN).max(TIGHTEST)
+        let miss_rate = f64::from(class_limit.misses) / f64::from(class_limit.completed_queries);
+        class_limit.factor = if miss_rate > 1.0 - latency_percentile / 100.0 + MISS_TOLERANCE {
+            (class_limit.factor * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT_FACTOR)
         } else {
-            (limit.factor + RELAX).min(1.0)
+            (class_limit.factor + LIMIT_INCREASE_STEP).min(1.0)
         };
-        limit.queries = 0;
-        limit.misses = 0;
+        class_limit.completed_queries = 0;
+        class_limit.misses = 0;
     }
 
-    /// Tells how much of its fair share an organisation uses, before a query that costs `cost`.
-    pub fn tier(
+    /// Returns an organisation's usage relative to its fair share, without the next query, which takes `cost_seconds`
+    /// of upstream time.
+    pub fn classify_usage(
         &self,
         now: Duration,
         organisation: &OrganisationName,
-        cost: f64,
-    ) -> OrganisationTier {
-        let used = self
-            .organisations
+        cost_seconds: f64,
+    ) -> OrganisationUsage {
+        let recent_usage = self
+            .usage_by_organisation
             .get(organisation)
-            .map_or(0.0, |s| s.value(now));
-        let fair = self.total.value(now) / f64::from(self.active.max(1));
-        if used <= cost * LIGHT_QUERIES || (self.active > 1 && used < fair * LIGHT_USE) {
-            OrganisationTier::Light
-        } else if self.active > 1 && used > fair * HEAVY_USE {
-            OrganisationTier::Heavy
+            .map_or(0.0, |sum| sum.value(now));
+        let fair_share = self.total_usage.value(now) / f64::from(self.active_organisations.max(1));
+        if recent_usage <= cost_seconds * LIGHT_QUERY_COUNT
+            || (self.active_organisations > 1 && recent_usage < fair_share * LIGHT_USAGE_FACTOR)
+        {
+            OrganisationUsage::Light
+        } else if self.active_organisations > 1 && recent_usage > fair_share * HEAVY_USAGE_FACTOR {
+            OrganisationUsage::Heavy
         } else {
-            OrganisationTier::Fair
+            OrganisationUsage::Fair
         }
     }
 
-    fn use_up(&mut self, now: Duration, organisation: &OrganisationName, cost: f64) {
-        self.total.add(now, cost);
-        if let Some(sum) = self.organisations.get_mut(organisation) {
-            sum.add(now, cost);
+    fn record_usage(&mut self, now: Duration, organisation: &OrganisationName, cost_seconds: f64) {
+        self.total_usage.add(now, cost_seconds);
+        if let Some(sum) = self.usage_by_organisation.get_mut(organisation) {
+            sum.add(now, cost_seconds);
             return;
         }
         let mut sum = DecayingSum::default();
-        sum.add(now, cost);
-        self.organisations.insert(organisation.clone(), sum);
-        self.active += 1;
+        sum.add(now, cost_seconds);
+        self.usage_by_organisation.insert(organisation.clone(), sum);
+        self.active_organisations += 1;
     }
 
-    fn count_organisations(&mut self, now: Duration) {
-        if now < self.census + CENSUS_PERIOD {
+    fn forget_idle_organisations(&mut self, now: Duration) {
+        if now < self.last_count_at + ORGANISATION_COUNT_PERIOD {
             return;
         }
-        self.census = now;
-        self.organisations
-            .retain(|_, sum| sum.value(now) > USE_LEAST);
-        self.active = self.organisations.len() as u32;
+        self.last_count_at = now;
+        self.usage_by_organisation
+            .retain(|_, sum| sum.value(now) > IDLE_USAGE);
+        self.active_organisations = self.usage_by_organisation.len() as u32;
     }
 }
 
--- a/crates/ebonyfork/src/entry/canary_tests.rs
+++ b/crates/ebonyfork/src/entry/canary_tests.rs
@@ -1,19 +1,21 @@
 use bytes::Bytes;
 use googletest::prelude::*;
 
-use crate::entry::fixture::{EntryFixture, ms, request, rows};
+use crate::entry::fixture::{EntryFixture, ms, request, rows_verdict};
 use crate::ident::RunState;
 use crate::query::{QueryRequest, RefusalCode};
 use crate::relay::{FailureReason, RefusalReason, ShardVerdict};
 
-fn novel() -> QueryRequest {
+/// Returns a request that the entry has not seen before.
+fn unknown_request() -> QueryRequest {
     QueryRequest {
         selection: Bytes::from_static(b"never seen"),
         ..request()
     }
 }
 
-fn broken() -> ShardVerdict {
+/// Returns the verdict on an attempt during which the connection to the upstream broke.
+fn broken_connection() -> ShardVerdict {
     ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason: FailureReason::Broken,
@@ -21,47 +23,47 @@
 }
 
 #[gtest]
-fn a_request_that_crashes_upstreams_takes_two_of_them() {
+fn a_request_that_crashes_upstreams_breaks_only_two() {
     let mut fixture = EntryFixture::new(20, |_class| {});
-    let query = fixture.start(novel());
-    let mut victims = Vec::new();
-    while let [attempt] = fixture.take_sent().as_slice() {
-        victims.push(attempt.shard);
-        fixture.settle(attempt, broken());
+    let query = fixture.start(unknown_request());
+    let mut broken_shards = Vec::new();
+    while let [attempt] = fixture.take_sent_attempts().as_slice() {
+        broken_shards.push(attempt.shard);
+        fixture.deliver(attempt, broken_connection());
     }
-    // Two upstreams, and not both of one service.
-    expect_that!(victims.len(), eq(2));
-    expect_that!(victims[0], not(eq(victims[1])));
+    // The request broke two upstreams, of different services, because each shard is held by a service of its own.
+    expect_that!(broken_shards.len(), eq(2));
+    expect_that!(broken_shards[0], not(eq(broken_shards[1])));
     let refusal = fixture.outcome(query).as_ref().unwrap_err();
     expect_that!(refusal.code, eq(RefusalCode::UpstreamFailed));
 }
 
 #[gtest]
-fn an_innocent_request_that_lost_an_upstream_gets_its_whole_answer() {
-    // With a canary, and without.
-    for request in [novel(), request()] {
+fn a_harmless_request_that_lost_an_upstream_gets_its_whole_answer() {
+    // The first request starts with a canary, the second does not.
+    for request in [unknown_request(), request()] {
         let mut fixture = EntryFixture::new(20, |_class| {});
         let query = fixture.start(request);
-        let first = fixture.take_sent();
-        fixture.settle(&first[0], broken());
-        let mut out = first[1..].to_vec();
+        let first_attempts = fixture.take_sent_attempts();
+        fixture.deliver(&first_attempts[0], broken_connection());
+        let mut attempts_in_flight = first_attempts[1..].to_vec();
         loop {
-            out.extend(fixture.take_sent());
-            let Some(attempt) = out.pop() else {
+            attempts_in_flight.extend(fixture.take_sent_attempts());
+            let Some(attempt) = attempts_in_flight.pop() else {
                 break;
             };
-            // The shard under which the upstream was lost is not asked before another has brought rows.
-            expect_that!(attempt.shard, not(eq(first[0].shard)));
-            fixture.settle(&attempt, rows(17));
-            let (again, others) = fixture
-                .take_sent()
+            // The shard whose upstream was lost is not requested again before another shard has returned rows.
+            expect_that!(attempt.shard, not(eq(first_attempts[0].shard)));
+            fixture.deliver(&attempt, rows_verdict(17));
+            let (retries, other_attempts) = fixture
+                .take_sent_attempts()
                 .into_iter()
-                .partition(|attempt| attempt.shard == first[0].shard);
-            for attempt in Vec::into_iter(again) {
-                expect_that!(attempt.upstream, not(eq(first[0].upstream)));
-                fixture.settle(&attempt, rows(17));
+                .partition(|attempt| attempt.shard == first_attempts[0].shard);
+            for attempt in Vec::into_iter(retries) {
+                expect_that!(attempt.upstream, not(eq(first_attempts[0].upstream)));
+                fixture.deliver(&attempt, rows_verdict(17));
             }
-            out.extend::<Vec<_>>(others);
+            attempts_in_flight.extend::<Vec<_>>(other_attempts);
         }
         let answer = fixture.outcome(query).as_ref().unwrap();
         expect_that!(answer.bodies.len(), eq(20));
@@ -69,67 +71,82 @@
 }
 
 #[gtest]
-fn the_others_are_asked_once_the_canary_is_back_and_the_request_is_known_then() {
+fn the_other_shards_follow_the_canary_and_the_request_is_known_then() {
     let mut fixture = EntryFixture::new(20, |_class| {});
-    let query = fixture.start(novel());
-    let canary = fixture.take_sent();
-    expect_that!(canary.len(), eq(1));
-    fixture.settle(&canary[0], rows(17));
-    let rest = fixture.take_sent();
-    expect_that!(rest.len(), eq(19));
-    for attempt in &rest {
-        fixture.settle(attempt, rows(17));
+    let query = fixture.start(unknown_request());
+    let canary_attempts = fixture.take_sent_attempts();
+    expect_that!(canary_attempts.len(), eq(1));
+    fixture.deliver(&canary_attempts[0], rows_verdict(17));
+    let other_attempts = fixture.take_sent_attempts();
+    expect_that!(other_attempts.len(), eq(19));
+    for attempt in &other_attempts {
+        fixture.deliver(attempt, rows_verdict(17));
     }
     expect_that!(
         fixture.outcome(query).as_ref().unwrap().bodies.len(),
         eq(20)
     );
-    fixture.start(novel());
-    expect_that!(fixture.take_sent().len(), eq(20));
+    fixture.start(unknown_request());
+    expect_that!(fixture.take_sent_attempts().len(), eq(20));
 }
 
 #[gtest]
-fn no_canary_where_the_latency_has_no_room_but_for_a_suspect_or_after_a_loss() {
+fn a_short_latency_skips_the_canary_except_for_a_suspect_or_after_a_loss() {
     let mut fixture = EntryFixture::new(20, |class| class.latency = ms(59));
-    fixture.start(novel());
-    expect_that!(fixture.take_sent().len(), eq(20));
-    fixture.core.start_suspect(fixture.now, novel(), true);
-    fixture.pump();
-    let suspect = fixture.take_sent();
-    expect_that!(suspect.len(), eq(1));
-    // Once an upstream is lost, every novel request is tried first for a while.
-    fixture.settle(&suspect[0], broken());
-    fixture.take_sent();
-    for (passed, sent) in [(1_000, 1), (60_000, 20)] {
-        fixture.advance(fixture.now + ms(passed));
-        fixture.take_sent();
-        fixture.start(novel());
-        expect_that!(fixture.take_sent().len(), eq(sent), "{passed} ms later");
+    fixture.start(unknown_request());
+    expect_that!(fixture.take_sent_attempts().len(), eq(20));
+    fixture
+        .core
+        .start_suspect(fixture.now, unknown_request(), true);
+    fixture.run_actions();
+    let suspect_attempts = fixture.take_sent_attempts();
+    expect_that!(suspect_attempts.len(), eq(1));
+    // One second after the loss of an upstream, a request that has not returned rows starts with a canary although the
+    // latency target is too short for that. After `LOSS_ALERT_DURATION` it is sent to all shards at once.
+    fixture.deliver(&suspect_attempts[0], broken_connection());
+    fixture.take_sent_attempts();
+    for (passed_ms, sent_count) in [(1_000, 1), (60_000, 20)] {
+        fixture.advance(fixture.now + ms(passed_ms));
+        fixture.take_sent_attempts();
+        fixture.start(unknown_request());
+        expect_that!(
+            fixture.take_sent_attempts().len(),
+            eq(sent_count),
+            "{passed_ms} ms later"
+        );
     }
 }
 
 #[gtest]
-fn a_canary_that_is_refused_or_silent_does_not_hold_the_query_up() {
+fn a_canary_that_is_refused_or_silent_does_not_block_the_query() {
     let mut fixture = EntryFixture::new(20, |_class| {});
-    let refused = fixture.start(novel());
+    let refused_query = fixture.start(unknown_request());
     for _ in 0..2 {
-        let canary = fixture.take_sent();
-        expect_that!(canary.len(), eq(1));
-        fixture.settle(&canary[0], ShardVerdict::NotRun(RefusalReason::Shed));
+        let canary_attempts = fixture.take_sent_attempts();
+        expect_that!(canary_attempts.len(), eq(1));
+        fixture.deliver(
+            &canary_attempts[0],
+            ShardVerdict::NotRun(RefusalReason::Shed),
+        );
     }
-    // Both replicas refused: another shard goes ahead.
-    let canary = fixture.take_sent();
-    fixture.settle(&canary[0], rows(17));
-    expect_that!(fixture.take_sent().len(), eq(18));
-    expect_that!(fixture.finished.contains_key(&refused), eq(false));
+    // Both replicas refused, so another shard receives the canary.
+    let canary_attempts = fixture.take_sent_attempts();
+    fixture.deliver(&canary_attempts[0], rows_verdict(17));
+    expect_that!(fixture.take_sent_attempts().len(), eq(18));
+    expect_that!(
+        fixture.finished_queries.contains_key(&refused_query),
+        eq(false)
+    );
 
-    let silent = fixture.start(QueryRequest {
+    let silent_query = fixture.start(QueryRequest {
         selection: Bytes::from_static(b"never seen either"),
         ..request()
     });
-    expect_that!(fixture.take_sent().len(), eq(1));
+    expect_that!(fixture.take_sent_attempts().len(), eq(1));
     fixture.advance(fixture.now + ms(200));
-    let late = fixture.take_sent();
-    let late = late.iter().filter(|attempt| attempt.query == silent);
-    expect_that!(late.count(), ge(19));
+    let later_attempts = fixture.take_sent_attempts();
+    let later_attempts = later_attempts
+        .iter()
+        .filter(|attempt| attempt.query == silent_query);
+    expect_that!(later_attempts.count(), ge(19));
 }
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -1,7 +1,7 @@
-//! Which replica a shard request goes to, and by which relay.
+//! Choice of the replica and relay for a shard request.
 //!
-//! Power of two choices: of two replicas drawn at random, the one with the smaller expected time to rows wins. A replica
-//! that failed lately is passed over unless it is time to probe it or there is no other.
+//! Uses the power of two choices: of two replicas drawn at random, the one with the shorter expected time is chosen. A
+//! replica that failed recently is skipped unless it is due for a probe or there is no other.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,18 +11,18 @@
 use smallvec::SmallVec;
 
 use super::directory::{Directory, RelayId, ReplicaId, ServiceId};
-use super::replica::ReplicaStanding;
+use super::replica::ReplicaStatus;
 
 /// Why a replica was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ChoiceReason {
-    /// There was no other.
+    /// The replica was the only healthy one.
     Only,
-    /// It was expected to answer sooner than another drawn at random.
+    /// The replica's expected time was no longer than that of another replica drawn at random.
     Sooner,
-    /// It failed lately and is probed.
+    /// The replica failed recently and is due for a probe.
     Probe,
-    /// All have failed lately.
+    /// All replicas have failed recently.
     LastResort,
 }
 
@@ -37,142 +37,177 @@
     }
 }
 
-/// A chosen route.
+/// The replica and the relay chosen for one attempt, with the time that the attempt is expected to take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteChoice {
-    /// The replica.
+    /// The chosen replica.
     pub replica: ReplicaId,
-    /// The relay to send to.
+    /// The relay to send the attempt to.
     pub relay: RelayId,
-    /// Why this replica.
+    /// Why this replica was chosen.
     pub reason: ChoiceReason,
-    /// Whether the relay is the replica's standby.
-    pub standby: bool,
-    /// Part of the expected time that the request waits at the relay.
-    pub wait: Duration,
-    /// Expected time until its rows are here.
-    pub expected: Duration,
+    /// Whether the relay is the replica's standby rather than its primary.
+    pub uses_standby: bool,
+    /// Part of the expected time that the attempt spends in the relay's queue.
+    pub queue_wait: Duration,
+    /// Expected time from sending the attempt until its rows arrive.
+    pub expected_time: Duration,
 }
 
 impl RouteChoice {
-    /// Expected time on an idle upstream, the way there included.
-    pub fn work(&self) -> Duration {
-        self.expected.saturating_sub(self.wait)
+    /// Returns the time that the attempt is expected to take on an idle upstream, including the round trip to the
+    /// relay.
+    pub fn unloaded_time(&self) -> Duration {
+        self.expected_time.saturating_sub(self.queue_wait)
     }
 }
 
-/// What a choice must leave out.
+/// Restrictions on the choice of a route.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct ChoiceLimits<'a> {
-    /// Replicas that have been tried.
-    pub tried: &'a [ReplicaId],
-    /// Relays that refused.
-    pub refused: &'a [RelayId],
-    /// Whether a replica that failed lately may be probed by this request.
-    pub probe: bool,
+pub struct RouteConstraints<'a> {
+    /// Replicas that must not be chosen.
+    pub excluded_replicas: &'a [ReplicaId],
+    /// Relays that must not be used.
+    pub excluded_relays: &'a [RelayId],
+    /// Whether the request may be used to probe a replica that failed recently.
+    pub allow_probe: bool,
 }
 
+/// A replica that can be reached, with the relay to use.
 #[derive(Debug, Clone, Copy)]
 struct Candidate {
     replica: ReplicaId,
     relay: RelayId,
-    standby: bool,
-    standing: ReplicaStanding,
+    uses_standby: bool,
+    status: ReplicaStatus,
 }
 
-/// Chooses a route for a shard of `service`; none if no replica can be reached.
+/// Chooses a route for a shard of `service`; returns `None` if no replica can be reached.
 pub fn choose_route(
     directory: &mut Directory,
     rng: &mut ChaCha8Rng,
     now: Duration,
     service: ServiceId,
-    limits: ChoiceLimits<'_>,
+    constraints: RouteConstraints<'_>,
 ) -> Option<RouteChoice> {
-    let mut healthy = SmallVec::<[Candidate; 4]>::new();
-    let mut failed = SmallVec::<[Candidate; 4]>::new();
+    let mut healthy_candidates = SmallVec::<[Candidate; 4]>::new();
+    let mut unhealthy_candidates = SmallVec::<[Candidate; 4]>::new();
     for replica in directory.replicas_of(service) {
-        if limits.tried.contains(&replica) {
+        if constraints.excluded_replicas.contains(&replica) {
             continue;
         }
-        let Some(candidate) = candidate(directory, now, replica, limits.refused) else {
+        let Some(candidate) = find_candidate(directory, now, replica, constraints.excluded_relays)
+        else {
             continue;
         };
-        if candidate.standing == ReplicaStanding::Healthy {
-            healthy.push(candidate);
+        if candidate.status == ReplicaStatus::Healthy {
+            healthy_candidates.push(candidate);
         } else {
-            failed.push(candidate);
+            unhealthy_candidates.push(candidate);
         }
     }
-    let due = failed
+    let probe_candidate = unhealthy_candidates
         .iter()
-        .find(|c| c.standing == ReplicaStanding::ProbeDue);
-    if let Some(due) = due
-        && limits.probe
+        .find(|candidate| candidate.status == ReplicaStatus::ProbeDue);
+    if let Some(probe_candidate) = probe_candidate
+        && constraints.allow_probe
     {
-        return Some(finish(directory, now, *due, ChoiceReason::Probe));
+        return Some(build_route_choice(
+            directory,
+            now,
+            *probe_candidate,
+            ChoiceReason::Probe,
+        ));
     }
-    let (candidate, reason) = match healthy.len() {
-        0 => (soonest_probe(directory, &failed)?, ChoiceReason::LastResort),
-        1 => (healthy[0], ChoiceReason::Only),
-        _ => (draw(directory, rng, now, &healthy), ChoiceReason::Sooner),
+    let (candidate, reason) = match healthy_candidates.len() {
+        0 => (
+            earliest_probe_candidate(directory, &unhealthy_candidates)?,
+            ChoiceReason::LastResort,
+        ),
+        1 => (healthy_candidates[0], ChoiceReason::Only),
+        _ => (
+            pick_faster_candidate(directory, rng, now, &healthy_candidates),
+            ChoiceReason::Sooner,
+        ),
     };
-    Some(finish(directory, now, candidate, reason))
+    Some(build_route_choice(directory, now, candidate, reason))
 }
 
-fn candidate(
+/// Returns a replica with the preferred relay that is up, or `None` if no relay may be used.
+fn find_candidate(
     directory: &mut Directory,
     now: Duration,
     replica: ReplicaId,
-    refused: &[RelayId],
+    excluded_relays: &[RelayId],
 ) -> Option<Candidate> {
     let (primary, standby) = directory.owners(replica)?;
-    let standing = directory.replicas[replica].health.standing(now);
-    let usable = |relay: RelayId| !refused.contains(&relay);
-    let up = |relay: RelayId| usable(relay) && !directory.relays[relay].is_down(now);
-    // A relay whose link broke a moment ago is still better than none: the link is opened anew.
+    let status = directory.replicas[replica].health.status(now);
+    let is_allowed = |relay: RelayId| !excluded_relays.contains(&relay);
+    let is_up = |relay: RelayId| is_allowed(relay) && !directory.relays[relay].is_down(now);
+    // A relay whose link broke recently is still better than none: the link is reopened.
     let relay = [primary, standby]
         .into_iter()
-        .find(|relay| up(*relay))
-        .or_else(|| [primary, standby].into_iter().find(|relay| usable(*relay)))?;
+        .find(|relay| is_up(*relay))
+        .or_else(|| {
+            [primary, standby]
+                .into_iter()
+                .find(|relay| is_allowed(*relay))
+        })?;
     Some(Candidate {
         replica,
         relay,
-        standby: relay != primary,
-        standing,
+        uses_standby: relay != primary,
+        status,
     })
 }
 
-fn draw(
+/// Draws two healthy candidates at random and returns the one with the shorter expected time.
+fn pick_faster_candidate(
     directory: &Directory,
     rng: &mut ChaCha8Rng,
     now: Duration,
-    healthy: &[Candidate],
+    healthy_candidates: &[Candidate],
 ) -> Candidate {
-    let first = rng.random_range(0..healthy.len());
-    let mut second = rng.random_range(0..healthy.len() - 1);
-    if second >= first {
-        second += 1;
+    let first_index = rng.random_range(0..healthy_candidates.len());
+    let mut second_index = rng.random_range(0..healthy_candidates.len() - 1);
+    if second_index >= first_index {
+        second_index += 1;
     }
-    let (first, second) = (healthy[first], healthy[second]);
-    if expected_time(directory, now, second) < expected_time(directory, now, first) {
-        second
+    let (first_candidate, second_candidate) = (
+        healthy_candidates[first_index],
+        healthy_candidates[second_index],
+    );
+    if expected_time(directory, now, second_candidate)
+        < expected_time(directory, now, first_candidate)
+    {
+        second_candidate
     } else {
-        first
+        first_candidate
     }
 }
 
-fn soonest_probe(directory: &Directory, failed: &[Candidate]) -> Option<Candidate> {
-    let until = |c: &&Candidate| directory.replicas[c.replica].health.avoid_until();
-    failed.iter().min_by_key(until).copied()
+/// Returns the unhealthy candidate whose backoff ends first.
+fn earliest_probe_candidate(
+    directory: &Directory,
+    unhealthy_candidates: &[Candidate],
+) -> Option<Candidate> {
+    let backoff_until =
+        |candidate: &&Candidate| directory.replicas[candidate.replica].health.backoff_until();
+    unhealthy_candidates
+        .iter()
+        .min_by_key(backoff_until)
+        .copied()
 }
 
+/// Returns the expected time until rows arrive: queue wait, service time and round trip.
 fn expected_time(directory: &Directory, now: Duration, candidate: Candidate) -> Duration {
     let health = &directory.replicas[candidate.replica].health;
     let round_trip = directory.relays[candidate.relay].round_trip();
-    health.wait(now) + health.service(now) + round_trip
+    health.expected_wait(now) + health.service_time(now) + round_trip
 }
 
-fn finish(
+/// Returns the choice of a candidate, with its current expected times.
+fn build_route_choice(
     directory: &Directory,
     now: Duration,
     candidate: Candidate,
@@ -182,8 +217,10 @@
         replica: candidate.replica,
         relay: candidate.relay,
         reason,
-        standby: candidate.standby,
-        wait: directory.replicas[candidate.replica].health.wait(now),
-        expected: expected_time(directory, now, candidate),
+        uses_standby: candidate.uses_standby,
+        queue_wait: directory.replicas[candidate.replica]
+            .health
+            .expected_wait(now),
+        expected_time: expected_time(directory, now, candidate),
     }
 }
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -1,6 +1,7 @@
-//! All queries of one entry: takes events with the time, returns what is to be sent and what callers get.
+//! The state of all queries of one entry. Takes events with the current time and returns the messages to send and the
+//! outcomes for callers.
 //!
-//! No socket, clock, task or logger here; the actor beside it owns those.
+//! This module uses no sockets, clocks, tasks or logging; those belong to the actor in `actor`.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,11 +12,11 @@
 use compact_str::CompactString;
 use rustc_hash::FxHashMap;
 
-use super::decision::{DecisionTally, EntryDecision, FinishNote};
+use super::decision::{DecisionCounts, EntryDecision, FinishedQuery};
 use super::route::RouteTable;
 use super::run::{OutcomeTimes, QueryRun};
-use super::terms::{ClassId, QueryTerms};
-use super::tools::EntryTools;
+use super::terms::{ClassId, QueryParams};
+use super::tools::SharedState;
 use crate::declaration::{ClassScope, ClassTarget, DeclaredConfig};
 #[cfg(test)]
 use crate::ident::RequestFingerprint;
@@ -27,178 +28,189 @@
 use crate::views::CatalogSet;
 use crate::wire::PeerMessage;
 
-/// When a caller should come back whose index has no version yet.
-const NO_VERSION_RETRY: Duration = Duration::from_secs(1);
+/// Retry-after sent to a caller whose index has no version yet.
+const NO_VERSION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Runs that are kept for their allocations.
-const SPARE_RUNS: usize = 64;
+/// Maximum number of runs of completed queries that are kept for reuse of their allocations.
+const RUN_POOL_LIMIT: usize = 64;
 
-/// What an event makes the entry do.
+/// An action that the entry requests in response to an event.
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
     reason = "the large variant is nearly every action"
 )]
 pub enum EntryAction {
-    /// Send a message to a relay; if it can't be sent, tell [`EntryCore::not_sent`].
+    /// Send a message to a relay. If it can't be sent, [`EntryCore::handle_unsent_attempts`] must be called.
     Send {
-        /// The relay's VM.
+        /// Address of the VM that runs the relay.
         vm: VmAddress,
-        /// The message.
+        /// The message to send.
         message: PeerMessage,
     },
-    /// Give a caller its outcome.
+    /// Deliver the outcome of a query to its caller.
     Finish {
-        /// Number of the query, as [`EntryCore::start`] returned it.
+        /// Number of the query, as returned by [`EntryCore::start`].
         query: u64,
-        /// Its outcome.
+        /// The outcome of the query.
         outcome: QueryOutcome,
     },
 }
 
-/// The views that decisions are made by, taken once per event.
+/// The views of the deployment that decisions are based on, taken once per event.
 #[derive(Debug, Clone, Default)]
 pub struct EntryViews {
     /// VMs and upstreams.
     pub topology: Arc<TopologyView>,
-    /// Declarations.
+    /// Declared classes and organisations.
     pub config: Arc<DeclaredConfig>,
-    /// Index catalogues.
+    /// Versions and shards of each index.
     pub catalog: Arc<CatalogSet>,
 }
 
-/// The decisions of one entry.
+/// Makes the decisions of one entry and holds the state of its queries.
 #[derive(Debug)]
 pub struct EntryCore {
-    tools: EntryTools,
+    shared: SharedState,
     config: Arc<DeclaredConfig>,
     class_ids: FxHashMap<ClassName, ClassId>,
+    /// Queries in flight, by query number.
     runs: FxHashMap<u64, Box<QueryRun>>,
-    /// Runs that are over, for their allocations.
+    /// Runs of completed queries, kept for reuse of their allocations.
     #[expect(
         clippy::vec_box,
         reason = "runs move between here and the map without being copied"
     )]
-    spare: Vec<Box<QueryRun>>,
-    wakes: BinaryHeap<Reverse<(Duration, u64)>>,
-    started: u64,
+    run_pool: Vec<Box<QueryRun>>,
+    /// Times of timers with the query number, earliest first. A timer is ignored if the query's `timer_at` is another
+    /// time.
+    timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    last_query_number: u64,
     actions: VecDeque<EntryAction>,
 }
 
 impl EntryCore {
-    /// Makes the decisions of the process incarnation `session` in `zone`.
+    /// Creates the core for process incarnation `session` in `zone`.
     pub fn new(session: SessionId, zone: ZoneName, switches: ExperimentSwitches) -> Self {
         Self {
-            tools: EntryTools::new(session, zone, switches),
+            shared: SharedState::new(session, zone, switches),
             config: Arc::default(),
             class_ids: FxHashMap::default(),
             runs: FxHashMap::default(),
-            spare: Vec::new(),
-            wakes: BinaryHeap::new(),
-            started: 0,
+            run_pool: Vec::new(),
+            timers: BinaryHeap::new(),
+            last_query_number: 0,
             actions: VecDeque::new(),
         }
     }
 
-    /// Takes the current views; costs nothing if they are still the same.
+    /// Switches to the given views; does nothing if they are unchanged.
     pub fn refresh(&mut self, views: &EntryViews) {
-        self.tools.directory.refresh(&views.topology);
-        self.tools.routes.refresh(&views.catalog);
+        self.shared.directory.refresh(&views.topology);
+        self.shared.routes.refresh(&views.catalog);
         if !Arc::ptr_eq(&self.config, &views.config) {
             self.config = Arc::clone(&views.config);
         }
     }
 
-    /// Says whether decisions are to be noted.
-    pub fn note_decisions(&mut self, noting: bool) {
-        self.tools.noting = noting;
+    /// Enables or disables the collection of decisions for the decision log.
+    pub fn set_decision_logging(&mut self, enabled: bool) {
+        self.shared.log_decisions = enabled;
     }
 
-    /// Takes the decisions noted since the last call.
+    /// Drains the decisions collected since the last call.
     pub fn take_decisions(&mut self) -> std::vec::Drain<'_, EntryDecision> {
-        self.tools.noted.drain(..)
+        self.shared.pending_decisions.drain(..)
     }
 
-    /// Returns the next thing to do.
+    /// Returns the next action to perform, in the order in which the actions were requested.
     pub fn next_action(&mut self) -> Option<EntryAction> {
         self.actions.pop_front()
     }
 
-    /// Takes a request for one that has brought rows lately.
+    /// Marks a request as one that has returned rows recently.
     #[cfg(test)]
-    pub(super) fn remember(&mut self, request: &QueryRequest) {
+    pub(super) fn mark_request_known(&mut self, request: &QueryRequest) {
         let fingerprint = RequestFingerprint::new(&request.class, &request.selection);
-        self.tools.known.insert(fingerprint);
+        self.shared.known_requests.insert(fingerprint);
     }
 
-    /// Queries in flight.
-    pub fn in_flight(&self) -> usize {
+    /// Returns the number of queries in flight.
+    pub fn queries_in_flight(&self) -> usize {
         self.runs.len()
     }
 
-    /// When [`EntryCore::wake`] is to be called next.
+    /// Returns the time at which [`EntryCore::run_due_timers`] must be called next.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.wakes.peek().map(|Reverse((at, _))| *at)
+        self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Starts a query and returns its number; its outcome comes as an action, perhaps at once.
+    /// Starts a query and returns its number. The outcome is returned as an action, possibly immediately.
     pub fn start(&mut self, now: Duration, request: QueryRequest) -> u64 {
         self.start_suspect(now, request, false)
     }
 
-    /// As [`EntryCore::start`], for a request that may be `suspect` of crashing upstreams.
+    /// Starts a query like [`EntryCore::start`]; `suspect` says whether the request may have crashed upstreams.
     pub fn start_suspect(&mut self, now: Duration, request: QueryRequest, suspect: bool) -> u64 {
-        self.started += 1;
-        let number = self.started;
+        self.last_query_number += 1;
+        let query_number = self.last_query_number;
         let (class, caller_id) = (request.class.clone(), request.caller_id.clone());
-        match self.plan(now, number, request) {
+        match self.prepare_run(now, query_number, request) {
             Ok(mut run) => {
                 run.suspect = suspect;
-                self.launch(now, run);
+                self.begin_run(now, run);
             }
             Err(refusal) => {
                 let outcome = Err(refusal);
-                self.note_finish(number, caller_id, class, &outcome, Duration::ZERO);
-                self.finish(number, outcome);
+                self.record_finish(query_number, caller_id, class, &outcome, Duration::ZERO);
+                self.push_outcome(query_number, outcome);
             }
         }
-        number
+        query_number
     }
 
-    fn plan(
+    /// Checks a request, pins an index version and returns the run of the query, or the refusal of the request.
+    fn prepare_run(
         &mut self,
         now: Duration,
-        number: u64,
+        query_number: u64,
         request: QueryRequest,
     ) -> Result<Box<QueryRun>, QueryRefusal> {
         let config = Arc::clone(&self.config);
         let target = find_class(&config, &request)?;
         check_request(target, &request)?;
-        let route = self.pin(now, target)?;
+        let route_table = self.pin_version(now, target)?;
         let class = self.class_id(&target.name);
-        let terms = QueryTerms::new(class, target, request.deadline, now);
-        let Some(mut run) = self.spare.pop() else {
-            return Ok(Box::new(QueryRun::new(number, request, terms, route)));
+        let params = QueryParams::new(class, target, request.deadline, now);
+        let Some(mut run) = self.run_pool.pop() else {
+            return Ok(Box::new(QueryRun::new(
+                query_number,
+                request,
+                params,
+                route_table,
+            )));
         };
-        run.renew(number, request, terms, route);
+        run.reuse(query_number, request, params, route_table);
         Ok(run)
     }
 
-    fn pin(
+    /// Pins a version of the index of a class; returns a refusal if the index has no version.
+    fn pin_version(
         &mut self,
         now: Duration,
         target: &ClassTarget,
     ) -> Result<Arc<RouteTable>, QueryRefusal> {
-        let EntryTools {
+        let SharedState {
             routes, directory, ..
-        } = &mut self.tools;
-        let route = routes.pin(&target.index, directory, now);
-        route.ok_or_else(|| {
-            refuse(RefusalCode::NoUpstream, "the index has no version")
-                .with_retry_after(NO_VERSION_RETRY)
+        } = &mut self.shared;
+        let route_table = routes.pin_version(&target.index, directory, now);
+        route_table.ok_or_else(|| {
+            not_run_refusal(RefusalCode::NoUpstream, "the index has no version")
+                .with_retry_after(NO_VERSION_RETRY_AFTER)
         })
     }
 
+    /// Returns the id of a class, assigning one on first use.
     fn class_id(&mut self, name: &ClassName) -> ClassId {
         if let Some(&id) = self.class_ids.get(name) {
             return id;
@@ -208,35 +220,36 @@
         id
     }
 
-    fn launch(&mut self, now: Duration, mut run: Box<QueryRun>) {
-        let number = run.number;
-        let outcome = run.begin(&mut self.tools, now);
-        self.runs.insert(number, run);
-        self.conclude(now, number, outcome);
+    /// Starts the run of a query and adds it to the queries in flight.
+    fn begin_run(&mut self, now: Duration, mut run: Box<QueryRun>) {
+        let query_number = run.query_number;
+        let outcome = run.begin(&mut self.shared, now);
+        self.runs.insert(query_number, run);
+        self.finish_event(now, query_number, outcome);
     }
 
-    /// Takes the verdicts that a relay reports.
-    pub fn take_outcomes(&mut self, now: Duration, from: VmAddress, batch: OutcomeBatch) {
-        let relay = self.tools.directory.relay_id(from);
-        self.tools.directory.relays[relay].link_up();
+    /// Handles the outcomes and load reports sent by the relay on `relay_vm`.
+    pub fn handle_outcomes(&mut self, now: Duration, relay_vm: VmAddress, batch: OutcomeBatch) {
+        let relay = self.shared.directory.relay_id(relay_vm);
+        self.shared.directory.relays[relay].record_link_up();
         for load in &batch.loads {
-            if let Some(replica) = self.tools.directory.find_replica(load.upstream) {
-                self.tools.directory.replicas[replica]
+            if let Some(replica) = self.shared.directory.find_replica(load.upstream) {
+                self.shared.directory.replicas[replica]
                     .health
-                    .report(now, load);
+                    .record_load_report(now, load);
             }
         }
         for outcome in batch.outcomes {
             let times = OutcomeTimes {
-                waited: Duration::from_micros(outcome.waited_us.into()),
-                served: Duration::from_micros(outcome.served_us.into()),
+                queue_time: Duration::from_micros(outcome.waited_us.into()),
+                upstream_time: Duration::from_micros(outcome.served_us.into()),
             };
             let (query, attempt) = (outcome.query, outcome.attempt);
-            self.settle(now, query, attempt, outcome.verdict, times);
+            self.handle_outcome(now, query, attempt, outcome.verdict, times);
         }
     }
 
-    fn settle(
+    fn handle_outcome(
         &mut self,
         now: Duration,
         query: u64,
@@ -247,169 +260,196 @@
         let Some(run) = self.runs.get_mut(&query) else {
             return;
         };
-        let ended = run.settle(&mut self.tools, now, attempt, verdict, times);
-        self.conclude(now, query, ended);
+        let query_outcome = run.handle_outcome(&mut self.shared, now, attempt, verdict, times);
+        self.finish_event(now, query, query_outcome);
     }
 
-    /// The link to a VM broke. What is in `unsent` provably never left; other attempts there may have run.
-    pub fn link_down(&mut self, now: Duration, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
-        let relay = self.tools.directory.relay_id(vm);
-        self.tools.directory.relays[relay].link_down(now);
-        for message in unsent {
+    /// Handles a broken link to a VM. The messages in `unsent_messages` were never transmitted; other attempts sent to
+    /// that VM may have run.
+    pub fn handle_link_down(
+        &mut self,
+        now: Duration,
+        vm: VmAddress,
+        unsent_messages: VecDeque<PeerMessage>,
+    ) {
+        let relay = self.shared.directory.relay_id(vm);
+        self.shared.directory.relays[relay].record_link_down(now);
+        for message in unsent_messages {
             let PeerMessage::Submit(batch) = message else {
                 continue;
             };
-            let attempts: Vec<u32> = batch.targets.iter().map(|t| t.attempt).collect();
-            self.not_sent(now, vm, batch.query, &attempts);
+            let attempts: Vec<u32> = batch.targets.iter().map(|target| target.attempt).collect();
+            self.handle_unsent_attempts(now, vm, batch.query, &attempts);
         }
-        let numbers: Vec<u64> = self.runs.keys().copied().collect();
-        for number in numbers {
-            let Some(run) = self.runs.get_mut(&number) else {
+        let query_numbers: Vec<u64> = self.runs.keys().copied().collect();
+        for query_number in query_numbers {
+            let Some(run) = self.runs.get_mut(&query_number) else {
                 continue;
             };
-            let ended = run.lose_link(&mut self.tools, now, relay);
-            self.conclude(now, number, ended);
+            let query_outcome = run.handle_link_down(&mut self.shared, now, relay);
+            self.finish_event(now, query_number, query_outcome);
         }
     }
 
-    /// Attempts could not be handed to the link of a VM: they were not run.
-    pub fn not_sent(&mut self, now: Duration, vm: VmAddress, query: u64, attempts: &[u32]) {
-        let relay = self.tools.directory.relay_id(vm);
-        self.tools.directory.relays[relay].link_down(now);
+    /// Handles attempts that could not be passed to the link of a VM and therefore did not run.
+    pub fn handle_unsent_attempts(
+        &mut self,
+        now: Duration,
+        vm: VmAddress,
+        query: u64,
+        attempts: &[u32],
+    ) {
+        let relay = self.shared.directory.relay_id(vm);
+        self.shared.directory.relays[relay].record_link_down(now);
         for &attempt in attempts {
             let verdict = ShardVerdict::NotRun(RefusalReason::LinkDown);
-            self.settle(now, query, attempt, verdict, OutcomeTimes::default());
+            self.handle_outcome(now, query, attempt, verdict, OutcomeTimes::default());
         }
     }
 
-    /// Time has passed.
-    pub fn wake(&mut self, now: Duration) {
-        while let Some(&Reverse((at, number))) = self.wakes.peek() {
-            if at > now {
+    /// Handles the timers that are due at `now`.
+    pub fn run_due_timers(&mut self, now: Duration) {
+        while let Some(&Reverse((timer_at, query_number))) = self.timers.peek() {
+            if timer_at > now {
                 return;
             }
-            self.wakes.pop();
-            let Some(run) = self.runs.get_mut(&number) else {
+            self.timers.pop();
+            let Some(run) = self.runs.get_mut(&query_number) else {
                 continue;
             };
-            if run.armed != at {
+            if run.timer_at != timer_at {
                 continue;
             }
-            run.armed = Duration::MAX;
-            let ended = run.wake(&mut self.tools, now);
-            self.conclude(now, number, ended);
+            run.timer_at = Duration::MAX;
+            let query_outcome = run.handle_timer(&mut self.shared, now);
+            self.finish_event(now, query_number, query_outcome);
         }
     }
 
-    /// Sends what the event has produced, and finishes the query or arms its next wake.
-    fn conclude(&mut self, now: Duration, number: u64, ended: Option<QueryOutcome>) {
-        let (outbox, relays) = (&mut self.tools.outbox, &self.tools.directory.relays);
+    /// Queues the messages that the event produced, then completes the query or schedules its next timer.
+    fn finish_event(
+        &mut self,
+        now: Duration,
+        query_number: u64,
+        query_outcome: Option<QueryOutcome>,
+    ) {
+        let (outbox, relays) = (&mut self.shared.outbox, &self.shared.directory.relays);
         outbox.flush(|relay, message| {
             let vm = relays[relay].vm;
             self.actions.push_back(EntryAction::Send { vm, message });
         });
-        if let Some(outcome) = ended {
-            self.end(now, number, outcome);
+        if let Some(outcome) = query_outcome {
+            self.complete_query(now, query_number, outcome);
             return;
         }
-        let Some(run) = self.runs.get_mut(&number) else {
+        let Some(run) = self.runs.get_mut(&query_number) else {
             return;
         };
-        let next = run.next_wake(now);
-        if next < run.armed {
-            run.armed = next;
-            self.wakes.push(Reverse((next, number)));
+        let next_timer = run.next_wake(now);
+        if next_timer < run.timer_at {
+            run.timer_at = next_timer;
+            self.timers.push(Reverse((next_timer, query_number)));
         }
     }
 
-    fn end(&mut self, now: Duration, number: u64, outcome: QueryOutcome) {
-        let Some(mut run) = self.runs.remove(&number) else {
+    /// Removes a completed query, records its result and queues its outcome for the caller.
+    fn complete_query(&mut self, now: Duration, query_number: u64, outcome: QueryOutcome) {
+        let Some(mut run) = self.runs.remove(&query_number) else {
             return;
         };
-        if run.pressed {
-            let met = run.meets_target(now, &outcome);
-            let admission = &mut self.tools.admission;
-            admission.review(run.terms.class, run.terms.percentile, met);
+        if run.under_load {
+            let target_met = run.meets_target(now, &outcome);
+            let admission = &mut self.shared.admission;
+            admission.record_target_result(
+                run.params.class,
+                run.params.latency_percentile,
+                target_met,
+            );
         }
-        let took = now.saturating_sub(run.terms.started);
+        let duration = now.saturating_sub(run.params.started_at);
         let caller_id = run.request.caller_id.take();
         let class = run.request.class.clone();
-        self.note_finish(number, caller_id, class, &outcome, took);
-        self.finish(number, outcome);
-        self.keep(run);
+        self.record_finish(query_number, caller_id, class, &outcome, duration);
+        self.push_outcome(query_number, outcome);
+        self.recycle_run(run);
     }
 
-    /// Keeps a run that is over for its allocations.
-    fn keep(&mut self, mut run: Box<QueryRun>) {
-        if self.spare.len() < SPARE_RUNS {
+    /// Puts the run of a completed query into the pool for reuse of its allocations.
+    fn recycle_run(&mut self, mut run: Box<QueryRun>) {
+        if self.run_pool.len() < RUN_POOL_LIMIT {
             run.request.selection = Bytes::new();
-            self.spare.push(run);
+            self.run_pool.push(run);
         }
     }
 
-    /// Gives up an idempotent query whose caller has gone away; any other goes on to its end.
-    pub fn abandon(&mut self, now: Duration, number: u64) {
-        let Some(run) = self.runs.get_mut(&number) else {
+    /// Cancels an idempotent query whose caller has disconnected. A non-idempotent query continues to completion.
+    pub fn abandon_query(&mut self, now: Duration, query_number: u64) {
+        let Some(run) = self.runs.get_mut(&query_number) else {
             return;
         };
-        if !run.terms.idempotent {
+        if !run.params.idempotent {
             return;
         }
-        run.cancel_rest(&mut self.tools);
-        if let Some(run) = self.runs.remove(&number) {
-            self.keep(run);
+        run.cancel_attempts_in_flight(&mut self.shared);
+        if let Some(run) = self.runs.remove(&query_number) {
+            self.recycle_run(run);
         }
-        self.conclude(now, number, None);
+        self.finish_event(now, query_number, None);
     }
 
-    /// What the decisions have come to since the start, by class.
-    pub fn tallies(&self) -> impl Iterator<Item = (&ClassName, DecisionTally)> {
+    /// Returns the decision counts of each class since the start.
+    pub fn decision_counts(&self) -> impl Iterator<Item = (&ClassName, DecisionCounts)> {
         let ids = self.class_ids.iter();
-        ids.map(|(name, id)| (name, self.tools.tallies[*id]))
+        ids.map(|(name, id)| (name, self.shared.decision_counts[*id]))
     }
 
-    fn note_finish(
+    /// Collects the outcome of a query for the decision log.
+    fn record_finish(
         &mut self,
-        number: u64,
+        query_number: u64,
         caller_id: Option<CompactString>,
         class: ClassName,
         outcome: &QueryOutcome,
-        took: Duration,
+        duration: Duration,
     ) {
-        if self.tools.noting {
-            let note = FinishNote::new(number, caller_id, class, outcome, took);
-            self.tools.noted.push(EntryDecision::Finish(note));
+        if self.shared.log_decisions {
+            let finished_query =
+                FinishedQuery::new(query_number, caller_id, class, outcome, duration);
+            self.shared
+                .pending_decisions
+                .push(EntryDecision::Finish(finished_query));
         }
     }
 
-    fn finish(&mut self, query: u64, outcome: QueryOutcome) {
+    fn push_outcome(&mut self, query: u64, outcome: QueryOutcome) {
         self.actions
             .push_back(EntryAction::Finish { query, outcome });
     }
 }
 
-fn refuse(code: RefusalCode, message: &str) -> QueryRefusal {
+fn not_run_refusal(code: RefusalCode, message: &str) -> QueryRefusal {
     QueryRefusal::new(code, RunState::NotRun, message)
 }
 
+/// Returns the declared class of a request; refuses a request whose organisation may not use it.
 fn find_class<'a>(
     config: &'a DeclaredConfig,
     request: &QueryRequest,
 ) -> Result<&'a ClassTarget, QueryRefusal> {
     let Some(target) = config.classes.get(&request.class) else {
-        return Err(refuse(
+        return Err(not_run_refusal(
             RefusalCode::UnknownClass,
             "the class is not declared",
         ));
     };
     let Some(organisation) = config.organisations.get(&request.organisation) else {
-        return Err(refuse(
+        return Err(not_run_refusal(
             RefusalCode::UnknownOrganisation,
             "the organisation is not declared",
         ));
     };
     if !organisation.classes.contains(&request.class) {
-        return Err(refuse(
+        return Err(not_run_refusal(
             RefusalCode::UnknownOrganisation,
             "the organisation may not use this class",
         ));
@@ -417,20 +457,24 @@
     Ok(target)
 }
 
+/// Refuses a request that lacks a field which its class needs, or whose deadline has passed.
 fn check_request(target: &ClassTarget, request: &QueryRequest) -> Result<(), QueryRefusal> {
     if target.scope == ClassScope::One && request.record.is_none() {
-        let refusal = refuse(RefusalCode::BadRequest, "the class needs a record name");
+        let refusal = not_run_refusal(RefusalCode::BadRequest, "the class needs a record name");
         return Err(refusal.with_field("x-record"));
     }
     if !target.idempotent && request.key.is_none() {
-        let refusal = refuse(
+        let refusal = not_run_refusal(
             RefusalCode::BadRequest,
             "the class needs an idempotency key",
         );
         return Err(refusal.with_field("idempotency-key"));
     }
     if request.deadline.is_some_and(|deadline| deadline.is_zero()) {
-        return Err(refuse(RefusalCode::Deadline, "the deadline has passed"));
+        return Err(not_run_refusal(
+            RefusalCode::Deadline,
+            "the deadline has passed",
+        ));
     }
     Ok(())
 }
--- a/crates/ebonyfork/src/entry/fixture.rs
+++ b/crates/ebonyfork/src/entry/fixture.rs
@@ -1,4 +1,4 @@
-//! A small deployment for tests of the decisions: one index, one service of two upstreams per shard, three VMs.
+//! Test deployment for [`EntryCore`]: one index, one service of two upstreams per shard, and three VMs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,14 +32,14 @@
     pub(super) version: SnapshotVersion,
 }
 
-/// The decisions of one entry, with what they have asked for.
+/// An entry core with the attempts that it has sent and cancelled and the outcomes that it has returned.
 pub(super) struct EntryFixture {
     pub(super) core: EntryCore,
     pub(super) views: EntryViews,
     pub(super) now: Duration,
-    pub(super) sent: Vec<SentAttempt>,
-    pub(super) cancelled: Vec<(u64, u32)>,
-    pub(super) finished: FxHashMap<u64, (Duration, QueryOutcome)>,
+    pub(super) sent_attempts: Vec<SentAttempt>,
+    pub(super) cancelled_attempts: Vec<(u64, u32)>,
+    pub(super) finished_queries: FxHashMap<u64, (Duration, QueryOutcome)>,
 }
 
 pub(super) fn ms(millis: u64) -> Duration {
@@ -50,13 +50,14 @@
     VmAddress([127, 0, 1, number].into())
 }
 
-/// The address of one upstream of a service.
+/// Returns the address of one upstream of a service.
 pub(super) fn upstream(service: usize, replica: usize) -> UpstreamAddress {
     let ip = [127, 0, 2 + replica as u8, service as u8];
     UpstreamAddress((ip, 80).into())
 }
 
-pub(super) fn rows(version: u64) -> ShardVerdict {
+/// Returns the verdict on an attempt that returned rows of a version.
+pub(super) fn rows_verdict(version: u64) -> ShardVerdict {
     ShardVerdict::Rows {
         version: SnapshotVersion(version),
         body: Bytes::from_static(br#"{"rows":["r"]}"#),
@@ -115,7 +116,7 @@
 }
 
 impl EntryFixture {
-    /// An entry before `shards` services of two upstreams each, at version 17; `change` may alter the class.
+    /// Creates an entry with `shards` services of two upstreams each, at version 17; `change` may modify the class.
     pub(super) fn new(shards: usize, change: impl FnOnce(&mut ClassTarget)) -> Self {
         let mut class = search_class();
         change(&mut class);
@@ -140,12 +141,12 @@
                 ..EntryViews::default()
             },
             now: ms(10),
-            sent: Vec::new(),
-            cancelled: Vec::new(),
-            finished: FxHashMap::default(),
+            sent_attempts: Vec::new(),
+            cancelled_attempts: Vec::new(),
+            finished_queries: FxHashMap::default(),
         };
         fixture.publish(5, &[(17, shards)]);
-        fixture.core.remember(&request());
+        fixture.core.mark_request_known(&request());
         fixture
     }
 
@@ -163,39 +164,40 @@
         self.core.refresh(&self.views);
     }
 
+    /// Starts a query, performs the actions that follow and returns the number of the query.
     pub(super) fn start(&mut self, request: QueryRequest) -> u64 {
-        let number = self.core.start(self.now, request);
-        self.pump();
-        number
+        let query_number = self.core.start(self.now, request);
+        self.run_actions();
+        query_number
     }
 
-    /// Takes what the decisions ask for.
-    pub(super) fn pump(&mut self) {
+    /// Performs the actions that the core has requested.
+    pub(super) fn run_actions(&mut self) {
         while let Some(action) = self.core.next_action() {
             match action {
-                EntryAction::Send { vm, message } => self.take_message(vm, message),
+                EntryAction::Send { vm, message } => self.receive_message(vm, message),
                 EntryAction::Finish { query, outcome } => {
-                    let before = self.finished.insert(query, (self.now, outcome));
-                    assert!(before.is_none(), "query {query} finished twice");
+                    let previous_outcome = self.finished_queries.insert(query, (self.now, outcome));
+                    assert!(previous_outcome.is_none(), "query {query} finished twice");
                 }
             }
         }
     }
 
-    fn take_message(&mut self, vm: VmAddress, message: PeerMessage) {
+    fn receive_message(&mut self, vm: VmAddress, message: PeerMessage) {
         match message {
-            PeerMessage::Submit(batch) => self.take_submit(vm, &batch),
+            PeerMessage::Submit(batch) => self.receive_submit_batch(vm, &batch),
             PeerMessage::Cancel(batch) => {
                 let attempts = batch.attempts.iter();
-                let cancelled = attempts.map(|attempt| (batch.query, *attempt));
-                self.cancelled.extend(cancelled);
+                let cancelled_attempts = attempts.map(|attempt| (batch.query, *attempt));
+                self.cancelled_attempts.extend(cancelled_attempts);
             }
             other => panic!("unexpected {other:?}"),
         }
     }
 
-    fn take_submit(&mut self, vm: VmAddress, batch: &SubmitBatch) {
-        let sent = batch.targets.iter().map(|target| SentAttempt {
+    fn receive_submit_batch(&mut self, vm: VmAddress, batch: &SubmitBatch) {
+        let sent_attempts = batch.targets.iter().map(|target| SentAttempt {
             query: batch.query,
             attempt: target.attempt,
             shard: target.shard.0,
@@ -204,21 +206,21 @@
             purpose: target.purpose,
             version: batch.version,
         });
-        self.sent.extend(sent);
+        self.sent_attempts.extend(sent_attempts);
     }
 
-    /// The attempts sent since the last call.
-    pub(super) fn take_sent(&mut self) -> Vec<SentAttempt> {
-        std::mem::take(&mut self.sent)
+    /// Returns the attempts sent since the last call.
+    pub(super) fn take_sent_attempts(&mut self) -> Vec<SentAttempt> {
+        std::mem::take(&mut self.sent_attempts)
     }
 
-    /// Lets an attempt come back after `served` at the upstream.
-    pub(super) fn settle(&mut self, attempt: &SentAttempt, verdict: ShardVerdict) {
-        self.settle_with(attempt, verdict, None);
+    /// Delivers the outcome of an attempt to the core.
+    pub(super) fn deliver(&mut self, attempt: &SentAttempt, verdict: ShardVerdict) {
+        self.deliver_with_load(attempt, verdict, None);
     }
 
-    /// Lets an attempt come back, with a load report.
-    pub(super) fn settle_with(
+    /// Delivers the outcome of an attempt to the core, together with a load report.
+    pub(super) fn deliver_with_load(
         &mut self,
         attempt: &SentAttempt,
         verdict: ShardVerdict,
@@ -236,26 +238,29 @@
             outcomes: [outcome].into_iter().collect(),
             loads: load.into_iter().collect(),
         };
-        self.core.take_outcomes(self.now, attempt.vm, batch);
-        self.pump();
+        self.core.handle_outcomes(self.now, attempt.vm, batch);
+        self.run_actions();
     }
 
-    /// Lets time pass, with every wake that the decisions ask for.
-    pub(super) fn advance(&mut self, to: Duration) {
-        while let Some(at) = self.core.next_wake() {
-            if at > to {
+    /// Advances the time to `end`, running each timer that becomes due.
+    pub(super) fn advance(&mut self, end: Duration) {
+        while let Some(wake_at) = self.core.next_wake() {
+            if wake_at > end {
                 break;
             }
-            self.now = self.now.max(at);
-            self.core.wake(self.now);
-            self.pump();
+            self.now = self.now.max(wake_at);
+            self.core.run_due_timers(self.now);
+            self.run_actions();
         }
-        self.now = to;
+        self.now = end;
     }
 
-    /// The outcome of a query that must be finished.
+    /// Returns the outcome of a completed query.
     pub(super) fn outcome(&self, query: u64) -> &QueryOutcome {
-        let (_, outcome) = self.finished.get(&query).expect("the query is in flight");
+        let (_, outcome) = self
+            .finished_queries
+            .get(&query)
+            .expect("the query is still in flight");
         outcome
     }
 }
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -8,7 +8,7 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-use super::decision::DecisionTally;
+use super::decision::DecisionCounts;
 use crate::ident::ClassName;
 use crate::query::{QueryOutcome, QueryRefusal};
 
@@ -31,13 +31,13 @@
 
 type LatencyFamily = Family<ClassLabels, Histogram, fn() -> Histogram>;
 
-/// Counters of an entry. Cheap to clone.
+/// Metrics of an entry. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(super) struct EntryMetrics {
     outcomes: Family<OutcomeLabels, Counter>,
-    latency: LatencyFamily,
+    latency_seconds: LatencyFamily,
     attempts: Family<AttemptLabels, Counter>,
-    denied: Family<ClassLabels, Counter>,
+    denied_attempts: Family<ClassLabels, Counter>,
     replans: Family<ClassLabels, Counter>,
     shards_needed: Family<ClassLabels, Counter>,
     shards_answered: Family<ClassLabels, Counter>,
@@ -47,11 +47,11 @@
     fn default() -> Self {
         Self {
             outcomes: Family::default(),
-            latency: LatencyFamily::new_with_constructor(|| {
+            latency_seconds: LatencyFamily::new_with_constructor(|| {
                 Histogram::new(exponential_buckets(0.001, 1.5, 24))
             }),
             attempts: Family::default(),
-            denied: Family::default(),
+            denied_attempts: Family::default(),
             replans: Family::default(),
             shards_needed: Family::default(),
             shards_answered: Family::default(),
@@ -69,7 +69,7 @@
         registry.register(
             "entry_latency_seconds",
             "Time from taking a query in to its outcome",
-            self.latency.clone(),
+            self.latency_seconds.clone(),
         );
         registry.register(
             "entry_attempts",
@@ -79,7 +79,7 @@
         registry.register(
             "entry_attempts_denied",
             "Hedges and retries for which the budget held nothing",
-            self.denied.clone(),
+            self.denied_attempts.clone(),
         );
         registry.register(
             "entry_replans",
@@ -98,17 +98,22 @@
         );
     }
 
-    /// Counts a query that was planned or refused by the decisions.
-    pub(super) fn finished(&self, class: &ClassName, outcome: &QueryOutcome, took: Duration) {
+    /// Records the outcome of a query that was passed to the core.
+    pub(super) fn record_outcome(
+        &self,
+        class: &ClassName,
+        outcome: &QueryOutcome,
+        duration: Duration,
+    ) {
         let labels = class_labels(class);
         match outcome {
             Ok(answer) => {
-                let kind = if answer.coverage.is_thin() {
+                let outcome_kind = if answer.coverage.is_thin() {
                     "thin"
                 } else {
                     "whole"
                 };
-                self.count(class, kind);
+                self.count_outcome(class, outcome_kind);
                 let coverage = &answer.coverage;
                 self.shards_needed
                     .get_or_create(&labels)
@@ -116,39 +121,42 @@
                 self.shards_answered
                     .get_or_create(&labels)
                     .inc_by(coverage.answered.into());
-                self.latency
+                self.latency_seconds
                     .get_or_create(&labels)
-                    .observe(took.as_secs_f64());
+                    .observe(duration.as_secs_f64());
             }
-            Err(refusal) => self.refused(class, refusal),
+            Err(refusal) => self.record_refusal(class, refusal),
         }
     }
 
-    /// Brings the counters of a class up to what its decisions have come to.
-    pub(super) fn tally(&self, class: &ClassName, tally: DecisionTally) {
+    /// Raises the decision counters of a class to the given totals.
+    pub(super) fn update_decision_counts(&self, class: &ClassName, counts: DecisionCounts) {
         let purposes = [
-            ("first", tally.first),
-            ("hedge", tally.hedges),
-            ("retry", tally.retries),
+            ("first", counts.first_attempts),
+            ("hedge", counts.hedges),
+            ("retry", counts.retries),
         ];
         for (purpose, total) in purposes {
             let labels = AttemptLabels {
                 class: class.as_str().to_owned(),
                 purpose,
             };
-            raise_to(&self.attempts.get_or_create(&labels), total);
+            raise_counter_to(&self.attempts.get_or_create(&labels), total);
         }
         let labels = class_labels(class);
-        raise_to(&self.denied.get_or_create(&labels), tally.denied);
-        raise_to(&self.replans.get_or_create(&labels), tally.replans);
+        raise_counter_to(
+            &self.denied_attempts.get_or_create(&labels),
+            counts.denied_attempts,
+        );
+        raise_counter_to(&self.replans.get_or_create(&labels), counts.replans);
     }
 
     /// Counts a refusal.
-    pub(super) fn refused(&self, class: &ClassName, refusal: &QueryRefusal) {
-        self.count(class, refusal.code.as_str());
+    pub(super) fn record_refusal(&self, class: &ClassName, refusal: &QueryRefusal) {
+        self.count_outcome(class, refusal.code.as_str());
     }
 
-    fn count(&self, class: &ClassName, outcome: &'static str) {
+    fn count_outcome(&self, class: &ClassName, outcome: &'static str) {
         let labels = OutcomeLabels {
             class: class.as_str().to_owned(),
             outcome,
@@ -157,8 +165,8 @@
     }
 }
 
-/// Raises a counter to a total that only grows.
-fn raise_to(counter: &Counter, total: u64) {
+/// Raises a counter to a total that never decreases.
+fn raise_counter_to(counter: &Counter, total: u64) {
     counter.inc_by(total.saturating_sub(counter.get()));
 }
 
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -1,22 +1,22 @@
-//! The policy under load, before fake relays in virtual time: bounds that must hold for the seed.
+//! Behaviour of the entry under simulated load: bounds that must hold for the fixed seeds.
 
 use googletest::prelude::*;
 
 use super::fixture::{ms, upstream};
-use super::model::{LoadModel, OrganisationLoad, RUN_SPAN, run_at, without};
+use super::model::{LoadModel, OrganisationLoad, RUN_SPAN, run_at, switches_with};
 use crate::declaration::TargetPriority;
 use crate::settings::ExperimentSwitches;
 
-/// Prints a line for the design note; seen with `--nocapture`.
+/// Prints the results of each organisation's queries; shown with `--nocapture`.
 fn print(name: &str, model: &LoadModel) {
     for result in &model.results {
         println!(
             "{name}: queries={} good={} thin={} refused={} failed={} p50={:.1} p99={:.1} p999={:.1} extra={:.3}",
             result.queries,
-            result.good,
-            result.thin,
-            result.refused,
-            result.failed,
+            result.good_answers,
+            result.thin_answers,
+            result.refusals,
+            result.failures,
             result.quantile(0.5).as_secs_f64() * 1e3,
             result.quantile(0.99).as_secs_f64() * 1e3,
             result.quantile(0.999).as_secs_f64() * 1e3,
@@ -26,37 +26,48 @@
 }
 
 #[gtest]
-fn hedging_halves_the_tail_that_stragglers_make() {
+fn hedging_halves_the_tail_latency_caused_by_stragglers() {
     let coverage_first = |class: &mut crate::declaration::ClassTarget| {
         class.priority = TargetPriority::CoverageFirst;
     };
-    let hedged = run_at(0.5, ExperimentSwitches::default(), coverage_first);
-    let plain = run_at(0.5, without(|s| s.hedge = false), coverage_first);
-    print("hedged", &hedged);
-    print("plain", &plain);
-    let tail = |model: &LoadModel| model.results[0].quantile(0.99);
-    expect_that!(tail(&hedged), le(tail(&plain) / 2));
-    expect_that!(hedged.extra_load(), le(0.05));
+    let hedged_model = run_at(0.5, ExperimentSwitches::default(), coverage_first);
+    let unhedged_model = run_at(
+        0.5,
+        switches_with(|switches| switches.hedge = false),
+        coverage_first,
+    );
+    print("hedged", &hedged_model);
+    print("plain", &unhedged_model);
+    let tail_latency = |model: &LoadModel| model.results[0].quantile(0.99);
+    expect_that!(
+        tail_latency(&hedged_model),
+        le(tail_latency(&unhedged_model) / 2)
+    );
+    expect_that!(hedged_model.extra_load(), le(0.05));
 }
 
 #[gtest]
-fn beyond_capacity_the_goodput_holds() {
+fn goodput_holds_beyond_capacity() {
     for priority in [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst] {
         let run = |share| {
             let model = run_at(share, ExperimentSwitches::default(), |class| {
                 class.priority = priority;
             });
             print(&format!("{priority:?} {share}"), &model);
-            model.results[0].good
+            model.results[0].good_answers
         };
-        let peak = run(0.95);
-        let over = run(1.3);
-        expect_that!(f64::from(over), ge(f64::from(peak) * 0.95), "{priority:?}");
+        let peak_goodput = run(0.95);
+        let overload_goodput = run(1.3);
+        expect_that!(
+            f64::from(overload_goodput),
+            ge(f64::from(peak_goodput) * 0.95),
+            "{priority:?}"
+        );
     }
 }
 
 #[gtest]
-fn a_organisation_at_fifty_times_its_load_does_not_spoil_the_others() {
+fn an_organisation_at_fifty_times_its_load_does_not_degrade_the_others() {
     let rate = LoadModel::capacity(20);
     let organisations = [
         OrganisationLoad {
@@ -78,18 +89,21 @@
     });
     model.run(RUN_SPAN);
     print("flood", &model);
-    for light in &model.results[1..] {
-        expect_that!(light.refused, le(light.queries / 50));
-        expect_that!(light.quantile(0.99), le(ms(150)));
-        expect_that!(f64::from(light.good), ge(f64::from(light.queries) * 0.95));
+    for light_result in &model.results[1..] {
+        expect_that!(light_result.refusals, le(light_result.queries / 50));
+        expect_that!(light_result.quantile(0.99), le(ms(150)));
+        expect_that!(
+            f64::from(light_result.good_answers),
+            ge(f64::from(light_result.queries) * 0.95)
+        );
     }
-    expect_that!(model.results[0].refused, gt(0));
+    expect_that!(model.results[0].refusals, gt(0));
 }
 
 #[gtest]
 fn canaries_cost_one_shard_request_of_time_and_no_goodput() {
     for share in [0.5, 1.3] {
-        let run = |novel| {
+        let run = |unique| {
             let rate = LoadModel::capacity(20) * share;
             let organisations = [OrganisationLoad {
                 name: "roofers",
@@ -99,17 +113,20 @@
             let mut model = LoadModel::new(20, switches, &organisations, |class| {
                 class.latency = ms(150);
             });
-            model.novel = novel;
+            model.unique_selections = unique;
             model.run(RUN_SPAN);
-            print(&format!("novel={novel} {share}"), &model);
+            print(&format!("unique={unique} {share}"), &model);
             model
         };
-        let (known, novel) = (run(false), run(true));
+        let (known_model, unique_model) = (run(false), run(true));
         let p50 = |model: &LoadModel| model.results[0].quantile(0.5);
-        expect_that!(p50(&novel), le(p50(&known) + ms(20)));
-        let good = |model: &LoadModel| f64::from(model.results[0].good);
-        expect_that!(good(&novel), ge(good(&known) * 0.95));
-        expect_that!(novel.extra_load(), le(0.05));
+        expect_that!(p50(&unique_model), le(p50(&known_model) + ms(20)));
+        let good_answers = |model: &LoadModel| f64::from(model.results[0].good_answers);
+        expect_that!(
+            good_answers(&unique_model),
+            ge(good_answers(&known_model) * 0.95)
+        );
+        expect_that!(unique_model.extra_load(), le(0.05));
     }
 }
 
@@ -123,20 +140,24 @@
     let mut model = LoadModel::new(20, switches, &organisations, |class| {
         class.latency = ms(150);
     });
-    // With a single replica left, nothing can cover its stragglers; here only the silent ones count.
-    model.stragglers = 0.0;
+    // The model has no ordinary stragglers, because a service with a single working replica could not hedge them and
+    // only the silent replicas are under test.
+    model.straggler_share = 0.0;
     for service in 0..2 {
-        model.slow(upstream(service, 0), f64::INFINITY);
+        model.slow_down(upstream(service, 0), f64::INFINITY);
     }
     model.run(RUN_SPAN);
     print("silent", &model);
     let result = &model.results[0];
-    expect_that!(f64::from(result.thin), le(f64::from(result.queries) * 0.01));
+    expect_that!(
+        f64::from(result.thin_answers),
+        le(f64::from(result.queries) * 0.01)
+    );
     expect_that!(model.extra_load(), le(0.05));
 }
 
 #[gtest]
-fn a_service_that_slows_down_whole_brings_no_storm_of_hedges() {
+fn a_uniformly_slow_service_causes_no_hedge_storm() {
     let organisations = [OrganisationLoad {
         name: "roofers",
         rate: LoadModel::capacity(20) * 0.3,
@@ -146,7 +167,7 @@
         class.latency = ms(150);
     });
     for replica in 0..2 {
-        model.slow(upstream(3, replica), 3.0);
+        model.slow_down(upstream(3, replica), 3.0);
     }
     model.run(RUN_SPAN);
     print("slow service", &model);
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -1,4 +1,4 @@
-//! Properties of one query under any order of outcomes, doubled, late, at mixed versions.
+//! Properties of one query under arbitrary sequences of outcomes, including duplicate, late and mixed-version ones.
 
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -12,22 +12,28 @@
 
 const SHARDS: usize = 5;
 
-/// One event: the verdict for one of the attempts sent so far, or time that passes.
+/// An event: the outcome of one of the attempts sent so far, the passage of time, or a broken link.
 #[derive(Debug, Clone)]
 enum Step {
-    Settle { pick: usize, kind: u8 },
-    Pass { millis: u64 },
+    Deliver { attempt_index: usize, kind: u8 },
+    Advance { millis: u64 },
     LinkDown { vm: u8 },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let settle = (0..64_usize, 0..10_u8).prop_map(|(pick, kind)| Step::Settle { pick, kind });
-    let pass = (1..60_u64).prop_map(|millis| Step::Pass { millis });
-    let down = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
-    prop::collection::vec(prop_oneof![12 => settle, 2 => pass, 1 => down], 1..60)
+    let deliver = (0..64_usize, 0..10_u8).prop_map(|(attempt_index, kind)| Step::Deliver {
+        attempt_index,
+        kind,
+    });
+    let advance = (1..60_u64).prop_map(|millis| Step::Advance { millis });
+    let link_down = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
+    prop::collection::vec(
+        prop_oneof![12 => deliver, 2 => advance, 1 => link_down],
+        1..60,
+    )
 }
 
-fn config() -> Config {
+fn proptest_config() -> Config {
     Config {
         cases: 400,
         rng_seed: RngSeed::Fixed(23),
@@ -59,88 +65,101 @@
     }
 }
 
-/// What the steps did, as the fakes saw it.
+/// What the fake relays observed during the steps.
 #[derive(Default)]
-struct Seen {
-    sent: Vec<SentAttempt>,
-    /// Per attempt: whether it may have run.
+struct Observations {
+    sent_attempts: Vec<SentAttempt>,
+    /// For each attempt, whether it may have run.
     may_have_run: Vec<bool>,
-    settled: Vec<bool>,
+    /// For each attempt, whether its verdict has been delivered or its link has broken.
+    has_verdict: Vec<bool>,
 }
 
-impl Seen {
-    fn take(&mut self, fixture: &mut EntryFixture) {
-        for attempt in fixture.take_sent() {
-            self.sent.push(attempt);
-            // Until an explicit refusal, an attempt that was sent may run.
+impl Observations {
+    fn record_sent_attempts(&mut self, fixture: &mut EntryFixture) {
+        for attempt in fixture.take_sent_attempts() {
+            self.sent_attempts.push(attempt);
+            // An attempt that was sent may run until it is explicitly refused.
             self.may_have_run.push(true);
-            self.settled.push(false);
+            self.has_verdict.push(false);
         }
     }
 }
 
-fn run_steps(fixture: &mut EntryFixture, query: u64, steps: &[Step]) -> Seen {
-    let mut seen = Seen::default();
-    seen.take(fixture);
+fn run_steps(fixture: &mut EntryFixture, query: u64, steps: &[Step]) -> Observations {
+    let mut observations = Observations::default();
+    observations.record_sent_attempts(fixture);
     for step in steps {
         match *step {
-            Step::Settle { pick, kind } => {
-                if seen.sent.is_empty() {
+            Step::Deliver {
+                attempt_index,
+                kind,
+            } => {
+                if observations.sent_attempts.is_empty() {
                     continue;
                 }
-                let pick = pick % seen.sent.len();
-                let attempt = seen.sent[pick].clone();
+                let attempt_index = attempt_index % observations.sent_attempts.len();
+                let attempt = observations.sent_attempts[attempt_index].clone();
                 let verdict = verdict(&attempt, kind);
-                let refused = matches!(
+                let is_refused = matches!(
                     verdict,
                     ShardVerdict::NotRun(_)
                         | ShardVerdict::VersionGone { .. }
                         | ShardVerdict::Moved { .. }
                 );
-                // Only the first verdict of an attempt is true; the others are doubles.
-                if !seen.settled[pick] && !fixture.finished.contains_key(&query) {
-                    seen.settled[pick] = true;
-                    seen.may_have_run[pick] = !refused;
+                // Only the first verdict of an attempt counts; later ones are duplicates.
+                if !observations.has_verdict[attempt_index]
+                    && !fixture.finished_queries.contains_key(&query)
+                {
+                    observations.has_verdict[attempt_index] = true;
+                    observations.may_have_run[attempt_index] = !is_refused;
                 }
-                fixture.settle(&attempt, verdict);
+                fixture.deliver(&attempt, verdict);
             }
-            Step::Pass { millis } => fixture.advance(fixture.now + ms(millis)),
+            Step::Advance { millis } => fixture.advance(fixture.now + ms(millis)),
             Step::LinkDown { vm } => {
                 let vm = crate::entry::fixture::vm(vm);
-                let unsent = std::collections::VecDeque::new();
-                fixture.core.link_down(fixture.now, vm, unsent);
-                fixture.pump();
-                for (number, attempt) in seen.sent.iter().enumerate() {
-                    seen.settled[number] |= attempt.vm == vm;
+                let unsent_messages = std::collections::VecDeque::new();
+                fixture
+                    .core
+                    .handle_link_down(fixture.now, vm, unsent_messages);
+                fixture.run_actions();
+                for (number, attempt) in observations.sent_attempts.iter().enumerate() {
+                    observations.has_verdict[number] |= attempt.vm == vm;
                 }
             }
         }
-        seen.take(fixture);
+        observations.record_sent_attempts(fixture);
     }
     fixture.advance(fixture.now + ms(2_000));
-    seen.take(fixture);
-    seen
+    observations.record_sent_attempts(fixture);
+    observations
 }
 
-fn check_truth(outcome: &QueryOutcome, seen: &Seen) {
+fn check_outcome(outcome: &QueryOutcome, observations: &Observations) {
     match outcome {
         Ok(answer) => {
-            let missing = answer.coverage.missing.iter().map(|shard| shard.0);
-            let missing: Vec<u32> = missing.collect();
-            let answered = (0..SHARDS as u32).filter(|shard| !missing.contains(shard));
-            let expected =
-                answered.map(|shard| format!(r#"{{"rows":["{shard}@{}"]}}"#, answer.snapshot));
+            let missing_numbers = answer.coverage.missing.iter().map(|shard| shard.0);
+            let missing_shards: Vec<u32> = missing_numbers.collect();
+            let answered_shards =
+                (0..SHARDS as u32).filter(|shard| !missing_shards.contains(shard));
+            let expected_bodies = answered_shards
+                .map(|shard| format!(r#"{{"rows":["{shard}@{}"]}}"#, answer.snapshot));
             let bodies = answer
                 .bodies
                 .iter()
                 .map(|body| String::from_utf8_lossy(body).into());
             let bodies: Vec<String> = bodies.collect();
-            expect_that!(bodies, eq(&expected.collect::<Vec<String>>()));
+            expect_that!(bodies, eq(&expected_bodies.collect::<Vec<String>>()));
             expect_that!(answer.coverage.answered as usize, eq(bodies.len()));
             expect_that!(answer.coverage.total as usize, eq(SHARDS));
         }
         Err(refusal) if refusal.ran == RunState::NotRun => {
-            expect_that!(seen.may_have_run.contains(&true), eq(false), "{refusal}");
+            expect_that!(
+                observations.may_have_run.contains(&true),
+                eq(false),
+                "{refusal}"
+            );
         }
         Err(_refusal) => {}
     }
@@ -149,20 +168,20 @@
 #[gtest]
 fn answers_are_of_one_version_and_their_coverage_is_true() {
     for priority in [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst] {
-        proptest!(config(), |(steps in steps())| {
+        proptest!(proptest_config(), |(steps in steps())| {
             let mut fixture = EntryFixture::new(SHARDS, |class| class.priority = priority);
             let query = fixture.start(request());
             fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
-            let seen = run_steps(&mut fixture, query, &steps);
-            check_truth(fixture.outcome(query), &seen);
-            prop_assert_eq!(fixture.core.in_flight(), 0);
+            let observations = run_steps(&mut fixture, query, &steps);
+            check_outcome(fixture.outcome(query), &observations);
+            prop_assert_eq!(fixture.core.queries_in_flight(), 0);
         });
     }
 }
 
 #[gtest]
 fn a_non_idempotent_query_may_run_at_most_once() {
-    proptest!(config(), |(steps in steps())| {
+    proptest!(proptest_config(), |(steps in steps())| {
         let mut fixture = EntryFixture::new(SHARDS, |class| {
             class.idempotent = false;
             class.scope = ClassScope::One;
@@ -172,12 +191,12 @@
             ..request()
         });
         fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
-        let seen = run_steps(&mut fixture, query, &steps);
-        let may_have_run = seen.may_have_run.iter().filter(|run| **run).count();
-        prop_assert!(may_have_run <= 1, "{} attempts may have run", may_have_run);
+        let observations = run_steps(&mut fixture, query, &steps);
+        let may_have_run_count = observations.may_have_run.iter().filter(|run| **run).count();
+        prop_assert!(may_have_run_count <= 1, "{} attempts may have run", may_have_run_count);
         if let Err(refusal) = fixture.outcome(query) {
-            let not_run = refusal.ran == RunState::NotRun;
-            prop_assert!(!not_run || may_have_run == 0, "{}", refusal);
+            let is_not_run = refusal.ran == RunState::NotRun;
+            prop_assert!(!is_not_run || may_have_run_count == 0, "{}", refusal);
         }
     });
 }
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -1,107 +1,133 @@
-//! Stragglers: attempts that are out for longer than expected, and the hedges that cover them.
+//! Stragglers, that is attempts in flight for longer than expected, and the hedges sent for them.
 
 use std::time::Duration;
 
-use super::gather::ShardStanding;
-use super::hedge::AttemptNeed;
+use super::gather::ShardStatus;
+use super::hedge::AttemptUrgency;
 use super::run::{AttemptState, QueryRun};
-use super::tools::EntryTools;
+use super::tools::SharedState;
 use crate::query::QueryOutcome;
 use crate::relay::AttemptPurpose;
 
-/// Shortest time after which an overdue attempt is looked at again.
-const HEDGE_STEP: Duration = Duration::from_millis(4);
-/// Shortest time between two wakes of one query.
-const WAKE_STEP: Duration = Duration::from_millis(1);
+/// Shortest interval between checks of an overdue attempt.
+const MIN_RECHECK_INTERVAL: Duration = Duration::from_millis(4);
+/// Shortest interval between timers of one query.
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(1);
 
 impl QueryRun {
-    /// Time has passed: hedges stragglers, and finishes at the deadline.
-    pub(super) fn wake(&mut self, tools: &mut EntryTools, now: Duration) -> Option<QueryOutcome> {
-        if let Some(outcome) = self.judge(tools, now) {
+    /// Handles a due timer: hedges stragglers and returns the outcome if a deadline has passed.
+    pub(super) fn handle_timer(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+    ) -> Option<QueryOutcome> {
+        if let Some(outcome) = self.check_completion(shared, now) {
             return Some(outcome);
         }
-        if now < self.straggler_at {
+        if now < self.next_straggler_check {
             return None;
         }
-        self.straggler_at = Duration::MAX;
-        for number in 0..self.attempts.len() {
-            let attempt = self.attempts[number];
-            if attempt.state != AttemptState::Out {
+        self.next_straggler_check = Duration::MAX;
+        for attempt_number in 0..self.attempts.len() {
+            let attempt = self.attempts[attempt_number];
+            if attempt.state != AttemptState::InFlight {
                 continue;
             }
-            if attempt.hedge_at > now {
-                self.straggler_at = self.straggler_at.min(attempt.hedge_at);
+            if attempt.straggler_check_at > now {
+                self.next_straggler_check =
+                    self.next_straggler_check.min(attempt.straggler_check_at);
                 continue;
             }
-            self.take_straggler(tools, now, number);
+            self.handle_straggler(shared, now, attempt_number);
         }
         None
     }
 
-    /// An attempt is overdue: hedges it, or looks again later.
-    pub(super) fn take_straggler(&mut self, tools: &mut EntryTools, now: Duration, number: usize) {
-        let attempt = &mut self.attempts[number];
-        if !attempt.overdue {
-            attempt.overdue = true;
-            let replica = &mut tools.directory.replicas[attempt.replica];
-            match attempt.need {
-                // A probe that is late has failed.
-                AttemptNeed::Urgent => replica.health.fail(now),
-                AttemptNeed::Ordinary => replica.health.overdue(now),
+    /// Handles an overdue attempt: hedges it if worthwhile, and schedules its next check.
+    pub(super) fn handle_straggler(
+        &mut self,
+        shared: &mut SharedState,
+        now: Duration,
+        attempt_number: usize,
+    ) {
+        let attempt = &mut self.attempts[attempt_number];
+        if !attempt.is_overdue {
+            attempt.is_overdue = true;
+            let replica = &mut shared.directory.replicas[attempt.replica];
+            match attempt.urgency {
+                // The attempt probes a server that failed recently: if it is overdue, the server has failed again.
+                AttemptUrgency::Urgent => replica.health.record_failure(now),
+                AttemptUrgency::Ordinary => replica.health.record_overdue(now),
             }
         }
-        let waited = now.saturating_sub(attempt.sent);
-        let need = attempt.need;
-        attempt.hedge_at = now + (waited / 4).max(HEDGE_STEP);
-        self.straggler_at = self.straggler_at.min(attempt.hedge_at);
-        let slot = attempt.slot as usize;
+        let time_in_flight = now.saturating_sub(attempt.sent_at);
+        let urgency = attempt.urgency;
+        attempt.straggler_check_at = now + (time_in_flight / 4).max(MIN_RECHECK_INTERVAL);
+        self.next_straggler_check = self.next_straggler_check.min(attempt.straggler_check_at);
+        let slot_index = attempt.slot_index as usize;
         if let Some(canary) = &mut self.canary {
-            // All the other shards wait for this one.
-            canary.looks += 1;
-            self.hedge(tools, now, slot, waited, AttemptNeed::Urgent);
-            self.follow_canary(tools, now);
+            // The requests to all other shards wait for the canary.
+            canary.overdue_checks += 1;
+            self.send_hedge(
+                shared,
+                now,
+                slot_index,
+                time_in_flight,
+                AttemptUrgency::Urgent,
+            );
+            self.advance_canary(shared, now);
             return;
         }
-        self.hedge(tools, now, slot, waited, need);
+        self.send_hedge(shared, now, slot_index, time_in_flight, urgency);
     }
 
-    /// When the run wants to be woken.
+    /// Returns the time at which the run needs its next timer.
     pub(super) fn next_wake(&self, now: Duration) -> Duration {
-        let mut next = self.terms.finish_by.min(self.straggler_at);
-        if self.terms.answer_by > now {
-            next = next.min(self.terms.answer_by);
+        let mut next_wake = self.params.final_deadline.min(self.next_straggler_check);
+        if self.params.answer_deadline > now {
+            next_wake = next_wake.min(self.params.answer_deadline);
         }
-        next.max(now + WAKE_STEP)
+        next_wake.max(now + MIN_WAKE_INTERVAL)
     }
 
-    pub(super) fn hedge(
+    /// Sends a hedge for the only attempt in flight at a shard, if it is likely to bring the rows sooner.
+    pub(super) fn send_hedge(
         &mut self,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
-        slot: usize,
-        waited: Duration,
-        need: AttemptNeed,
+        slot_index: usize,
+        time_in_flight: Duration,
+        urgency: AttemptUrgency,
     ) {
-        let state = &self.gather.slots()[slot];
-        let single = state.standing() == ShardStanding::Open && state.out == 1;
-        if !single || !self.terms.idempotent || !tools.switches.hedge {
+        let shard_slot = &self.gather.slots()[slot_index];
+        let has_single_attempt =
+            shard_slot.status() == ShardStatus::Open && shard_slot.attempts_in_flight == 1;
+        if !has_single_attempt || !self.params.idempotent || !shared.switches.hedge {
             return;
         }
-        // A query most of whose shards are open waits for load, not for a straggler.
-        if self.canary.is_none() && self.gather.open() > (self.gather.total() / 2).max(1) {
+        // If most shards are still open, the cause is load rather than a straggler.
+        if self.canary.is_none()
+            && self.gather.open_count() > (self.gather.shard_count() / 2).max(1)
+        {
             return;
         }
-        let Some(choice) = self.choose(tools, now, slot, false) else {
+        let Some(route_choice) = self.choose_shard_route(shared, now, slot_index, false) else {
             return;
         };
-        // An attempt that has been out for long is likely to stay out for as long again. A hedge is worth its load only
-        // if it is expected sooner than that; where the other replica has a long queue too, it only adds to it.
-        let queued = choice.expected > waited;
-        let late = now + choice.expected > self.terms.useful_until();
-        if queued || late || !tools.spend(now, self.terms.class, need) {
+        // An attempt that has been in flight for some time is likely to take as long again. A hedge is worth its load
+        // only if it is expected to finish sooner than that; if the other replica has a long queue too, a hedge only
+        // lengthens it.
+        let hedge_too_slow = route_choice.expected_time > time_in_flight;
+        let hedge_too_late = now + route_choice.expected_time > self.params.results_deadline();
+        if hedge_too_slow
+            || hedge_too_late
+            || !shared.try_withdraw_attempt(now, self.params.class, urgency)
+        {
             return;
         }
-        tools.directory.replicas[choice.replica].health.submit(now);
-        self.send(tools, now, slot, choice, AttemptPurpose::Hedge);
+        shared.directory.replicas[route_choice.replica]
+            .health
+            .record_submit(now);
+        self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::Hedge);
     }
 }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -1,4 +1,5 @@
-//! The terms of one query: its class target, tightened by the caller's deadline, in times of the entry's clock.
+//! The effective parameters of one query: its class target, tightened by the caller's deadline, with times on the
+//! entry's clock.
 
 use std::time::Duration;
 
@@ -9,129 +10,147 @@
 use crate::declaration::{ClassScope, ClassTarget, TargetPriority};
 use crate::query::QueryRequest;
 
-/// Dense id of a class of work.
+/// Dense id of a class.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// Part of a time limit that is kept for the way back to the caller: one in this many.
-const MARGIN_SHARE: u32 = 20;
-/// Most that is kept for the way back.
-const MARGIN_MOST: Duration = Duration::from_millis(5);
+/// Divisor of a time limit that gives the part of it reserved for returning the answer to the caller.
+const RETURN_MARGIN_DIVISOR: u32 = 20;
+/// Upper bound of the time reserved for returning the answer.
+const MAX_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// At most one shard in this many does not count for admission because it stands out.
-const SPARE_SHARE: usize = 4;
-/// A shard stands out if it is expected to take this many times the class's latency.
-const SPARE_FROM: u32 = 2;
+/// Divisor of the shard count that gives the number of outlier shards that admission may ignore.
+const OUTLIER_SHARD_DIVISOR: usize = 4;
+/// Multiple of the latency target from which a shard's expected time makes it an outlier.
+const OUTLIER_LATENCY_FACTOR: u32 = 2;
 
-/// Takes the way back to the caller off a limit that the caller sees.
-fn less_margin(limit: Duration) -> Duration {
-    limit.saturating_sub((limit / MARGIN_SHARE).min(MARGIN_MOST))
+/// Subtracts the time reserved for returning the answer from a limit that the caller observes.
+fn subtract_return_margin(time_limit: Duration) -> Duration {
+    time_limit.saturating_sub((time_limit / RETURN_MARGIN_DIVISOR).min(MAX_RETURN_MARGIN))
 }
 
 impl ClassScope {
-    /// The numbers of the shards that a query needs.
-    pub(super) fn needed(self, request: &QueryRequest, route: &RouteTable) -> std::ops::Range<u32> {
-        let total = route.shards.len() as u32;
+    /// Returns the range of shard numbers that a query needs.
+    pub(super) fn required_shards(
+        self,
+        request: &QueryRequest,
+        route_table: &RouteTable,
+    ) -> std::ops::Range<u32> {
+        let shard_count = route_table.shards.len() as u32;
         match self {
-            Self::All => 0..total,
-            Self::One if total == 0 => 0..0,
+            Self::All => 0..shard_count,
+            Self::One if shard_count == 0 => 0..0,
             Self::One => {
                 let record = request.record.as_deref().unwrap_or_default();
-                let hash = xxhash_rust::xxh3::xxh3_64(record.as_bytes());
-                let shard = (hash % u64::from(total)) as u32;
+                let record_hash = xxhash_rust::xxh3::xxh3_64(record.as_bytes());
+                let shard = (record_hash % u64::from(shard_count)) as u32;
                 shard..shard + 1
             }
         }
     }
 }
 
-/// What a query is held to.
+/// Effective parameters of one query.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct QueryTerms {
-    /// Its class.
+pub struct QueryParams {
+    /// The query's class.
     pub class: ClassId,
-    /// Which shards it needs.
+    /// Which shards the query needs.
     pub scope: ClassScope,
-    /// Which part of the target gives way.
+    /// Whether latency or coverage takes precedence when the target can't be met in full.
     pub priority: TargetPriority,
-    /// Latency of the class, or the caller's deadline if that is shorter.
-    pub latency: Duration,
-    /// The percentile that the latency is stated at, in per cent.
-    pub percentile: f64,
-    /// Target coverage, 0 to 1.
-    pub coverage: f64,
-    /// Whether its attempts may run more than once.
+    /// Latency target of the class, or the caller's deadline if that is shorter.
+    pub latency_target: Duration,
+    /// Percentile of queries that must meet the latency target, in per cent.
+    pub latency_percentile: f64,
+    /// Coverage target, 0 to 1.
+    pub coverage_target: f64,
+    /// Whether an attempt may be run more than once.
     pub idempotent: bool,
-    /// When it came.
-    pub started: Duration,
-    /// When a class that puts latency first answers with what is there.
-    pub answer_by: Duration,
-    /// When it is over, whatever is there.
-    pub finish_by: Duration,
+    /// When the query was accepted.
+    pub started_at: Duration,
+    /// When a query of a latency-first class is answered with the rows received so far.
+    pub answer_deadline: Duration,
+    /// When the query completes regardless of what has been received.
+    pub final_deadline: Duration,
 }
 
-impl QueryTerms {
-    /// Works out the terms of a query that came at `now`.
+impl QueryParams {
+    /// Derives the parameters of a query that arrived at `now`.
     pub fn new(
         class: ClassId,
         target: &ClassTarget,
         deadline: Option<Duration>,
         now: Duration,
     ) -> Self {
-        let bound = deadline.map_or(target.bound, |d| d.min(target.bound));
-        let latency = target.latency.min(bound);
+        let time_bound = deadline.map_or(target.bound, |deadline| deadline.min(target.bound));
+        let latency_target = target.latency.min(time_bound);
         Self {
             class,
             scope: target.scope,
             priority: target.priority,
-            latency,
-            percentile: target.percentile,
-            coverage: target.coverage,
+            latency_target,
+            latency_percentile: target.percentile,
+            coverage_target: target.coverage,
             idempotent: target.idempotent,
-            started: now,
-            answer_by: now + less_margin(latency),
-            finish_by: now + less_margin(bound),
+            started_at: now,
+            answer_deadline: now + subtract_return_margin(latency_target),
+            final_deadline: now + subtract_return_margin(time_bound),
         }
     }
 
-    /// All the time that the query has.
-    pub fn span(&self) -> Duration {
-        self.finish_by.saturating_sub(self.started)
+    /// Returns the time between the start of the query and its final deadline.
+    pub fn total_time(&self) -> Duration {
+        self.final_deadline.saturating_sub(self.started_at)
     }
 
-    /// Predicts wait and work of the slowest shard that counts, out of the routes chosen for a query of `total` shards.
+    /// Predicts the queue wait and the unloaded time of the slowest shard that counts, from the routes chosen for a
+    /// query of `shard_count` shards.
     ///
-    /// A class whose coverage gives way is answered when the shards are there that its coverage target needs; one whose
-    /// latency gives way waits for all. A few shards that stand out don't count, so that one overloaded service does not
-    /// have all queries refused.
-    pub(super) fn predict(&self, total: u32, plan: &mut [PlannedAttempt]) -> (Duration, Duration) {
-        plan.sort_unstable_by_key(|planned| planned.choice.expected);
-        let needed = match self.priority {
-            TargetPriority::LatencyFirst => (f64::from(total) * self.coverage).ceil() as usize,
-            TargetPriority::CoverageFirst => plan.len(),
+    /// A latency-first class answers once the shards that its coverage target needs have answered, so only those count;
+    /// a coverage-first class waits for all shards. Up to a quarter of the shards is ignored if they are outliers, so
+    /// that one overloaded service does not cause all queries to be refused.
+    pub(super) fn predict_times(
+        &self,
+        shard_count: u32,
+        planned_attempts: &mut [PlannedAttempt],
+    ) -> (Duration, Duration) {
+        planned_attempts
+            .sort_unstable_by_key(|planned_attempt| planned_attempt.route_choice.expected_time);
+        let required_count = match self.priority {
+            TargetPriority::LatencyFirst => {
+                (f64::from(shard_count) * self.coverage_target).ceil() as usize
+            }
+            TargetPriority::CoverageFirst => planned_attempts.len(),
         };
-        let mut last = needed.clamp(1, plan.len().max(1)) - 1;
-        for _ in 0..total as usize / SPARE_SHARE {
-            let Some(planned) = plan.get(last) else {
+        let mut last_index = required_count.clamp(1, planned_attempts.len().max(1)) - 1;
+        for _ in 0..shard_count as usize / OUTLIER_SHARD_DIVISOR {
+            let Some(planned_attempt) = planned_attempts.get(last_index) else {
                 break;
             };
-            if last == 0 || planned.choice.expected < self.latency * SPARE_FROM {
+            if last_index == 0
+                || planned_attempt.route_choice.expected_time
+                    < self.latency_target * OUTLIER_LATENCY_FACTOR
+            {
                 break;
             }
-            last -= 1;
+            last_index -= 1;
         }
-        let planned = plan.get(last);
-        planned.map_or((Duration::ZERO, Duration::ZERO), |planned| {
-            (planned.choice.wait, planned.choice.work())
+        let planned_attempt = planned_attempts.get(last_index);
+        planned_attempt.map_or((Duration::ZERO, Duration::ZERO), |planned_attempt| {
+            (
+                planned_attempt.route_choice.queue_wait,
+                planned_attempt.route_choice.unloaded_time(),
+            )
         })
     }
 
-    /// Until when rows are of use, for the upstreams' deadline.
-    pub fn useful_until(&self) -> Duration {
+    /// Returns the time until which rows are still useful; sent to upstreams as the deadline.
+    pub fn results_deadline(&self) -> Duration {
         match (self.priority, self.scope) {
-            (TargetPriority::LatencyFirst, ClassScope::All) => self.answer_by,
-            _ => self.finish_by,
+            (TargetPriority::LatencyFirst, ClassScope::All) => self.answer_deadline,
+            _ => self.final_deadline,
         }
     }
 }
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -1,109 +1,119 @@
-//! The final verdict on a query: when it is over, and what the caller is told.
+//! Determines when a query is complete and which outcome the caller receives.
 //!
-//! A query that nothing pending can bring to its target gets its final answer at once. A refusal says truthfully
-//! whether any part ran.
+//! A query completes as soon as no pending attempt can bring it to its target. A refusal states truthfully whether any
+//! part of the query ran.
 
 use std::time::Duration;
 
 use compact_str::{CompactString, ToCompactString, format_compact};
 
 use super::gather::ShardGather;
-use super::run::{QueryRun, RunTrace};
-use super::terms::QueryTerms;
-use super::tools::EntryTools;
+use super::run::{QueryProgress, QueryRun};
+use super::terms::QueryParams;
+use super::tools::SharedState;
 use crate::declaration::TargetPriority;
 use crate::ident::{QueryId, RunState};
 use crate::query::{QueryAnswer, QueryOutcome, QueryRefusal, RefusalCode};
 use crate::relay::RefusalReason;
 
-/// Upstreams that one query may lose.
-pub(super) const VICTIM_LIMIT: u8 = 2;
+/// Number of broken upstream connections at which a query is given up.
+pub(super) const BROKEN_UPSTREAM_LIMIT: u8 = 2;
 
-/// How a query ends.
+/// How a query completes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum FinalVerdict {
-    /// With an answer, whole or thin.
+pub(super) enum QueryCompletion {
+    /// The query is answered with the rows of all shards, or without those of the missing shards.
     Answer,
-    /// Its time is over and what is there is not enough.
+    /// The query is refused because its deadline has passed and too few shards have answered.
     Deadline,
-    /// Nothing that is pending can bring enough.
-    Hopeless,
+    /// The query is refused because no pending attempt can bring it to its target, because it broke too many upstreams,
+    /// or because the request is quarantined.
+    TargetUnreachable,
 }
 
-impl FinalVerdict {
-    /// Judges a query; none while it goes on.
-    pub(super) fn of(
-        terms: &QueryTerms,
+impl QueryCompletion {
+    /// Returns how the query completes, or `None` while it continues.
+    pub(super) fn evaluate(
+        params: &QueryParams,
         gather: &ShardGather,
-        trace: RunTrace,
+        progress: QueryProgress,
         now: Duration,
     ) -> Option<Self> {
-        if gather.answered() == gather.total() {
+        if gather.answered_count() == gather.shard_count() {
             return Some(Self::Answer);
         }
-        let quarantined = trace.refusal == Some(RefusalReason::Quarantined);
-        if trace.victims >= VICTIM_LIMIT || quarantined {
-            return Some(Self::Hopeless);
+        let is_quarantined = progress.last_refusal_reason == Some(RefusalReason::Quarantined);
+        if progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || is_quarantined {
+            return Some(Self::TargetUnreachable);
         }
-        let share = f64::from(gather.answered()) / f64::from(gather.total());
-        let enough = match terms.priority {
-            TargetPriority::LatencyFirst => gather.answered() > 0,
-            TargetPriority::CoverageFirst => share >= terms.coverage,
+        let answered_share = f64::from(gather.answered_count()) / f64::from(gather.shard_count());
+        let has_enough_shards = match params.priority {
+            TargetPriority::LatencyFirst => gather.answered_count() > 0,
+            TargetPriority::CoverageFirst => answered_share >= params.coverage_target,
         };
-        if gather.open() == 0 {
-            return Some(if enough { Self::Answer } else { Self::Hopeless });
+        if gather.open_count() == 0 {
+            return Some(if has_enough_shards {
+                Self::Answer
+            } else {
+                Self::TargetUnreachable
+            });
         }
-        let coverage_first = terms.priority == TargetPriority::CoverageFirst;
-        if coverage_first && gather.reachable() < terms.coverage {
-            return Some(Self::Hopeless);
+        let is_coverage_first = params.priority == TargetPriority::CoverageFirst;
+        if is_coverage_first && gather.reachable_coverage() < params.coverage_target {
+            return Some(Self::TargetUnreachable);
         }
-        if !coverage_first && enough && now >= terms.answer_by {
+        if !is_coverage_first && has_enough_shards && now >= params.answer_deadline {
             return Some(Self::Answer);
         }
-        if now >= terms.finish_by {
-            return Some(if enough { Self::Answer } else { Self::Deadline });
+        if now >= params.final_deadline {
+            return Some(if has_enough_shards {
+                Self::Answer
+            } else {
+                Self::Deadline
+            });
         }
         None
     }
 
-    /// Makes the outcome that the caller gets.
-    pub(super) fn outcome(
+    /// Builds the outcome for the caller.
+    pub(super) fn into_outcome(
         self,
         run: &mut QueryRun,
-        tools: &mut EntryTools,
+        shared: &mut SharedState,
         now: Duration,
     ) -> QueryOutcome {
         if self == Self::Answer {
-            return Ok(answer(run, tools));
+            return Ok(build_answer(run, shared));
         }
-        let ran = run_state(run.trace);
-        let code = self.code(run.trace, ran);
+        let run_state = run_state(run.progress);
+        let refusal_code = self.refusal_code(run.progress, run_state);
         let coverage = run.gather.coverage();
         let message = match self {
             Self::Deadline => format_compact!("{coverage} shards answered in time"),
             _ => format_compact!("{coverage} shards answered, and no other replica can bring more"),
         };
-        let refusal = QueryRefusal::new(code, ran, message);
-        // Sending a quarantined request again is of no use, nor a key whose outcome is kept.
-        let again = run.terms.idempotent || ran == RunState::NotRun;
-        if again && code != RefusalCode::Quarantined {
-            let after = tools.retry_after(run, now);
-            return Err(refusal.with_retry_after(after));
+        let refusal = QueryRefusal::new(refusal_code, run_state, message);
+        // A quarantined request would be refused again, and a repeated idempotency key gets the outcome that is kept,
+        // so neither refusal carries a retry-after.
+        let is_retryable = run.params.idempotent || run_state == RunState::NotRun;
+        if is_retryable && refusal_code != RefusalCode::Quarantined {
+            let retry_after = shared.retry_after(run, now);
+            return Err(refusal.with_retry_after(retry_after));
         }
         Err(refusal)
     }
 
-    fn code(self, trace: RunTrace, ran: RunState) -> RefusalCode {
-        if trace.refusal == Some(RefusalReason::Quarantined) {
+    fn refusal_code(self, progress: QueryProgress, run_state: RunState) -> RefusalCode {
+        if progress.last_refusal_reason == Some(RefusalReason::Quarantined) {
             return RefusalCode::Quarantined;
         }
         if self == Self::Deadline {
             return RefusalCode::Deadline;
         }
-        if ran != RunState::NotRun {
+        if run_state != RunState::NotRun {
             return RefusalCode::UpstreamFailed;
         }
-        match trace.refusal {
+        match progress.last_refusal_reason {
             Some(RefusalReason::Shed | RefusalReason::QueueFull) => RefusalCode::Overloaded,
             Some(RefusalReason::Expired) => RefusalCode::Deadline,
             _ => RefusalCode::NoUpstream,
@@ -111,31 +121,32 @@
     }
 }
 
-fn run_state(trace: RunTrace) -> RunState {
-    if trace.ran {
+/// Returns whether any part of a query ran.
+fn run_state(progress: QueryProgress) -> RunState {
+    if progress.has_run {
         RunState::Ran
-    } else if trace.unknown {
+    } else if progress.may_have_run {
         RunState::Unknown
     } else {
         RunState::NotRun
     }
 }
 
-/// The name by which the caller knows a query: its own, else the tier's.
-pub(super) fn query_name(run: &QueryRun, tools: &EntryTools) -> CompactString {
-    let own = || {
+/// Returns the id by which the caller knows a query: its own id if it sent one, else the generated one.
+pub(super) fn query_id(run: &QueryRun, shared: &SharedState) -> CompactString {
+    let generate_id = || {
         let id = QueryId {
-            session: tools.session,
-            number: run.number,
+            session: shared.session,
+            number: run.query_number,
         };
         id.to_compact_string()
     };
-    run.request.caller_id.clone().unwrap_or_else(own)
+    run.request.caller_id.clone().unwrap_or_else(generate_id)
 }
 
-fn answer(run: &mut QueryRun, tools: &EntryTools) -> QueryAnswer {
+fn build_answer(run: &mut QueryRun, shared: &SharedState) -> QueryAnswer {
     QueryAnswer {
-        query: query_name(run, tools),
+        query: query_id(run, shared),
         snapshot: run.gather.version(),
         coverage: run.gather.coverage(),
         bodies: run.gather.take_bodies(),
--- a/crates/ebonyfork/src/locate/answer_tests.rs
+++ b/crates/ebonyfork/src/locate/answer_tests.rs
@@ -12,7 +12,7 @@
     VmAddress(std::net::Ipv4Addr::from(0x0a00_0000 + number).into())
 }
 
-fn entry(number: u32, zone: &str) -> VmEntry {
+fn vm_entry(number: u32, zone: &str) -> VmEntry {
     VmEntry {
         vm: vm(number),
         zone: zone.parse().unwrap(),
@@ -23,7 +23,7 @@
 
 fn settings() -> LocateSettings {
     LocateSettings {
-        own: SessionId::new(vm(1), IncarnationNumber(1)),
+        session: SessionId::new(vm(1), IncarnationNumber(1)),
         zone: "a".parse().unwrap(),
         caller_port: 7100,
         ttl: Duration::from_secs(5),
@@ -38,86 +38,94 @@
 }
 
 #[gtest]
-fn near_first_leaving_and_unknown_left_out() {
+fn the_first_address_is_local_and_leaving_or_unknown_vms_are_left_out() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let leaving = VmEntry {
+    let leaving_vm = VmEntry {
         leaving: true,
-        ..entry(3, "a")
+        ..vm_entry(3, "a")
     };
-    let unknown = VmEntry {
+    let unknown_vm = VmEntry {
         incarnation: None,
-        ..entry(4, "a")
+        ..vm_entry(4, "a")
     };
-    // VMs, then the addresses that the answer may start with, and how many it has.
+    // Each case holds the VMs of the view, the VMs that may come first in the answer, and the number of addresses.
     let cases = [
         (vec![], vec![1], 1),
-        (vec![entry(1, "a")], vec![1], 1),
-        (vec![entry(1, "a"), entry(2, "a")], vec![1, 2], 2),
+        (vec![vm_entry(1, "a")], vec![1], 1),
+        (vec![vm_entry(1, "a"), vm_entry(2, "a")], vec![1, 2], 2),
         (
-            vec![entry(1, "a"), leaving.clone(), unknown.clone()],
+            vec![vm_entry(1, "a"), leaving_vm.clone(), unknown_vm.clone()],
             vec![1],
             1,
         ),
-        (vec![leaving, unknown, entry(5, "b")], vec![5], 1),
+        (vec![leaving_vm, unknown_vm, vm_entry(5, "b")], vec![5], 1),
         (
-            vec![entry(1, "a"), entry(5, "b"), entry(6, "c")],
+            vec![vm_entry(1, "a"), vm_entry(5, "b"), vm_entry(6, "c")],
             vec![1],
             3,
         ),
     ];
-    for (vms, firsts, count) in cases {
+    for (vms, first_vms, address_count) in cases {
         for _round in 0..20 {
             let answer = locate(&vms, None, &mut rng);
-            let first = answer.session.vm;
-            expect_that!(firsts.iter().any(|number| vm(*number) == first), eq(true));
-            expect_that!(answer.addresses[0].ip(), eq(first.0));
-            expect_that!(answer.addresses.len(), eq(count), "{vms:?}");
+            let first_vm = answer.session.vm;
+            expect_that!(
+                first_vms.iter().any(|number| vm(*number) == first_vm),
+                eq(true)
+            );
+            expect_that!(answer.addresses[0].ip(), eq(first_vm.0));
+            expect_that!(answer.addresses.len(), eq(address_count), "{vms:?}");
         }
     }
 }
 
 #[gtest]
-fn the_last_address_lies_in_another_zone() {
+fn the_last_address_is_in_another_zone() {
     let mut rng = ChaCha8Rng::seed_from_u64(2);
     let vms: Vec<_> = (1..20)
-        .map(|number| entry(number, if number < 10 { "a" } else { "b" }))
+        .map(|number| vm_entry(number, if number < 10 { "a" } else { "b" }))
         .collect();
     for _round in 0..50 {
         let answer = locate(&vms, Some("roofers"), &mut rng);
-        let far: Vec<bool> = answer
+        let remote_flags: Vec<bool> = answer
             .addresses
             .iter()
             .map(|address| address.ip() >= vm(10).0)
             .collect();
         expect_that!(
-            far,
+            remote_flags,
             elements_are![eq(&false), eq(&false), eq(&false), eq(&true)]
         );
     }
 }
 
 #[gtest]
-fn a_organisation_keeps_its_subset_when_vms_come_and_go() {
+fn an_organisation_keeps_its_subset_when_vms_come_and_go() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut vms: Vec<_> = (1..=490).map(|number| entry(number, "a")).collect();
-    let mut firsts = |vms: &[VmEntry]| -> BTreeSet<VmAddress> {
+    let mut vms: Vec<_> = (1..=490).map(|number| vm_entry(number, "a")).collect();
+    let mut first_vms = |vms: &[VmEntry]| -> BTreeSet<VmAddress> {
         (0..400)
             .map(|_| locate(vms, Some("roofers"), &mut rng).session.vm)
             .collect()
     };
-    let before = firsts(&vms);
-    expect_that!(before.len(), eq(ORGANISATION_SUBSET));
-    vms.retain(|entry| entry.vm != *before.first().unwrap());
-    let after = firsts(&vms);
+    let vms_before = first_vms(&vms);
+    expect_that!(vms_before.len(), eq(INITIAL_SUBSET_SIZE));
+    vms.retain(|entry| entry.vm != *vms_before.first().unwrap());
+    let vms_after = first_vms(&vms);
     expect_that!(
-        after.intersection(&before).count(),
-        eq(ORGANISATION_SUBSET - 1)
+        vms_after.intersection(&vms_before).count(),
+        eq(INITIAL_SUBSET_SIZE - 1)
     );
 }
 
 #[gtest]
 fn a_loaded_vm_is_first_less_often() {
-    let vms = [entry(1, "a"), entry(2, "a"), entry(3, "a"), entry(4, "a")];
+    let vms = [
+        vm_entry(1, "a"),
+        vm_entry(2, "a"),
+        vm_entry(3, "a"),
+        vm_entry(4, "a"),
+    ];
     let members = MemberSnapshot::new(vms.iter().map(|entry| MemberEntry {
         vm: entry.vm,
         zone: entry.zone.clone(),
@@ -140,13 +148,14 @@
 }
 
 #[gtest]
-fn a_organisation_that_fills_its_subset_gets_a_larger_one() {
-    let vms: Vec<_> = (1..=200).map(|number| entry(number, "a")).collect();
+fn an_organisation_that_fills_its_subset_gets_a_larger_one() {
+    let vms: Vec<_> = (1..=200).map(|number| vm_entry(number, "a")).collect();
     let view = TopologyView::new(vms.iter().cloned(), []);
     let organisation = "roofers".parse().unwrap();
-    let mut before = BTreeSet::new();
-    // Load of every VM in per mille, and how many then serve the organisation.
-    for (load, size) in [(0, 8), (599, 8), (600, 128), (1_000, 128)] {
+    let mut vms_before = BTreeSet::new();
+    // Each case holds the load of every VM in per mille, and the number of VMs that serve the organisation at that
+    // load.
+    for (load, subset_size) in [(0, 8), (599, 8), (600, 128), (1_000, 128)] {
         let members = MemberSnapshot::new(vms.iter().map(|entry| MemberEntry {
             vm: entry.vm,
             zone: entry.zone.clone(),
@@ -158,7 +167,7 @@
             },
         }));
         let mut rng = ChaCha8Rng::seed_from_u64(5);
-        let firsts: BTreeSet<VmAddress> = (0..4_000)
+        let first_vms: BTreeSet<VmAddress> = (0..4_000)
             .map(|_| {
                 let organisation = Some(&organisation);
                 locate_addresses(&view, &members, &settings(), organisation, &mut rng)
@@ -166,8 +175,8 @@
                     .vm
             })
             .collect();
-        expect_that!(firsts.len(), eq(size), "{load}");
-        expect_that!(firsts.is_superset(&before), eq(true), "{load}");
-        before = firsts;
+        expect_that!(first_vms.len(), eq(subset_size), "{load}");
+        expect_that!(first_vms.is_superset(&vms_before), eq(true), "{load}");
+        vms_before = first_vms;
     }
 }
