--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -82,7 +82,7 @@
     }
 
     /// Sends a message to a VM. Returns false if it was not sent.
-    pub fn tell(&self, vm: VmAddress, message: PeerMessage) -> bool {
+    pub fn send_message(&self, vm: VmAddress, message: PeerMessage) -> bool {
         let Some(pool) = self.pool.get() else {
             return false;
         };
@@ -137,7 +137,7 @@
         self.next.set(number + 1);
         query.number = number;
         let message = PeerMessage::Partial(PartialMessage::Query(query));
-        if !self.tell(vm, message) {
+        if !self.send_message(vm, message) {
             return None;
         }
         let began = now();
@@ -202,7 +202,7 @@
             return;
         }
         // If the VM can't be reached, its part of the query ends at the deadline.
-        let _told = self.tell(
+        let _sent = self.send_message(
             query.vm,
             PeerMessage::Partial(PartialMessage::Cancel(number)),
         );
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -290,7 +290,7 @@
         }
         self.questions = following.questions;
         let leave = PeerMessage::Mirror(MirrorMessage::Leave);
-        self.core.delegates.tell(vm, leave);
+        self.core.delegates.send_message(vm, leave);
     }
 
     /// Whether a followed VM is kept to although another source is the right one by now: it is sending something, which
@@ -319,7 +319,10 @@
     }
 
     fn tell_vm(&self, vm: VmAddress, message: MirrorMessage) -> Result<(), SourceFault> {
-        let told = self.core.delegates.tell(vm, PeerMessage::Mirror(message));
+        let told = self
+            .core
+            .delegates
+            .send_message(vm, PeerMessage::Mirror(message));
         told.then_some(()).ok_or(SourceFault::Unreachable)
     }
 
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -49,7 +49,9 @@
         prefix: route.prefix.clone(),
     };
     let asked = now();
-    let told = core.delegates.tell(vm, PeerMessage::RouteCheck(question));
+    let told = core
+        .delegates
+        .send_message(vm, PeerMessage::RouteCheck(question));
     let verdict = if told {
         tokio::time::timeout(VERDICT_TIME, verdict).await
     } else {
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -41,7 +41,7 @@
     let number = core.repeats.borrow_mut().ask(owner, core.running_time());
     let message = PeerMessage::Share(ShareMessage::Ask { number });
     // A VM that can't be reached is asked again in the next round.
-    let _sent = core.delegates.tell(owner, message);
+    let _sent = core.delegates.send_message(owner, message);
 }
 
 /// Updates the metrics with the shares on lease, and logs them if they have changed.
