--- a/crates/ebonyfork/src/gateway/caller_time.rs
+++ b/crates/ebonyfork/src/gateway/caller_time.rs
@@ -143,8 +143,8 @@
     /// this VM comes from a caller that waits longer than others and is ignored.
     pub fn record_peer_wait(&mut self, wait: Duration, now: Instant) {
         let own = self.own.get();
-        let usual = own.is_zero() || wait.saturating_sub(own) <= MAX_TIME_BEFORE;
-        if usual && !wait.is_zero() {
+        let plausible = own.is_zero() || wait.saturating_sub(own) <= MAX_TIME_BEFORE;
+        if plausible && !wait.is_zero() {
             self.from_peers.record(wait, now);
         }
     }
@@ -152,8 +152,8 @@
     /// Returns the longest wait stated to other VMs, unless it far exceeds those stated to this VM.
     fn peer_longest(&self) -> Option<Duration> {
         let from_peers = self.from_peers.get();
-        let usual = from_peers.saturating_sub(self.own.get()) <= MAX_TIME_BEFORE;
-        (usual && !from_peers.is_zero()).then_some(from_peers)
+        let plausible = from_peers.saturating_sub(self.own.get()) <= MAX_TIME_BEFORE;
+        (plausible && !from_peers.is_zero()).then_some(from_peers)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/caller_time_tests.rs
+++ b/crates/ebonyfork/src/gateway/caller_time_tests.rs
@@ -67,7 +67,7 @@
 
 /// Guards against comparing with waits that callers no longer state, after they have come to wait less long.
 #[gtest]
-fn waits_are_forgotten() {
+fn old_waits_expire() {
     let now = Instant::now();
     let mut track = WaitTrack::default();
     for second in 0..20 {
@@ -82,7 +82,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn the_kernel_knows_the_loopback_to_be_near() {
+async fn the_measured_distance_of_the_loopback_is_short() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (stream, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -195,7 +195,7 @@
                 .cold_claims
                 .with_zone(&zone, |claim| claim.step(wanted, time));
             if let Some(write) = write {
-                tokio::task::spawn_local(do_write(Rc::clone(&core), port.clone(), zone, write));
+                tokio::task::spawn_local(write_claim(Rc::clone(&core), port.clone(), zone, write));
             }
         }
     }
@@ -208,7 +208,12 @@
     rendezvous(&vms, zone) == Some(VmAddress(core.settings.place.address))
 }
 
-async fn do_write(core: Rc<GatewayCore>, port: impl StorePort, zone: PlaceName, write: ClaimWrite) {
+async fn write_claim(
+    core: Rc<GatewayCore>,
+    port: impl StorePort,
+    zone: PlaceName,
+    write: ClaimWrite,
+) {
     let started_at = core.running_time();
     let value = match postcard::to_stdvec(&write.record) {
         Ok(value) => Bytes::from(value),
--- a/crates/ebonyfork/src/gateway/delegate_tests.rs
+++ b/crates/ebonyfork/src/gateway/delegate_tests.rs
@@ -14,7 +14,7 @@
 /// Guards against avoiding a VM whose upstreams decline or lose every request. It must still be asked, since it alone
 /// sees how many requests are queued at these upstreams.
 #[gtest]
-fn a_vm_is_not_blamed_for_its_upstreams() {
+fn a_vm_is_not_avoided_because_of_its_upstreams() {
     let part = ShardSignature {
         shard: 0,
         signature: bytes::Bytes::from_static(b"s"),
--- a/crates/ebonyfork/src/gateway/dialect.rs
+++ b/crates/ebonyfork/src/gateway/dialect.rs
@@ -52,7 +52,7 @@
     Other,
 }
 
-/// Error: a stored value can't be decoded.
+/// Error for a stored value that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{key}: {reason}"))]
 pub struct DecodeError {
--- a/crates/ebonyfork/src/gateway/fixture_upstream.rs
+++ b/crates/ebonyfork/src/gateway/fixture_upstream.rs
@@ -75,12 +75,12 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("an address");
         let log = Rc::<RefCell<UpstreamLog>>::default();
-        let noted = Rc::clone(&log);
+        let recorded = Rc::clone(&log);
         let serving = tokio::task::spawn_local(async move {
             loop {
                 let (stream, _peer) = listener.accept().await.expect("a connection");
-                noted.borrow_mut().connections += 1;
-                let served = tokio::task::spawn_local(serve(stream, reply, Rc::clone(&noted)));
+                recorded.borrow_mut().connections += 1;
+                let served = tokio::task::spawn_local(serve(stream, reply, Rc::clone(&recorded)));
                 if reply == ScriptedReply::Crash {
                     // The first request stops the whole upstream.
                     drop(listener);
--- a/crates/ebonyfork/src/gateway/http_server.rs
+++ b/crates/ebonyfork/src/gateway/http_server.rs
@@ -15,7 +15,7 @@
 use crate::gateway::reply::CallerReply;
 
 /// Idle timeout of a connection.
-const IDLE_TIME: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pause after a failed accept, for example because file descriptors have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -53,7 +53,7 @@
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(IDLE_TIME);
+        .header_read_timeout(IDLE_TIMEOUT);
     let connection = builder.serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
         log::debug!("control connection: {error}");
--- a/crates/ebonyfork/src/gateway/ident.rs
+++ b/crates/ebonyfork/src/gateway/ident.rs
@@ -84,7 +84,7 @@
 /// # Examples
 ///
 /// ```
-/// use ebonyfork::gateway::{StartTime, InstanceName, UpstreamIncarnation};
+/// use ebonyfork::gateway::{InstanceName, StartTime, UpstreamIncarnation};
 ///
 /// let first = UpstreamIncarnation::new(InstanceName::new("i-1"), Some(StartTime(1_000)));
 /// let second = UpstreamIncarnation::new(InstanceName::new("i-1"), Some(StartTime(9_000)));
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -46,7 +46,7 @@
 /// Time between two checks of the requests in flight during shutdown.
 const DRAIN_CHECK_PERIOD: Duration = Duration::from_millis(20);
 
-/// Error: a gateway can't start.
+/// Error that prevents a gateway from starting.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
     /// Can't listen on an address.
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -56,8 +56,8 @@
     pub fn min_shards(&self) -> usize {
         /// Absorbs floating-point error in products such as 0.95 times 20.
         const ROUNDING: f64 = 1e-9;
-        let least = (self.min_coverage * self.shards.len() as f64 - ROUNDING).ceil();
-        (least as usize).clamp(1, self.shards.len().max(1))
+        let shards = (self.min_coverage * self.shards.len() as f64 - ROUNDING).ceil();
+        (shards as usize).clamp(1, self.shards.len().max(1))
     }
 }
 
@@ -83,7 +83,7 @@
     pub prefix: CompactString,
     /// Whether its requests may run more than once.
     pub repeat: RepeatKind,
-    /// Longest time until a request must be answered.
+    /// Longest time for which a request may be kept waiting.
     pub timeout: Duration,
     /// Latency target: a later answer is worth little to the caller.
     pub target: Duration,
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -80,7 +80,7 @@
 /// Guards against treating a route as unchanged when only its home regions differ: a VM with an older version must
 /// notice it.
 #[gtest]
-fn other_homes_are_another_scope() {
+fn different_home_regions_change_the_scope_digest() {
     let digest = |regions: &[&str]| {
         let route = RouteEntry {
             homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
--- a/crates/ebonyfork/src/gateway/settings.rs
+++ b/crates/ebonyfork/src/gateway/settings.rs
@@ -289,8 +289,8 @@
 fn read_change_bound(reader: &mut SectionReader<'_>, key: &'static str) -> Option<Duration> {
     let bound = Duration::from_millis(reader.optional::<u64>(key)?);
     if bound < MIN_CHANGE_BOUND {
-        let least = MIN_CHANGE_BOUND.as_millis();
-        reader.report(key, format_args!("expected at least {least} ms"));
+        let min_ms = MIN_CHANGE_BOUND.as_millis();
+        reader.report(key, format_args!("expected at least {min_ms} ms"));
     }
     Some(bound)
 }
--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -134,12 +134,12 @@
             member.is_some_and(|member| member.state == MemberState::Failed)
         };
         let missing = self.missing.borrow();
-        let lapsed = |key: &CompactString, record: &VmRecord| {
+        let expired = |key: &CompactString, record: &VmRecord| {
             missing.contains(key) && !self.is_reported_running(record)
         };
         self.records
             .borrow_mut()
-            .retain(|key, record| !failed(record) && !lapsed(key, record));
+            .retain(|key, record| !failed(record) && !expired(key, record));
     }
 
     /// Returns whether the store no longer contains a registration.
--- a/crates/ebonyfork/src/gateway/vms_tests.rs
+++ b/crates/ebonyfork/src/gateway/vms_tests.rs
@@ -82,7 +82,7 @@
 type LocateCase<'a> = (&'a [(&'a str, f64)], &'a [u8]);
 
 #[gtest]
-fn callers_go_to_vms_beside_the_upstreams() {
+fn callers_go_to_vms_next_to_the_upstreams() {
     let directory = directory();
     let cases: [LocateCase<'_>; 5] = [
         (&[], &[1, 2]),
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn a_stopping_vm_does_not_name_itself() {
+fn a_stopping_vm_does_not_list_itself() {
     let directory = directory();
     expect_that!(
         locate(&directory, &zone_shares_of(&[]), false),
