--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -27,7 +27,7 @@
 
 /// Event about a group of shards that another VM gathers.
 #[derive(Debug)]
-pub enum GroupNews {
+pub enum GroupUpdate {
     /// Shards were answered or have failed.
     Reply(PartialReply),
     /// The VM can't be reached.
@@ -43,7 +43,7 @@
     /// Index of the group within its query.
     pub group: usize,
     /// What happened to the group.
-    pub news: GroupNews,
+    pub update: GroupUpdate,
 }
 
 #[derive(Debug)]
@@ -168,7 +168,7 @@
         }
         let event = GroupEvent {
             group: query.group,
-            news: GroupNews::Reply(reply),
+            update: GroupUpdate::Reply(reply),
         };
         // Sending fails if the query has just ended.
         let _ended = query.events.send(event);
@@ -225,7 +225,7 @@
             failed_queries.push((query.began, query.replied));
             let event = GroupEvent {
                 group: query.group,
-                news: GroupNews::Down {
+                update: GroupUpdate::Down {
                     sent: !unsent_numbers.contains(number),
                 },
             };
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -9,7 +9,7 @@
 
 use super::{QueryRun, RunTarget};
 use crate::gateway::clock::now;
-use crate::gateway::delegate::{GroupEvent, GroupNews};
+use crate::gateway::delegate::{GroupEvent, GroupUpdate};
 use crate::gateway::ident::PlaceName;
 use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::merge::merge_records;
@@ -148,9 +148,9 @@
 
     /// Takes in what a VM tells of a group.
     pub(super) fn take_news(&mut self, event: GroupEvent) {
-        match event.news {
-            GroupNews::Reply(reply) => self.take_reply(event.group, reply),
-            GroupNews::Down { sent } => {
+        match event.update {
+            GroupUpdate::Reply(reply) => self.take_reply(event.group, reply),
+            GroupUpdate::Down { sent } => {
                 let reach = if sent {
                     ShardReach::Run
                 } else {
