--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -118,7 +118,7 @@
     /// Whether the request may run more than once.
     pub repeat: RepeatKind,
     /// Longest silence within a streamed answer; `None` if answers must be buffered whole.
-    pub stream_patience: Option<Duration>,
+    pub stream_idle_timeout: Option<Duration>,
 }
 
 /// Records the outcome of an attempt with the health of its upstream, also if the attempt is dropped before it
@@ -251,7 +251,7 @@
     let instance = upstream.entry().instance.clone();
     let message = request.build(names, &instance, remaining_ms);
     let after_loss = request.after_loss.get();
-    let max_buffered = match context.stream_patience {
+    let max_buffered = match context.stream_idle_timeout {
         Some(_) => MAX_BUFFERED_ANSWER_BYTES,
         None => MAX_SHARD_ANSWER_BYTES,
     };
@@ -321,7 +321,7 @@
     record_load(names, &head.headers, upstream);
     let reusable = allows_reuse(&head.headers);
     let keep_alive = keep_alive_timeout(&head.headers);
-    let body = match (body.rest, context.stream_patience) {
+    let body = match (body.rest, context.stream_idle_timeout) {
         (None, _) => {
             if reusable {
                 upstream.release(active, keep_alive);
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -168,7 +168,7 @@
             core: Rc::clone(core),
             latency: core.latency(route),
             repeat: route.repeat,
-            stream_patience: matches!(target, RunTarget::One(_)).then_some(route.timeout),
+            stream_idle_timeout: matches!(target, RunTarget::One(_)).then_some(route.timeout),
         };
         let (news_sender, news) = mpsc::unbounded_channel();
         Self {
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -269,7 +269,7 @@
             core: Rc::clone(&core),
             latency: Rc::<RefCell<_>>::default(),
             repeat: RepeatKind::Idempotent,
-            stream_patience: None,
+            stream_idle_timeout: None,
         };
         let request = request(Duration::ZERO);
         let outcome = run_attempt(&context, &upstream, &request, None, || true).await;
