--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -103,7 +103,7 @@
             let latency = self.context.latency.borrow();
             latency.track(AttemptKind::Delegated).quantile(0.5)
         };
-        let working = core.vms.working_in(zone);
+        let working = core.vms.serving_in_zone(zone);
         let Some(vm) = core.delegates.choose_vm(&working, usual) else {
             return false;
         };
--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -175,7 +175,7 @@
     }
 
     /// Returns the other serving VMs of a zone.
-    pub fn working_in(&self, zone: &PlaceName) -> Vec<VmAddress> {
+    pub fn serving_in_zone(&self, zone: &PlaceName) -> Vec<VmAddress> {
         let mut usable = self.usable(None);
         usable.retain(|vm| vm.zone == zone.as_str());
         let serving = serving_vms(usable.iter());
