--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -27,7 +27,7 @@
 
 /// Event about a group of shards that another VM gathers.
 #[derive(Debug)]
-pub enum GroupNews {
+pub enum GroupUpdate {
     /// Shards were answered or have failed.
     Reply(PartialReply),
     /// The VM can't be reached.
@@ -43,7 +43,7 @@
     /// Index of the group within its query.
     pub group: usize,
     /// What happened to the group.
-    pub news: GroupNews,
+    pub update: GroupUpdate,
 }
 
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     }
 
     /// Sends a message to a VM. Returns false if it was not sent.
-    pub fn tell(&self, vm: VmAddress, message: PeerMessage) -> bool {
+    pub fn send_message(&self, vm: VmAddress, message: PeerMessage) -> bool {
         let Some(pool) = self.pool.get() else {
             return false;
         };
@@ -137,7 +137,7 @@
         self.next.set(number + 1);
         query.number = number;
         let message = PeerMessage::Partial(PartialMessage::Query(query));
-        if !self.tell(vm, message) {
+        if !self.send_message(vm, message) {
             return None;
         }
         let began = now();
@@ -168,7 +168,7 @@
         }
         let event = GroupEvent {
             group: query.group,
-            news: GroupNews::Reply(reply),
+            update: GroupUpdate::Reply(reply),
         };
         // Sending fails if the query has just ended.
         let _ended = query.events.send(event);
@@ -202,7 +202,7 @@
             return;
         }
         // If the VM can't be reached, its part of the query ends at the deadline.
-        let _told = self.tell(
+        let _sent = self.send_message(
             query.vm,
             PeerMessage::Partial(PartialMessage::Cancel(number)),
         );
@@ -225,7 +225,7 @@
             failed_queries.push((query.began, query.replied));
             let event = GroupEvent {
                 group: query.group,
-                news: GroupNews::Down {
+                update: GroupUpdate::Down {
                     sent: !unsent_numbers.contains(number),
                 },
             };
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -311,7 +311,7 @@
         }
         self.polls = following.polls;
         let leave = PeerMessage::Mirror(MirrorMessage::Leave);
-        self.core.delegates.tell(vm, leave);
+        self.core.delegates.send_message(vm, leave);
     }
 
     /// Returns whether to keep following a VM although another source is preferred now: either it is sending data,
@@ -342,7 +342,10 @@
     }
 
     fn send_to_vm(&self, vm: VmAddress, message: MirrorMessage) -> Result<(), SourceFault> {
-        let is_sent = self.core.delegates.tell(vm, PeerMessage::Mirror(message));
+        let is_sent = self
+            .core
+            .delegates
+            .send_message(vm, PeerMessage::Mirror(message));
         is_sent.then_some(()).ok_or(SourceFault::Unreachable)
     }
 
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -54,7 +54,9 @@
         prefix: route.prefix.clone(),
     };
     let requested_at = now();
-    let is_sent = core.delegates.tell(vm, PeerMessage::RouteCheck(request));
+    let is_sent = core
+        .delegates
+        .send_message(vm, PeerMessage::RouteCheck(request));
     let response = if is_sent {
         tokio::time::timeout(RESPONSE_TIMEOUT, response).await
     } else {
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -9,7 +9,7 @@
 
 use super::{QueryRun, RunTarget};
 use crate::gateway::clock::now;
-use crate::gateway::delegate::{GroupEvent, GroupNews};
+use crate::gateway::delegate::{GroupEvent, GroupUpdate};
 use crate::gateway::ident::PlaceName;
 use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::merge::merge_records;
@@ -107,7 +107,7 @@
             let latency = self.context.latency.borrow();
             latency.histogram(AttemptKind::Delegated).quantile(0.5)
         };
-        let working = core.vms.working_in(zone);
+        let working = core.vms.serving_in_zone(zone);
         let Some(vm) = core.delegates.choose_vm(&working, usual) else {
             return false;
         };
@@ -152,9 +152,9 @@
 
     /// Handles a reply for a group, or the loss of the link to its VM.
     pub(super) fn handle_event(&mut self, event: GroupEvent) {
-        match event.news {
-            GroupNews::Reply(reply) => self.handle_reply(event.group, reply),
-            GroupNews::Down { sent } => {
+        match event.update {
+            GroupUpdate::Reply(reply) => self.handle_reply(event.group, reply),
+            GroupUpdate::Down { sent } => {
                 let reach = if sent {
                     ShardReach::Run
                 } else {
