--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -1,4 +1,8 @@
-//! Retry budget whose token buckets follow the shares of the slack that the process holds at each moment. Does no I/O.
+//! Retry budget of one process, whose token buckets follow the shares of the slack that the process holds at each
+//! moment. Does no I/O.
+//!
+//! The slack is the number of repeats (retries and hedges) that all VMs together may send in addition to a ratio of the
+//! requests.
 
 use std::time::Duration;
 
@@ -36,7 +40,7 @@
 pub struct LeasedRetryBudget {
     budget: RetryBudget,
     leases: ShareLeases,
-    /// Next time at which the number of held shares may change without a message.
+    /// Next time at which the number of held shares may change without a message from another VM.
     next_change: Option<Duration>,
 }
 
@@ -94,7 +98,8 @@
         self.budget.record_request(service, now);
     }
 
-    /// Takes one token, or returns the reason why the repeat is denied.
+    /// Takes one token for a repeat to a service, or returns the reason why the repeat is denied. Either way the VM
+    /// keeps its own share for some time, because it has tried to send a repeat.
     pub fn spend(&mut self, service: &UpstreamService, now: Duration) -> Result<(), RepeatDenial> {
         self.apply_due_changes(now);
         self.leases.record_repeat(now);
@@ -124,15 +129,16 @@
         self.leases.request(owner, now)
     }
 
-    /// Accepts a granted lease; returns false if no pending request matches.
+    /// Accepts a lease that `owner` has granted; returns false unless `number` is the latest pending request to it.
     pub fn accept_grant(&mut self, owner: VmAddress, number: u64, now: Duration) -> bool {
         self.apply_due_changes(now);
-        let taken = self.leases.accept_grant(owner, number);
+        let was_accepted = self.leases.accept_grant(owner, number);
         self.update_shares(now);
-        taken
+        was_accepted
     }
 
-    /// Leases this VM's own share to `borrower`, or returns the reason for refusing.
+    /// Leases this VM's own share to `borrower`, or returns the reason for refusing. `serves` tells whether this VM
+    /// takes requests itself.
     pub fn lend(
         &mut self,
         borrower: VmAddress,
@@ -140,9 +146,9 @@
         now: Duration,
     ) -> Result<(), LendRefusal> {
         self.apply_due_changes(now);
-        let lent = self.leases.lend(borrower, serves, now);
+        let lend_result = self.leases.lend(borrower, serves, now);
         self.update_shares(now);
-        lent
+        lend_result
     }
 
     /// Returns the number of shares borrowed from other VMs.
--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -22,36 +22,37 @@
     VmAddress([10, 0, 0, number as u8].into())
 }
 
-/// Message in transit.
+/// Message about a lease from one VM to another.
 #[derive(Debug, Clone, Copy)]
 enum FleetMessage {
     Request { number: u64 },
     Grant { number: u64 },
 }
 
+/// Model of one VM.
 struct FleetVm {
-    account: LeasedRetryBudget,
-    /// Number of restarts. A message to or from an earlier process is lost with its connection.
+    retry_budget: LeasedRetryBudget,
+    /// Number of restarts of the VM's process. A message to or from an earlier process is lost with its connection.
     incarnation: u32,
     started: Duration,
     /// Speed of the VM's clock relative to model time.
     rate: f64,
     paused_until: Duration,
     next_request: Duration,
-    /// Whether the VM held no share when it last ran, and its own time then.
-    held_none: (bool, Duration),
+    /// Whether the VM held no share when it last ran a step, and its own time at that step.
+    last_run: (bool, Duration),
 }
 
 impl FleetVm {
     fn new(config: RetryBudgetConfig, now: Duration, incarnation: u32, rate: f64) -> Self {
         Self {
-            account: LeasedRetryBudget::new(config),
+            retry_budget: LeasedRetryBudget::new(config),
             incarnation,
             started: now,
             rate,
             paused_until: now,
             next_request: now,
-            held_none: (true, Duration::ZERO),
+            last_run: (true, Duration::ZERO),
         }
     }
 
@@ -61,22 +62,25 @@
     }
 }
 
+/// Message in transit, with the VM numbers and the incarnations of its sender and its receiver.
 struct InTransitMessage {
-    arrives: Duration,
-    from: (usize, u32),
-    to: (usize, u32),
+    arrives_at: Duration,
+    sender: (usize, u32),
+    receiver: (usize, u32),
     message: FleetMessage,
 }
 
 /// Faults that a random history injects.
 #[derive(Debug, Clone, Copy)]
 struct FleetFaults {
-    /// Probability of a restart, of a pause (both per VM and step) and of losing a message.
-    restarts: f64,
-    pauses: f64,
-    losses: f64,
+    /// Probability that a VM restarts, per step.
+    restart_probability: f64,
+    /// Probability that a VM is paused, per step.
+    pause_probability: f64,
+    /// Probability that a message is lost.
+    loss_probability: f64,
     /// Longest message delay.
-    delay: Duration,
+    max_delay: Duration,
     /// Whether the fleet is partitioned in two for parts of the time.
     partitions: bool,
     /// Whether the VMs take turns in taking requests.
@@ -90,7 +94,7 @@
     in_transit: VecDeque<InTransitMessage>,
     rng: ChaCha8Rng,
     faults: FleetFaults,
-    /// Whether the VMs that take requests spend all their tokens.
+    /// Whether the VMs that take requests spend all their tokens in each step.
     spends: bool,
     now: Duration,
     requests: Vec<Duration>,
@@ -118,18 +122,18 @@
         }
     }
 
-    /// Returns whether a VM takes requests in this step.
-    fn serves(&self, number: usize, serving: usize) -> bool {
+    /// Returns whether a VM is among the `serving_count` VMs that take requests in this step.
+    fn serves(&self, number: usize, serving_count: usize) -> bool {
         let phase = if self.faults.rotates {
             self.now.as_secs() as usize / 7
         } else {
             0
         };
-        (number + phase) % self.vms.len() < serving
+        (number + phase) % self.vms.len() < serving_count
     }
 
-    /// Runs one step in which each VM that takes requests receives `per_step` of them on average.
-    fn step(&mut self, serving: usize, per_step: f64) {
+    /// Runs one step in which each VM that takes requests receives `requests_per_step` of them on average.
+    fn step(&mut self, serving_count: usize, requests_per_step: f64) {
         self.now += STEP;
         let now = self.now;
         self.inject_faults();
@@ -138,26 +142,26 @@
             if self.vms[number].paused_until > now {
                 continue;
             }
-            let serves = self.serves(number, serving);
+            let serves = self.serves(number, serving_count);
             if serves && self.vms[number].next_request <= now {
                 self.vms[number].next_request = now + Duration::from_secs(1);
                 self.request_all(number);
             }
             let time = self.vms[number].time(now);
-            let count = self.vms.len();
-            let account = &mut self.vms[number].account;
-            account.set_vm_count(count, time);
+            let vm_count = self.vms.len();
+            let retry_budget = &mut self.vms[number].retry_budget;
+            retry_budget.set_vm_count(vm_count, time);
             self.check_starts_empty(number, time);
-            let account = &mut self.vms[number].account;
+            let retry_budget = &mut self.vms[number].retry_budget;
             if !serves {
                 continue;
             }
-            let more = self.rng.random_bool(per_step.fract());
-            for _ in 0..per_step as usize + usize::from(more) {
-                account.record_request(&service(), time);
+            let extra_request = self.rng.random_bool(requests_per_step.fract());
+            for _ in 0..requests_per_step as usize + usize::from(extra_request) {
+                retry_budget.record_request(&service(), time);
                 self.requests.push(now);
             }
-            while self.spends && account.spend(&service(), time).is_ok() {
+            while self.spends && retry_budget.spend(&service(), time).is_ok() {
                 self.repeats.push(now);
             }
         }
@@ -166,14 +170,14 @@
     /// Checks that a VM which starts to hold a share starts with an empty bucket.
     fn check_starts_empty(&mut self, number: usize, time: Duration) {
         let vm = &mut self.vms[number];
-        let shares = vm.account.budget.shares();
-        let (held_none, ran) = std::mem::replace(&mut vm.held_none, (shares == 0, time));
+        let shares = vm.retry_budget.budget.shares();
+        let (held_none, last_ran) = std::mem::replace(&mut vm.last_run, (shares == 0, time));
         if held_none && shares > 0 {
             // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
             let rate = self.config.slack / self.config.window.as_secs_f64();
-            let most = rate * time.saturating_sub(ran).as_secs_f64();
-            let left = vm.account.available(&service(), time);
-            expect_that!(left, le(most), "VM {number} at {:?}", self.now);
+            let max_refilled = rate * time.saturating_sub(last_ran).as_secs_f64();
+            let tokens = vm.retry_budget.available(&service(), time);
+            expect_that!(tokens, le(max_refilled), "VM {number} at {:?}", self.now);
         }
     }
 
@@ -183,7 +187,7 @@
             let mut holders = Vec::new();
             for (number, holder) in self.vms.iter().enumerate() {
                 let time = holder.time(self.now);
-                let leases = &holder.account.leases;
+                let leases = &holder.retry_budget.leases;
                 let holds = if number == owner {
                     leases.holds_own(time)
                 } else {
@@ -204,11 +208,11 @@
 
     fn inject_faults(&mut self) {
         for number in 0..self.vms.len() {
-            if self.rng.random_bool(self.faults.restarts) {
+            if self.rng.random_bool(self.faults.restart_probability) {
                 let vm = &self.vms[number];
                 self.vms[number] = FleetVm::new(self.config, self.now, vm.incarnation + 1, vm.rate);
             }
-            if self.rng.random_bool(self.faults.pauses) {
+            if self.rng.random_bool(self.faults.pause_probability) {
                 let pause = Duration::from_millis(self.rng.random_range(100..6_000));
                 self.vms[number].paused_until = self.now + pause;
             }
@@ -221,22 +225,22 @@
                 continue;
             }
             let time = self.vms[borrower].time(self.now);
-            let number = self.vms[borrower].account.request(vm(owner), time);
+            let number = self.vms[borrower].retry_budget.request(vm(owner), time);
             self.send(borrower, owner, FleetMessage::Request { number });
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, message: FleetMessage) {
-        let partitioned = self.faults.partitions && (self.now.as_secs() / 5).is_multiple_of(2);
-        let separated = partitioned && from % 2 != to % 2;
-        if separated || self.rng.random_bool(self.faults.losses) {
+    fn send(&mut self, sender: usize, receiver: usize, message: FleetMessage) {
+        let is_partitioned = self.faults.partitions && (self.now.as_secs() / 5).is_multiple_of(2);
+        let is_separated = is_partitioned && sender % 2 != receiver % 2;
+        if is_separated || self.rng.random_bool(self.faults.loss_probability) {
             return;
         }
-        let delay = self.faults.delay.mul_f64(self.rng.random::<f64>());
+        let delay = self.faults.max_delay.mul_f64(self.rng.random::<f64>());
         self.in_transit.push_back(InTransitMessage {
-            arrives: self.now + delay,
-            from: (from, self.vms[from].incarnation),
-            to: (to, self.vms[to].incarnation),
+            arrives_at: self.now + delay,
+            sender: (sender, self.vms[sender].incarnation),
+            receiver: (receiver, self.vms[receiver].incarnation),
             message,
         });
     }
@@ -246,32 +250,34 @@
             let Some(delivery) = self.in_transit.pop_front() else {
                 return;
             };
-            let (from, to) = (delivery.from.0, delivery.to.0);
-            let broken = self.vms[from].incarnation != delivery.from.1
-                || self.vms[to].incarnation != delivery.to.1;
-            if broken {
+            let (sender, receiver) = (delivery.sender.0, delivery.receiver.0);
+            let is_disconnected = self.vms[sender].incarnation != delivery.sender.1
+                || self.vms[receiver].incarnation != delivery.receiver.1;
+            if is_disconnected {
                 continue;
             }
-            if delivery.arrives > self.now || self.vms[to].paused_until > self.now {
+            if delivery.arrives_at > self.now || self.vms[receiver].paused_until > self.now {
                 self.in_transit.push_back(delivery);
                 continue;
             }
-            self.handle(from, to, delivery.message);
+            self.handle(sender, receiver, delivery.message);
         }
     }
 
-    fn handle(&mut self, from: usize, to: usize, message: FleetMessage) {
-        let time = self.vms[to].time(self.now);
+    fn handle(&mut self, sender: usize, receiver: usize, message: FleetMessage) {
+        let time = self.vms[receiver].time(self.now);
         match message {
             FleetMessage::Request { number } => {
-                let lent = self.vms[to].account.lend(vm(from), false, time);
-                if lent.is_ok() {
-                    self.send(to, from, FleetMessage::Grant { number });
+                let lend_result = self.vms[receiver]
+                    .retry_budget
+                    .lend(vm(sender), false, time);
+                if lend_result.is_ok() {
+                    self.send(receiver, sender, FleetMessage::Grant { number });
                 }
             }
             FleetMessage::Grant { number } => {
-                let account = &mut self.vms[to].account;
-                let _taken = account.accept_grant(vm(from), number, time);
+                let retry_budget = &mut self.vms[receiver].retry_budget;
+                let _was_accepted = retry_budget.accept_grant(vm(sender), number, time);
             }
         }
     }
@@ -284,66 +290,66 @@
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(1_000 + seed);
         let count = rng.random_range(2..=12_usize);
-        let serving = rng.random_range(1..=count);
+        let serving_count = rng.random_range(1..=count);
         let faults = FleetFaults {
-            restarts: rng.random_range(0.0..0.01),
-            pauses: rng.random_range(0.0..0.01),
-            losses: rng.random_range(0.0..0.3),
-            delay: Duration::from_millis(rng.random_range(1..4_000)),
+            restart_probability: rng.random_range(0.0..0.01),
+            pause_probability: rng.random_range(0.0..0.01),
+            loss_probability: rng.random_range(0.0..0.3),
+            max_delay: Duration::from_millis(rng.random_range(1..4_000)),
             partitions: rng.random_bool(0.5),
             rotates: true,
         };
         let mut fleet = ShareFleet::new(CONFIG, count, faults, seed);
-        let mut per_step = 0.0;
+        let mut requests_per_step = 0.0;
         while fleet.now < Duration::from_mins(1) {
             if rng.random_bool(0.02) {
-                per_step = rng.random_range(0.0..2.0);
+                requests_per_step = rng.random_range(0.0..2.0);
             }
-            fleet.step(serving, per_step);
+            fleet.step(serving_count, requests_per_step);
             fleet.check_holders();
         }
         check_windows(CONFIG, seed, &fleet.requests, &fleet.repeats);
     }
 }
 
-/// Returns the fraction of the repeats allowed over one window that can be spent when `serving` of `count` VMs take
-/// requests.
-fn usable_fraction(count: usize, serving: usize) -> f64 {
+/// Returns the fraction of the repeats allowed over one window that can be spent when `serving_count` of `count` VMs
+/// take requests.
+fn usable_fraction(count: usize, serving_count: usize) -> f64 {
     const REQUESTS_PER_SECOND: f64 = 48.5;
     let config = RetryBudgetConfig {
         slack: 430.0,
         ..CONFIG
     };
-    let healthy = FleetFaults {
-        restarts: 0.0,
-        pauses: 0.0,
-        losses: 0.0,
-        delay: Duration::from_millis(2),
+    let no_faults = FleetFaults {
+        restart_probability: 0.0,
+        pause_probability: 0.0,
+        loss_probability: 0.0,
+        max_delay: Duration::from_millis(2),
         partitions: false,
         rotates: false,
     };
-    let mut fleet = ShareFleet::new(config, count, healthy, 1);
+    let mut fleet = ShareFleet::new(config, count, no_faults, 1);
     // Let all shares be leased and all buckets fill up.
     fleet.spends = false;
     while fleet.now < Duration::from_secs(20) {
-        fleet.step(serving, 0.0);
+        fleet.step(serving_count, 0.0);
     }
     fleet.spends = true;
-    let begin = fleet.now;
-    let per_step = REQUESTS_PER_SECOND * STEP.as_secs_f64() / serving as f64;
-    while fleet.now < begin + config.window {
-        fleet.step(serving, per_step);
+    let window_start = fleet.now;
+    let requests_per_step = REQUESTS_PER_SECOND * STEP.as_secs_f64() / serving_count as f64;
+    while fleet.now < window_start + config.window {
+        fleet.step(serving_count, requests_per_step);
     }
-    let allowed = config.slack + config.ratio * fleet.requests.len() as f64;
-    fleet.repeats.len() as f64 / allowed
+    let allowed_repeats = config.slack + config.ratio * fleet.requests.len() as f64;
+    fleet.repeats.len() as f64 / allowed_repeats
 }
 
 /// Guards against fragmentation of the slack: without leases, each of 200 VMs could spend only a fifth of a repeat for
 /// each of its requests.
 #[gtest]
 fn few_serving_vms_can_spend_what_the_bound_allows_for_all() {
-    for (count, serving) in [(9, 9), (78, 12), (200, 18)] {
-        let fraction = usable_fraction(count, serving);
-        expect_that!(fraction, ge(0.9), "{serving} of {count} VMs serve");
+    for (count, serving_count) in [(9, 9), (78, 12), (200, 18)] {
+        let fraction = usable_fraction(count, serving_count);
+        expect_that!(fraction, ge(0.9), "{serving_count} of {count} VMs serve");
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
@@ -1,5 +1,6 @@
 //! Token buckets, one per service, whose capacity and refill rate depend on how many shares of the slack the process
-//! holds.
+//! holds. The slack is the number of repeats (retries and hedges) that all VMs together may send in addition to a ratio
+//! of the requests.
 //!
 //! Each request that the VM accepts from a caller adds `ratio` tokens; the shares add tokens over time. Tokens spent in
 //! a window were therefore earned by requests that count towards the bound in that window, were refilled in it, or were
@@ -62,11 +63,13 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
+    /// Number of VMs among which the slack is divided.
     vm_count: usize,
+    /// Number of shares of the slack that this process holds.
     shares: usize,
     /// State of a bucket that was never used; new services start from it.
-    unused: TokenBucket,
-    services: FxHashMap<UpstreamService, TokenBucket>,
+    unused_bucket: TokenBucket,
+    buckets: FxHashMap<UpstreamService, TokenBucket>,
 }
 
 impl RetryBudget {
@@ -95,8 +98,8 @@
             config,
             vm_count: 1,
             shares: 1,
-            unused: TokenBucket::default(),
-            services: FxHashMap::default(),
+            unused_bucket: TokenBucket::default(),
+            buckets: FxHashMap::default(),
         }
     }
 
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Returns the number of shares that the process holds.
+    /// Returns the number of shares of the slack that the process holds.
     pub fn shares(&self) -> usize {
         self.shares
     }
@@ -136,8 +139,8 @@
 
     fn refill_all(&mut self, now: Duration) {
         let parameters = self.parameters();
-        self.unused.refill(parameters, now);
-        for bucket in self.services.values_mut() {
+        self.unused_bucket.refill(parameters, now);
+        for bucket in self.buckets.values_mut() {
             bucket.refill(parameters, now);
         }
     }
@@ -145,13 +148,13 @@
     /// Adds the tokens earned by a request that this VM accepted from a caller; called once for each service that the
     /// request needs.
     pub fn record_request(&mut self, service: &UpstreamService, now: Duration) {
-        let earned = self.config.ratio * USABLE_FRACTION;
+        let earned_tokens = self.config.ratio * USABLE_FRACTION;
         let capacity = self.parameters().capacity;
         let bucket = self.bucket(service, now);
-        bucket.tokens = (bucket.tokens + earned).min(capacity);
+        bucket.tokens = (bucket.tokens + earned_tokens).min(capacity);
     }
 
-    /// Takes one token and returns true, or returns false if there is none.
+    /// Takes one token for a repeat to a service and returns true, or returns false if there is none.
     pub fn spend(&mut self, service: &UpstreamService, now: Duration) -> bool {
         let bucket = self.bucket(service, now);
         if bucket.tokens < 1.0 {
@@ -161,9 +164,9 @@
         true
     }
 
-    /// Returns the number of repeats that could be sent now.
+    /// Returns the number of repeats that could be sent to a service now.
     pub fn available(&self, service: &UpstreamService, now: Duration) -> f64 {
-        let bucket = self.services.get(service).unwrap_or(&self.unused);
+        let bucket = self.buckets.get(service).unwrap_or(&self.unused_bucket);
         let mut bucket = *bucket;
         bucket.refill(self.parameters(), now);
         bucket.tokens
@@ -173,14 +176,14 @@
     /// used, so removing them adds no tokens.
     pub fn remove_idle(&mut self, now: Duration) {
         let window = self.config.window;
-        self.services
+        self.buckets
             .retain(|_service, bucket| now.saturating_sub(bucket.last_used) < window);
     }
 
     fn bucket(&mut self, service: &UpstreamService, now: Duration) -> &mut TokenBucket {
         let parameters = self.parameters();
-        let unused = self.unused;
-        let bucket = self.services.entry(service.clone()).or_insert(unused);
+        let unused_bucket = self.unused_bucket;
+        let bucket = self.buckets.entry(service.clone()).or_insert(unused_bucket);
         bucket.refill(parameters, now);
         bucket.last_used = now;
         bucket
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -14,8 +14,8 @@
     UpstreamService::new("shard")
 }
 
-/// The previous process may have spent the whole bound, so a new one only has what its own requests earn; it may spend
-/// that at once.
+/// The previous process on the VM may have sent all repeats that the bound allows, so a new process only has the tokens
+/// that its own requests earn; it may spend those at once.
 #[gtest]
 fn a_new_process_starts_with_an_empty_bucket() {
     let mut budget = RetryBudget::new(CONFIG);
@@ -29,24 +29,25 @@
     expect_that!(budget.spend(&service(), now), eq(false));
 }
 
-/// Guards against saving up tokens: however long the VM was idle and however many requests it counted, it spends no
-/// more than its part of the slack in a window without requests. It can spend all of that part.
+/// The slack of 54 repeats is divided equally among 9 VMs, so each may send 6 of them in a window, of which the usable
+/// fraction leaves 5 whole ones. Guards against a VM that saves up more tokens than that: it was idle for two windows
+/// and has counted 1,000 requests, and still sends exactly 5 repeats in the window that follows.
 #[gtest]
 fn the_slack_is_shared_among_all_vms() {
     let mut budget = RetryBudget::new(CONFIG);
     budget.set_vm_count(9, Duration::ZERO);
-    let begin = Duration::from_secs(20);
+    let window_start = Duration::from_secs(20);
     for _ in 0..1_000 {
-        budget.record_request(&service(), begin);
+        budget.record_request(&service(), window_start);
     }
-    let mut spent = 0;
+    let mut repeat_count = 0;
     for step in 0..100 {
-        let now = begin + CONFIG.window.mul_f64(f64::from(step) / 100.0);
+        let now = window_start + CONFIG.window.mul_f64(f64::from(step) / 100.0);
         while budget.spend(&service(), now) {
-            spent += 1;
+            repeat_count += 1;
         }
     }
-    expect_that!(spent, eq(5));
+    expect_that!(repeat_count, eq(5));
 }
 
 /// Tokens of shares that a process gives up are lost; shares that it gains start without tokens.
@@ -54,22 +55,25 @@
 fn a_bucket_follows_the_shares_that_are_held() {
     let mut budget = RetryBudget::new(CONFIG);
     budget.set_vm_count(9, Duration::ZERO);
-    let idle = Duration::from_secs(30);
-    let single_share = budget.available(&service(), idle);
-    budget.set_held_shares(4, idle);
-    expect_that!(budget.available(&service(), idle), le(single_share));
-    let later = idle + CONFIG.window * 2;
+    let idle_until = Duration::from_secs(30);
+    let single_share = budget.available(&service(), idle_until);
+    budget.set_held_shares(4, idle_until);
+    expect_that!(budget.available(&service(), idle_until), le(single_share));
+    let two_windows_later = idle_until + CONFIG.window * 2;
     expect_that!(
-        budget.available(&service(), later),
+        budget.available(&service(), two_windows_later),
         near(single_share * 4.0, 1e-9)
     );
-    budget.set_held_shares(1, later);
+    budget.set_held_shares(1, two_windows_later);
     expect_that!(
-        budget.available(&service(), later),
+        budget.available(&service(), two_windows_later),
         near(single_share, 1e-9)
     );
-    budget.set_held_shares(0, later);
-    expect_that!(budget.available(&service(), later + CONFIG.window), eq(0.0));
+    budget.set_held_shares(0, two_windows_later);
+    expect_that!(
+        budget.available(&service(), two_windows_later + CONFIG.window),
+        eq(0.0)
+    );
 }
 
 #[gtest]
@@ -99,7 +103,7 @@
         let mut now = Duration::ZERO;
         while now < Duration::from_mins(1) {
             now += STEP;
-            let load = if (now.as_secs() / 7).is_multiple_of(2) {
+            let max_requests = if (now.as_secs() / 7).is_multiple_of(2) {
                 4
             } else {
                 0
@@ -110,12 +114,12 @@
                     *started = now;
                 }
                 budget.set_vm_count(vms, now.checked_sub(*started).unwrap());
-                let age = now.checked_sub(*started).unwrap();
-                for _ in 0..rng.random_range(0..=load) {
-                    budget.record_request(&service(), age);
+                let uptime = now.checked_sub(*started).unwrap();
+                for _ in 0..rng.random_range(0..=max_requests) {
+                    budget.record_request(&service(), uptime);
                     requests.push(now);
                 }
-                while budget.spend(&service(), age) {
+                while budget.spend(&service(), uptime) {
                     repeats.push(now);
                 }
             }
@@ -133,35 +137,35 @@
     repeats: &[Duration],
 ) {
     // Both lists are sorted by time.
-    let count = |times: &[Duration], from: Duration, to: Duration| {
-        let before = |moment: Duration| times.partition_point(|time| *time < moment);
-        before(to) - before(from)
+    let count_between = |times: &[Duration], begin: Duration, end: Duration| {
+        let count_before = |moment: Duration| times.partition_point(|time| *time < moment);
+        count_before(end) - count_before(begin)
     };
     let window = config.window;
     for start in (0..500_u64).map(|step| Duration::from_millis(step * 100)) {
-        let spent = count(repeats, start, start + window);
-        let earlier = [Duration::ZERO, window / 2, window];
-        let most = earlier
+        let repeat_count = count_between(repeats, start, start + window);
+        let shifts = [Duration::ZERO, window / 2, window];
+        let max_requests = shifts
             .iter()
-            .map(|back| {
-                let from = start.saturating_sub(*back);
-                count(requests, from, from + window)
+            .map(|shift| {
+                let shifted_start = start.saturating_sub(*shift);
+                count_between(requests, shifted_start, shifted_start + window)
             })
             .max()
             .unwrap_or_default();
-        let bound = most as f64 * config.ratio + config.slack;
-        expect_that!(spent as f64, le(bound), "seed {seed} from {start:?}");
+        let bound = max_requests as f64 * config.ratio + config.slack;
+        expect_that!(repeat_count as f64, le(bound), "seed {seed} from {start:?}");
     }
 }
 
-/// Model of one VM: the budget of its current process and the time at which that process started.
+/// Model of one VM: the budget of its current process, and when that process started.
 struct ModelVm {
     budget: RetryBudget,
     started: Duration,
     /// Speed of the VM's clock relative to model time.
     rate: f64,
-    /// Relative share of the callers that use this VM.
-    callers: f64,
+    /// Weight of this VM when requests are distributed among the VMs.
+    caller_weight: f64,
     /// Time until which the VM takes no requests after a restart.
     away_until: Duration,
 }
@@ -172,7 +176,7 @@
             budget: RetryBudget::new(CONFIG),
             started,
             rate,
-            callers: 1.0,
+            caller_weight: 1.0,
             away_until: started,
         }
     }
@@ -182,19 +186,19 @@
     }
 }
 
-/// VMs join, stop, restart and take over one another's callers while an upstream declines requests; each VM spends all
-/// its tokens as soon as that begins. A request counts on the VM that accepted it and is repeated there or by a VM that
-/// gathers parts. Clocks are up to 1 % too fast or too slow.
+/// VMs join, stop, restart and take over one another's callers. During every other period of 9 s an upstream declines
+/// requests, and each VM spends all its tokens as soon as such a period begins. A request counts on the VM that
+/// accepted it and is repeated there or by a VM that gathers parts. Clocks are up to 1 % too fast or too slow.
 #[gtest]
 fn no_window_exceeds_the_bound_while_vms_join_and_restart() {
     const STEP: Duration = Duration::from_millis(50);
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let most = rng.random_range(4..=14_usize);
-        let skew = |rng: &mut ChaCha8Rng| 1.0 + rng.random_range(-0.01..0.01);
+        let max_vms = rng.random_range(4..=14_usize);
+        let random_rate = |rng: &mut ChaCha8Rng| 1.0 + rng.random_range(-0.01..0.01);
         let mut vms: Vec<ModelVm> = Vec::new();
-        for _ in 0..most.div_ceil(2) {
-            let rate = skew(&mut rng);
+        for _ in 0..max_vms.div_ceil(2) {
+            let rate = random_rate(&mut rng);
             vms.push(ModelVm::new(Duration::ZERO, rate));
         }
         let mut requests = Vec::new();
@@ -202,12 +206,12 @@
         let mut now = Duration::ZERO;
         while now < Duration::from_mins(1) {
             now += STEP;
-            let declining = (now.as_secs() / 9) % 2 == 1;
-            if vms.len() < most && rng.random_bool(0.01) {
-                let rate = skew(&mut rng);
+            let upstream_declines = (now.as_secs() / 9) % 2 == 1;
+            if vms.len() < max_vms && rng.random_bool(0.01) {
+                let rate = random_rate(&mut rng);
                 vms.push(ModelVm::new(now, rate));
             }
-            let count = vms.len();
+            let vm_count = vms.len();
             for vm in &mut vms {
                 if rng.random_bool(0.004) {
                     // The VM stops, and its callers use the others for a while.
@@ -215,25 +219,31 @@
                     vm.away_until = now + Duration::from_secs(rng.random_range(1..6));
                 }
                 if rng.random_bool(0.01) {
-                    vm.callers = rng.random_range(0.0..3.0);
+                    vm.caller_weight = rng.random_range(0.0..3.0);
                 }
             }
-            let taking = |vm: &ModelVm| if vm.away_until > now { 0.0 } else { vm.callers };
-            let all: f64 = vms.iter().map(taking).sum();
-            for number in 0..count {
-                let share = taking(&vms[number]) / all.max(0.001);
-                let age = vms[number].uptime(now);
-                vms[number].budget.set_vm_count(count, age);
+            let active_weight = |vm: &ModelVm| {
+                if vm.away_until > now {
+                    0.0
+                } else {
+                    vm.caller_weight
+                }
+            };
+            let total_weight: f64 = vms.iter().map(active_weight).sum();
+            for number in 0..vm_count {
+                let share = active_weight(&vms[number]) / total_weight.max(0.001);
+                let uptime = vms[number].uptime(now);
+                vms[number].budget.set_vm_count(vm_count, uptime);
                 for _ in 0..7 {
                     if rng.random_bool(share.min(1.0)) {
-                        vms[number].budget.record_request(&service(), age);
+                        vms[number].budget.record_request(&service(), uptime);
                         requests.push(now);
                     }
                 }
-                let gatherer = rng.random_range(0..count);
+                let gatherer = rng.random_range(0..vm_count);
                 for spender in [number, gatherer] {
-                    let age = vms[spender].uptime(now);
-                    while declining && vms[spender].budget.spend(&service(), age) {
+                    let uptime = vms[spender].uptime(now);
+                    while upstream_declines && vms[spender].budget.spend(&service(), uptime) {
                         repeats.push(now);
                     }
                 }
@@ -248,7 +258,7 @@
     let mut budget = RetryBudget::new(CONFIG);
     budget.record_request(&service(), Duration::from_secs(1));
     budget.remove_idle(Duration::from_secs(5));
-    expect_that!(budget.services.len(), eq(1));
+    expect_that!(budget.buckets.len(), eq(1));
     budget.remove_idle(Duration::from_secs(30));
-    expect_that!(budget.services.len(), eq(0));
+    expect_that!(budget.buckets.len(), eq(0));
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -1,4 +1,7 @@
-//! Tracks which shares of the slack this process holds: its own, and those leased from other VMs. Does no I/O.
+//! Tracks the shares of the slack that this process holds: its own, and those leased from other VMs. Does no I/O.
+//!
+//! The slack is the number of repeats (retries and hedges) that all VMs together may send in addition to a ratio of the
+//! requests. Each VM owns an equal share of it, which it can lease to another VM.
 
 use std::time::Duration;
 
@@ -32,11 +35,11 @@
     NeededHere,
 }
 
-/// Lease request that was not answered yet.
+/// Lease request to another VM that was not answered yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingRequest {
     number: u64,
-    sent: Duration,
+    sent_at: Duration,
 }
 
 /// Share borrowed from another VM.
@@ -50,10 +53,10 @@
 #[derive(Debug, Default)]
 pub struct ShareLeases {
     next_number: u64,
-    pending: FxHashMap<VmAddress, PendingRequest>,
-    borrowed: FxHashMap<VmAddress, BorrowedShare>,
+    pending_requests: FxHashMap<VmAddress, PendingRequest>,
+    borrowed_shares: FxHashMap<VmAddress, BorrowedShare>,
     /// Borrower of this VM's own share and the end of the lease.
-    lent: Option<(VmAddress, Duration)>,
+    own_lease: Option<(VmAddress, Duration)>,
     /// Time at which this VM last tried to send a repeat.
     last_repeat: Option<Duration>,
 }
@@ -83,20 +86,20 @@
 
     /// Returns the number of shares borrowed from other VMs at `now`.
     pub fn borrowed(&self, now: Duration) -> usize {
-        let shares = self.borrowed.values();
+        let shares = self.borrowed_shares.values();
         shares.filter(|share| now < share.expires).count()
     }
 
     /// Returns the VM that this VM's own share is leased to at `now`.
     pub fn lent_to(&self, now: Duration) -> Option<VmAddress> {
-        let (borrower, expires) = self.lent?;
+        let (borrower, expires) = self.own_lease?;
         (now < expires).then_some(borrower)
     }
 
     /// Returns whether the share of `owner` is held at `now`.
     #[cfg(test)]
     pub(super) fn holds_share_of(&self, owner: VmAddress, now: Duration) -> bool {
-        let share = self.borrowed.get(&owner);
+        let share = self.borrowed_shares.get(&owner);
         share.is_some_and(|share| now < share.expires)
     }
 
@@ -105,11 +108,11 @@
         now >= LEASE_TERM && self.lent_to(now).is_none()
     }
 
-    /// Returns the next time after `now` at which [`Self::shares`] may change without a message.
+    /// Returns the next time after `now` at which [`Self::shares`] may change without a message from another VM.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let expiries = self.borrowed.values().map(|share| share.expires);
-        let own = self.lent.map(|(_borrower, expires)| expires);
-        let changes = expiries.chain(own).chain([LEASE_TERM]);
+        let expiries = self.borrowed_shares.values().map(|share| share.expires);
+        let own_expiry = self.own_lease.map(|(_borrower, expires)| expires);
+        let changes = expiries.chain(own_expiry).chain([LEASE_TERM]);
         changes.filter(|change| *change > now).min()
     }
 
@@ -122,20 +125,24 @@
     pub fn request(&mut self, owner: VmAddress, now: Duration) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        let request = PendingRequest { number, sent: now };
-        self.pending.insert(owner, request);
+        let request = PendingRequest {
+            number,
+            sent_at: now,
+        };
+        self.pending_requests.insert(owner, request);
         number
     }
 
     /// Accepts a granted lease; returns false unless `number` is the latest pending request to `owner`.
     pub fn accept_grant(&mut self, owner: VmAddress, number: u64) -> bool {
-        let request = self.pending.get(&owner).copied();
+        let request = self.pending_requests.get(&owner).copied();
         let Some(request) = request.filter(|request| request.number == number) else {
             return false;
         };
-        self.pending.remove(&owner);
-        let expires = request.sent + BORROWER_TERM;
-        self.borrowed.insert(owner, BorrowedShare { expires });
+        self.pending_requests.remove(&owner);
+        let expires = request.sent_at + BORROWER_TERM;
+        self.borrowed_shares
+            .insert(owner, BorrowedShare { expires });
         true
     }
 
@@ -157,15 +164,17 @@
         if serves || self.last_repeat.is_some_and(is_recent) {
             return Err(LendRefusal::NeededHere);
         }
-        self.lent = Some((borrower, now + LEASE_TERM));
+        self.own_lease = Some((borrower, now + LEASE_TERM));
         Ok(())
     }
 
     /// Removes expired leases and requests.
     pub fn remove_expired(&mut self, now: Duration) {
-        self.borrowed.retain(|_owner, share| now < share.expires);
-        let expiry = |request: &PendingRequest| request.sent + LEASE_TERM;
-        self.pending.retain(|_owner, request| now < expiry(request));
+        self.borrowed_shares
+            .retain(|_owner, share| now < share.expires);
+        let expiry = |request: &PendingRequest| request.sent_at + LEASE_TERM;
+        self.pending_requests
+            .retain(|_owner, request| now < expiry(request));
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/budget/message.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/message.rs
@@ -1,4 +1,5 @@
-//! Messages between VMs about leasing shares of the slack.
+//! Messages with which VMs lease one another their shares of the slack: the repeats that are allowed in addition to a
+//! ratio of the requests.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/ebonyfork/src/gateway/policy/budget/mod.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/mod.rs
@@ -1,10 +1,10 @@
 //! Limits how many repeats (retries and hedges) all VMs together may send.
 //!
-//! For each service, the repeats sent in any window of the configured length are bounded by a ratio of the requests
-//! plus a fixed slack. Each VM owns an equal share of the slack, which its token buckets turn into repeats
-//! ([`RetryBudget`]). A VM that takes no requests can't use its share, and the share of one VM among hundreds is less
-//! than one or two repeats, so VMs that take no requests lease their shares to VMs that do ([`ShareLeases`]).
-//! [`LeasedRetryBudget`] combines both; requests spend from it.
+//! For each service, the repeats that all VMs together send in any window of the configured length are bounded by a
+//! ratio of the requests plus a fixed number of repeats, the slack. Each VM owns an equal share of the slack, which its
+//! token buckets turn into repeats ([`RetryBudget`]). A VM that takes no requests can't use its share, and the share of
+//! one VM among hundreds is less than one or two repeats, so VMs that take no requests lease their shares to VMs that
+//! do ([`ShareLeases`]). [`LeasedRetryBudget`] combines both; requests spend from it.
 //!
 //! The sum over all VMs stays within the bound, whatever happens to individual VMs:
 //!
--- a/crates/ebonyfork/src/gateway/policy/cold/bound.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/bound.rs
@@ -22,19 +22,20 @@
     }
 }
 
-/// Requests that a cold upstream may get in one second beyond the rate that it tolerates.
+/// Bound on the requests that a cold upstream may get in one second from all VMs together, in terms of the rate that it
+/// tolerates.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdBound {
-    /// Factor applied to the tolerated rate.
+    /// Factor by which the tolerated rate may be exceeded.
     pub overage: f64,
-    /// Requests added to the product.
+    /// Number of requests allowed in addition to the tolerated rate times `overage`.
     pub slack: f64,
 }
 
 impl ColdBound {
     /// Returns the number of requests that all VMs together may send to one upstream in any second.
-    pub fn limit(&self, tolerated: RequestRate) -> usize {
-        (tolerated.0 * self.overage + self.slack) as usize
+    pub fn limit(&self, tolerated_rate: RequestRate) -> usize {
+        (tolerated_rate.0 * self.overage + self.slack) as usize
     }
 
     /// Returns the number of requests that the claim holder sends in any second: the rate that the upstream tolerates,
@@ -50,11 +51,11 @@
     /// assert_eq!(bound.pace(RequestRate(0.3)), Some(1));
     /// assert_eq!(bound.pace(RequestRate(0.0)), None);
     /// ```
-    pub fn pace(&self, tolerated: RequestRate) -> Option<usize> {
-        if tolerated.0 <= 0.0 {
+    pub fn pace(&self, tolerated_rate: RequestRate) -> Option<usize> {
+        if tolerated_rate.0 <= 0.0 {
             return None;
         }
-        let whole_requests = (tolerated.0 as usize).max(1);
-        Some(whole_requests.min(self.limit(tolerated)))
+        let whole_requests = (tolerated_rate.0 as usize).max(1);
+        Some(whole_requests.min(self.limit(tolerated_rate)))
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/cold/claim.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim.rs
@@ -14,7 +14,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::window::WINDOW;
+use super::window::WINDOW_LENGTH;
 use crate::ident::SessionId;
 use crate::store::{StoreEra, StoreRevision};
 
@@ -22,10 +22,11 @@
 pub const CLAIM_TERM: Duration = Duration::from_secs(4);
 /// Time after which a holder renews its claim. Two renewals may fail before the term ends.
 const RENEWAL_PERIOD: Duration = Duration::from_millis(1_300);
-/// Time for which a claim must be unchanged before another VM takes it over, and for which an era must be known before
-/// claims are written: the term, a window, and an allowance for clock drift between two VMs.
+/// Time for which a claim must be unchanged before another VM takes it over, and for which a store era must be known
+/// before claims are written in it: [`CLAIM_TERM`], [`WINDOW_LENGTH`], and an allowance for clock drift between two
+/// VMs.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(5_500);
-/// Delay before a write is repeated after it failed.
+/// Minimum time from the beginning of a write to that of the next one, which repeats the first one if it failed.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
 /// Record in the store for one availability zone.
@@ -37,16 +38,17 @@
     pub era: StoreEra,
 }
 
-/// Write that is due. It must only be applied if the key is at the expected revision.
+/// Write of the claim's record that is due. The store must only apply it if the claim's key is at the expected
+/// revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimWrite {
-    /// Revision that the key must have.
+    /// Revision that the claim's key must have.
     pub expected: StoreRevision,
     /// Record to write.
     pub record: ClaimRecord,
 }
 
-/// Latest record read from the store or written to it.
+/// Latest record of the claim that this process read from the store or wrote to it.
 #[derive(Debug, Clone, Copy)]
 struct ObservedClaim {
     revision: StoreRevision,
@@ -55,26 +57,27 @@
     first_seen: Duration,
 }
 
-/// Period in which this process may send.
+/// Period in which this process may send requests to the zone's cold upstreams, because it holds the claim. Ends one
+/// [`CLAIM_TERM`] after the process began the write that gave it the claim or renewed it.
 #[derive(Debug, Clone, Copy)]
 struct SendPeriod {
-    from: Duration,
-    until: Duration,
+    start: Duration,
+    end: Duration,
 }
 
-/// Claim on one availability zone as known to one process. Times are durations since the process started, on a clock
-/// that keeps running while the VM is suspended.
+/// Claim on the cold upstreams of one availability zone, as known to one process. Times are durations since the process
+/// started, on a clock that keeps running while the VM is suspended.
 #[derive(Debug)]
 pub struct ZoneClaim {
-    own: SessionId,
+    own_session: SessionId,
     /// Current store era.
     era: StoreEra,
-    /// Time until which a claim of the previous era may still be in use on some VM.
+    /// Time until which a claim of the previous store era may still be in use on some VM.
     no_writes_until: Duration,
-    observed: Option<ObservedClaim>,
-    /// Period in which this process may send; `None` if it doesn't hold the claim.
-    term: Option<SendPeriod>,
-    /// Time at which the last write was begun.
+    observed_claim: Option<ObservedClaim>,
+    /// Period in which this process may send to the zone's cold upstreams; `None` if it doesn't hold the claim.
+    send_period: Option<SendPeriod>,
+    /// Time at which this process began its last write of the claim.
     last_write: Option<Duration>,
 }
 
@@ -98,29 +101,29 @@
     /// assert!(!claim.may_send(now + Duration::from_secs(5)));
     /// # Ok::<(), ebonyfork::ident::IdentError>(())
     /// ```
-    pub fn new(own: SessionId) -> Self {
+    pub fn new(own_session: SessionId) -> Self {
         Self {
-            own,
+            own_session,
             era: StoreEra::UNSTATED,
             no_writes_until: Duration::ZERO,
-            observed: None,
-            term: None,
+            observed_claim: None,
+            send_period: None,
             last_write: None,
         }
     }
 
     /// Returns whether this process may send to the zone's cold upstreams.
     pub fn may_send(&self, now: Duration) -> bool {
-        self.term
-            .is_some_and(|term| term.from <= now && now < term.until)
+        self.send_period
+            .is_some_and(|period| period.start <= now && now < period.end)
     }
 
     /// Returns whether any process, including this one, may be sending to the zone's cold upstreams.
     pub fn is_held(&self, now: Duration) -> bool {
-        let held = |observed: &ObservedClaim| {
+        let may_be_in_use = |observed: &ObservedClaim| {
             observed.record.holder.is_some() && now < observed.first_seen + TAKEOVER_DELAY
         };
-        self.observed.as_ref().is_some_and(held)
+        self.observed_claim.as_ref().is_some_and(may_be_in_use)
     }
 
     /// Records that the store has entered an era. Everything read or written in an earlier era becomes void.
@@ -130,24 +133,24 @@
         }
         self.era = era;
         self.no_writes_until = now + TAKEOVER_DELAY;
-        self.observed = None;
-        self.term = None;
+        self.observed_claim = None;
+        self.send_period = None;
         self.last_write = None;
     }
 
     /// Updates the state with a record that was read from the store.
     pub fn observe(&mut self, revision: StoreRevision, record: ClaimRecord, now: Duration) {
         self.enter_era(revision.era(), now);
-        let outdated = self
-            .observed
+        let is_outdated = self
+            .observed_claim
             .is_some_and(|observed| observed.revision >= revision);
-        if outdated || revision.era() < self.era {
+        if is_outdated || revision.era() < self.era {
             return;
         }
         if !self.is_own(record) {
-            self.term = None;
+            self.send_period = None;
         }
-        self.observed = Some(ObservedClaim {
+        self.observed_claim = Some(ObservedClaim {
             revision,
             record,
             first_seen: now,
@@ -162,22 +165,24 @@
         }
         let wrote_within = |period: Duration| {
             self.last_write
-                .is_some_and(|written| now < written + period)
+                .is_some_and(|begun_at| now < begun_at + period)
         };
         if wrote_within(RETRY_DELAY) {
             return None;
         }
-        let absent = StoreRevision::ABSENT.with_era(self.era);
-        let expected = self.observed.map_or(absent, |observed| observed.revision);
-        let own = self
-            .observed
+        let absent_revision = StoreRevision::ABSENT.with_era(self.era);
+        let expected = self
+            .observed_claim
+            .map_or(absent_revision, |observed| observed.revision);
+        let is_own = self
+            .observed_claim
             .is_some_and(|observed| self.is_own(observed.record));
         if !wanted {
-            if !own {
+            if !is_own {
                 return None;
             }
-            // Stops sending before the claim is given back.
-            self.term = None;
+            // This process stops sending before it gives the claim back.
+            self.send_period = None;
             self.last_write = Some(now);
             return Some(ClaimWrite {
                 expected,
@@ -187,15 +192,16 @@
                 },
             });
         }
-        let has_term = self.term.is_some();
-        if (own && has_term && wrote_within(RENEWAL_PERIOD)) || (!own && !self.is_free(now)) {
+        let has_period = self.send_period.is_some();
+        if (is_own && has_period && wrote_within(RENEWAL_PERIOD)) || (!is_own && !self.is_free(now))
+        {
             return None;
         }
         self.last_write = Some(now);
         Some(ClaimWrite {
             expected,
             record: ClaimRecord {
-                holder: Some(self.own),
+                holder: Some(self.own_session),
                 era: self.era,
             },
         })
@@ -203,12 +209,13 @@
 
     /// Returns whether a record is this process's own claim in the current era.
     fn is_own(&self, record: ClaimRecord) -> bool {
-        record.holder == Some(self.own) && record.era == self.era
+        record.holder == Some(self.own_session) && record.era == self.era
     }
 
-    /// Returns whether no other process can be sending any more, apart from requests that one window absorbs.
+    /// Returns whether no other process can be sending to the zone's cold upstreams any more. It may have stopped only
+    /// now; a process that takes the claim over therefore waits for one [`WINDOW_LENGTH`] before it sends.
     fn is_free(&self, now: Duration) -> bool {
-        let Some(observed) = self.observed else {
+        let Some(observed) = self.observed_claim else {
             return true;
         };
         if observed.record.era != self.era {
@@ -216,52 +223,52 @@
         }
         match observed.record.holder {
             None => true,
-            // A previous process on this VM, which has ended.
-            Some(holder) if holder.vm == self.own.vm => true,
+            // The holder is a previous process on this VM, which has ended.
+            Some(holder) if holder.vm == self.own_session.vm => true,
             Some(_other) => now >= observed.first_seen + TAKEOVER_DELAY,
         }
     }
 
-    /// Records that a write begun at `begun` was applied and the key is now at `revision`.
+    /// Records that the store applied a write begun at `begun_at`, which has put the claim's key at `revision`.
     pub fn record_write(
         &mut self,
         write: ClaimWrite,
         revision: StoreRevision,
-        begun: Duration,
+        begun_at: Duration,
         now: Duration,
     ) {
         self.enter_era(revision.era(), now);
         if write.record.era != revision.era() || revision.era() < self.era {
-            // The condition was read in another era, or the era of the write has ended.
+            // The write's condition was read in another era, or the era in which it was applied has ended.
             return;
         }
         if self
-            .observed
+            .observed_claim
             .is_some_and(|observed| observed.revision > revision)
         {
-            // The key was written again since.
+            // The claim has been written again since this write.
             return;
         }
-        let previous = self.observed;
-        self.observed = Some(ObservedClaim {
+        let previous_claim = self.observed_claim;
+        self.observed_claim = Some(ObservedClaim {
             revision,
             record: write.record,
             first_seen: now,
         });
         if write.record.holder.is_none() {
-            self.term = None;
+            self.send_period = None;
             return;
         }
-        let from = match (self.term, previous) {
-            (Some(term), _) => term.from,
-            // The claim was never held.
-            (None, None) => begun,
+        let start = match (self.send_period, previous_claim) {
+            (Some(period), _) => period.start,
+            // The claim's key didn't exist, so no process has held the claim.
+            (None, None) => begun_at,
             // Any previous holder, including this process, may have sent until now.
-            (None, Some(_)) => now + WINDOW,
+            (None, Some(_)) => now + WINDOW_LENGTH,
         };
-        self.term = Some(SendPeriod {
-            from,
-            until: begun + CLAIM_TERM,
+        self.send_period = Some(SendPeriod {
+            start,
+            end: begun_at + CLAIM_TERM,
         });
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
@@ -24,11 +24,12 @@
     }
 }
 
-fn in_era(number: u64, era: u64) -> StoreRevision {
-    StoreRevision::new(number).with_era(StoreEra(era))
+fn in_era(revision_number: u64, era: u64) -> StoreRevision {
+    StoreRevision::new(revision_number).with_era(StoreEra(era))
 }
 
-/// The store was restored without the claim; its holder keeps sending until its term ends or it learns of the new era.
+/// The store was restored from a copy without the claim; the holder of the claim keeps sending until its term ends or
+/// it learns of the new era.
 #[gtest]
 fn a_claim_is_void_in_a_new_era_and_written_again_after_its_term() {
     let mut holder = ZoneClaim::new(session(1, 1));
@@ -40,11 +41,11 @@
     expect_that!(holder.next_write(true, ms(5_599)), none());
     let write = holder.next_write(true, ms(5_600)).expect("no term is left");
     expect_that!(write.expected, eq(in_era(0, 1)));
-    // A process that has just started can't know for how long the era has lasted.
-    let mut started = ZoneClaim::new(session(2, 1));
-    started.enter_era(StoreEra(1), ms(20));
-    expect_that!(started.next_write(true, ms(5_519)), none());
-    expect_that!(started.next_write(true, ms(5_520)), some(anything()));
+    // A process that has just started can't know when the era began, so it waits as well.
+    let mut new_process = ZoneClaim::new(session(2, 1));
+    new_process.enter_era(StoreEra(1), ms(20));
+    expect_that!(new_process.next_write(true, ms(5_519)), none());
+    expect_that!(new_process.next_write(true, ms(5_520)), some(anything()));
 }
 
 #[gtest]
@@ -54,23 +55,24 @@
     claim.record_write(write, in_era(9, 1), ms(0), ms(10));
     expect_that!(claim.may_send(ms(100)), eq(false));
     expect_that!(claim.next_write(true, ms(2_000)), none());
-    // The same holds for a write of an era that has ended.
+    // A write is also ignored if the era in which it was applied has ended.
     claim.enter_era(StoreEra(2), ms(3_000));
     claim.record_write(write, in_era(9, 1), ms(0), ms(3_100));
     expect_that!(claim.may_send(ms(3_100)), eq(false));
 }
 
-/// The condition held because a revision number was assigned twice, so the record has replaced a claim that is in use.
+/// The store applied the write because a revision number was assigned twice, so its record has replaced a claim that
+/// may still be in use.
 #[gtest]
 fn a_record_with_a_condition_of_another_era_is_waited_out() {
-    let stale = |holder| ClaimRecord {
+    let record_of_era_1 = |holder| ClaimRecord {
         holder,
         era: StoreEra(1),
     };
     for holder in [None, Some(session(1, 1)), Some(session(2, 1))] {
         let mut claim = ZoneClaim::new(session(1, 1));
         claim.enter_era(StoreEra(2), ms(0));
-        claim.observe(in_era(7, 2), stale(holder), ms(6_000));
+        claim.observe(in_era(7, 2), record_of_era_1(holder), ms(6_000));
         expect_that!(claim.next_write(true, ms(11_499)), none());
         expect_that!(claim.next_write(true, ms(11_500)), some(anything()));
     }
@@ -101,12 +103,12 @@
     claim.record_write(write, StoreRevision::new(2), ms(0), ms(10));
     expect_that!(claim.next_write(true, ms(1_000)), none());
     expect_that!(claim.next_write(true, ms(1_300)), some(anything()));
-    let back = claim
+    let give_back = claim
         .next_write(false, ms(2_000))
         .expect("it is given back");
-    expect_that!(back.record.holder, none());
+    expect_that!(give_back.record.holder, none());
     expect_that!(claim.may_send(ms(2_000)), eq(false));
-    claim.record_write(back, StoreRevision::new(3), ms(2_000), ms(2_010));
+    claim.record_write(give_back, StoreRevision::new(3), ms(2_000), ms(2_010));
     expect_that!(claim.next_write(false, ms(9_000)), none());
 }
 
@@ -129,40 +131,42 @@
 #[derive(Debug, Clone, Copy)]
 struct WriteInTransit {
     write: ClaimWrite,
-    begun: Duration,
-    arrives: Duration,
+    begun_at: Duration,
+    arrives_at: Duration,
     /// Time at which the reply arrives; `None` if it is lost.
-    answered: Option<Duration>,
-    done: Option<StoreRevision>,
+    answered_at: Option<Duration>,
+    /// Revision that the write created; `None` if the store has not applied it.
+    applied_revision: Option<StoreRevision>,
 }
 
 /// Notification from the store in transit to a VM.
 #[derive(Debug, Clone, Copy)]
 struct StoreNotification {
-    at: Duration,
+    arrives_at: Duration,
     revision: StoreRevision,
-    /// `None` if the key doesn't exist.
+    /// Record of the claim; `None` if the claim's key doesn't exist.
     record: Option<ClaimRecord>,
 }
 
-/// Snapshot of the store's contents.
+/// Copy of the modelled store, from which it can be restored.
 #[derive(Debug, Clone, Copy)]
 struct StoreSnapshot {
-    at: Duration,
-    number: u64,
-    key: Option<(u64, ClaimRecord)>,
+    taken_at: Duration,
+    revision_number: u64,
+    stored_claim: Option<(u64, ClaimRecord)>,
 }
 
+/// Model of one VM with its current process.
 struct ModelVm {
     number: u8,
     incarnation: u64,
     claim: ZoneClaim,
-    sent: SendWindow,
+    send_window: SendWindow,
     notifications: Vec<StoreNotification>,
     writes: Vec<WriteInTransit>,
     paused_until: Duration,
     dead_until: Option<Duration>,
-    /// Whether it considers itself the VM that should send.
+    /// Whether the VM considers itself the one that should send.
     wants_claim: bool,
 }
 
@@ -172,7 +176,7 @@
             number,
             incarnation,
             claim: ZoneClaim::new(session(number, incarnation)),
-            sent: SendWindow::new(),
+            send_window: SendWindow::new(),
             notifications: Vec::new(),
             writes: Vec::new(),
             paused_until: Duration::ZERO,
@@ -188,16 +192,17 @@
     rng: ChaCha8Rng,
     now: Duration,
     vms: Vec<ModelVm>,
-    /// Revision number and record of the claim.
-    key: Option<(u64, ClaimRecord)>,
-    number: u64,
+    /// Revision number and record of the claim in the store; `None` if its key doesn't exist.
+    stored_claim: Option<(u64, ClaimRecord)>,
+    /// Number of the store's latest revision.
+    revision_number: u64,
     era: StoreEra,
     /// Random source for restores of the store; `None` if there are none.
     restores: Option<ChaCha8Rng>,
     snapshots: Vec<StoreSnapshot>,
     down_until: Duration,
     /// Send times of all requests, in order.
-    sends: Vec<Duration>,
+    send_times: Vec<Duration>,
 }
 
 impl ClaimModel {
@@ -206,13 +211,13 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Duration::ZERO,
             vms: (1..=5).map(|number| ModelVm::new(number, 1)).collect(),
-            key: None,
-            number: 0,
+            stored_claim: None,
+            revision_number: 0,
             era: StoreEra::UNSTATED,
             restores: None,
             snapshots: Vec::new(),
             down_until: Duration::ZERO,
-            sends: Vec::new(),
+            send_times: Vec::new(),
         }
     }
 
@@ -225,37 +230,42 @@
         }
     }
 
-    /// Takes a snapshot of the store and sometimes restores an older one, with or without an outage. Other keys are
-    /// written meanwhile.
+    /// Takes a snapshot of the store and sometimes restores an older one, with or without an outage after it. Also
+    /// models clients that write other keys of the store now and then: such a write advances the store's revision
+    /// number but leaves the claim as it is, so a number that is assigned again after a restore needn't belong to the
+    /// claim.
     fn maybe_restore(&mut self) {
         let Some(rng) = &mut self.restores else {
             return;
         };
         self.snapshots.push(StoreSnapshot {
-            at: self.now,
-            number: self.number,
-            key: self.key,
+            taken_at: self.now,
+            revision_number: self.revision_number,
+            stored_claim: self.stored_claim,
         });
         if rng.random_bool(0.01) {
-            self.number += 1;
+            self.revision_number += 1;
         }
         if !rng.random_bool(0.002) {
             return;
         }
-        let oldest = self.now.saturating_sub(ms(rng.random_range(0..9_000)));
-        let place = self
+        let restore_from = self.now.saturating_sub(ms(rng.random_range(0..9_000)));
+        let index = self
             .snapshots
-            .partition_point(|snapshot| snapshot.at < oldest);
-        let snapshot = self.snapshots[place];
-        (self.number, self.key) = (snapshot.number, snapshot.key);
+            .partition_point(|snapshot| snapshot.taken_at < restore_from);
+        let snapshot = self.snapshots[index];
+        (self.revision_number, self.stored_claim) =
+            (snapshot.revision_number, snapshot.stored_claim);
         self.era.0 += 1;
         self.down_until = self.now + ms(rng.random_range(0..2_500));
-        let revision = self.key.map_or(self.number, |(number, _record)| number);
-        self.notify(revision, self.key.map(|(_number, record)| record));
+        let revision = self
+            .stored_claim
+            .map_or(self.revision_number, |(number, _record)| number);
+        self.notify(revision, self.stored_claim.map(|(_number, record)| record));
     }
 
-    fn run(&mut self, length: Duration) {
-        while self.now < length {
+    fn run(&mut self, history_length: Duration) {
+        while self.now < history_length {
             self.maybe_restore();
             self.inject_faults();
             for number in 0..self.vms.len() {
@@ -287,9 +297,9 @@
             }
             if self.rng.random_bool(0.0007) {
                 vm.dead_until = Some(now + ms(self.rng.random_range(100..3_000)));
-                // Writes in transit still reach the store.
+                // Writes in transit still reach the store, but their replies don't reach the VM.
                 for write in &mut vm.writes {
-                    write.answered = None;
+                    write.answered_at = None;
                 }
             }
         }
@@ -299,35 +309,39 @@
     fn apply_writes(&mut self, number: usize) {
         let mut writes = std::mem::take(&mut self.vms[number].writes);
         for write in &mut writes {
-            if write.done.is_some() || write.arrives > self.now || self.now < self.down_until {
+            if write.applied_revision.is_some()
+                || write.arrives_at > self.now
+                || self.now < self.down_until
+            {
                 continue;
             }
-            write.arrives = Duration::MAX;
-            // The store compares revision numbers only, not eras.
-            let current = self.key.map_or(0, |(number, _record)| number);
-            if current != write.write.expected.number() {
+            write.arrives_at = Duration::MAX;
+            // The store compares only the numbers of revisions, not their eras.
+            let current_number = self.stored_claim.map_or(0, |(number, _record)| number);
+            if current_number != write.write.expected.number() {
                 continue;
             }
-            self.number += 1;
-            self.key = Some((self.number, write.write.record));
-            write.done = Some(StoreRevision::new(self.number).with_era(self.era));
-            self.notify(self.number, Some(write.write.record));
+            self.revision_number += 1;
+            self.stored_claim = Some((self.revision_number, write.write.record));
+            write.applied_revision =
+                Some(StoreRevision::new(self.revision_number).with_era(self.era));
+            self.notify(self.revision_number, Some(write.write.record));
         }
         self.vms[number].writes = writes;
     }
 
-    fn notify(&mut self, number: u64, record: Option<ClaimRecord>) {
-        let revision = StoreRevision::new(number).with_era(self.era);
+    fn notify(&mut self, revision_number: u64, record: Option<ClaimRecord>) {
+        let revision = StoreRevision::new(revision_number).with_era(self.era);
         for vm in &mut self.vms {
             let lag = match self.restores {
-                // Partitioned for longer than any term.
+                // The VM may be partitioned from the store for longer than any term.
                 Some(_) if self.rng.random_bool(0.2) => 25_000,
                 _ if self.rng.random_bool(0.1) => 5_000,
                 _ => 300,
             };
-            let at = self.now + ms(self.rng.random_range(5..lag));
+            let arrives_at = self.now + ms(self.rng.random_range(5..lag));
             vm.notifications.push(StoreNotification {
-                at,
+                arrives_at,
                 revision,
                 record,
             });
@@ -341,7 +355,7 @@
             return;
         }
         for notification in &vm.notifications {
-            if notification.at <= now {
+            if notification.arrives_at <= now {
                 vm.claim.enter_era(notification.revision.era(), now);
                 if let Some(record) = notification.record {
                     vm.claim.observe(notification.revision, record, now);
@@ -349,82 +363,83 @@
             }
         }
         vm.notifications
-            .retain(|notification| notification.at > now);
-        let (answers, rest): (Vec<_>, Vec<_>) = vm
+            .retain(|notification| notification.arrives_at > now);
+        let (answered_writes, unanswered_writes): (Vec<_>, Vec<_>) = vm
             .writes
             .drain(..)
-            .partition(|write| write.answered.is_some_and(|at| at <= now));
-        vm.writes = rest;
-        for answer in answers {
-            if let Some(revision) = answer.done {
+            .partition(|write| write.answered_at.is_some_and(|at| at <= now));
+        vm.writes = unanswered_writes;
+        for answered_write in answered_writes {
+            if let Some(revision) = answered_write.applied_revision {
                 vm.claim
-                    .record_write(answer.write, revision, answer.begun, now);
+                    .record_write(answered_write.write, revision, answered_write.begun_at, now);
             }
         }
         if let Some(write) = vm.claim.next_write(vm.wants_claim, now) {
-            let late = self.rng.random_bool(0.05);
-            let delay = self.rng.random_range(2..if late { 6_000 } else { 100 });
-            let arrives = now + ms(delay);
-            let lost = late || self.rng.random_bool(0.1);
+            let is_late = self.rng.random_bool(0.05);
+            let delay = self.rng.random_range(2..if is_late { 6_000 } else { 100 });
+            let arrives_at = now + ms(delay);
+            let is_lost = is_late || self.rng.random_bool(0.1);
             vm.writes.push(WriteInTransit {
                 write,
-                begun: now,
-                arrives,
-                answered: (!lost).then_some(arrives + ms(40)),
-                done: None,
+                begun_at: now,
+                arrives_at,
+                answered_at: (!is_lost).then_some(arrives_at + ms(40)),
+                applied_revision: None,
             });
         }
-        // Unlimited demand: sends as many requests as the window allows.
-        while vm.claim.may_send(now) && vm.sent.try_record(PACE, now) {
-            self.sends.push(now);
+        // The callers' demand is unlimited: the VM sends as many requests as its window allows.
+        while vm.claim.may_send(now) && vm.send_window.try_record(PACE, now) {
+            self.send_times.push(now);
         }
     }
 
     /// Returns the highest number of requests in any second.
     fn busiest_second(&self) -> usize {
-        let first = |sent: &Duration| {
-            self.sends
-                .partition_point(|other| *other + ms(1_000) <= *sent)
+        let first_in_second = |send_time: &Duration| {
+            self.send_times
+                .partition_point(|time| *time + ms(1_000) <= *send_time)
         };
-        let counts = self.sends.iter().enumerate();
+        let counts = self.send_times.iter().enumerate();
         counts
-            .map(|(number, sent)| number + 1 - first(sent))
+            .map(|(number, send_time)| number + 1 - first_in_second(send_time))
             .max()
             .unwrap_or_default()
     }
 }
 
 /// Guards against two VMs sending in the same second: whatever happens to VMs and writes, no second has more requests
-/// than one VM may send. Also checks that the claim is useful, i.e. that some VM sends for a good part of the time.
+/// than one VM may send. Also checks that the claim is useful: the VMs send at least a third of the requests possible.
 #[gtest]
 fn no_second_has_more_requests_than_one_vm_may_send() {
-    const LENGTH: Duration = Duration::from_mins(4);
-    let mut sent = 0;
+    const HISTORY_LENGTH: Duration = Duration::from_mins(4);
+    let mut total_sends = 0;
     for seed in 0..40 {
         let mut model = ClaimModel::new(seed);
-        model.run(LENGTH);
+        model.run(HISTORY_LENGTH);
         expect_that!(model.busiest_second(), le(PACE), "seed {seed}");
-        sent += model.sends.len();
+        total_sends += model.send_times.len();
     }
-    let possible = 40 * PACE * LENGTH.as_secs() as usize;
-    expect_that!(sent, ge(possible / 3), "of {possible}");
+    let max_sends = 40 * PACE * HISTORY_LENGTH.as_secs() as usize;
+    expect_that!(total_sends, ge(max_sends / 3), "of {max_sends}");
 }
 
-/// Makes the same check while the store is restored from older copies, also several times within one term. Without the
-/// wait in a new era, or if writes counted whatever the era of their reply, some second would have more requests.
+/// Checks that no second has more requests than one VM may send while the store is restored from older copies, also
+/// several times within one term. Without the wait in a new era, or if writes counted whatever the era of their reply,
+/// some second would have more requests.
 fn check_sends_across_eras(seeds: impl IntoIterator<Item = u64>) {
-    const LENGTH: Duration = Duration::from_mins(4);
-    let mut sent = 0;
-    let mut histories = 0;
+    const HISTORY_LENGTH: Duration = Duration::from_mins(4);
+    let mut total_sends = 0;
+    let mut history_count = 0;
     for seed in seeds {
-        histories += 1;
+        history_count += 1;
         let mut model = ClaimModel::new(seed).with_restores(seed);
-        model.run(LENGTH);
+        model.run(HISTORY_LENGTH);
         expect_that!(model.busiest_second(), le(PACE), "seed {seed}");
-        sent += model.sends.len();
+        total_sends += model.send_times.len();
     }
-    let possible = histories * PACE * LENGTH.as_secs() as usize;
-    expect_that!(sent, ge(possible / 10), "of {possible}");
+    let max_sends = history_count * PACE * HISTORY_LENGTH.as_secs() as usize;
+    expect_that!(total_sends, ge(max_sends / 10), "of {max_sends}");
 }
 
 #[gtest]
--- a/crates/ebonyfork/src/gateway/policy/cold/window.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/window.rs
@@ -3,13 +3,14 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Length of the window.
-pub const WINDOW: Duration = Duration::from_secs(1);
+/// Period over which the requests to a cold upstream are counted and limited.
+pub const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
-/// Send times of the requests of the last second, as durations since the process started.
+/// Counts the requests that this process sent to a cold upstream in the last second.
 #[derive(Debug, Default)]
 pub struct SendWindow {
-    sent: VecDeque<Duration>,
+    /// Send times, oldest first, as durations since the process started.
+    send_times: VecDeque<Duration>,
 }
 
 impl SendWindow {
@@ -20,8 +21,11 @@
 
     /// Returns the number of requests that may be sent now if at most `pace` are allowed in any second.
     pub fn remaining(&self, pace: usize, now: Duration) -> usize {
-        let recent = self.sent.iter().filter(|sent| now < **sent + WINDOW);
-        pace.saturating_sub(recent.count())
+        let recent_sends = self
+            .send_times
+            .iter()
+            .filter(|send_time| now < **send_time + WINDOW_LENGTH);
+        pace.saturating_sub(recent_sends.count())
     }
 
     /// Counts a request and returns true if it may be sent; otherwise returns false.
@@ -39,13 +43,17 @@
     /// assert!(window.try_record(1, Duration::from_millis(1_100)));
     /// ```
     pub fn try_record(&mut self, pace: usize, now: Duration) -> bool {
-        while self.sent.front().is_some_and(|sent| *sent + WINDOW <= now) {
-            self.sent.pop_front();
+        while self
+            .send_times
+            .front()
+            .is_some_and(|send_time| *send_time + WINDOW_LENGTH <= now)
+        {
+            self.send_times.pop_front();
         }
-        if self.sent.len() >= pace {
+        if self.send_times.len() >= pace {
             return false;
         }
-        self.sent.push_back(now);
+        self.send_times.push_back(now);
         true
     }
 }
