--- a/crates/ebonyfork/src/gateway/policy/answer_lag.rs
+++ b/crates/ebonyfork/src/gateway/policy/answer_lag.rs
@@ -19,37 +19,41 @@
 /// more millisecond gains a part in only one of several hundred answers.
 const COVERED_QUANTILE: f64 = 0.95;
 
-/// Delay estimate for the answers of this process.
+/// Estimate of the delay from the planned decision of a gathered answer until the answer's last byte is handed to the
+/// kernel, for the answers of this process.
 #[derive(Debug)]
 pub struct AnswerLag {
-    timer: LatencyHistogram,
-    work: LatencyHistogram,
+    /// Delays from the planned decision until its timer fires.
+    timer_delays: LatencyHistogram,
+    /// Times from the decision until the answer is written to the socket.
+    work_times: LatencyHistogram,
 }
 
 impl AnswerLag {
     /// Creates the estimate from the assumptions for a VM with `cores` cores.
     pub fn new(cores: f64) -> Self {
-        let work = Duration::from_secs_f64(ASSUMED_WORK_S / cores);
+        let assumed_work = Duration::from_secs_f64(ASSUMED_WORK_S / cores);
         Self {
-            timer: LatencyHistogram::new(ASSUMED_TIMER_DELAY),
-            work: LatencyHistogram::new(work),
+            timer_delays: LatencyHistogram::new(ASSUMED_TIMER_DELAY),
+            work_times: LatencyHistogram::new(assumed_work),
         }
     }
 
-    /// Records that a query's timer fired `late` after its time.
-    pub fn record_timer_delay(&mut self, late: Duration, now: Instant) {
-        self.timer.record(late, now);
+    /// Records that a query's timer fired `delay` after its planned time.
+    pub fn record_timer_delay(&mut self, delay: Duration, now: Instant) {
+        self.timer_delays.record(delay, now);
     }
 
     /// Records the time from the decision until a gathered answer was written to the socket.
     pub fn record_work(&mut self, took: Duration, now: Instant) {
-        self.work.record(took, now);
+        self.work_times.record(took, now);
     }
 
     /// Returns how long before its send deadline an answer must be decided.
     pub fn margin(&self) -> Duration {
-        let millis = self.timer.quantile(COVERED_QUANTILE) + self.work.quantile(COVERED_QUANTILE);
-        Duration::from_secs_f64(millis / 1_000.0)
+        let margin_ms = self.timer_delays.quantile(COVERED_QUANTILE)
+            + self.work_times.quantile(COVERED_QUANTILE);
+        Duration::from_secs_f64(margin_ms / 1_000.0)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -15,7 +15,8 @@
 /// Cost of a failed attempt, as a multiple of the median time of attempts in the same zone. A failure uses up a repeat;
 /// once the budget is empty the shard's part is missing, and possibly the whole answer.
 const FAILURE_COST_FACTOR: f64 = 10.0;
-/// Cost in milliseconds of an upstream that could not be reached: it is only chosen if there is no other.
+/// Cost in milliseconds of an upstream that could not be reached or that a VM in its zone advised against: it is only
+/// chosen if there is no other.
 const EJECTED_COST_MS: f64 = 100_000.0;
 
 /// Selected upstream and its expected speed.
@@ -23,7 +24,7 @@
 pub struct UpstreamChoice {
     /// Upstream to send to.
     pub upstream: Rc<Upstream>,
-    /// Distance from this VM.
+    /// Distance of the upstream from this VM.
     pub distance: PlaceDistance,
     /// Expected time of an attempt divided by the median time of attempts at that distance; at least 1.
     pub slowness: f64,
@@ -32,47 +33,47 @@
 /// Returns the best upstream among the candidates that are allowed and take requests.
 pub fn choose_upstream(
     candidates: &[Rc<Upstream>],
-    allowed: impl Fn(&Upstream, &UpstreamIncarnation) -> bool,
+    is_allowed: impl Fn(&Upstream, &UpstreamIncarnation) -> bool,
     place: &NodePlace,
     latency: &RouteLatency,
     now: Instant,
 ) -> Option<UpstreamChoice> {
-    let mut best: Option<(f64, UpstreamChoice)> = None;
+    let mut best_choice: Option<(f64, UpstreamChoice)> = None;
     // Start at a random candidate so that equally good ones share the load.
     let offset = rand::random_range(0..candidates.len().max(1));
     for number in 0..candidates.len() {
         let upstream = &candidates[(number + offset) % candidates.len()];
         let entry = upstream.entry();
-        if !upstream.takes_requests() || !allowed(upstream, &entry.incarnation()) {
+        if !upstream.takes_requests() || !is_allowed(upstream, &entry.incarnation()) {
             continue;
         }
         let distance = place.distance(&entry.zone);
         let kind = latency.fastest(distance);
         let health = upstream.health.borrow();
         let near_ms = latency.median_ms(AttemptKind::Zone);
-        let own_ms = health.expected_ms(now, near_ms, entry.slots);
-        let expected = latency.network_ms(kind) + own_ms;
-        let mut cost = expected + (1.0 - health.success(now)) * near_ms * FAILURE_COST_FACTOR;
+        let upstream_ms = health.expected_ms(now, near_ms, entry.slots);
+        let expected_ms = latency.network_ms(kind) + upstream_ms;
+        let mut cost_ms = expected_ms + (1.0 - health.success(now)) * near_ms * FAILURE_COST_FACTOR;
         if distance != PlaceDistance::Zone {
-            cost += FAR_BIAS_MS;
+            cost_ms += FAR_BIAS_MS;
         }
         if health.is_ejected(now) {
-            cost += EJECTED_COST_MS;
+            cost_ms += EJECTED_COST_MS;
         }
-        if best
+        if best_choice
             .as_ref()
-            .is_some_and(|(lowest, _choice)| *lowest <= cost)
+            .is_some_and(|(lowest_cost_ms, _choice)| *lowest_cost_ms <= cost_ms)
         {
             continue;
         }
         let choice = UpstreamChoice {
             upstream: Rc::clone(upstream),
             distance,
-            slowness: (expected / latency.median_ms(kind)).max(1.0),
+            slowness: (expected_ms / latency.median_ms(kind)).max(1.0),
         };
-        best = Some((cost, choice));
+        best_choice = Some((cost_ms, choice));
     }
-    best.map(|(_cost, choice)| choice)
+    best_choice.map(|(_cost_ms, choice)| choice)
 }
 
 /// Returns an upstream nearer than the chosen one that is avoided and due for a probe.
--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -10,7 +10,7 @@
     Rc::new(Upstream::new(entry(instance, "s", zone, address), now, 2))
 }
 
-fn chosen(candidates: &[Rc<Upstream>], now: Instant) -> Option<String> {
+fn chosen_instance(candidates: &[Rc<Upstream>], now: Instant) -> Option<String> {
     let latency = RouteLatency::default();
     let choice = choose_upstream(candidates, |_, _| true, &place(), &latency, now);
     choice.map(|choice| choice.upstream.entry().instance.to_string())
@@ -32,9 +32,9 @@
         upstream("near", "north-a", now),
         upstream("far", "south-a", now),
     ];
-    expect_that!(chosen(&candidates, now), some(eq("near")));
+    expect_that!(chosen_instance(&candidates, now), some(eq("near")));
     make_slow(&candidates[0], now);
-    expect_that!(chosen(&candidates, now), some(eq("far")));
+    expect_that!(chosen_instance(&candidates, now), some(eq("far")));
 }
 
 #[gtest]
@@ -45,13 +45,13 @@
         upstream("far", "south-a", now),
     ];
     make_slow(&candidates[0], now);
-    let later = now + Duration::from_millis(1_500);
+    let probe_time = now + Duration::from_millis(1_500);
     let latency = RouteLatency::default();
-    let choice = choose_upstream(&candidates, |_, _| true, &place(), &latency, later);
+    let choice = choose_upstream(&candidates, |_, _| true, &place(), &latency, probe_time);
     let choice = choice.expect("there are two upstreams");
-    let probe = probe_upstream(&candidates, &choice, &place(), later);
-    let probed = probe.map(|probe| probe.upstream.entry().instance.to_string());
-    expect_that!(probed, some(eq("near")));
+    let probe = probe_upstream(&candidates, &choice, &place(), probe_time);
+    let probed_instance = probe.map(|probe| probe.upstream.entry().instance.to_string());
+    expect_that!(probed_instance, some(eq("near")));
     expect_that!(
         probe_upstream(&candidates, &choice, &place(), now).is_none(),
         eq(true)
@@ -64,12 +64,13 @@
     let candidates = [upstream("a", "north-a", now), upstream("b", "north-a", now)];
     candidates[0].mark_leaving();
     for _ in 0..8 {
-        expect_that!(chosen(&candidates, now), some(eq("b")));
+        expect_that!(chosen_instance(&candidates, now), some(eq("b")));
     }
     let latency = RouteLatency::default();
-    let allowed = |_: &Upstream, life: &UpstreamIncarnation| life.instance.as_str() == "a";
-    let none = choose_upstream(&candidates, allowed, &place(), &latency, now);
-    expect_that!(none.is_none(), eq(true));
+    let is_allowed =
+        |_: &Upstream, incarnation: &UpstreamIncarnation| incarnation.instance.as_str() == "a";
+    let choice = choose_upstream(&candidates, is_allowed, &place(), &latency, now);
+    expect_that!(choice.is_none(), eq(true));
 }
 
 #[gtest]
@@ -83,8 +84,8 @@
         .health
         .borrow_mut()
         .record_unreachable(now, now);
-    expect_that!(chosen(&candidates, now), some(eq("far")));
-    expect_that!(chosen(&candidates[..1], now), some(eq("near")));
+    expect_that!(chosen_instance(&candidates, now), some(eq("far")));
+    expect_that!(chosen_instance(&candidates[..1], now), some(eq("near")));
 }
 
 fn decline_two_of_five(upstream: &Upstream, now: Instant) {
@@ -109,8 +110,8 @@
         upstream("far", "south-a", now),
     ];
     decline_two_of_five(&candidates[0], now);
-    expect_that!(chosen(&candidates, now), some(eq("far")));
+    expect_that!(chosen_instance(&candidates, now), some(eq("far")));
     // If both decline equally often, the nearby one is preferred again.
     decline_two_of_five(&candidates[1], now);
-    expect_that!(chosen(&candidates, now), some(eq("near")));
+    expect_that!(chosen_instance(&candidates, now), some(eq("near")));
 }
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -29,7 +29,7 @@
 /// Location of a part's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PartRecords {
-    /// The part arrived separately.
+    /// The records arrived separately from those of other shards.
     Own(Bytes),
     /// The records were merged with those of other shards; holds the index of the group.
     Group(usize),
@@ -38,32 +38,32 @@
 /// Outcome of one shard.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ShardOutcome {
-    /// The part may still arrive.
+    /// The shard's part may still arrive.
     Open,
-    /// The part has arrived.
+    /// The shard's part has arrived.
     Answered(ShardPart),
-    /// The part won't arrive.
+    /// The shard's part won't arrive.
     Failed,
 }
 
 /// State of one shard of a query.
 #[derive(Debug)]
 pub struct ShardState {
-    /// Outcome so far.
+    /// What has become of the shard's part so far.
     pub outcome: ShardOutcome,
     /// Number of attempts in flight.
     pub in_flight: usize,
     /// Number of attempts that may have run at an upstream, including those in flight.
     pub ran: usize,
     /// Number of attempts that upstreams declined.
-    pub declined: usize,
+    pub declined_attempts: usize,
     /// Number of attempts that ended before anything was sent.
-    pub unsent: usize,
+    pub unsent_attempts: usize,
     /// Whether a connection broke during an attempt.
-    pub lost: bool,
-    /// Whether the request was counted in the retry budget. This is done once, on the VM that accepted it from the
-    /// caller.
-    pub counted: bool,
+    pub connection_broke: bool,
+    /// Whether the request to this shard was counted in the retry budget. It is counted once, on the VM that accepted
+    /// the request from the caller.
+    pub request_counted: bool,
     /// Whether the shard is not sent for now because its part is unlikely to arrive in time and the query has enough
     /// shards without it.
     pub postponed: bool,
@@ -75,29 +75,29 @@
             outcome: ShardOutcome::Open,
             in_flight: 0,
             ran: 0,
-            declined: 0,
-            unsent: 0,
-            lost: false,
-            counted: false,
+            declined_attempts: 0,
+            unsent_attempts: 0,
+            connection_broke: false,
+            request_counted: false,
             postponed: false,
         }
     }
 
     /// Returns how far the request got at the shard's upstreams.
     pub fn reach(&self) -> ShardReach {
-        if self.lost {
+        if self.connection_broke {
             return ShardReach::Broken;
         }
         if self.ran > 0 {
             return ShardReach::Run;
         }
-        if self.declined > 0 {
+        if self.declined_attempts > 0 {
             return ShardReach::Declined;
         }
         ShardReach::Unsent
     }
 
-    /// Returns whether the part may still arrive.
+    /// Returns whether the shard's part may still arrive.
     pub fn is_open(&self) -> bool {
         matches!(self.outcome, ShardOutcome::Open)
     }
@@ -120,9 +120,12 @@
 #[derive(Debug)]
 pub struct GatherState {
     shards: Vec<ShardState>,
-    answered: usize,
-    failed: usize,
-    required: usize,
+    /// Number of shards whose part has arrived.
+    answered_count: usize,
+    /// Number of shards whose part won't arrive.
+    failed_count: usize,
+    /// Number of parts that an answer must contain at least.
+    required_count: usize,
     /// Merged records of each group of shards.
     groups: Vec<Bytes>,
     /// Whether to wait for all parts until the deadline, because another VM decides when to answer.
@@ -134,13 +137,18 @@
 }
 
 impl GatherState {
-    /// Creates a query over `shards` shards that needs the parts of `required` of them.
-    pub fn new(shards: usize, required: usize, answer_by: Instant, finish_by: Instant) -> Self {
+    /// Creates a query over `shards` shards that needs the parts of `required_count` of them.
+    pub fn new(
+        shards: usize,
+        required_count: usize,
+        answer_by: Instant,
+        finish_by: Instant,
+    ) -> Self {
         Self {
             shards: (0..shards).map(|_number| ShardState::new()).collect(),
-            answered: 0,
-            failed: 0,
-            required,
+            answered_count: 0,
+            failed_count: 0,
+            required_count,
             groups: Vec::new(),
             waits_for_all: false,
             answer_by: answer_by.min(finish_by),
@@ -175,14 +183,14 @@
             signature,
             records: PartRecords::Own(records),
         });
-        self.answered += 1;
+        self.answered_count += 1;
     }
 
     /// Stores parts whose records were merged. Merged records can't be separated, so a part that arrived separately for
     /// one of these shards is replaced; otherwise its records would count twice. The whole group is dropped if one of
     /// its shards has failed or is in another group already.
     pub fn add_merged_group(&mut self, parts: Vec<(usize, HeaderValue)>, records: Bytes) {
-        let grouped = |shard: &ShardState| {
+        let is_grouped = |shard: &ShardState| {
             matches!(
                 &shard.outcome,
                 ShardOutcome::Answered(ShardPart {
@@ -191,11 +199,11 @@
                 })
             )
         };
-        let unusable = |(number, _): &(usize, HeaderValue)| {
+        let is_unusable = |(number, _): &(usize, HeaderValue)| {
             let shard = &self.shards[*number];
-            grouped(shard) || shard.outcome == ShardOutcome::Failed
+            is_grouped(shard) || shard.outcome == ShardOutcome::Failed
         };
-        if parts.iter().any(unusable) {
+        if parts.iter().any(is_unusable) {
             return;
         }
         let group = self.groups.len();
@@ -203,7 +211,7 @@
         for (number, signature) in parts {
             let shard = &mut self.shards[number];
             if shard.is_open() {
-                self.answered += 1;
+                self.answered_count += 1;
             }
             shard.outcome = ShardOutcome::Answered(ShardPart {
                 signature,
@@ -219,19 +227,20 @@
             return;
         }
         shard.outcome = ShardOutcome::Failed;
-        self.failed += 1;
+        self.failed_count += 1;
     }
 
     /// Returns the number of further shards that can be left out without missing the required coverage.
     pub fn spare_shards(&self) -> usize {
-        let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
-        (self.shards.len() - self.failed - postponed).saturating_sub(self.required)
+        let postponed_count = self.shards.iter().filter(|shard| shard.postponed).count();
+        (self.shards.len() - self.failed_count - postponed_count)
+            .saturating_sub(self.required_count)
     }
 
     /// Returns whether the required coverage can't be reached without postponed shards.
     pub fn needs_postponed(&self) -> bool {
-        let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
-        self.shards.len() - self.failed - postponed < self.required
+        let postponed_count = self.shards.iter().filter(|shard| shard.postponed).count();
+        self.shards.len() - self.failed_count - postponed_count < self.required_count
     }
 
     /// Resumes one postponed shard, if any, and returns its index.
@@ -243,17 +252,20 @@
 
     /// Returns the number of parts that have arrived.
     pub fn answered(&self) -> usize {
-        self.answered
+        self.answered_count
     }
 
     /// Returns whether enough parts for an answer have arrived.
     pub fn has_enough_parts(&self) -> bool {
-        self.answered >= self.required
+        self.answered_count >= self.required_count
     }
 
     /// Returns the number of shards for which a connection broke during an attempt.
     pub fn lost(&self) -> usize {
-        self.shards.iter().filter(|shard| shard.lost).count()
+        self.shards
+            .iter()
+            .filter(|shard| shard.connection_broke)
+            .count()
     }
 
     /// Returns the time until which a further part increases the value of the answer; `None` once it has passed.
@@ -265,16 +277,16 @@
     /// the target and is close to nothing after it, so the query waits for all parts until the target and after that
     /// only until there are enough.
     pub fn check_end(&self, now: Instant) -> Option<GatherEnd> {
-        let total = self.shards.len();
-        if self.answered == total {
+        let shard_count = self.shards.len();
+        if self.answered_count == shard_count {
             return Some(GatherEnd::Whole);
         }
-        let open = total - self.answered - self.failed;
-        let postponed = self.shards.iter().filter(|shard| shard.postponed).count();
-        if open == postponed && self.has_enough_parts() {
+        let open_count = shard_count - self.answered_count - self.failed_count;
+        let postponed_count = self.shards.iter().filter(|shard| shard.postponed).count();
+        if open_count == postponed_count && self.has_enough_parts() {
             return Some(GatherEnd::Partial);
         }
-        if self.answered + open < self.required {
+        if self.answered_count + open_count < self.required_count {
             return Some(GatherEnd::InsufficientCoverage);
         }
         if now >= self.answer_by && self.has_enough_parts() && !self.waits_for_all {
@@ -299,8 +311,8 @@
 
     /// Returns the records of the parts that have arrived, merged or separate.
     pub fn records(&self) -> impl Iterator<Item = &[u8]> {
-        let own = self.parts().filter_map(ShardPart::own_records);
-        own.chain(self.groups.iter().map(Bytes::as_ref))
+        let separate_records = self.parts().filter_map(ShardPart::own_records);
+        separate_records.chain(self.groups.iter().map(Bytes::as_ref))
     }
 
     fn parts(&self) -> impl Iterator<Item = &ShardPart> {
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -10,15 +10,15 @@
     Duration::from_millis(millis)
 }
 
-fn state(shards: usize, least: usize, start: Instant) -> GatherState {
-    GatherState::new(shards, least, start + ms(100), start + ms(1_000))
+fn state(shards: usize, required: usize, start: Instant) -> GatherState {
+    GatherState::new(shards, required, start + ms(100), start + ms(1_000))
 }
 
 fn signature(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).expect("a valid signature")
 }
 
-fn take(state: &mut GatherState, shards: impl IntoIterator<Item = usize>) {
+fn add_parts(state: &mut GatherState, shards: impl IntoIterator<Item = usize>) {
     for shard in shards {
         let records = Bytes::from(vec![shard as u8; 16]);
         state.add_part(shard, signature(&format!("s{shard}")), records);
@@ -29,16 +29,16 @@
 fn an_answer_waits_for_all_until_the_target_and_for_enough_after_it() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
-    take(&mut query, [0, 1]);
+    add_parts(&mut query, [0, 1]);
     expect_that!(query.check_end(start + ms(99)), none());
     expect_that!(query.check_end(start + ms(100)), none());
-    take(&mut query, [2]);
+    add_parts(&mut query, [2]);
     expect_that!(query.check_end(start + ms(99)), none());
     expect_that!(
         query.check_end(start + ms(100)),
         some(eq(GatherEnd::Partial))
     );
-    take(&mut query, [3]);
+    add_parts(&mut query, [3]);
     expect_that!(query.check_end(start + ms(50)), some(eq(GatherEnd::Whole)));
 }
 
@@ -59,7 +59,7 @@
 fn a_query_with_enough_parts_ends_when_none_is_expected() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
-    take(&mut query, [0, 1, 2]);
+    add_parts(&mut query, [0, 1, 2]);
     query.shard_mut(3).postponed = true;
     expect_that!(query.check_end(start), some(eq(GatherEnd::Partial)));
 }
@@ -68,7 +68,7 @@
 fn a_query_with_too_few_parts_fails_at_the_deadline() {
     let start = Instant::now();
     let mut query = state(4, 3, start);
-    take(&mut query, [0, 1]);
+    add_parts(&mut query, [0, 1]);
     expect_that!(
         query.check_end(start + ms(1_000)),
         some(eq(GatherEnd::DeadlinePassed))
@@ -79,9 +79,9 @@
 fn a_query_for_another_vm_waits_for_all_parts() {
     let start = Instant::now();
     let mut query = state(2, 0, start).waiting_for_all();
-    take(&mut query, [0]);
+    add_parts(&mut query, [0]);
     expect_that!(query.check_end(start + ms(500)), none());
-    take(&mut query, [1]);
+    add_parts(&mut query, [1]);
     expect_that!(query.check_end(start + ms(500)), some(eq(GatherEnd::Whole)));
 }
 
@@ -127,8 +127,8 @@
     let records: Vec<_> = query.records().collect();
     expect_that!(records, elements_are![eq(&[5_u8; 32].as_slice())]);
     // A group with a shard of another group is dropped.
-    let again = vec![(1, signature("c")), (2, signature("d"))];
-    query.add_merged_group(again, Bytes::from_static(&[7; 16]));
+    let overlapping_group = vec![(1, signature("c")), (2, signature("d"))];
+    query.add_merged_group(overlapping_group, Bytes::from_static(&[7; 16]));
     expect_that!(query.answered(), eq(2));
 }
 
@@ -144,23 +144,23 @@
     ) {
         let start = Instant::now();
         let mut query = state(6, 1, start);
-        for (grouped, first, length) in steps {
-            if !grouped {
-                let records = Bytes::from(parts[first].clone());
-                query.add_part(first, signature(&first.to_string()), records);
+        for (is_group, first_shard, length) in steps {
+            if !is_group {
+                let records = Bytes::from(parts[first_shard].clone());
+                query.add_part(first_shard, signature(&first_shard.to_string()), records);
                 continue;
             }
-            let shards: Vec<usize> = (first..(first + length).min(6)).collect();
+            let shards: Vec<usize> = (first_shard..(first_shard + length).min(6)).collect();
             let records = merge_records(shards.iter().map(|shard| parts[*shard].as_slice()), 4);
             let group = shards.iter().map(|shard| (*shard, signature(&shard.to_string())));
             query.add_merged_group(group.collect(), records);
         }
-        let named: Vec<usize> = query
+        let answered_shards: Vec<usize> = query
             .signatures()
-            .map(|name| name.to_str().expect("text").parse().expect("a number"))
+            .map(|signature| signature.to_str().expect("text").parse().expect("a number"))
             .collect();
-        let expected = merge_records(named.iter().map(|shard| parts[*shard].as_slice()), 4);
+        let expected = merge_records(answered_shards.iter().map(|shard| parts[*shard].as_slice()), 4);
         prop_assert_eq!(merge_records(query.records(), 4), expected);
-        prop_assert_eq!(named.len(), query.answered());
+        prop_assert_eq!(answered_shards.len(), query.answered());
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -1,5 +1,6 @@
 //! Health of one upstream, estimated from this process's own requests. Health checks are not used, because their
-//! results are late and can be wrong.
+//! results are late and can be wrong. The slowness of an attempt is its time divided by the usual time of such
+//! attempts.
 //!
 //! A pausing upstream and a slow one look alike at first. One late answer, or several late answers to overlapping
 //! attempts, may be caused by a pause. A late answer to an attempt that began after the previous late answer shows that
@@ -12,7 +13,7 @@
 use super::latency::millis;
 use super::load_report::{AgedReport, LoadReport};
 
-/// Weight of a new sample in the moving average.
+/// Weight of a new sample in the moving averages of slowness and success.
 const SAMPLE_WEIGHT: f64 = 0.25;
 /// Weight of a sample that shows a slow upstream: two queries suffer until it is recognised, instead of five.
 const SLOW_WEIGHT: f64 = 0.6;
@@ -25,9 +26,11 @@
 const PAUSE_SLOWNESS: f64 = 1.5;
 /// Upper limit for the slowness of one sample.
 const SLOWNESS_LIMIT: f64 = 20.0;
-/// Time without new requests after the first failure to connect; doubles with each further failure.
+/// Time for which an upstream gets no new requests after the first failure to connect to it; doubles with each further
+/// failure.
 const EJECTION_MIN: Duration = Duration::from_millis(200);
-/// Longest time without new requests after failures to connect: upstreams return after some seconds.
+/// Longest time for which an upstream gets no new requests after failures to connect: upstreams return after some
+/// seconds.
 const EJECTION_MAX: Duration = Duration::from_secs(2);
 /// Lower limit for the slowness of an upstream that has just started, while it is cold.
 const COLD_SLOWNESS: f64 = 1.6;
@@ -40,10 +43,10 @@
 /// Health estimate of one upstream. The caller passes in the current time.
 #[derive(Debug, Clone)]
 pub struct UpstreamHealth {
-    /// Moving average of attempt times divided by the usual time of such attempts.
+    /// Moving average of the slowness of attempts.
     slowness: f64,
     /// Moving average of the fraction of attempts that were answered.
-    success: f64,
+    success_rate: f64,
     /// Time up to which the averages have decayed.
     last_update: Instant,
     /// Time until which the upstream is assumed to be cold.
@@ -63,13 +66,13 @@
 }
 
 impl UpstreamHealth {
-    /// Creates the estimate for an unknown upstream that is cold for `cold` from now.
-    pub fn new(now: Instant, cold: Duration) -> Self {
+    /// Creates the estimate for an unknown upstream that is cold for `cold_time` from now.
+    pub fn new(now: Instant, cold_time: Duration) -> Self {
         Self {
             slowness: 1.0,
-            success: 1.0,
+            success_rate: 1.0,
             last_update: now,
-            cold_until: now + cold,
+            cold_until: now + cold_time,
             ejected_until: None,
             connect_failures: 0,
             late_since: None,
@@ -89,7 +92,7 @@
     fn decay(&mut self, now: Instant) {
         let retention = self.retention(now);
         self.slowness = 1.0 + (self.slowness - 1.0) * retention;
-        self.success = 1.0 - (1.0 - self.success) * retention;
+        self.success_rate = 1.0 - (1.0 - self.success_rate) * retention;
         self.last_update = self.last_update.max(now);
     }
 
@@ -99,10 +102,10 @@
         self.in_flight.push(now);
     }
 
-    /// Removes the attempt begun at `began` from those in flight.
+    /// Removes the attempt that began at `began` from those in flight.
     fn remove_in_flight(&mut self, began: Instant) {
-        if let Some(place) = self.in_flight.iter().position(|start| *start == began) {
-            self.in_flight.swap_remove(place);
+        if let Some(index) = self.in_flight.iter().position(|start| *start == began) {
+            self.in_flight.swap_remove(index);
         }
     }
 
@@ -110,7 +113,7 @@
     pub fn record_answer(&mut self, began: Instant, now: Instant, slowness: f64) {
         self.remove_in_flight(began);
         self.decay(now);
-        self.success += (1.0 - self.success) * SAMPLE_WEIGHT;
+        self.success_rate += (1.0 - self.success_rate) * SAMPLE_WEIGHT;
         self.connect_failures = 0;
         self.ejected_until = None;
         self.record_slowness(began, now, slowness);
@@ -123,8 +126,8 @@
             self.late_since = None;
             return;
         }
-        let since = *self.late_since.get_or_insert(now);
-        if began >= since {
+        let first_late = *self.late_since.get_or_insert(now);
+        if began >= first_late {
             let slowness = slowness.min(SLOWNESS_LIMIT);
             self.slowness += (slowness - self.slowness) * SLOW_WEIGHT;
         } else {
@@ -134,22 +137,25 @@
 
     /// Stores a load report from the upstream.
     pub fn record_load(&mut self, report: LoadReport, now: Instant) {
-        self.report = Some(AgedReport { report, at: now });
+        self.report = Some(AgedReport {
+            report,
+            arrived_at: now,
+        });
     }
 
     /// Records that an attempt was declined, or failed after it was sent.
     pub fn record_failure(&mut self, began: Instant, now: Instant) {
         self.remove_in_flight(began);
         self.decay(now);
-        self.success -= self.success * SAMPLE_WEIGHT;
+        self.success_rate -= self.success_rate * SAMPLE_WEIGHT;
     }
 
     /// Records a failure to connect: the upstream gets no requests for a time that grows with each consecutive failure.
     pub fn record_unreachable(&mut self, began: Instant, now: Instant) {
         const MAX_DOUBLINGS: u32 = 6;
         self.record_failure(began, now);
-        let wait = EJECTION_MIN * (1 << self.connect_failures.min(MAX_DOUBLINGS));
-        self.ejected_until = Some(now + wait.min(EJECTION_MAX));
+        let ejection = EJECTION_MIN * (1 << self.connect_failures.min(MAX_DOUBLINGS));
+        self.ejected_until = Some(now + ejection.min(EJECTION_MAX));
         self.connect_failures += 1;
     }
 
@@ -166,10 +172,10 @@
     /// Avoids the upstream for a short time because a VM in its zone advised against it. That VM keeps observing the
     /// upstream, so the advice needn't be remembered for longer.
     pub fn record_avoid_advice(&mut self, now: Instant) {
-        let until = now + ADVICE_DURATION;
+        let advised_until = now + ADVICE_DURATION;
         self.ejected_until = Some(
             self.ejected_until
-                .map_or(until, |ejected| ejected.max(until)),
+                .map_or(advised_until, |ejected| ejected.max(advised_until)),
         );
     }
 
@@ -200,7 +206,7 @@
 
     /// Returns the fraction of attempts that were answered, after decay.
     pub fn success(&self, now: Instant) -> f64 {
-        1.0 - (1.0 - self.success) * self.retention(now)
+        1.0 - (1.0 - self.success_rate) * self.retention(now)
     }
 
     /// Returns whether the upstream, which was not slow, has stopped answering.
@@ -213,28 +219,29 @@
     pub fn expected_ms(&self, now: Instant, usual_ms: f64, slots: usize) -> f64 {
         /// Keeps an upstream that never answers from being excluded for good.
         const MIN_SUCCESS: f64 = 0.05;
-        let mut decayed = self.clone();
-        decayed.decay(now);
-        let cold = if now < self.cold_until {
+        let mut decayed_health = self.clone();
+        decayed_health.decay(now);
+        let cold_slowness = if now < self.cold_until {
             COLD_SLOWNESS
         } else {
             1.0
         };
-        let mut queued = self.in_flight.len() as f64 / slots.max(1) as f64;
-        let mut slowness = decayed.slowness.max(cold);
-        if let Some(received) = &self.report {
-            let weight = received.weight(now);
-            slowness += (received.report.slowness() - slowness) * weight;
-            queued += (received.report.queued() - queued).max(0.0) * weight;
+        let mut queued_per_slot = self.in_flight.len() as f64 / slots.max(1) as f64;
+        let mut slowness = decayed_health.slowness.max(cold_slowness);
+        if let Some(aged_report) = &self.report {
+            let weight = aged_report.weight(now);
+            slowness += (aged_report.report.slowness() - slowness) * weight;
+            queued_per_slot += (aged_report.report.queued() - queued_per_slot).max(0.0) * weight;
         }
-        let own = usual_ms * slowness;
-        let expected = own * (1.0 + queued) / decayed.success.max(MIN_SUCCESS);
-        let oldest = millis(self.oldest_age(now));
-        if oldest > own * LATE_FACTOR {
+        let service_ms = usual_ms * slowness;
+        let expected_ms =
+            service_ms * (1.0 + queued_per_slot) / decayed_health.success_rate.max(MIN_SUCCESS);
+        let oldest_ms = millis(self.oldest_age(now));
+        if oldest_ms > service_ms * LATE_FACTOR {
             // A pause is likely to last as long again as it has lasted already.
-            return expected + oldest;
+            return expected_ms + oldest_ms;
         }
-        expected
+        expected_ms
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/health_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/health_tests.rs
@@ -9,8 +9,8 @@
 }
 
 /// Runs attempts of the given lengths one after another and returns the time after the last one.
-fn answer(health: &mut UpstreamHealth, from: Instant, took_ms: &[u64]) -> Instant {
-    let mut now = from;
+fn run_attempts(health: &mut UpstreamHealth, start: Instant, took_ms: &[u64]) -> Instant {
+    let mut now = start;
     for took in took_ms {
         health.record_start(now);
         let began = now;
@@ -24,7 +24,7 @@
 fn one_pause_does_not_make_an_upstream_slow() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    let mut now = answer(&mut health, start, &[30, 30, 30]);
+    let mut now = run_attempts(&mut health, start, &[30, 30, 30]);
     // Three attempts are in flight when the upstream pauses, and end together.
     let began = now;
     for _ in 0..3 {
@@ -41,7 +41,7 @@
 fn a_second_late_answer_shows_a_slow_upstream() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    let now = answer(&mut health, start, &[30, 300, 300]);
+    let now = run_attempts(&mut health, start, &[30, 300, 300]);
     expect_that!(health.expected_ms(now, USUAL_MS, 2), gt(5.0 * USUAL_MS));
 }
 
@@ -49,7 +49,7 @@
 fn an_answer_in_time_ends_a_run_of_late_ones() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    let now = answer(&mut health, start, &[300, 30, 300, 30]);
+    let now = run_attempts(&mut health, start, &[300, 30, 300, 30]);
     expect_that!(health.expected_ms(now, USUAL_MS, 2), lt(2.0 * USUAL_MS));
 }
 
@@ -66,11 +66,14 @@
 fn slowness_decays_and_is_probed() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    let now = answer(&mut health, start, &[300, 300, 300]);
+    let now = run_attempts(&mut health, start, &[300, 300, 300]);
     expect_that!(health.is_probe_due(now + ms(100)), eq(false));
     expect_that!(health.is_probe_due(now + ms(1_100)), eq(true));
-    let later = now + Duration::from_mins(1);
-    expect_that!(health.expected_ms(later, USUAL_MS, 2), lt(1.1 * USUAL_MS));
+    let one_minute_later = now + Duration::from_mins(1);
+    expect_that!(
+        health.expected_ms(one_minute_later, USUAL_MS, 2),
+        lt(1.1 * USUAL_MS)
+    );
 }
 
 #[gtest]
@@ -101,10 +104,10 @@
 fn declined_attempts_raise_the_expected_time() {
     let start = Instant::now();
     let mut health = UpstreamHealth::new(start, ms(0));
-    let before = health.expected_ms(start, USUAL_MS, 2);
+    let initial_ms = health.expected_ms(start, USUAL_MS, 2);
     for _ in 0..4 {
         health.record_start(start);
         health.record_failure(start, start);
     }
-    expect_that!(health.expected_ms(start, USUAL_MS, 2), gt(2.0 * before));
+    expect_that!(health.expected_ms(start, USUAL_MS, 2), gt(2.0 * initial_ms));
 }
--- a/crates/ebonyfork/src/gateway/policy/hedge.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge.rs
@@ -6,7 +6,7 @@
 /// Minimum gain in the probability of an answer in time for a hedge to be sent. A hedge loads an upstream and may cross
 /// regions, which costs about a fifth of the value of a shard in time.
 const MIN_GAIN: f64 = 0.2;
-/// Shortest time between two checks of a straggler, in milliseconds.
+/// Shortest time between two checks whether a late attempt is worth a hedge, in milliseconds.
 const MIN_CHECK_INTERVAL_MS: f64 = 4.0;
 
 /// Attempt in flight and the possible hedge. Times are in milliseconds.
@@ -14,41 +14,42 @@
 pub struct HedgeCandidate<'a> {
     /// Time for which the attempt has been in flight.
     pub waited_ms: f64,
-    /// Time for which an answer still has its full value; `None` once that has passed.
+    /// Time for which an answer still has its full value; `None` once that time has passed.
     pub left_ms: Option<f64>,
     /// Latency of attempts like the one in flight.
     pub original: &'a LatencyHistogram,
     /// Latency of attempts like the hedge.
     pub other: &'a LatencyHistogram,
-    /// Slowness expected of the other upstream, as a multiple of the usual time.
+    /// Time that the hedge's upstream is expected to take, as a multiple of the usual time.
     pub other_slowness: f64,
-    /// Whether the attempt is known to be late, regardless of its time in flight.
+    /// Whether the attempt in flight is known to be late, regardless of its time in flight, because the VM that gathers
+    /// its part has replied without the part.
     pub known_late: bool,
 }
 
 impl HedgeCandidate<'_> {
     /// Returns when to check an attempt next, in milliseconds after its start.
-    pub fn next_check_ms(original: &LatencyHistogram, waited_ms: f64) -> f64 {
-        let first = original.quantile(STRAGGLER_QUANTILE);
-        if waited_ms < first {
-            return first;
+    pub fn next_check_ms(original_latency: &LatencyHistogram, waited_ms: f64) -> f64 {
+        let first_check_ms = original_latency.quantile(STRAGGLER_QUANTILE);
+        if waited_ms < first_check_ms {
+            return first_check_ms;
         }
         waited_ms + (waited_ms / 6.0).max(MIN_CHECK_INTERVAL_MS)
     }
 
     /// Returns whether to send the hedge.
     pub fn is_worthwhile(&self) -> bool {
-        let usual = self.original.quantile(STRAGGLER_QUANTILE);
-        if self.waited_ms < usual && !self.known_late {
+        let usual_ms = self.original.quantile(STRAGGLER_QUANTILE);
+        if self.waited_ms < usual_ms && !self.known_late {
             return false;
         }
-        let left = self.left_ms.unwrap_or_else(|| {
+        let left_ms = self.left_ms.unwrap_or_else(|| {
             // The target has passed, so compare over the time in which the hedge probably ends.
             self.other.quantile(STRAGGLER_QUANTILE) * self.other_slowness
         });
-        let original = self.original.ends_within(self.waited_ms, left);
-        let other = 1.0 - self.other.survival(left / self.other_slowness);
-        (1.0 - original) * other >= MIN_GAIN
+        let original_likelihood = self.original.ends_within(self.waited_ms, left_ms);
+        let hedge_likelihood = 1.0 - self.other.survival(left_ms / self.other_slowness);
+        (1.0 - original_likelihood) * hedge_likelihood >= MIN_GAIN
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/homes.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes.rs
@@ -77,10 +77,10 @@
 /// Home regions of the limited routes of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct RegionLimits {
-    /// Regions allowed by every limited route.
-    all_routes: SmallVec<[PlaceName; 2]>,
-    /// Regions allowed by at least one limited route.
-    some_route: SmallVec<[PlaceName; 2]>,
+    /// Regions that every limited route allows.
+    regions_of_all_routes: SmallVec<[PlaceName; 2]>,
+    /// Regions that at least one limited route allows.
+    regions_of_some_route: SmallVec<[PlaceName; 2]>,
 }
 
 impl HostRegions {
@@ -93,17 +93,17 @@
             }
             let Some(limits) = &mut limits else {
                 limits = Some(RegionLimits {
-                    all_routes: homes.regions.clone(),
-                    some_route: homes.regions.clone(),
+                    regions_of_all_routes: homes.regions.clone(),
+                    regions_of_some_route: homes.regions.clone(),
                 });
                 continue;
             };
             limits
-                .all_routes
+                .regions_of_all_routes
                 .retain(|region| homes.regions.contains(region));
             for region in &homes.regions {
-                if !limits.some_route.contains(region) {
-                    limits.some_route.push(region.clone());
+                if !limits.regions_of_some_route.contains(region) {
+                    limits.regions_of_some_route.push(region.clone());
                 }
             }
         }
@@ -124,10 +124,10 @@
         if region == caller_region {
             return Some(0);
         }
-        if limits.all_routes.contains(region) {
+        if limits.regions_of_all_routes.contains(region) {
             return Some(1);
         }
-        limits.some_route.contains(region).then_some(2)
+        limits.regions_of_some_route.contains(region).then_some(2)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/homes_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes_tests.rs
@@ -40,10 +40,10 @@
     expect_that!(rank("north"), some(eq(2)));
     expect_that!(rank("west"), some(eq(2)));
     expect_that!(rank("far"), none());
-    let open = HostRegions::new(&routes[..1]);
-    expect_that!(open.is_limited(), eq(false));
+    let unlimited_host = HostRegions::new(&routes[..1]);
+    expect_that!(unlimited_host.is_limited(), eq(false));
     expect_that!(
-        open.rank(&PlaceName::new("far"), &PlaceName::new("east")),
+        unlimited_host.rank(&PlaceName::new("far"), &PlaceName::new("east")),
         some(eq(0))
     );
 }
--- a/crates/ebonyfork/src/gateway/policy/latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency.rs
@@ -1,14 +1,15 @@
 //! Latency of attempts: one decaying histogram for each kind of attempt of a route.
 //!
 //! A kind is a distance, or delegation to another VM. The histogram answers the two questions that decide on a hedge:
-//! how likely an attempt that has been in flight for some time is to end by a given time, and how likely a new one is.
+//! how likely an attempt that has been in flight for some time is to end by a given time, and how likely a new attempt
+//! is to end by then.
 
 use std::time::{Duration, Instant};
 
 use crate::gateway::settings::PlaceDistance;
 
-/// Quantile of the latency at which an attempt is first checked as a straggler: early enough for a second attempt if
-/// both upstreams of a shard are in other regions.
+/// Quantile of the latency from which an attempt in flight counts as a straggler and is first checked for a hedge:
+/// early enough for a second attempt if both upstreams of a shard are in other regions.
 pub const STRAGGLER_QUANTILE: f64 = 0.8;
 /// Number of buckets in a histogram. With [`GROWTH`] they cover [`FIRST_MS`] to about 30 s.
 const BUCKETS: usize = 64;
@@ -50,8 +51,10 @@
 /// Decaying histogram of attempt times in milliseconds.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram {
+    /// Decayed number of samples in each bucket.
     weights: [f64; BUCKETS],
-    total: f64,
+    /// Sum of the weights.
+    total_weight: f64,
     /// Time of the last decay; `None` before the first sample.
     last_decay: Option<Instant>,
 }
@@ -76,7 +79,7 @@
     pub fn new(assumed: Duration) -> Self {
         let mut histogram = Self {
             weights: [0.0; BUCKETS],
-            total: 0.0,
+            total_weight: 0.0,
             last_decay: None,
         };
         // Spread the assumption over a factor of four to reflect its uncertainty.
@@ -92,9 +95,9 @@
         self.add(millis(took), 1.0);
     }
 
-    /// Adds a sample for an attempt that was abandoned after `waited`. If it was late it counts as taking twice that
-    /// time. Without this, pauses would disappear from the histogram, because most attempts that meet one are
-    /// abandoned, and then no hedges would be sent.
+    /// Adds a sample for an attempt that was abandoned after `waited`, if the attempt was late by then: it counts as
+    /// taking twice that time. Without this, pauses would disappear from the histogram, because most attempts that meet
+    /// one are abandoned, and then no hedges would be sent.
     pub fn record_abandoned(&mut self, waited: Duration, now: Instant) {
         if millis(waited) > self.quantile(STRAGGLER_QUANTILE) {
             self.record(waited * 2, now);
@@ -103,32 +106,32 @@
 
     fn add(&mut self, took_ms: f64, weight: f64) {
         self.weights[bucket_index(took_ms)] += weight;
-        self.total += weight;
+        self.total_weight += weight;
     }
 
     /// Halves the weights for each half-life that has passed.
     fn decay(&mut self, now: Instant) {
-        let since = *self.last_decay.get_or_insert(now);
-        let elapsed = now.saturating_duration_since(since);
+        let decayed_at = *self.last_decay.get_or_insert(now);
+        let elapsed = now.saturating_duration_since(decayed_at);
         if elapsed < HALF_LIFE {
             return;
         }
         self.last_decay = Some(now);
         let retention = 0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64());
-        let retention = retention.max((MIN_WEIGHT / self.total).min(1.0));
+        let retention = retention.max((MIN_WEIGHT / self.total_weight).min(1.0));
         for weight in &mut self.weights {
             *weight *= retention;
         }
-        self.total *= retention;
+        self.total_weight *= retention;
     }
 
     /// Returns the latency in milliseconds within which a `fraction` of the attempts end.
     pub fn quantile(&self, fraction: f64) -> f64 {
-        let wanted = self.total * fraction;
-        let mut cumulative = 0.0;
+        let wanted_weight = self.total_weight * fraction;
+        let mut cumulative_weight = 0.0;
         for (number, weight) in self.weights.iter().enumerate() {
-            cumulative += weight;
-            if cumulative >= wanted {
+            cumulative_weight += weight;
+            if cumulative_weight >= wanted_weight {
                 return bucket_bound(number);
             }
         }
@@ -141,24 +144,26 @@
             return 1.0;
         }
         let number = bucket_index(time_ms);
-        let longer: f64 = self.weights[number + 1..].iter().sum();
-        let low = if number == 0 {
+        let longer_weight: f64 = self.weights[number + 1..].iter().sum();
+        let lower_bound = if number == 0 {
             0.0
         } else {
             bucket_bound(number - 1)
         };
-        let inside =
-            ((bucket_bound(number) - time_ms) / (bucket_bound(number) - low)).clamp(0.0, 1.0);
-        (longer + self.weights[number] * inside) / self.total
+        let fraction_above = ((bucket_bound(number) - time_ms)
+            / (bucket_bound(number) - lower_bound))
+            .clamp(0.0, 1.0);
+        (longer_weight + self.weights[number] * fraction_above) / self.total_weight
     }
 
     /// Returns the probability that an attempt which has been in flight for `waited_ms` ends within the next `left_ms`.
     pub fn ends_within(&self, waited_ms: f64, left_ms: f64) -> f64 {
-        /// Survival assumed for an attempt that has outlasted all samples, which makes it unlikely to end soon.
+        /// Lower limit for the fraction of attempts that take as long as this one has: an attempt that has outlasted
+        /// all samples is thereby taken as unlikely to end soon.
         const MIN_SURVIVAL: f64 = 1e-4;
-        let alive = self.survival(waited_ms).max(MIN_SURVIVAL);
-        let later = self.survival(waited_ms + left_ms.max(0.0));
-        (1.0 - later / alive).clamp(0.0, 1.0)
+        let survival_so_far = self.survival(waited_ms).max(MIN_SURVIVAL);
+        let survival_until_then = self.survival(waited_ms + left_ms.max(0.0));
+        (1.0 - survival_until_then / survival_so_far).clamp(0.0, 1.0)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/latency_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn filled(start: Instant, times_ms: &[(u64, usize)]) -> LatencyHistogram {
+fn histogram_of(start: Instant, times_ms: &[(u64, usize)]) -> LatencyHistogram {
     let mut histogram = LatencyHistogram::new(Duration::from_millis(30));
     for (time, count) in times_ms {
         for _ in 0..*count {
@@ -14,7 +14,7 @@
 
 #[gtest]
 fn quantiles_are_off_by_at_most_one_bucket() {
-    let histogram = filled(Instant::now(), &[(10, 900), (50, 90), (300, 10)]);
+    let histogram = histogram_of(Instant::now(), &[(10, 900), (50, 90), (300, 10)]);
     expect_that!(histogram.quantile(0.5), all![ge(10.0), lt(12.0)]);
     expect_that!(histogram.quantile(0.95), all![ge(50.0), lt(60.0)]);
     expect_that!(histogram.quantile(0.999), all![ge(300.0), lt(358.0)]);
@@ -22,7 +22,7 @@
 
 #[gtest]
 fn an_attempt_that_has_outlasted_the_usual_ones_is_unlikely_to_end_soon() {
-    let histogram = filled(Instant::now(), &[(10, 950), (300, 50)]);
+    let histogram = histogram_of(Instant::now(), &[(10, 950), (300, 50)]);
     expect_that!(histogram.ends_within(0.0, 20.0), gt(0.9));
     expect_that!(histogram.ends_within(60.0, 100.0), lt(0.2));
     expect_that!(histogram.ends_within(60.0, 400.0), gt(0.9));
@@ -31,7 +31,7 @@
 #[gtest]
 fn a_slow_phase_is_forgotten_within_seconds() {
     let start = Instant::now();
-    let mut histogram = filled(start, &[(200, 100)]);
+    let mut histogram = histogram_of(start, &[(200, 100)]);
     for step in 1..=120_u64 {
         histogram.record(
             Duration::from_millis(10),
@@ -44,7 +44,7 @@
 #[gtest]
 fn a_route_with_few_requests_keeps_its_estimate() {
     let start = Instant::now();
-    let mut histogram = filled(start, &[(40, 100)]);
+    let mut histogram = histogram_of(start, &[(40, 100)]);
     histogram.record(Duration::from_millis(40), start + Duration::from_hours(1));
     expect_that!(histogram.quantile(0.5), all![ge(40.0), lt(48.0)]);
     expect_that!(histogram.survival(0.0), eq(1.0));
--- a/crates/ebonyfork/src/gateway/policy/load_report.rs
+++ b/crates/ebonyfork/src/gateway/policy/load_report.rs
@@ -8,7 +8,7 @@
 use smallvec::SmallVec;
 use snafu::Snafu;
 
-/// Age at which the weight of a report has halved; load changes many times per second.
+/// Age at which the weight of a report has halved; the load of an upstream changes many times per second.
 const HALF_LIFE: Duration = Duration::from_millis(300);
 /// Highest processing time that is accepted, in per cent of the usual one.
 const PERCENT_LIMIT: u32 = 10_000;
@@ -47,7 +47,7 @@
 pub struct LoadReportError {
     /// Text of the report.
     pub text: CompactString,
-    /// Reason why it is invalid.
+    /// Reason why the report is invalid.
     pub reason: CompactString,
 }
 
@@ -88,10 +88,10 @@
             let parsed = field.trim().parse::<u32>();
             fields.push(parsed.map_err(|cause| error(format_compact!("{cause}")))?);
         }
-        let [running, waiting, slots, ref rest @ ..] = fields[..] else {
+        let [running, waiting, slots, ref optional_fields @ ..] = fields[..] else {
             return Err(error("expected running, waiting and slots".into()));
         };
-        let percent = rest.first().copied().unwrap_or(100);
+        let percent = optional_fields.first().copied().unwrap_or(100);
         let report = Self {
             running,
             waiting,
@@ -111,16 +111,16 @@
 /// Load report with the time at which it arrived.
 #[derive(Debug, Clone, Copy)]
 pub struct AgedReport {
-    /// Load report.
+    /// Report as the upstream sent it.
     pub report: LoadReport,
-    /// Time of arrival.
-    pub at: Instant,
+    /// Time at which the report arrived.
+    pub arrived_at: Instant,
 }
 
 impl AgedReport {
     /// Returns the weight of the report relative to other knowledge, from 0 to 1.
     pub fn weight(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at);
+        let age = now.saturating_duration_since(self.arrived_at);
         0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/load_report_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/load_report_tests.rs
@@ -31,8 +31,11 @@
 fn a_report_counts_for_less_with_its_age() {
     let now = Instant::now();
     let report = "1,0,2,400".parse().expect("a load");
-    let aged = AgedReport { report, at: now };
-    expect_that!(aged.weight(now), eq(1.0));
-    expect_that!(aged.weight(now + HALF_LIFE), near(0.5, 1e-9));
-    expect_that!(aged.weight(now + HALF_LIFE * 10), le(0.001));
+    let aged_report = AgedReport {
+        report,
+        arrived_at: now,
+    };
+    expect_that!(aged_report.weight(now), eq(1.0));
+    expect_that!(aged_report.weight(now + HALF_LIFE), near(0.5, 1e-9));
+    expect_that!(aged_report.weight(now + HALF_LIFE * 10), le(0.001));
 }
--- a/crates/ebonyfork/src/gateway/policy/postpone.rs
+++ b/crates/ebonyfork/src/gateway/policy/postpone.rs
@@ -23,15 +23,16 @@
     likelihood < MIN_LIKELIHOOD
 }
 
-/// Returns the shards to postpone: at most `spare`, the number that the answer can do without.
+/// Returns the shards to postpone: at most `max_postponed`, the number that the answer can do without.
 pub fn postponed_shards(
     shards: impl IntoIterator<Item = ShardLikelihood>,
-    spare: usize,
+    max_postponed: usize,
 ) -> SmallVec<[usize; 8]> {
-    let unlikely = |shard: &ShardLikelihood| is_unlikely(shard.likelihood);
-    let mut shards: SmallVec<[ShardLikelihood; 8]> = shards.into_iter().filter(unlikely).collect();
+    let is_postponable = |shard: &ShardLikelihood| is_unlikely(shard.likelihood);
+    let mut shards: SmallVec<[ShardLikelihood; 8]> =
+        shards.into_iter().filter(is_postponable).collect();
     shards.sort_unstable_by(|a, b| a.likelihood.total_cmp(&b.likelihood));
-    shards.truncate(spare);
+    shards.truncate(max_postponed);
     shards.into_iter().map(|shard| shard.shard).collect()
 }
 
--- a/crates/ebonyfork/src/gateway/policy/retry.rs
+++ b/crates/ebonyfork/src/gateway/policy/retry.rs
@@ -29,18 +29,18 @@
     GiveUp,
 }
 
-/// Returns the action after a declined attempt; `declined` counts the shard's declined attempts.
-pub fn after_declined(declined: usize) -> RetryStep {
-    if declined >= DECLINED_LIMIT {
+/// Returns the action after a declined attempt; `declined_attempts` is the shard's number of declined attempts.
+pub fn after_declined(declined_attempts: usize) -> RetryStep {
+    if declined_attempts >= DECLINED_LIMIT {
         return RetryStep::GiveUp;
     }
     let pause = DECLINED_PAUSE;
     RetryStep::Retry { pause }
 }
 
-/// Returns the action after an attempt that was not sent; `unsent` counts those of the shard.
-pub fn after_unsent(unsent: usize) -> RetryStep {
-    if unsent >= UNSENT_LIMIT {
+/// Returns the action after an attempt that was not sent; `unsent_attempts` is the shard's number of such attempts.
+pub fn after_unsent(unsent_attempts: usize) -> RetryStep {
+    if unsent_attempts >= UNSENT_LIMIT {
         return RetryStep::GiveUp;
     }
     let pause = Duration::ZERO;
--- a/crates/ebonyfork/src/gateway/policy/route_latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency.rs
@@ -12,11 +12,13 @@
 const ASSUMED_REGION: Duration = Duration::from_millis(35);
 /// Assumed latency of attempts in another region; regions are 10 to 20 ms apart one way.
 const ASSUMED_FAR: Duration = Duration::from_millis(70);
+
 /// Latency of the attempts of one route, by kind.
 #[derive(Debug)]
 pub struct RouteLatency {
+    /// One histogram for each [`AttemptKind`].
     histograms: [LatencyHistogram; 4],
-    /// How long the route's callers wait in total.
+    /// How long the route's callers wait in total, as they state it in their requests.
     pub waits: WaitTrack,
 }
 
@@ -49,16 +51,17 @@
     /// Returns the time an upstream took for an attempt, without the network time, divided by the median time of
     /// attempts in the same zone.
     pub fn slowness(&self, kind: impl Into<AttemptKind>, took_ms: f64) -> f64 {
-        let own_ms = (took_ms - self.network_ms(kind)).max(0.0);
-        own_ms / self.median_ms(AttemptKind::Zone)
+        let upstream_ms = (took_ms - self.network_ms(kind)).max(0.0);
+        upstream_ms / self.median_ms(AttemptKind::Zone)
     }
 
     /// Returns the fastest kind of attempt at a distance: direct or delegated.
     pub fn fastest(&self, distance: PlaceDistance) -> AttemptKind {
-        let direct = AttemptKind::from(distance);
-        let near = distance == PlaceDistance::Zone;
-        if near || self.median_ms(direct) <= self.median_ms(AttemptKind::Delegated) {
-            return direct;
+        let direct_kind = AttemptKind::from(distance);
+        let is_in_same_zone = distance == PlaceDistance::Zone;
+        if is_in_same_zone || self.median_ms(direct_kind) <= self.median_ms(AttemptKind::Delegated)
+        {
+            return direct_kind;
         }
         AttemptKind::Delegated
     }
--- a/crates/ebonyfork/src/gateway/policy/serving.rs
+++ b/crates/ebonyfork/src/gateway/policy/serving.rs
@@ -6,13 +6,13 @@
 
 use smallvec::SmallVec;
 
-/// Ratio of a VM's cores to those of the largest VM from which it counts as strong.
+/// Ratio of a VM's cores to those of the largest VM from which the VM counts as strong.
 const STRONG_RATIO: f32 = 0.5;
-/// Fraction of all cores from which the strong VMs take all requests regardless of their load.
+/// Fraction of the cores of all VMs that the strong VMs must have to take all requests regardless of their load.
 const ALWAYS_SUFFICIENT_FRACTION: f32 = 0.3;
-/// Fraction of all cores from which the strong VMs take all requests while they are not busy.
+/// Fraction of the cores of all VMs that the strong VMs must have to take all requests while they are not busy.
 const SUFFICIENT_FRACTION: f32 = 0.1;
-/// Minimum number of strong VMs for the rule above: if one fails there must be another to use.
+/// Minimum number of strong VMs for [`SUFFICIENT_FRACTION`] to apply: if one fails there must be another to use.
 const MIN_STRONG_VMS: usize = 2;
 /// Mean load of the strong VMs, in per mille, from which the other VMs take requests too.
 const BUSY_LOAD: f32 = 500.0;
@@ -31,14 +31,15 @@
     let vms: SmallVec<[VmCapacity; 32]> = vms.into_iter().collect();
     let max_cores = vms.iter().map(|vm| vm.cores).fold(0.0, f32::max);
     let min_cores = max_cores * STRONG_RATIO;
-    let strong = || vms.iter().filter(|vm| vm.cores >= min_cores);
-    let count = strong().count();
+    let strong_vms = || vms.iter().filter(|vm| vm.cores >= min_cores);
+    let strong_count = strong_vms().count();
     let all_cores: f32 = vms.iter().map(|vm| vm.cores).sum();
-    let fraction = strong().map(|vm| vm.cores).sum::<f32>() / all_cores;
-    let load = strong().map(|vm| f32::from(vm.load)).sum::<f32>() / count as f32;
-    let suffices_while_idle =
-        fraction >= SUFFICIENT_FRACTION && count >= MIN_STRONG_VMS && load < BUSY_LOAD;
-    if suffices_while_idle || fraction >= ALWAYS_SUFFICIENT_FRACTION {
+    let strong_fraction = strong_vms().map(|vm| vm.cores).sum::<f32>() / all_cores;
+    let mean_load = strong_vms().map(|vm| f32::from(vm.load)).sum::<f32>() / strong_count as f32;
+    let suffices_while_idle = strong_fraction >= SUFFICIENT_FRACTION
+        && strong_count >= MIN_STRONG_VMS
+        && mean_load < BUSY_LOAD;
+    if suffices_while_idle || strong_fraction >= ALWAYS_SUFFICIENT_FRACTION {
         return min_cores;
     }
     0.0
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -23,36 +23,37 @@
 
 /// Finished attempt.
 pub(super) struct FinishedAttempt {
-    /// Index in the list of attempts.
+    /// Index of the attempt in the request's list of attempts.
     pub number: usize,
-    /// Outcome of the attempt.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
 
 /// Attempt that was started; it may have ended.
 #[derive(Debug)]
 pub(super) struct StartedAttempt {
-    /// Shard that it is for.
+    /// Shard that the attempt is for.
     pub shard: usize,
-    /// Upstream that it is sent to. For a delegated attempt, the upstream that this VM would have used.
+    /// Upstream that the attempt is sent to. For a delegated attempt, the upstream that this VM would have used.
     pub upstream: Rc<Upstream>,
     /// Incarnation of that upstream.
-    pub life: UpstreamIncarnation,
+    pub incarnation: UpstreamIncarnation,
     /// How the attempt reaches the upstream.
     pub kind: AttemptKind,
     /// Whether the request may have run at the upstream.
     pub may_have_run: bool,
-    /// Whether it was handed to a connection or to another VM; before that it waits for a connection.
-    pub sent: Rc<Cell<bool>>,
-    /// Aborts the attempt.
-    pub abort: AbortHandle,
-    /// Start time.
+    /// Whether the attempt was handed to a connection or to another VM; before that it waits for a connection.
+    pub is_sent: Rc<Cell<bool>>,
+    /// Handle that aborts the attempt.
+    pub abort_handle: AbortHandle,
+    /// Time at which the attempt began.
     pub began: Instant,
-    /// Time of the next check whether it is a straggler.
+    /// Time of the next check whether the attempt is a straggler that is worth a hedge.
     pub next_check: Instant,
-    /// Whether the replies of the VM it was delegated to have shown that it is late.
+    /// Whether the attempt was delegated to a VM that has sent a reply for the same group without this attempt's
+    /// outcome, so that the attempt is known to be late.
     pub known_late: bool,
-    /// Time that it took; `None` until its answer has arrived.
+    /// Time that the attempt took; `None` until it has ended, and for delegated attempts.
     pub took: Option<Duration>,
     /// Whether the attempt has ended.
     pub ended: bool,
@@ -72,20 +73,20 @@
     }
 
     fn try_start(&mut self, shard: usize, pause: Duration) -> bool {
-        let state = &self.state.shards()[shard];
-        if state.ran >= self.max_sends() {
+        let shard_state = &self.state.shards()[shard];
+        if shard_state.ran >= self.max_sends() {
             return false;
         }
-        let repeat = state.ran > 0 || state.declined > 0;
-        let Some(choice) = self.choose(shard, repeat) else {
+        let is_repeat = shard_state.ran > 0 || shard_state.declined_attempts > 0;
+        let Some(choice) = self.choose(shard, is_repeat) else {
             return false;
         };
-        if repeat && !self.spend(shard) {
+        if is_repeat && !self.spend(shard) {
             return false;
         }
-        // The network time to another zone is pause enough.
-        let delegated = repeat && self.delegate_repeat(shard, &choice);
-        if !delegated {
+        // A delegated attempt needs no pause: the network time to the other zone is pause enough.
+        let is_delegated = is_repeat && self.delegate_repeat(shard, &choice);
+        if !is_delegated {
             self.launch(shard, choice, pause);
         }
         true
@@ -99,8 +100,8 @@
     /// Returns whether an upstream may have run the request, or may still run it. An attempt that waits for a
     /// connection isn't sent any more once the request has ended.
     pub(super) fn may_have_run(&self) -> bool {
-        let may_have = |attempt: &StartedAttempt| attempt.may_have_run && attempt.sent.get();
-        self.attempts.iter().any(may_have)
+        let may_have_run = |attempt: &StartedAttempt| attempt.may_have_run && attempt.is_sent.get();
+        self.attempts.iter().any(may_have_run)
     }
 
     /// Returns the attempts of a shard.
@@ -118,13 +119,13 @@
     ) -> SmallVec<[(AttemptKind, &UpstreamIncarnation); 4]> {
         let mut upstreams = SmallVec::new();
         for attempt in self.attempts_of(shard) {
-            let delegated = attempt.kind == AttemptKind::Delegated;
-            let kind = if delegated {
+            let is_delegated = attempt.kind == AttemptKind::Delegated;
+            let kind = if is_delegated {
                 attempt.kind
             } else {
                 AttemptKind::Zone
             };
-            let upstream = (kind, &attempt.life);
+            let upstream = (kind, &attempt.incarnation);
             if attempt.may_have_run && !upstreams.contains(&upstream) {
                 upstreams.push(upstream);
             }
@@ -147,8 +148,8 @@
             Err(denial) => {
                 let label = OutcomeLabel(denial.word());
                 core.metrics.unfunded.get_or_create(&label).inc();
-                self.unfunded.set(self.unfunded.get() + 1);
-                self.denial.set(denial.word());
+                self.denied_repeats.set(self.denied_repeats.get() + 1);
+                self.last_denial.set(denial.word());
             }
         }
         result.is_ok()
@@ -156,10 +157,10 @@
 
     /// Counts the request to a shard in the retry budget, once.
     pub(super) fn count_request(&mut self, shard: usize) {
-        if self.state.shards()[shard].counted {
+        if self.state.shards()[shard].request_counted {
             return;
         }
-        self.state.shard_mut(shard).counted = true;
+        self.state.shard_mut(shard).request_counted = true;
         let core = &self.context.core;
         let service = self.target.service(shard);
         core.repeats
@@ -170,9 +171,9 @@
     /// Returns the upstreams that a shard may be sent to: those in the home regions of the route, except cold ones that
     /// may get no request from this VM now.
     pub(super) fn candidates(&self, shard: usize) -> UpstreamList {
-        let mut listed = self.home_upstreams(shard);
-        listed.retain(|upstream| self.context.core.allows_cold_send(upstream));
-        listed
+        let mut upstreams = self.home_upstreams(shard);
+        upstreams.retain(|upstream| self.context.core.allows_cold_send(upstream));
+        upstreams
     }
 
     /// Returns the upstreams in the home regions of the route.
@@ -181,10 +182,11 @@
         self.context.core.home_upstreams(&self.route, service)
     }
 
-    /// Selects an upstream that the shard was not sent to. If there is none and no attempt is in flight, selects one
-    /// that it was sent to, without exceeding the route's limit on upstreams. For another VM, only upstreams in this
-    /// VM's zone are used.
-    pub(super) fn choose(&self, shard: usize, repeat: bool) -> Option<UpstreamChoice> {
+    /// Selects the upstream for an attempt of a shard: any candidate for the first one. If `is_repeat` is set, or an
+    /// earlier attempt was not sent, selects an upstream that the shard was not sent to. If there is none and no
+    /// attempt is in flight, selects one that it was sent to, without exceeding the route's limit on upstreams. If this
+    /// VM gathers the part for another VM, only upstreams in this VM's zone are used.
+    pub(super) fn choose(&self, shard: usize, is_repeat: bool) -> Option<UpstreamChoice> {
         let core = &self.context.core;
         let candidates = self.candidates(shard);
         let latency = self.context.latency.borrow();
@@ -193,28 +195,36 @@
         let in_own_zone = |upstream: &Upstream| {
             self.delivery.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
-        let pick = |allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
-            let allowed = |upstream: &Upstream, life: &UpstreamIncarnation| {
-                in_own_zone(upstream) && allowed(upstream, life)
+        let pick = |is_allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
+            let is_allowed = |upstream: &Upstream, incarnation: &UpstreamIncarnation| {
+                in_own_zone(upstream) && is_allowed(upstream, incarnation)
             };
-            choose_upstream(&candidates, allowed, place, &latency, time)
+            choose_upstream(&candidates, is_allowed, place, &latency, time)
         };
-        if !repeat && self.state.shards()[shard].unsent == 0 {
+        if !is_repeat && self.state.shards()[shard].unsent_attempts == 0 {
             return pick(&|_, _| true);
         }
-        let run = self.upstreams_run(shard);
-        let more = run.len() < self.max_upstreams();
-        let fresh = |life: &UpstreamIncarnation| {
+        let run_upstreams = self.upstreams_run(shard);
+        let may_use_more = run_upstreams.len() < self.max_upstreams();
+        let is_untried = |incarnation: &UpstreamIncarnation| {
             let mut attempts = self.attempts_of(shard);
-            more && !attempts.any(|attempt| attempt.life == *life)
+            may_use_more && !attempts.any(|attempt| attempt.incarnation == *incarnation)
+        };
+        let is_reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
+        let none_in_flight = self.state.shards()[shard].in_flight == 0;
+        let has_run_on = |incarnation: &UpstreamIncarnation| {
+            run_upstreams.contains(&(AttemptKind::Zone, incarnation))
+        };
+        let may_repeat = |incarnation: &UpstreamIncarnation| {
+            none_in_flight && (may_use_more || has_run_on(incarnation))
         };
-        let reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
-        let alone = self.state.shards()[shard].in_flight == 0;
-        let known = |life: &UpstreamIncarnation| run.contains(&(AttemptKind::Zone, life));
-        let again = |life: &UpstreamIncarnation| alone && (more || known(life));
-        pick(&|upstream, life| reachable(upstream) && fresh(life))
-            .or_else(|| pick(&|upstream, life| reachable(upstream) && again(life)))
-            .or_else(|| pick(&|_upstream, life| fresh(life) || again(life)))
+        pick(&|upstream, incarnation| is_reachable(upstream) && is_untried(incarnation))
+            .or_else(|| {
+                pick(&|upstream, incarnation| is_reachable(upstream) && may_repeat(incarnation))
+            })
+            .or_else(|| {
+                pick(&|_upstream, incarnation| is_untried(incarnation) || may_repeat(incarnation))
+            })
     }
 
     /// Records the start of an attempt; returns its index in the list.
@@ -224,9 +234,9 @@
         choice: &UpstreamChoice,
         kind: AttemptKind,
         began: Instant,
-        abort: AbortHandle,
+        abort_handle: AbortHandle,
     ) -> usize {
-        let first_check = {
+        let first_check_ms = {
             let latency = self.context.latency.borrow();
             HedgeCandidate::next_check_ms(latency.histogram(kind), 0.0)
         };
@@ -235,21 +245,21 @@
         }
         self.attempts.push(StartedAttempt {
             shard,
-            life: choice.upstream.entry().incarnation(),
+            incarnation: choice.upstream.entry().incarnation(),
             upstream: Rc::clone(&choice.upstream),
             kind,
             may_have_run: true,
-            sent: Rc::new(Cell::new(kind == AttemptKind::Delegated)),
-            abort,
+            is_sent: Rc::new(Cell::new(kind == AttemptKind::Delegated)),
+            abort_handle,
             began,
-            next_check: began + Duration::from_secs_f64(first_check / 1_000.0),
+            next_check: began + Duration::from_secs_f64(first_check_ms / 1_000.0),
             known_late: false,
             took: None,
             ended: false,
         });
-        let state = self.state.shard_mut(shard);
-        state.in_flight += 1;
-        state.ran += 1;
+        let shard_state = self.state.shard_mut(shard);
+        shard_state.in_flight += 1;
+        shard_state.ran += 1;
         self.attempts.len() - 1
     }
 
@@ -257,21 +267,21 @@
     pub(super) fn launch(&mut self, shard: usize, choice: UpstreamChoice, pause: Duration) {
         self.count_request(shard);
         let began = now() + pause;
-        let (abort, registration) = AbortHandle::new_pair();
+        let (abort_handle, registration) = AbortHandle::new_pair();
         let kind = AttemptKind::from(choice.distance);
-        let number = self.record_begun(shard, &choice, kind, began, abort);
+        let number = self.record_begun(shard, &choice, kind, began, abort_handle);
         let context = self.context.clone();
         let request = Rc::clone(&self.request);
         let cancelled = Rc::clone(&self.cancelled);
-        let sent = Rc::clone(&self.attempts[number].sent);
+        let is_sent = Rc::clone(&self.attempts[number].is_sent);
         let useful_until = self.state.useful_until(began);
         let attempt = async move {
             if !pause.is_zero() {
                 tokio::time::sleep(pause).await;
             }
             let may_send = || {
-                sent.set(!cancelled.get());
-                sent.get()
+                is_sent.set(!cancelled.get());
+                is_sent.get()
             };
             let upstream = &choice.upstream;
             let outcome = run_attempt(&context, upstream, &request, useful_until, may_send).await;
--- a/crates/ebonyfork/src/gateway/run/begin.rs
+++ b/crates/ebonyfork/src/gateway/run/begin.rs
@@ -1,4 +1,4 @@
-//! Starts a request: which shards are sent where, which are delegated and which are postponed.
+//! Starts a request: decides where each shard is sent, which shards are delegated and which are postponed.
 
 use std::time::Duration;
 
@@ -63,14 +63,14 @@
         }
         for shard in postponed_shards(likelihoods, self.state.spare_shards()) {
             self.state.shard_mut(shard).postponed = true;
-            self.postponed += 1;
+            self.postponed_count += 1;
         }
     }
 
     /// Starts a shard's first attempt, unless the shard is postponed or delegated to another VM.
     fn begin_shard(&mut self, shard: usize, choice: Option<UpstreamChoice>) {
-        let state = &self.state.shards()[shard];
-        if state.postponed || state.in_flight > 0 {
+        let shard_state = &self.state.shards()[shard];
+        if shard_state.postponed || shard_state.in_flight > 0 {
             return;
         }
         let Some(choice) = choice else { return };
@@ -100,16 +100,16 @@
     /// Returns the probability that a part arrives while it is useful.
     fn likelihood(&self, choice: &UpstreamChoice) -> f64 {
         let time = now();
-        let Some(until) = self.state.useful_until(time) else {
+        let Some(useful_until) = self.state.useful_until(time) else {
             return 1.0;
         };
-        let left = millis(until.saturating_duration_since(time));
+        let left_ms = millis(useful_until.saturating_duration_since(time));
         let latency = self.context.latency.borrow();
         let histogram = match choice.distance {
             PlaceDistance::Zone => latency.histogram(choice.distance),
             // The shard is delegated to a VM in the upstream's zone.
             PlaceDistance::Region | PlaceDistance::Far => latency.histogram(AttemptKind::Delegated),
         };
-        1.0 - histogram.survival(left / choice.slowness)
+        1.0 - histogram.survival(left_ms / choice.slowness)
     }
 }
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -9,8 +9,8 @@
 use crate::gateway::refusal::RefusalReason;
 use crate::gateway::reply::{CallerReply, forwarded, gathered, refusal, set_retry_after};
 
-/// Maximum number of attempts listed in the log line of a failed request.
-const OPEN_LIMIT: usize = 4;
+/// Maximum number of open attempts listed in the log line of a failed request.
+const LISTED_ATTEMPTS_LIMIT: usize = 4;
 
 impl QueryRun {
     /// Creates the answer and its log details.
@@ -22,14 +22,14 @@
             self.state.shards().len(),
             self.attempts.len(),
             self.groups.len(),
-            self.hedges,
-            self.retries,
-            self.unfunded.get(),
-            self.denial.get(),
+            self.hedge_count,
+            self.retry_count,
+            self.denied_repeats.get(),
+            self.last_denial.get(),
             self.state.lost(),
-            self.postponed,
+            self.postponed_count,
             millis(self.request.caller_time),
-            millis(self.lag)
+            millis(self.answer_margin)
         );
         let (outcome, reply) = match end {
             GatherEnd::Whole | GatherEnd::Partial => self.answer(end),
@@ -40,50 +40,51 @@
         } else {
             detail + &self.open_attempts()
         };
-        let gathered = matches!(self.target, RunTarget::Gather(_)) && reply.status().is_success();
+        let is_gathered =
+            matches!(self.target, RunTarget::Gather(_)) && reply.status().is_success();
         RunReport {
             reply,
             outcome,
             detail,
-            decided: gathered.then_some(decided),
+            decided: is_gathered.then_some(decided),
         }
     }
 
     /// Lists the attempts that a failed request was still waiting for, for its log line.
     fn open_attempts(&self) -> String {
         let time = now();
-        let open = self
+        let open_attempts = self
             .attempts
             .iter()
             .filter(|attempt| !attempt.ended && self.state.shards()[attempt.shard].is_open());
-        let named = open.take(OPEN_LIMIT).map(|attempt| {
-            let waited = time.saturating_duration_since(attempt.began).as_millis();
+        let descriptions = open_attempts.take(LISTED_ATTEMPTS_LIMIT).map(|attempt| {
+            let waited_ms = time.saturating_duration_since(attempt.began).as_millis();
             let service = self.target.service(attempt.shard);
-            format_compact!(" open={service}@{}:{waited}ms", attempt.life)
+            format_compact!(" open={service}@{}:{waited_ms}ms", attempt.incarnation)
         });
-        named.collect()
+        descriptions.collect()
     }
 
     fn answer(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
         let names = &self.context.core.dialect.names;
-        if let RunTarget::Gather(terms) = &self.target {
-            let word = if end == GatherEnd::Whole {
+        if let RunTarget::Gather(gather_terms) = &self.target {
+            let outcome = if end == GatherEnd::Whole {
                 "whole"
             } else {
                 "partial"
             };
-            return (word, gathered(names, &self.state, terms.top));
+            return (outcome, gathered(names, &self.state, gather_terms.top));
         }
-        match self.single.take() {
+        match self.single_answer.take() {
             Some(answer) => ("answered", forwarded(answer)),
             None => ("unknown", refusal(RefusalReason::Unknown)),
         }
     }
 
     fn fail(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
-        let one = matches!(self.target, RunTarget::One(_));
-        if let Some(failure) = self.failure.take().filter(|_failure| one) {
-            return ("failed", forwarded(failure));
+        let is_single = matches!(self.target, RunTarget::One(_));
+        if let Some(failed_answer) = self.failed_answer.take().filter(|_failed_answer| is_single) {
+            return ("failed", forwarded(failed_answer));
         }
         // A request that only waited for a connection hasn't run, so it isn't answered with 504: that status kept
         // callers from resending requests that may run only once.
@@ -96,9 +97,9 @@
         };
         let mut reply = refusal(reason);
         if reason == RefusalReason::NoUpstream
-            && let Some(wait) = self.registration_left().or_else(|| self.warm_up_left())
+            && let Some(retry_after) = self.registration_left().or_else(|| self.warm_up_left())
         {
-            set_retry_after(&mut reply, wait);
+            set_retry_after(&mut reply, retry_after);
         }
         (reason.word(), reply)
     }
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -24,8 +24,8 @@
 /// Group of shards that another VM gathers.
 #[derive(Debug)]
 pub(super) struct ShardGroup {
-    /// Query number used with that VM.
-    number: u64,
+    /// Number by which this VM and the other one identify the query.
+    query_number: u64,
     /// Attempts of the group, as indices in the list of attempts.
     attempts: Vec<usize>,
 }
@@ -33,9 +33,9 @@
 /// Progress of the replies to the VM that requested the parts.
 #[derive(Debug)]
 pub(super) struct PartialDelivery {
-    /// Whether the outcome of each shard was reported.
+    /// Whether the outcome of each shard was reported to that VM.
     reported: Vec<bool>,
-    /// Shards whose upstreams in this zone should be avoided for a short time.
+    /// Whether the upstreams of each shard in this zone should be avoided for a short time.
     avoid: Vec<bool>,
 }
 
@@ -53,7 +53,7 @@
     /// direct attempts.
     pub(super) fn delegate(&mut self, choices: &mut [Option<UpstreamChoice>]) {
         let place = self.context.core.settings.place.clone();
-        let mut zones: SmallVec<[(PlaceName, Vec<usize>); 4]> = SmallVec::new();
+        let mut shards_by_zone: SmallVec<[(PlaceName, Vec<usize>); 4]> = SmallVec::new();
         for (shard, choice) in choices.iter().enumerate() {
             let Some(choice) = choice else { continue };
             let in_own_zone = choice.distance == PlaceDistance::Zone;
@@ -65,21 +65,24 @@
                 zone, place.zone,
                 "an upstream at a distance is in another zone"
             );
-            match zones.iter_mut().find(|(known, _shards)| *known == zone) {
+            match shards_by_zone
+                .iter_mut()
+                .find(|(known_zone, _shards)| *known_zone == zone)
+            {
                 Some((_zone, shards)) => shards.push(shard),
-                None => zones.push((zone, vec![shard])),
+                None => shards_by_zone.push((zone, vec![shard])),
             }
         }
-        for (zone, shards) in zones {
-            let group: Vec<_> = shards
+        for (zone, shards) in shards_by_zone {
+            let group_choices: Vec<_> = shards
                 .iter()
                 .map(|shard| (*shard, &choices[*shard]))
                 .collect();
-            let group: Vec<_> = group
+            let group_choices: Vec<_> = group_choices
                 .into_iter()
                 .filter_map(|(shard, choice)| Some((shard, choice.as_ref()?)))
                 .collect();
-            if !self.delegate_zone(&zone, &group) {
+            if !self.delegate_zone(&zone, &group_choices) {
                 continue;
             }
             for shard in shards {
@@ -91,9 +94,12 @@
     /// Delegates a repeated attempt to a VM in the upstream's zone, whose link is already open; a new connection from
     /// here would cost another round trip. Returns whether the attempt was delegated.
     pub(super) fn delegate_repeat(&mut self, shard: usize, choice: &UpstreamChoice) -> bool {
-        let gather = matches!(self.target, RunTarget::Gather(_));
-        let suspected = self.is_suspected();
-        if !gather || suspected || choice.distance == PlaceDistance::Zone || self.delivery.is_some()
+        let is_gathered = matches!(self.target, RunTarget::Gather(_));
+        let is_suspected = self.is_suspected();
+        if !is_gathered
+            || is_suspected
+            || choice.distance == PlaceDistance::Zone
+            || self.delivery.is_some()
         {
             return false;
         }
@@ -103,49 +109,53 @@
 
     fn delegate_zone(&mut self, zone: &PlaceName, shards: &[(usize, &UpstreamChoice)]) -> bool {
         let core = Rc::clone(&self.context.core);
-        let usual = {
+        let median_ms = {
             let latency = self.context.latency.borrow();
             latency.histogram(AttemptKind::Delegated).quantile(0.5)
         };
-        let working = core.vms.working_in(zone);
-        let Some(vm) = core.delegates.choose_vm(&working, usual) else {
+        let working_vms = core.vms.working_in(zone);
+        let Some(vm) = core.delegates.choose_vm(&working_vms, median_ms) else {
             return false;
         };
         let began = now();
         let query = self.partial_query(shards, began);
         let group = self.groups.len();
-        let events = (group, self.event_sender.clone());
-        let Some(number) = core.delegates.send(vm, query, usual, events) else {
+        let event_destination = (group, self.event_sender.clone());
+        let Some(query_number) = core.delegates.send(vm, query, median_ms, event_destination)
+        else {
             return false;
         };
         let mut attempts = Vec::with_capacity(shards.len());
         for (shard, choice) in shards {
             self.count_request(*shard);
-            let (abort, _registration) = AbortHandle::new_pair();
+            let (abort_handle, _registration) = AbortHandle::new_pair();
             let kind = AttemptKind::Delegated;
-            attempts.push(self.record_begun(*shard, choice, kind, began, abort));
+            attempts.push(self.record_begun(*shard, choice, kind, began, abort_handle));
         }
-        self.groups.push(ShardGroup { number, attempts });
+        self.groups.push(ShardGroup {
+            query_number,
+            attempts,
+        });
         true
     }
 
     fn partial_query(&self, shards: &[(usize, &UpstreamChoice)], time: Instant) -> PartialQuery {
-        let micros = |until: Instant| {
-            let left = until.saturating_duration_since(time).as_micros();
-            u32::try_from(left).unwrap_or(u32::MAX)
+        let micros_until = |until: Instant| {
+            let left_us = until.saturating_duration_since(time).as_micros();
+            u32::try_from(left_us).unwrap_or(u32::MAX)
         };
-        let useful = self.state.useful_until(time);
-        let longest = self.context.latency.borrow().waits.own_longest();
+        let useful_until = self.state.useful_until(time);
+        let longest_wait = self.context.latency.borrow().waits.own_longest();
         PartialQuery {
             number: 0,
-            digest: *self.shard_mark.get_or_init(|| self.route.shard_digest()),
+            digest: *self.shard_digest.get_or_init(|| self.route.shard_digest()),
             shards: shards
                 .iter()
                 .map(|(shard, _choice)| *shard as u16)
                 .collect(),
-            answer_left_us: useful.map_or(0, micros),
-            finish_left_us: micros(self.request.finish_by),
-            longest_wait_us: u32::try_from(longest.as_micros()).unwrap_or(u32::MAX),
+            answer_left_us: useful_until.map_or(0, micros_until),
+            finish_left_us: micros_until(self.request.finish_by),
+            longest_wait_us: u32::try_from(longest_wait.as_micros()).unwrap_or(u32::MAX),
             request: self.request.to_partial(),
         }
     }
@@ -169,7 +179,7 @@
 
     fn handle_reply(&mut self, group: usize, reply: PartialReply) {
         let attempts = self.groups[group].attempts.clone();
-        let find = |run: &Self, shard: u16| {
+        let find_attempt = |run: &Self, shard: u16| {
             let mut numbers = attempts.iter().copied();
             numbers.find(|number| {
                 let attempt = &run.attempts[*number];
@@ -179,7 +189,7 @@
         let time = now();
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
-            let Some(number) = find(self, part.shard) else {
+            let Some(number) = find_attempt(self, part.shard) else {
                 log::warn!(
                     "partial reply contains shard {} that was not requested",
                     part.shard
@@ -197,15 +207,15 @@
             self.state.add_merged_group(parts, reply.records);
         }
         self.mark_rest_late(&attempts, time);
-        for failed in reply.failed {
-            let Some(number) = find(self, failed.shard) else {
+        for failed_shard in reply.failed {
+            let Some(number) = find_attempt(self, failed_shard.shard) else {
                 continue;
             };
-            if failed.avoid {
+            if failed_shard.avoid {
                 let health = &self.attempts[number].upstream.health;
                 health.borrow_mut().record_avoid_advice(time);
             }
-            self.record_delegated_failure(number, failed.reach);
+            self.record_delegated_failure(number, failed_shard.reach);
         }
     }
 
@@ -225,12 +235,13 @@
     fn record_delegated_part(&mut self, number: usize, time: Instant, took_us: u32) {
         let attempt = &mut self.attempts[number];
         attempt.ended = true;
-        let took = time.saturating_duration_since(attempt.began);
+        let attempt_time = time.saturating_duration_since(attempt.began);
         let mut latency = self.context.latency.borrow_mut();
         latency
             .histogram_mut(AttemptKind::Delegated)
-            .record(took, time);
-        // Compare the upstream's time there with that of upstreams in this VM's zone.
+            .record(attempt_time, time);
+        // The other VM is in the upstream's zone, so the time that it measured is compared with the usual time of
+        // attempts in this VM's own zone.
         let slowness = latency.slowness(AttemptKind::Zone, f64::from(took_us) / 1_000.0);
         let mut health = attempt.upstream.health.borrow_mut();
         health.record_answer(attempt.began, time, slowness);
@@ -255,20 +266,20 @@
         }
         drop(health);
         let shard = attempt.shard;
-        let state = self.state.shard_mut(shard);
-        state.in_flight -= 1;
+        let shard_state = self.state.shard_mut(shard);
+        shard_state.in_flight -= 1;
         match reach {
             ShardReach::Unsent => {
-                state.ran -= 1;
-                state.unsent += 1;
+                shard_state.ran -= 1;
+                shard_state.unsent_attempts += 1;
             }
             ShardReach::Declined => {
-                state.ran -= 1;
-                state.declined += 1;
+                shard_state.ran -= 1;
+                shard_state.declined_attempts += 1;
             }
             ShardReach::Run => {}
             ShardReach::Broken => {
-                state.lost = true;
+                shard_state.connection_broke = true;
                 let check = Rc::new(LossCheck::new(LossVerdict::Lost));
                 self.retry_lost(shard, Some(check));
                 return;
@@ -281,22 +292,25 @@
     pub(super) fn end_groups(&mut self) {
         let time = now();
         for group in &self.groups {
-            let finished = group
+            let all_ended = group
                 .attempts
                 .iter()
                 .all(|number| self.attempts[*number].ended);
-            self.context.core.delegates.end(group.number, finished);
+            self.context
+                .core
+                .delegates
+                .end(group.query_number, all_ended);
         }
         for attempt in &self.attempts {
             if attempt.ended || attempt.kind != AttemptKind::Delegated {
                 continue;
             }
             let mut latency = self.context.latency.borrow_mut();
-            let waited = time.saturating_duration_since(attempt.began);
+            let time_in_flight = time.saturating_duration_since(attempt.began);
             latency
                 .histogram_mut(AttemptKind::Delegated)
-                .record_abandoned(waited, time);
-            let slowness = latency.slowness(AttemptKind::Delegated, millis(waited));
+                .record_abandoned(time_in_flight, time);
+            let slowness = latency.slowness(AttemptKind::Delegated, millis(time_in_flight));
             let mut health = attempt.upstream.health.borrow_mut();
             health.record_abandoned(attempt.began, time, slowness);
         }
@@ -306,19 +320,19 @@
     /// failed at once.
     pub(super) fn begin_partial(&mut self) {
         let time = now();
-        let usual = {
+        let median_ms = {
             let latency = self.context.latency.borrow();
             latency.histogram(AttemptKind::Zone).quantile(0.5)
         };
         for shard in 0..self.state.shards().len() {
             // The VM that accepted the request from the caller has counted it.
-            self.state.shard_mut(shard).counted = true;
+            self.state.shard_mut(shard).request_counted = true;
             let choice = self.choose(shard, false);
-            let usable = choice.filter(|choice| {
+            let usable_choice = choice.filter(|choice| {
                 let health = choice.upstream.health.borrow();
-                !health.is_ejected(time) && !health.is_pausing(time, usual)
+                !health.is_ejected(time) && !health.is_pausing(time, median_ms)
             });
-            if let Some(choice) = usable {
+            if let Some(choice) = usable_choice {
                 self.launch(shard, choice, Duration::ZERO);
             } else {
                 if let Some(delivery) = &mut self.delivery {
@@ -329,35 +343,35 @@
         }
     }
 
-    /// Sends the parts that have arrived once the attempts still in flight are late, so that several parts share one
-    /// reply and none of them waits for a straggler.
+    /// Sends the parts that have arrived to the VM that requested them, once the attempts still in flight are late, so
+    /// that several parts share one reply and none of them waits for a straggler. A failed shard is reported at once.
     pub(super) fn flush(&mut self, reply: &mut impl FnMut(PartialReply)) {
         let Some(delivery) = &self.delivery else {
             return;
         };
         let time = now();
         let shards = self.state.shards();
-        let ended = |shard: usize| !shards[shard].is_open();
-        let waiting = (0..shards.len()).filter(|shard| !ended(*shard));
-        let usual = |shard: usize| {
+        let has_ended = |shard: usize| !shards[shard].is_open();
+        let open_shards = (0..shards.len()).filter(|shard| !has_ended(*shard));
+        let has_timely_attempt = |shard: usize| {
             let mut in_flight = self.attempts_of(shard).filter(|attempt| !attempt.ended);
             in_flight.any(|attempt| !self.is_straggler(attempt.began, attempt.kind, time))
         };
-        let failed = (0..shards.len()).any(|shard| {
+        let has_unreported_failure = (0..shards.len()).any(|shard| {
             !delivery.reported[shard] && shards[shard].outcome == ShardOutcome::Failed
         });
-        if !failed && waiting.clone().any(usual) {
+        if !has_unreported_failure && open_shards.clone().any(has_timely_attempt) {
             return;
         }
-        let unreported: Vec<usize> = (0..shards.len())
-            .filter(|shard| ended(*shard) && !delivery.reported[*shard])
+        let unreported_shards: Vec<usize> = (0..shards.len())
+            .filter(|shard| has_ended(*shard) && !delivery.reported[*shard])
             .collect();
-        if unreported.is_empty() {
+        if unreported_shards.is_empty() {
             return;
         }
-        let message = self.partial_reply(&unreported);
+        let message = self.partial_reply(&unreported_shards);
         if let Some(delivery) = &mut self.delivery {
-            for shard in unreported {
+            for shard in unreported_shards {
                 delivery.reported[shard] = true;
             }
         }
@@ -365,15 +379,15 @@
     }
 
     fn is_straggler(&self, began: Instant, kind: AttemptKind, time: Instant) -> bool {
-        let waited = millis(time.saturating_duration_since(began));
+        let waited_ms = millis(time.saturating_duration_since(began));
         let latency = self.context.latency.borrow();
-        waited >= latency.histogram(kind).quantile(super::STRAGGLER_QUANTILE)
+        waited_ms >= latency.histogram(kind).quantile(super::STRAGGLER_QUANTILE)
     }
 
-    /// Returns the time of the attempt that delivered a shard's part.
+    /// Returns the time that the attempt which delivered a shard's part took, in microseconds.
     fn took_us(&self, shard: usize) -> u32 {
-        let took = self.attempts_of(shard).find_map(|attempt| attempt.took);
-        let micros = took.unwrap_or_default().as_micros();
+        let attempt_time = self.attempts_of(shard).find_map(|attempt| attempt.took);
+        let micros = attempt_time.unwrap_or_default().as_micros();
         u32::try_from(micros).unwrap_or(u32::MAX)
     }
 
@@ -389,7 +403,7 @@
 
     fn partial_reply(&self, shards: &[usize]) -> PartialReply {
         let mut reply = PartialReply::default();
-        let mut records = Vec::new();
+        let mut answered_parts = Vec::new();
         for number in shards {
             let shard = &self.state.shards()[*number];
             if let ShardOutcome::Answered(part) = &shard.outcome {
@@ -398,7 +412,7 @@
                     signature: bytes::Bytes::copy_from_slice(part.signature.as_bytes()),
                     took_us: self.took_us(*number),
                 });
-                records.push(part);
+                answered_parts.push(part);
                 continue;
             }
             let avoid = self
@@ -411,11 +425,11 @@
                 avoid,
             });
         }
-        let own = records.iter().filter_map(|part| part.own_records());
-        let RunTarget::Gather(terms) = &self.target else {
+        let separate_records = answered_parts.iter().filter_map(|part| part.own_records());
+        let RunTarget::Gather(gather_terms) = &self.target else {
             return reply;
         };
-        reply.records = merge_records(own, terms.top);
+        reply.records = merge_records(separate_records, gather_terms.top);
         reply
     }
 }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -47,7 +47,7 @@
 /// within 500 ms.
 const LINGER_TIME: Duration = Duration::from_millis(300);
 
-/// Result of a request.
+/// Result of running a request.
 #[derive(Debug)]
 pub struct RunReport {
     /// Reply to the caller.
@@ -60,7 +60,7 @@
     pub decided: Option<Instant>,
 }
 
-/// Target of a request.
+/// Upstreams that a request is for.
 #[derive(Debug, Clone)]
 pub enum RunTarget {
     /// One upstream of a service.
@@ -73,7 +73,7 @@
     fn service(&self, shard: usize) -> &UpstreamService {
         match self {
             Self::One(service) => service,
-            Self::Gather(terms) => &terms.shards[shard],
+            Self::Gather(gather_terms) => &gather_terms.shards[shard],
         }
     }
 }
@@ -90,29 +90,29 @@
     /// Set when the request has ended; attempts that still wait for a connection are then not sent.
     cancelled: Rc<Cell<bool>>,
     /// Successful answer to a request to a single service.
-    single: Option<UpstreamAnswer>,
+    single_answer: Option<UpstreamAnswer>,
     /// Last answer with an error status, for requests to a single service.
-    failure: Option<UpstreamAnswer>,
+    failed_answer: Option<UpstreamAnswer>,
     /// Connection losses that may be caused by the request, and the shards held back because of them.
     suspicion: RunSuspicion,
-    /// Identifies the route's list of shards to other VMs; computed for the first group.
-    shard_mark: OnceCell<u64>,
+    /// Digest by which other VMs identify the route's list of shards; computed for the first group.
+    shard_digest: OnceCell<u64>,
     /// Groups of shards that other VMs gather.
     groups: Vec<ShardGroup>,
-    events: mpsc::UnboundedReceiver<GroupEvent>,
+    event_receiver: mpsc::UnboundedReceiver<GroupEvent>,
     event_sender: mpsc::UnboundedSender<GroupEvent>,
     /// Set if this VM gathers the parts for another VM.
     delivery: Option<PartialDelivery>,
-    hedges: usize,
-    retries: usize,
+    hedge_count: usize,
+    retry_count: usize,
     /// Number of repeats that the retry budget denied.
-    unfunded: Cell<usize>,
+    denied_repeats: Cell<usize>,
     /// Number of shards that were postponed at the start.
-    postponed: usize,
+    postponed_count: usize,
     /// Reason for the last denied repeat.
-    denial: Cell<&'static str>,
-    /// Time before its send deadline at which the answer is decided.
-    lag: Duration,
+    last_denial: Cell<&'static str>,
+    /// Time before its send deadline at which a gathered answer is decided.
+    answer_margin: Duration,
 }
 
 /// Runs a request to its end. Dropping the future abandons the request.
@@ -135,13 +135,13 @@
 pub async fn run_partial(
     core: &Rc<GatewayCore>,
     route: &Rc<RouteEntry>,
-    terms: GatherTerms,
+    gather_terms: GatherTerms,
     request: Rc<ForwardRequest>,
     answer_by: Instant,
     mut reply: impl FnMut(PartialReply),
 ) {
-    let shards = terms.shards.len();
-    let mut run = QueryRun::new(core, route, RunTarget::Gather(terms), request);
+    let shards = gather_terms.shards.len();
+    let mut run = QueryRun::new(core, route, RunTarget::Gather(gather_terms), request);
     run.state = GatherState::new(shards, 0, answer_by, run.request.finish_by).waiting_for_all();
     run.delivery = Some(PartialDelivery::new(shards));
     run.begin_partial();
@@ -159,10 +159,12 @@
     ) -> Self {
         let (shards, required) = match &target {
             RunTarget::One(_) => (1, 1),
-            RunTarget::Gather(terms) => (terms.shards.len(), terms.min_shards()),
+            RunTarget::Gather(gather_terms) => {
+                (gather_terms.shards.len(), gather_terms.min_shards())
+            }
         };
-        let lag = core.lag.borrow().margin();
-        let margin = request.caller_time + lag;
+        let answer_margin = core.lag.borrow().margin();
+        let margin = request.caller_time + answer_margin;
         let answer_by = request.received + route.target.saturating_sub(margin);
         let finish_by = request.finish_by.checked_sub(FINISH_MARGIN);
         let finish_by = finish_by.unwrap_or(request.received);
@@ -172,7 +174,7 @@
             repeat: route.repeat,
             stream_patience: matches!(target, RunTarget::One(_)).then_some(route.timeout),
         };
-        let (event_sender, events) = mpsc::unbounded_channel();
+        let (event_sender, event_receiver) = mpsc::unbounded_channel();
         Self {
             context,
             route: Rc::clone(route),
@@ -182,20 +184,20 @@
             attempts: Vec::with_capacity(shards + shards / 4),
             in_flight: FuturesUnordered::new(),
             cancelled: Rc::default(),
-            single: None,
-            failure: None,
+            single_answer: None,
+            failed_answer: None,
             suspicion: RunSuspicion::default(),
-            shard_mark: OnceCell::new(),
+            shard_digest: OnceCell::new(),
             groups: Vec::new(),
-            events,
+            event_receiver,
             event_sender,
             delivery: None,
-            hedges: 0,
-            retries: 0,
-            unfunded: Cell::default(),
-            postponed: 0,
-            denial: Cell::new("-"),
-            lag,
+            hedge_count: 0,
+            retry_count: 0,
+            denied_repeats: Cell::default(),
+            postponed_count: 0,
+            last_denial: Cell::new("-"),
+            answer_margin,
         }
     }
 
@@ -203,7 +205,7 @@
     fn max_upstreams(&self) -> usize {
         match self.route.repeat {
             RepeatKind::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
-            // The VM that requested the parts may use the others.
+            // If this VM gathers parts for another VM, that VM may use the other upstreams itself.
             RepeatKind::Idempotent | RepeatKind::Once => 1,
         }
     }
@@ -225,21 +227,23 @@
             self.resume_postponed(time);
             self.check_stragglers(time);
             self.flush(reply);
-            let wake = self.next_wake(time);
-            timer.as_mut().reset(tokio::time::Instant::from_std(wake));
+            let wake_time = self.next_wake(time);
+            timer
+                .as_mut()
+                .reset(tokio::time::Instant::from_std(wake_time));
             tokio::select! {
                 Some(finished) = self.in_flight.next() => self.handle_ended(finished),
-                Some(event) = self.events.recv() => self.handle_event(event),
-                () = &mut timer => self.record_timer_delay(wake.max(time)),
+                Some(event) = self.event_receiver.recv() => self.handle_event(event),
+                () = &mut timer => self.record_timer_delay(wake_time.max(time)),
             }
         }
     }
 
     fn record_timer_delay(&self, due: Instant) {
         let time = now();
-        let late = time.saturating_duration_since(due);
+        let delay = time.saturating_duration_since(due);
         let mut lag = self.context.core.lag.borrow_mut();
-        lag.record_timer_delay(late, time);
+        lag.record_timer_delay(delay, time);
     }
 
     /// Sends postponed shards: one for each missing shard, or all of them once the target has passed without enough
@@ -254,22 +258,23 @@
     }
 
     fn next_wake(&self, time: Instant) -> Instant {
-        let mut wake = self.state.next_end_check(time);
+        let mut wake_time = self.state.next_end_check(time);
         if self.suspicion.waits() {
-            wake = wake.min(time + LOSS_CHECK_INTERVAL);
+            wake_time = wake_time.min(time + LOSS_CHECK_INTERVAL);
         }
         if self.route.repeat == RepeatKind::Once {
-            // Requests that may run only once are never hedged, so stragglers aren't checked. Including their check
-            // times made each such request busy-loop from its 90th percentile latency until its answer.
-            return wake;
+            // Requests that may run only once are never hedged, so stragglers aren't checked and their check times
+            // don't advance. With these times each such request would busy-loop from its 90th percentile latency until
+            // its answer.
+            return wake_time;
         }
         for attempt in &self.attempts {
             if attempt.ended || !self.state.shards()[attempt.shard].is_open() {
                 continue;
             }
-            wake = wake.min(attempt.next_check);
+            wake_time = wake_time.min(attempt.next_check);
         }
-        wake
+        wake_time
     }
 }
 
@@ -280,11 +285,12 @@
         self.end_groups();
         let time = now();
         for attempt in &self.attempts {
-            let waited = millis(time.saturating_duration_since(attempt.began));
+            let waited_ms = millis(time.saturating_duration_since(attempt.began));
             let latency = self.context.latency.borrow();
-            // A late attempt probably waits in a queue or a pause; aborting it removes it from there.
-            if waited > latency.histogram(attempt.kind).quantile(STRAGGLER_QUANTILE) {
-                attempt.abort.abort();
+            // A late attempt probably waits in an upstream's queue or for the end of a pause; aborting it takes it out
+            // of the queue.
+            if waited_ms > latency.histogram(attempt.kind).quantile(STRAGGLER_QUANTILE) {
+                attempt.abort_handle.abort();
             }
         }
         let mut in_flight = std::mem::take(&mut self.in_flight);
@@ -292,9 +298,9 @@
             return;
         }
         tokio::task::spawn_local(async move {
-            let ending = async { while in_flight.next().await.is_some() {} };
+            let all_ended = async { while in_flight.next().await.is_some() {} };
             // Attempts that take longer are aborted, which closes their connections.
-            let _elapsed = tokio::time::timeout(LINGER_TIME, ending).await;
+            let _elapsed = tokio::time::timeout(LINGER_TIME, all_ended).await;
         });
     }
 }
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -10,7 +10,7 @@
 use crate::gateway::run::attempt::FinishedAttempt;
 
 impl QueryRun {
-    /// Handles an attempt that has ended. An aborted attempt belongs to a shard whose part has arrived.
+    /// Handles an attempt that has ended; `None` stands for one that was aborted, whose shard's part has arrived.
     pub(super) fn handle_ended(&mut self, finished: Option<FinishedAttempt>) {
         if let Some(finished) = finished {
             self.handle_finished(finished);
@@ -28,8 +28,8 @@
         let label = OutcomeLabel(outcome.word());
         let metrics = &self.context.core.metrics;
         metrics.attempts.get_or_create(&label).inc();
-        let state = self.state.shard_mut(shard);
-        state.in_flight -= 1;
+        let shard_state = self.state.shard_mut(shard);
+        shard_state.in_flight -= 1;
         match outcome {
             AttemptOutcome::Answered(answer) if answer.status.is_success() => {
                 self.store_answer(shard, answer);
@@ -37,24 +37,24 @@
             }
             AttemptOutcome::Answered(answer) => {
                 if self.state.shards()[shard].is_open() {
-                    self.failure = Some(answer);
+                    self.failed_answer = Some(answer);
                 }
                 self.retry(shard, Duration::ZERO);
             }
             AttemptOutcome::Declined(_) => {
-                state.ran -= 1;
-                state.declined += 1;
-                let step = after_declined(state.declined);
+                shard_state.ran -= 1;
+                shard_state.declined_attempts += 1;
+                let step = after_declined(shard_state.declined_attempts);
                 self.apply_retry_step(step, shard);
             }
             AttemptOutcome::Unsent(_) => {
-                state.ran -= 1;
-                state.unsent += 1;
-                let step = after_unsent(state.unsent);
+                shard_state.ran -= 1;
+                shard_state.unsent_attempts += 1;
+                let step = after_unsent(shard_state.unsent_attempts);
                 self.apply_retry_step(step, shard);
             }
             AttemptOutcome::Lost(loss) => {
-                state.lost = true;
+                shard_state.connection_broke = true;
                 self.retry_lost(shard, loss.check);
             }
         }
@@ -68,8 +68,8 @@
         };
         self.state
             .add_part(shard, signature, answer.body.begun().clone());
-        if matches!(self.target, RunTarget::One(_)) && self.single.is_none() {
-            self.single = Some(answer);
+        if matches!(self.target, RunTarget::One(_)) && self.single_answer.is_none() {
+            self.single_answer = Some(answer);
         }
     }
 
@@ -84,15 +84,15 @@
             target: "ebonyfork::decision",
             "attempt request={id} service={} instance={} after_ms={} {outcome}",
             self.target.service(attempt.shard),
-            attempt.life,
+            attempt.incarnation,
             now().saturating_duration_since(attempt.began).as_millis()
         );
     }
 
     fn apply_retry_step(&mut self, step: RetryStep, shard: usize) {
-        let alone = self.state.shards()[shard].in_flight == 0;
+        let none_in_flight = self.state.shards()[shard].in_flight == 0;
         match step {
-            RetryStep::GiveUp if alone => self.state.fail(shard),
+            RetryStep::GiveUp if none_in_flight => self.state.fail(shard),
             RetryStep::GiveUp => {}
             RetryStep::Retry { pause } => self.retry(shard, pause),
         }
@@ -100,13 +100,13 @@
 
     /// Retries a shard unless its part has arrived or another attempt is in flight.
     pub(super) fn retry(&mut self, shard: usize, pause: Duration) {
-        let state = &self.state.shards()[shard];
-        if !state.is_open() || state.in_flight > 0 {
+        let shard_state = &self.state.shards()[shard];
+        if !shard_state.is_open() || shard_state.in_flight > 0 {
             return;
         }
-        self.retries += 1;
+        self.retry_count += 1;
         // An upstream that wasn't tried yet needs no pause.
-        let pause = if self.has_untried(shard) {
+        let pause = if self.has_untried_upstream(shard) {
             Duration::ZERO
         } else {
             pause
@@ -114,13 +114,13 @@
         self.start(shard, pause);
     }
 
-    fn has_untried(&self, shard: usize) -> bool {
+    fn has_untried_upstream(&self, shard: usize) -> bool {
         let candidates = self.candidates(shard);
         candidates.iter().any(|upstream| {
             let entry = upstream.entry();
             let mut attempts = self.attempts_of(shard);
             upstream.takes_requests()
-                && !attempts.any(|attempt| attempt.life == entry.incarnation())
+                && !attempts.any(|attempt| attempt.incarnation == entry.incarnation())
         })
     }
 }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -22,18 +22,18 @@
 use crate::gateway::upstream::UpstreamEntry;
 use crate::store::StoreRevision;
 
-const ID: &str = "r-1";
+const REQUEST_ID: &str = "r-1";
 /// Much longer than any operation in these tests.
-const LONG: Duration = Duration::from_secs(10);
+const LONG_TIME: Duration = Duration::from_secs(10);
 
-/// Creates a process that has run long enough to hold its share of the slack for repeats.
+/// Creates a process that has run long enough to hold its share of the slack, from which it may send repeats.
 fn core() -> Rc<GatewayCore> {
     core_with(settings())
 }
 
 fn core_with(settings: GatewaySettings) -> Rc<GatewayCore> {
     let mut core = GatewayCore::new(settings, dialect());
-    core.started -= LONG;
+    core.started -= LONG_TIME;
     Rc::new(core)
 }
 
@@ -55,15 +55,15 @@
     reply: ScriptedReply,
 ) -> Vec<ScriptedUpstream> {
     earn_repeats(core, service);
-    let mut started = Vec::new();
+    let mut started_upstreams = Vec::new();
     for number in 0..count {
         let upstream = ScriptedUpstream::start(reply).await;
         let key = format_compact!("{service}-{number}");
         let entry = entry(&key, service, "north-a", upstream.address);
         core.registry.put(&key, entry, now(), 4);
-        started.push(upstream);
+        started_upstreams.push(upstream);
     }
-    started
+    started_upstreams
 }
 
 fn route(attempts: usize, destination: RouteTarget) -> Rc<RouteEntry> {
@@ -72,7 +72,7 @@
         host: "t.example".into(),
         prefix: "/".into(),
         repeat: RepeatKind::Idempotent,
-        timeout: LONG,
+        timeout: LONG_TIME,
         target: Duration::from_millis(500),
         attempts,
         priority: 0,
@@ -81,22 +81,22 @@
     })
 }
 
-fn one(attempts: usize) -> (Rc<RouteEntry>, RunTarget) {
+fn single_route(attempts: usize) -> (Rc<RouteEntry>, RunTarget) {
     let service = UpstreamService::new("s");
     let route = route(attempts, RouteTarget::One(service.clone()));
     (route, RunTarget::One(service))
 }
 
-fn request(left: Duration) -> Rc<ForwardRequest> {
+fn request(time_left: Duration) -> Rc<ForwardRequest> {
     let (parts, ()) = Request::get("/1")
         .header("host", "t.example")
-        .header("x-request-id", ID)
+        .header("x-request-id", REQUEST_ID)
         .body(())
         .expect("a request")
         .into_parts();
-    let id = HeaderValue::from_static(ID);
+    let id = HeaderValue::from_static(REQUEST_ID);
     let received = now();
-    let finish_by = received + left;
+    let finish_by = received + time_left;
     let names = wire_names();
     Rc::new(ForwardRequest::new(
         &names,
@@ -109,29 +109,44 @@
 }
 
 async fn run(core: &Rc<GatewayCore>, attempts: usize) -> RunReport {
-    let (route, target) = one(attempts);
-    run_request(core, &route, target, request(LONG), RequestStanding::Clear).await
-}
-
-/// The route's limit on upstreams holds for all outcomes of the attempts, and for each shard separately.
+    let (route, target) = single_route(attempts);
+    run_request(
+        core,
+        &route,
+        target,
+        request(LONG_TIME),
+        RequestStanding::Clear,
+    )
+    .await
+}
+
+/// A request runs on no more upstreams than its route allows, whatever the outcomes of its attempts.
 #[gtest]
 #[tokio::test]
 async fn a_request_runs_on_no_more_upstreams_than_its_route_allows() {
     let test = async {
-        for allowed in 1..=3 {
+        for max_upstreams in 1..=3 {
             let core = core();
-            let broken = upstreams(&core, "s", 4, ScriptedReply::Break).await;
-            let report = run(&core, allowed).await;
+            let breaking_upstreams = upstreams(&core, "s", 4, ScriptedReply::Break).await;
+            let report = run(&core, max_upstreams).await;
             expect_that!(report.reply.status().as_u16(), eq(502));
-            let reached = broken
+            let reached_upstreams = breaking_upstreams
                 .iter()
                 .filter(|upstream| !upstream.log.borrow().requests.is_empty());
-            expect_that!(reached.count(), all![ge(1), le(allowed)], "{allowed}");
-            let sent: usize = broken
+            expect_that!(
+                reached_upstreams.count(),
+                all![ge(1), le(max_upstreams)],
+                "{max_upstreams}"
+            );
+            let request_count: usize = breaking_upstreams
                 .iter()
                 .map(|upstream| upstream.log.borrow().requests.len())
                 .sum();
-            expect_that!(sent, le(4), "sends on the same upstreams are bounded too");
+            expect_that!(
+                request_count,
+                le(4),
+                "sends on the same upstreams are bounded too"
+            );
         }
     };
     LocalSet::new().run_until(test).await;
@@ -142,23 +157,30 @@
 async fn each_shard_keeps_to_the_limit_separately() {
     let test = async {
         let core = core();
-        let mut all = Vec::new();
+        let mut upstreams_by_shard = Vec::new();
         for service in ["s0", "s1", "s2"] {
-            all.push(upstreams(&core, service, 3, ScriptedReply::Break).await);
+            upstreams_by_shard.push(upstreams(&core, service, 3, ScriptedReply::Break).await);
         }
-        let terms = GatherTerms {
+        let gather_terms = GatherTerms {
             shards: ["s0", "s1", "s2"].map(UpstreamService::new).to_vec(),
             top: 10,
             min_coverage: 0.9,
         };
-        let route = route(2, RouteTarget::Gather(terms.clone()));
-        let target = RunTarget::Gather(terms);
-        run_request(&core, &route, target, request(LONG), RequestStanding::Clear).await;
-        for shard in &all {
-            let reached = shard
+        let route = route(2, RouteTarget::Gather(gather_terms.clone()));
+        let target = RunTarget::Gather(gather_terms);
+        run_request(
+            &core,
+            &route,
+            target,
+            request(LONG_TIME),
+            RequestStanding::Clear,
+        )
+        .await;
+        for shard_upstreams in &upstreams_by_shard {
+            let reached_upstreams = shard_upstreams
                 .iter()
                 .filter(|upstream| !upstream.log.borrow().requests.is_empty());
-            expect_that!(reached.count(), le(2));
+            expect_that!(reached_upstreams.count(), le(2));
         }
     };
     LocalSet::new().run_until(test).await;
@@ -169,34 +191,37 @@
 #[tokio::test]
 async fn the_attempts_of_a_disconnected_caller_end_soon() {
     let test = async {
-        // The caller disconnects early, while an answer may still come, or after the attempts are late.
+        // The caller disconnects early, while an answer may still come, or when the attempts are late already.
         for leaves_after in [15, 150] {
             let core = core();
-            let held = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
-            let leaving = Duration::from_millis(leaves_after);
-            let left = tokio::time::timeout(leaving, run(&core, 2)).await;
-            expect_that!(left.is_err(), eq(true));
-            check_ends(&held, now()).await;
+            let holding_upstreams = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
+            let patience = Duration::from_millis(leaves_after);
+            let timed_run = tokio::time::timeout(patience, run(&core, 2)).await;
+            expect_that!(timed_run.is_err(), eq(true));
+            check_ends(&holding_upstreams, now()).await;
         }
     };
     LocalSet::new().run_until(test).await;
 }
 
-async fn check_ends(held: &[ScriptedUpstream], gone: Instant) {
+async fn check_ends(holding_upstreams: &[ScriptedUpstream], disconnected_at: Instant) {
     tokio::time::sleep(Duration::from_millis(700)).await;
-    let mut ended = 0;
-    for upstream in held {
+    let mut ended_requests = 0;
+    for upstream in holding_upstreams {
         let log = upstream.log.borrow();
-        let late = log.requests.iter().filter(|(at, _id)| *at > gone);
-        expect_that!(late.count(), eq(0));
+        let late_requests = log
+            .requests
+            .iter()
+            .filter(|(at, _id)| *at > disconnected_at);
+        expect_that!(late_requests.count(), eq(0));
         expect_that!(log.ended.len(), eq(log.requests.len()));
         for end in &log.ended {
-            let after = end.saturating_duration_since(gone);
-            expect_that!(after, lt(Duration::from_millis(500)));
+            let delay = end.saturating_duration_since(disconnected_at);
+            expect_that!(delay, lt(Duration::from_millis(500)));
         }
-        ended += log.ended.len();
+        ended_requests += log.ended.len();
     }
-    expect_that!(ended, ge(1));
+    expect_that!(ended_requests, ge(1));
 }
 
 /// An attempt that waits for a connection when its caller disconnects is never sent.
@@ -213,17 +238,17 @@
         let upstream = ScriptedUpstream::start(reply).await;
         let entry = entry("s-0", "s", "north-a", upstream.address);
         core.registry.put(&"s-0".into(), entry, now(), 1);
-        let first = tokio::task::spawn_local({
+        let first_run = tokio::task::spawn_local({
             let core = Rc::clone(&core);
             async move { run(&core, 1).await }
         });
         while upstream.log.borrow().requests.is_empty() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        let short = Duration::from_millis(10);
-        let left = tokio::time::timeout(short, run(&core, 1)).await;
-        expect_that!(left.is_err(), eq(true));
-        let report = first.await.expect("no panic");
+        let patience = Duration::from_millis(10);
+        let timed_run = tokio::time::timeout(patience, run(&core, 1)).await;
+        expect_that!(timed_run.is_err(), eq(true));
+        let report = first_run.await.expect("no panic");
         expect_that!(report.reply.status().as_u16(), eq(200));
         tokio::time::sleep(Duration::from_millis(100)).await;
         expect_that!(upstream.log.borrow().requests.len(), eq(1));
@@ -240,12 +265,12 @@
         for repeat in [RepeatKind::Idempotent, RepeatKind::Once] {
             let core = core();
             let _held = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
-            let (route, target) = one(2);
+            let (route, target) = single_route(2);
             let route = Rc::new(RouteEntry {
                 repeat,
                 ..RouteEntry::clone(&route)
             });
-            let mut run = QueryRun::new(&core, &route, target, request(LONG));
+            let mut run = QueryRun::new(&core, &route, target, request(LONG_TIME));
             run.begin(RequestStanding::Clear);
             for after_ms in [1, 40, 100, 450, 2_000, 8_000] {
                 let time = run.request.received + Duration::from_millis(after_ms);
@@ -264,7 +289,7 @@
 async fn an_attempt_without_time_left_does_not_affect_its_upstream() {
     let test = async {
         let core = core();
-        let _started = upstreams(&core, "s", 1, ScriptedReply::Answer(1)).await;
+        let _started_upstreams = upstreams(&core, "s", 1, ScriptedReply::Answer(1)).await;
         let upstream = Rc::clone(&core.registry.upstreams(&UpstreamService::new("s"))[0]);
         let context = AttemptContext {
             core: Rc::clone(&core),
@@ -305,19 +330,22 @@
             begun: 1 << 20,
             rest_after: Duration::from_millis(300),
         };
-        let started = upstreams(&core, "s", 1, reply).await;
+        let started_upstreams = upstreams(&core, "s", 1, reply).await;
         let began = now();
         let mut report = run(&core, 2).await;
-        let first = now().saturating_duration_since(began);
-        expect_that!(first, lt(Duration::from_millis(250)));
+        let report_delay = now().saturating_duration_since(began);
+        expect_that!(report_delay, lt(Duration::from_millis(250)));
         let body = report.reply.body_mut();
-        let stated = hyper::body::Body::size_hint(body).exact();
-        expect_that!(stated, some(eq(WHOLE as u64)));
+        let stated_length = hyper::body::Body::size_hint(body).exact();
+        expect_that!(stated_length, some(eq(WHOLE as u64)));
         expect_that!(read_body(body).await, eq((WHOLE, true)));
         // The connection is reused for the next request.
-        let mut next = run(&core, 2).await;
-        expect_that!(read_body(next.reply.body_mut()).await, eq((WHOLE, true)));
-        expect_that!(started[0].log.borrow().connections, eq(1));
+        let mut next_report = run(&core, 2).await;
+        expect_that!(
+            read_body(next_report.reply.body_mut()).await,
+            eq((WHOLE, true))
+        );
+        expect_that!(started_upstreams[0].log.borrow().connections, eq(1));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -326,11 +354,11 @@
 #[tokio::test]
 async fn a_truncated_answer_never_looks_complete() {
     let test = async {
-        // A short answer isn't passed on at all; a long one ends with an error.
+        // A truncated short answer isn't passed on at all; a truncated long one ends with an error.
         for (whole, begun, status) in [(100_000, 50_000, 502), (2 << 20, 1 << 20, 200)] {
             let core = core();
             let reply = ScriptedReply::Truncated { whole, begun };
-            let _started = upstreams(&core, "s", 1, reply).await;
+            let _started_upstreams = upstreams(&core, "s", 1, reply).await;
             let mut report = run(&core, 1).await;
             expect_that!(report.reply.status().as_u16(), eq(status));
             if status == 200 {
@@ -351,21 +379,21 @@
         let reply = ScriptedReply::Slow {
             whole: 2 << 20,
             begun: 1 << 20,
-            rest_after: LONG,
+            rest_after: LONG_TIME,
         };
-        let started = upstreams(&core, "s", 1, reply).await;
+        let started_upstreams = upstreams(&core, "s", 1, reply).await;
         let report = run(&core, 1).await;
         drop(report);
-        // The connection was closed, so the next request needs a new one.
-        let second = run(&core, 1).await;
-        expect_that!(second.reply.status().as_u16(), eq(200));
-        expect_that!(started[0].log.borrow().connections, eq(2));
+        // The connection was closed, so the next request needs a new connection.
+        let second_report = run(&core, 1).await;
+        expect_that!(second_report.reply.status().as_u16(), eq(200));
+        expect_that!(started_upstreams[0].log.borrow().connections, eq(2));
     };
     LocalSet::new().run_until(test).await;
 }
 
 fn gather_route(shards: &[&str], min_coverage: f64) -> (Rc<RouteEntry>, RunTarget) {
-    let terms = GatherTerms {
+    let gather_terms = GatherTerms {
         shards: shards
             .iter()
             .map(|shard| UpstreamService::new(*shard))
@@ -373,8 +401,8 @@
         top: 10,
         min_coverage,
     };
-    let route = route(2, RouteTarget::Gather(terms.clone()));
-    (route, RunTarget::Gather(terms))
+    let route = route(2, RouteTarget::Gather(gather_terms.clone()));
+    (route, RunTarget::Gather(gather_terms))
 }
 
 /// A query for which too few shards have an upstream is refused before anything runs, and the caller is told when to
@@ -384,13 +412,13 @@
 async fn nothing_is_sent_while_too_few_shards_have_an_upstream() {
     let test = async {
         let core = core();
-        let known = upstreams(&core, "s0", 2, ScriptedReply::Answer(16)).await;
+        let known_upstreams = upstreams(&core, "s0", 2, ScriptedReply::Answer(16)).await;
         let (route, target) = gather_route(&["s0", "s1", "s2"], 0.9);
-        let clear = RequestStanding::Clear;
-        let report = run_request(&core, &route, target, request(LONG), clear).await;
+        let standing = RequestStanding::Clear;
+        let report = run_request(&core, &route, target, request(LONG_TIME), standing).await;
         expect_that!(report.reply.status().as_u16(), eq(503));
         expect_that!(report.reply.headers().contains_key("retry-after"), eq(true));
-        for upstream in &known {
+        for upstream in &known_upstreams {
             expect_that!(upstream.log.borrow().requests.len(), eq(0));
         }
     };
@@ -406,17 +434,17 @@
         for (patience, status) in [(5_000, 200), (600, 503)] {
             let core = core();
             core.registry.record_read(now());
-            let _first = upstreams(&core, "s0", 1, ScriptedReply::Answer(16)).await;
+            let _first_upstreams = upstreams(&core, "s0", 1, ScriptedReply::Answer(16)).await;
             let (route, target) = gather_route(&["s0", "s1"], 0.9);
             let request = request(Duration::from_millis(patience));
             let running = tokio::task::spawn_local({
                 let core = Rc::clone(&core);
-                let clear = RequestStanding::Clear;
-                async move { run_request(&core, &route, target, request, clear).await }
+                let standing = RequestStanding::Clear;
+                async move { run_request(&core, &route, target, request, standing).await }
             });
             tokio::time::sleep(Duration::from_millis(200)).await;
             expect_that!(running.is_finished(), eq(status == 503), "{patience}");
-            let _second = upstreams(&core, "s1", 1, ScriptedReply::Answer(16)).await;
+            let _second_upstreams = upstreams(&core, "s1", 1, ScriptedReply::Answer(16)).await;
             let report = running.await.expect("no panic");
             expect_that!(report.reply.status().as_u16(), eq(status), "{patience}");
         }
@@ -431,33 +459,40 @@
 async fn a_gathering_vm_reports_declined_shards() {
     let test = async {
         let mut settings = settings();
-        // The refill from the slack is negligible while the test runs.
+        // The tokens refilled from the share of the slack are negligible while the test runs.
         settings.budget.window = Duration::from_hours(10_000);
         let core = core_with(settings);
-        let _declining = upstreams(&core, "s0", 1, ScriptedReply::Decline).await;
-        let held = upstreams(&core, "s1", 1, ScriptedReply::Break).await;
+        let _declining_upstreams = upstreams(&core, "s0", 1, ScriptedReply::Decline).await;
+        let breaking_upstreams = upstreams(&core, "s1", 1, ScriptedReply::Break).await;
         let (route, target) = gather_route(&["s0", "s1", "s2"], 0.0);
-        let RunTarget::Gather(terms) = target else {
+        let RunTarget::Gather(gather_terms) = target else {
             panic!("expected shards");
         };
         let service = UpstreamService::new("s1");
-        let spend = |core: &GatewayCore| {
+        let spend_repeat = |core: &GatewayCore| {
             let time = core.running_time();
             core.repeats.borrow_mut().spend(&service, time)
         };
-        while spend(&core).is_ok() {}
-        let before = core
+        while spend_repeat(&core).is_ok() {}
+        let tokens_before = core
             .repeats
             .borrow()
             .available(&service, core.running_time());
-        let mut failed = Vec::new();
-        let answer_by = now() + LONG;
-        run_partial(&core, &route, terms, request(LONG), answer_by, |reply| {
-            failed.extend(reply.failed);
-        })
+        let mut failed_shards = Vec::new();
+        let answer_by = now() + LONG_TIME;
+        run_partial(
+            &core,
+            &route,
+            gather_terms,
+            request(LONG_TIME),
+            answer_by,
+            |reply| {
+                failed_shards.extend(reply.failed);
+            },
+        )
         .await;
-        failed.sort_by_key(|shard| shard.shard);
-        let reach: Vec<_> = failed.iter().map(|shard| shard.reach).collect();
+        failed_shards.sort_by_key(|shard| shard.shard);
+        let reach: Vec<_> = failed_shards.iter().map(|shard| shard.reach).collect();
         expect_that!(
             reach,
             elements_are![
@@ -466,10 +501,14 @@
                 eq(&ShardReach::Unsent)
             ]
         );
-        expect_that!(held[0].log.borrow().requests.len(), ge(1));
+        expect_that!(breaking_upstreams[0].log.borrow().requests.len(), ge(1));
         let time = core.running_time();
-        let after = core.repeats.borrow().available(&service, time);
-        expect_that!(after - before, lt(0.1), "a counted request earns 0.19");
+        let tokens_after = core.repeats.borrow().available(&service, time);
+        expect_that!(
+            tokens_after - tokens_before,
+            lt(0.1),
+            "a counted request earns 0.19"
+        );
     };
     LocalSet::new().run_until(test).await;
 }
@@ -482,25 +521,25 @@
     let test = async {
         let core = core();
         let services = ["s0", "s1", "s2", "s3"];
-        let mut others = Vec::new();
-        let mut breaking = Vec::new();
+        let mut other_upstreams = Vec::new();
+        let mut breaking_upstreams = Vec::new();
         for service in services {
-            breaking.extend(upstreams(&core, service, 1, ScriptedReply::Break).await);
-            let other = ScriptedUpstream::start(ScriptedReply::Hold).await;
+            breaking_upstreams.extend(upstreams(&core, service, 1, ScriptedReply::Break).await);
+            let other_upstream = ScriptedUpstream::start(ScriptedReply::Hold).await;
             let key = format_compact!("{service}-other");
-            let entry = entry(&key, service, "north-a", other.address);
+            let entry = entry(&key, service, "north-a", other_upstream.address);
             core.registry.put(&key, entry, now(), 4);
-            others.push(other);
-            // Makes the upstream that breaks the first choice.
-            let listed = core.registry.upstreams(&UpstreamService::new(service));
-            let health = &listed[1].health;
+            other_upstreams.push(other_upstream);
+            // Makes the upstream that breaks its connections the one that is chosen first.
+            let listed_upstreams = core.registry.upstreams(&UpstreamService::new(service));
+            let health = &listed_upstreams[1].health;
             health.borrow_mut().record_failure(now(), now());
         }
         let (route, target) = gather_route(&services, 1.0);
         let request = request(Duration::from_millis(600));
         run_request(&core, &route, target, request, RequestStanding::Clear).await;
-        for other in &others {
-            expect_that!(other.log.borrow().requests.len(), ge(1));
+        for other_upstream in &other_upstreams {
+            expect_that!(other_upstream.log.borrow().requests.len(), ge(1));
         }
     };
     LocalSet::new().run_until(test).await;
@@ -514,19 +553,19 @@
     let test = async {
         let core = core();
         let services = ["s0", "s1", "s2", "s3", "s4", "s5"];
-        let mut crashing = Vec::new();
+        let mut crashing_upstreams = Vec::new();
         for service in services {
-            crashing.extend(upstreams(&core, service, 2, ScriptedReply::Crash).await);
+            crashing_upstreams.extend(upstreams(&core, service, 2, ScriptedReply::Crash).await);
         }
         let (route, target) = gather_route(&services, 1.0);
         let request = request(Duration::from_secs(2));
         let report = run_request(&core, &route, target, request, RequestStanding::Clear).await;
         expect_that!(report.reply.status().as_u16(), eq(502));
-        let reached = crashing
+        let reached_upstreams = crashing_upstreams
             .iter()
             .filter(|upstream| !upstream.log.borrow().requests.is_empty());
-        // Six first attempts, one retry before the first break is confirmed as a loss, and the probe.
-        expect_that!(reached.count(), le(8));
+        // Six first attempts, one retry before the first broken connection is confirmed as a loss, and the probe.
+        expect_that!(reached_upstreams.count(), le(8));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -541,15 +580,15 @@
         let upstream = ScriptedUpstream::start(ScriptedReply::Hold).await;
         let entry = entry("only", "s", "north-a", upstream.address);
         core.registry.put(&"only".into(), entry, now(), 1);
-        let (route, target) = one(1);
-        let first = run_request(
+        let (route, target) = single_route(1);
+        let first_run = run_request(
             &core,
             &route,
             target.clone(),
             request(Duration::from_millis(600)),
             RequestStanding::Clear,
         );
-        let second = async {
+        let second_run = async {
             tokio::time::sleep(Duration::from_millis(100)).await;
             let request = request(Duration::from_millis(200));
             run_request(
@@ -561,10 +600,13 @@
             )
             .await
         };
-        let (first, second) = tokio::join!(first, second);
-        expect_that!(first.reply.status().as_u16(), eq(504));
-        expect_that!(second.reply.status().as_u16(), eq(503));
-        expect_that!(second.reply.headers().contains_key("retry-after"), eq(true));
+        let (first_report, second_report) = tokio::join!(first_run, second_run);
+        expect_that!(first_report.reply.status().as_u16(), eq(504));
+        expect_that!(second_report.reply.status().as_u16(), eq(503));
+        expect_that!(
+            second_report.reply.headers().contains_key("retry-after"),
+            eq(true)
+        );
         tokio::time::sleep(Duration::from_millis(400)).await;
         expect_that!(upstream.log.borrow().requests.len(), eq(1));
     };
@@ -575,9 +617,9 @@
 fn register_in(core: &GatewayCore, service: &str, zone: &str, upstream: &ScriptedUpstream) {
     let key = format_compact!("{service}-{zone}-{}", upstream.address.port());
     let entry = entry(&key, service, zone, upstream.address);
-    // Old enough to be probed.
+    // The upstream has been known for long enough to be probed.
     let known_since = now()
-        .checked_sub(LONG)
+        .checked_sub(LONG_TIME)
         .expect("a time after the start of the clock");
     core.registry.put(&key, entry, known_since, 4);
 }
@@ -611,16 +653,16 @@
             for gathered in [false, true] {
                 let core = core();
                 let services = ["s", "s1", "s2"];
-                let (mut home, mut other) = (Vec::new(), Vec::new());
+                let (mut home_upstreams, mut other_upstreams) = (Vec::new(), Vec::new());
                 for service in services {
                     earn_repeats(&core, service);
                     for zone in ["north-a", "north-b", "south-a", "unknown"] {
                         let upstream = ScriptedUpstream::start(reply).await;
                         register_in(&core, service, zone, &upstream);
                         let list = if zone == "south-a" {
-                            &mut home
+                            &mut home_upstreams
                         } else {
-                            &mut other
+                            &mut other_upstreams
                         };
                         list.push(upstream);
                     }
@@ -628,13 +670,21 @@
                 let (route, target) = if gathered {
                     gather_route(&services, 0.3)
                 } else {
-                    one(3)
+                    single_route(3)
                 };
                 let route = with_home_regions(&route, &["south"]);
                 let request = request(Duration::from_millis(900));
                 run_request(&core, &route, target, request, RequestStanding::Clear).await;
-                expect_that!(arrivals(&other), eq(0), "{reply:?} gathered={gathered}");
-                expect_that!(arrivals(&home), ge(1), "{reply:?} gathered={gathered}");
+                expect_that!(
+                    arrivals(&other_upstreams),
+                    eq(0),
+                    "{reply:?} gathered={gathered}"
+                );
+                expect_that!(
+                    arrivals(&home_upstreams),
+                    ge(1),
+                    "{reply:?} gathered={gathered}"
+                );
             }
         }
     };
@@ -652,15 +702,21 @@
             core.registry.record_read(now());
             let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
             register_in(&core, "s", "south-a", &upstream);
-            let (route, target) = one(2);
-            let home = if evacuated { "south" } else { "north" };
+            let (route, target) = single_route(2);
+            let home_region = if evacuated { "south" } else { "north" };
             if evacuated {
                 core.registry.evacuate(&PlaceName::new("south-a"));
             }
-            let route = with_home_regions(&route, &[home]);
+            let route = with_home_regions(&route, &[home_region]);
             let began = now();
-            let report =
-                run_request(&core, &route, target, request(LONG), RequestStanding::Clear).await;
+            let report = run_request(
+                &core,
+                &route,
+                target,
+                request(LONG_TIME),
+                RequestStanding::Clear,
+            )
+            .await;
             if evacuated {
                 expect_that!(now() - began, lt(Duration::from_millis(100)));
             }
@@ -688,7 +744,7 @@
         .await;
         let entry = entry("only", "s", "north-a", upstream.address);
         core.registry.put(&"only".into(), entry, now(), 1);
-        let (route, target) = one(1);
+        let (route, target) = single_route(1);
         let run = || {
             run_request(
                 &core,
@@ -698,7 +754,7 @@
                 RequestStanding::Clear,
             )
         };
-        let second = async {
+        let second_run = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
             run().await
         };
@@ -706,17 +762,17 @@
             tokio::time::sleep(Duration::from_millis(150)).await;
             core.registry.evacuate(&PlaceName::new("north-a"));
         };
-        let (first, second, ()) = tokio::join!(run(), second, evacuation);
-        expect_that!(first.reply.status().as_u16(), eq(200));
-        expect_that!(second.reply.status().as_u16(), eq(503));
+        let (first_report, second_report, ()) = tokio::join!(run(), second_run, evacuation);
+        expect_that!(first_report.reply.status().as_u16(), eq(200));
+        expect_that!(second_report.reply.status().as_u16(), eq(503));
         expect_that!(upstream.log.borrow().requests.len(), eq(1));
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Creates a process with a bound on requests to cold upstreams, and a service whose upstreams tolerate `tolerated`
-/// requests per second while cold.
-fn core_with_cold(tolerated: f64) -> Rc<GatewayCore> {
+/// Creates a process with a bound on requests to cold upstreams, and a service whose upstreams tolerate
+/// `tolerated_rate` requests per second while cold.
+fn core_with_cold(tolerated_rate: f64) -> Rc<GatewayCore> {
     let core = core_with(GatewaySettings {
         cold_bound: Some(ColdBound {
             overage: 1.5,
@@ -726,14 +782,14 @@
     });
     let terms = ServiceTerms {
         connections: 60,
-        cold_rate: RequestRate(tolerated),
+        cold_rate: RequestRate(tolerated_rate),
         cold_time: Duration::from_secs(3),
     };
     let limits = CallerLimits {
         header_bytes: 1_000,
         body_bytes: 1_000,
-        header_timeout: LONG,
-        idle_timeout: LONG,
+        header_timeout: LONG_TIME,
+        idle_timeout: LONG_TIME,
     };
     let services = [(UpstreamService::new("s"), terms)];
     core.install_table(RouteTable::new(ConfigVersion(1), [], services, limits));
@@ -768,20 +824,20 @@
 async fn a_cold_upstream_is_left_to_the_vm_that_has_the_claim() {
     let test = async {
         let core = core_with_cold(3.0);
-        let cold = cold_upstream(&core, "cold").await;
+        let cold_server = cold_upstream(&core, "cold").await;
         let report = run(&core, 2).await;
         expect_that!(report.reply.status().as_u16(), eq(503));
-        let wait = report.reply.headers()["retry-after"].to_str();
-        let wait: f64 = wait.expect("a text").parse().expect("seconds");
-        expect_that!(wait, all![gt(1.0), le(2.0)]);
-        let warm = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
-        register_in(&core, "s", "south-a", &warm);
+        let retry_after = report.reply.headers()["retry-after"].to_str();
+        let retry_after: f64 = retry_after.expect("a text").parse().expect("seconds");
+        expect_that!(retry_after, all![gt(1.0), le(2.0)]);
+        let warm_server = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
+        register_in(&core, "s", "south-a", &warm_server);
         for _ in 0..8 {
             let report = run(&core, 2).await;
             expect_that!(report.reply.status().as_u16(), eq(200));
         }
-        expect_that!(cold.log.borrow().requests.len(), eq(0));
-        expect_that!(warm.log.borrow().requests.len(), eq(8));
+        expect_that!(cold_server.log.borrow().requests.len(), eq(0));
+        expect_that!(warm_server.log.borrow().requests.len(), eq(8));
     };
     LocalSet::new().run_until(test).await;
 }
@@ -794,27 +850,31 @@
     let test = async {
         let core = core_with_cold(3.0);
         hold_claim(&core);
-        let cold = cold_upstream(&core, "cold").await;
-        let warm = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
-        register_in(&core, "s", "south-a", &warm);
+        let cold_server = cold_upstream(&core, "cold").await;
+        let warm_server = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
+        register_in(&core, "s", "south-a", &warm_server);
         // Start and end of each request that went to the cold upstream.
         let mut spans = Vec::new();
         for _ in 0..20 {
-            let (before, began) = (cold.log.borrow().requests.len(), now());
+            let (requests_before, began) = (cold_server.log.borrow().requests.len(), now());
             let report = run(&core, 2).await;
             expect_that!(report.reply.status().as_u16(), eq(200));
-            if cold.log.borrow().requests.len() > before {
+            if cold_server.log.borrow().requests.len() > requests_before {
                 spans.push((began, now()));
             }
         }
-        // At most three in any second, however long a busy machine takes for all requests.
+        // The cold upstream gets at most three requests in any second, however long a busy machine takes for all of
+        // them.
         expect_that!(spans.len(), ge(3));
-        for four in spans.windows(4) {
-            let (first, last) = (four[0].0, four[3].1);
-            expect_that!(last - first, ge(Duration::from_secs(1)));
+        for four_spans in spans.windows(4) {
+            let (first_begin, last_end) = (four_spans[0].0, four_spans[3].1);
+            expect_that!(last_end - first_begin, ge(Duration::from_secs(1)));
         }
-        expect_that!(cold.log.borrow().requests.len(), eq(spans.len()));
-        expect_that!(warm.log.borrow().requests.len(), eq(20 - spans.len()));
+        expect_that!(cold_server.log.borrow().requests.len(), eq(spans.len()));
+        expect_that!(
+            warm_server.log.borrow().requests.len(),
+            eq(20 - spans.len())
+        );
     };
     LocalSet::new().run_until(test).await;
 }
@@ -824,8 +884,8 @@
 #[tokio::test]
 async fn upstreams_are_cold_after_an_evacuation() {
     let test = async {
-        for (tolerated, expected) in [(3.0, 503), (0.0, 200)] {
-            let core = core_with_cold(tolerated);
+        for (tolerated_rate, expected) in [(3.0, 503), (0.0, 200)] {
+            let core = core_with_cold(tolerated_rate);
             let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
             register_in(&core, "s", "north-a", &upstream);
             let zone = PlaceName::new("north-a");
@@ -833,7 +893,11 @@
             core.assume_cold(&zone);
             core.registry.end_evacuation(&zone);
             let report = run(&core, 2).await;
-            expect_that!(report.reply.status().as_u16(), eq(expected), "{tolerated}");
+            expect_that!(
+                report.reply.status().as_u16(),
+                eq(expected),
+                "{tolerated_rate}"
+            );
         }
     };
     LocalSet::new().run_until(test).await;
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -17,26 +17,27 @@
             if self.has_enough_upstreams() || settling.likely > self.request.finish_by {
                 return;
             }
-            let until = settling.until.min(self.request.finish_by);
-            let until = tokio::time::Instant::from_std(until);
-            let changed = registry.wait_for_new_entry();
-            if tokio::time::timeout_at(until, changed).await.is_err() {
+            let wait_end = settling.until.min(self.request.finish_by);
+            let wait_end = tokio::time::Instant::from_std(wait_end);
+            let new_entry = registry.wait_for_new_entry();
+            if tokio::time::timeout_at(wait_end, new_entry).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Returns the time until the first cold upstream that could serve a shard is warm.
+    /// Returns the time until the first of the cold upstreams that could serve a shard is warm.
     pub(super) fn warm_up_left(&self) -> Option<Duration> {
         let time = now();
         let shards = 0..self.state.shards().len();
-        let cold = shards.flat_map(|shard| self.home_upstreams(shard));
-        let cold = cold.filter(|upstream| upstream.takes_requests() && upstream.is_cold(time));
-        let until = cold.map(|upstream| upstream.cold_until()).min()?;
-        Some(until.saturating_duration_since(time))
+        let cold_upstreams = shards.flat_map(|shard| self.home_upstreams(shard));
+        let cold_upstreams =
+            cold_upstreams.filter(|upstream| upstream.takes_requests() && upstream.is_cold(time));
+        let warm_at = cold_upstreams.map(|upstream| upstream.cold_until()).min()?;
+        Some(warm_at.saturating_duration_since(time))
     }
 
-    /// Returns after how long a request without upstreams should be sent again, if more of them are about to be
+    /// Returns after how long a request that lacks upstreams should be sent again, if more upstreams are about to be
     /// registered.
     pub(super) fn registration_left(&self) -> Option<Duration> {
         let time = now();
@@ -48,28 +49,32 @@
     /// availability zone count: no replacement will be registered because of that.
     fn has_enough_upstreams(&self) -> bool {
         let shards = 0..self.state.shards().len();
-        let registered = |shard: &usize| {
+        let is_registered = |shard: &usize| {
             let candidates = self.home_upstreams(*shard);
             candidates.iter().any(|upstream| !upstream.is_leaving())
         };
-        let lacking = shards.filter(|shard| !registered(shard));
-        lacking.count() <= self.state.spare_shards()
+        let unserved_shards = shards.filter(|shard| !is_registered(shard));
+        unserved_shards.count() <= self.state.spare_shards()
     }
 
     /// Returns whether a shard has upstreams but none that may get the route's requests, because they are outside its
     /// home regions or in evacuated availability zones.
     pub(super) fn is_excluded(&self) -> bool {
-        let excluded = |shard: usize| {
-            let listed = self
+        let is_shard_excluded = |shard: usize| {
+            let listed_upstreams = self
                 .context
                 .core
                 .registry
                 .upstreams(self.target.service(shard));
-            let mut staying = listed.iter().filter(|upstream| !upstream.is_leaving());
-            let served = self.home_upstreams(shard);
-            let served = served.iter().any(|upstream| upstream.takes_requests());
-            staying.next().is_some() && !served
+            let mut staying_upstreams = listed_upstreams
+                .iter()
+                .filter(|upstream| !upstream.is_leaving());
+            let home_upstreams = self.home_upstreams(shard);
+            let has_home_upstream = home_upstreams
+                .iter()
+                .any(|upstream| upstream.takes_requests());
+            staying_upstreams.next().is_some() && !has_home_upstream
         };
-        (0..self.state.shards().len()).any(excluded)
+        (0..self.state.shards().len()).any(is_shard_excluded)
     }
 }
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -1,4 +1,4 @@
-//! Sends hedges: second attempts in addition to first ones that are late.
+//! Sends hedges: second attempts at other upstreams, in addition to first attempts that are late.
 
 use std::time::{Duration, Instant};
 
@@ -20,8 +20,8 @@
             if attempt.ended || attempt.next_check > time {
                 continue;
             }
-            let state = &self.state.shards()[shard];
-            if state.is_open() && state.in_flight == 1 {
+            let shard_state = &self.state.shards()[shard];
+            if shard_state.is_open() && shard_state.in_flight == 1 {
                 self.hedge(number, time);
             }
             self.schedule_check(number, time);
@@ -30,47 +30,47 @@
 
     fn schedule_check(&mut self, number: usize, time: Instant) {
         let attempt = &self.attempts[number];
-        let waited = millis(time.saturating_duration_since(attempt.began));
-        let next = {
+        let waited_ms = millis(time.saturating_duration_since(attempt.began));
+        let next_check_ms = {
             let latency = self.context.latency.borrow();
-            HedgeCandidate::next_check_ms(latency.histogram(attempt.kind), waited)
+            HedgeCandidate::next_check_ms(latency.histogram(attempt.kind), waited_ms)
         };
         let attempt = &mut self.attempts[number];
-        attempt.next_check = attempt.began + Duration::from_secs_f64(next / 1_000.0);
+        attempt.next_check = attempt.began + Duration::from_secs_f64(next_check_ms / 1_000.0);
     }
 
     fn hedge(&mut self, number: usize, time: Instant) {
         let shard = self.attempts[number].shard;
-        let suspected = self.is_suspected();
-        let full = self.upstreams_run(shard).len() >= self.max_upstreams();
-        if suspected || full || self.state.shards()[shard].ran >= self.max_sends() {
+        let is_suspected = self.is_suspected();
+        let is_at_limit = self.upstreams_run(shard).len() >= self.max_upstreams();
+        if is_suspected || is_at_limit || self.state.shards()[shard].ran >= self.max_sends() {
             return;
         }
         let Some(choice) = self.choose(shard, true) else {
             return;
         };
         let attempt = &self.attempts[number];
-        let other = match choice.distance {
+        let hedge_kind = match choice.distance {
             PlaceDistance::Zone => AttemptKind::Zone,
             PlaceDistance::Region | PlaceDistance::Far => AttemptKind::Delegated,
         };
-        let worthwhile = {
+        let is_worthwhile = {
             let latency = self.context.latency.borrow();
-            let left = self.state.useful_until(time);
+            let useful_until = self.state.useful_until(time);
             let candidate = HedgeCandidate {
                 waited_ms: millis(time.saturating_duration_since(attempt.began)),
-                left_ms: left.map(|until| millis(until.saturating_duration_since(time))),
+                left_ms: useful_until.map(|until| millis(until.saturating_duration_since(time))),
                 original: latency.histogram(attempt.kind),
-                other: latency.histogram(other),
+                other: latency.histogram(hedge_kind),
                 other_slowness: choice.slowness,
                 known_late: attempt.known_late,
             };
             candidate.is_worthwhile()
         };
-        if !worthwhile || !self.spend(shard) {
+        if !is_worthwhile || !self.spend(shard) {
             return;
         }
-        self.hedges += 1;
+        self.hedge_count += 1;
         if !self.delegate_repeat(shard, &choice) {
             self.launch(shard, choice, Duration::ZERO);
         }
--- a/crates/ebonyfork/src/gateway/run/suspicion.rs
+++ b/crates/ebonyfork/src/gateway/run/suspicion.rs
@@ -2,10 +2,10 @@
 //! the others are held back until it is answered.
 //!
 //! Most broken connections are harmless: the upstream has reset a connection and accepts the next one, which
-//! [`LossCheck`] finds out about 25 ms later. Shards are only held back from the second break on. In a version where
-//! every break counted, and one in five answers was lost with its connection, nearly every query retried its lost
-//! shards one at a time and sent no hedges: these seconds earned 0.46 and 0.73 of their value instead of 0.51 and 0.77
-//! (means of 6 runs).
+//! [`LossCheck`] finds out about 25 ms later. Shards are only held back from the second broken connection on. If the
+//! first one counted, nearly every query would retry its lost shards one at a time and send no hedges while one in five
+//! answers is lost with its connection; the seconds with such losses would earn 0.46 and 0.73 of their value instead of
+//! 0.51 and 0.77 (means of 6 runs).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,60 +15,64 @@
 use super::QueryRun;
 use crate::gateway::loss::{LossCheck, LossVerdict};
 
-/// Number of breaks not known to be harmless from which on the request is suspected.
+/// Number of broken connections, not counting those known to be harmless, from which a request is suspected of crashing
+/// its upstreams.
 const SUSPICIOUS_LOSSES: usize = 2;
-/// Interval between checks of the cause of a break.
+/// Interval at which a request that holds shards back looks whether the checks of its broken connections
+/// ([`LossCheck`]) have ended.
 pub(super) const LOSS_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Connection losses that a request may have caused, and the shards held back because of them.
+/// Connections that broke during a request, which may have crashed their upstreams, and the shards held back because of
+/// them.
 #[derive(Debug, Default)]
 pub(super) struct RunSuspicion {
-    /// Whether the request was suspect when it arrived.
-    suspect: bool,
+    /// Whether the request was suspected of crashing upstreams when it arrived.
+    suspected_on_arrival: bool,
     /// Broken connections, with the shard each one belonged to.
-    losses: SmallVec<[(usize, Rc<LossCheck>); 4]>,
-    /// Shard that is sent alone.
+    broken_connections: SmallVec<[(usize, Rc<LossCheck>); 4]>,
+    /// Shard that is sent as a probe while the others are held back.
     probe: Option<usize>,
-    /// Whether the connection of a probe broke.
+    /// Whether the connection of a probe has broken.
     probe_broke: bool,
     /// Shards that are held back.
-    held: SmallVec<[usize; 8]>,
+    held_shards: SmallVec<[usize; 8]>,
 }
 
 impl RunSuspicion {
-    /// Creates the state of a request that was suspect when it arrived: all shards but the probe are held back.
+    /// Creates the state of a request that was suspected when it arrived: all shards but the probe are held back.
     pub(super) fn for_suspect(shards: usize, probe: usize) -> Self {
         Self {
-            suspect: true,
+            suspected_on_arrival: true,
             probe: Some(probe),
-            held: (0..shards).filter(|shard| *shard != probe).collect(),
+            held_shards: (0..shards).filter(|shard| *shard != probe).collect(),
             ..Self::default()
         }
     }
 
-    /// Returns whether shards are held back until the cause of a break is known.
+    /// Returns whether shards are held back, not for the answer to a probe, but until the causes of broken connections
+    /// are known.
     pub(super) fn waits(&self) -> bool {
-        !self.held.is_empty() && self.probe.is_none()
+        !self.held_shards.is_empty() && self.probe.is_none()
     }
 
     /// Returns whether an upstream was confirmed lost during an attempt of a shard.
     pub(super) fn is_confirmed(&self, shard: usize) -> bool {
-        let lost = |(of, check): &(usize, Rc<LossCheck>)| {
-            *of == shard && check.verdict() == LossVerdict::Lost
+        let is_lost = |(broken_shard, check): &(usize, Rc<LossCheck>)| {
+            *broken_shard == shard && check.verdict() == LossVerdict::Lost
         };
-        self.losses.iter().any(lost)
+        self.broken_connections.iter().any(is_lost)
     }
 
-    fn count(&self, finding: LossVerdict) -> usize {
-        let found = self.losses.iter();
-        found
-            .filter(|(_shard, check)| check.verdict() == finding)
+    fn count_with(&self, verdict: LossVerdict) -> usize {
+        let checks = self.broken_connections.iter();
+        checks
+            .filter(|(_shard, check)| check.verdict() == verdict)
             .count()
     }
 
-    /// Returns the number of breaks that the request may have caused.
-    fn possible(&self) -> usize {
-        self.count(LossVerdict::Pending) + self.count(LossVerdict::Lost)
+    /// Returns the number of broken connections that the request may have caused by crashing their upstreams.
+    fn possible_losses(&self) -> usize {
+        self.count_with(LossVerdict::Pending) + self.count_with(LossVerdict::Lost)
     }
 }
 
@@ -77,31 +81,34 @@
     /// no delegated retries.
     pub(super) fn is_suspected(&self) -> bool {
         let suspicion = &self.suspicion;
-        suspicion.suspect || suspicion.probe.is_some() || suspicion.possible() > 0
+        suspicion.suspected_on_arrival
+            || suspicion.probe.is_some()
+            || suspicion.possible_losses() > 0
     }
 
-    /// Handles a lost attempt of a shard; `check` reports the state of the upstream if the connection broke.
+    /// Handles an attempt of a shard that was lost. If its connection broke, `check` is the check whether the upstream
+    /// was lost too.
     pub(super) fn retry_lost(&mut self, shard: usize, check: Option<Rc<LossCheck>>) {
         if let Some(check) = check {
-            self.suspicion.losses.push((shard, check));
+            self.suspicion.broken_connections.push((shard, check));
         }
         self.request.after_loss.set(self.is_suspected());
         if self.suspicion.probe == Some(shard) {
             self.suspicion.probe = None;
             self.suspicion.probe_broke = true;
-        } else if self.suspicion.possible() < SUSPICIOUS_LOSSES {
+        } else if self.suspicion.possible_losses() < SUSPICIOUS_LOSSES {
             self.retry(shard, Duration::ZERO);
             return;
         }
-        let state = &self.state.shards()[shard];
-        if state.in_flight == 0 && state.is_open() {
-            self.suspicion.held.push(shard);
+        let shard_state = &self.state.shards()[shard];
+        if shard_state.in_flight == 0 && shard_state.is_open() {
+            self.suspicion.held_shards.push(shard);
         }
         self.resume_held();
     }
 
-    /// Continues with the shards that are held back once the causes of all breaks are known: sends all of them, sends
-    /// the next one as a probe, or marks them as failed.
+    /// Continues with the shards that are held back once the causes of all broken connections are known: sends all of
+    /// them, sends the next one as a probe, or marks them as failed.
     pub(super) fn resume_held(&mut self) {
         if let Some(probe) = self.suspicion.probe {
             if self.state.shards()[probe].is_open() {
@@ -109,17 +116,19 @@
             }
             self.suspicion.probe = None;
         }
-        if self.suspicion.held.is_empty() || self.suspicion.count(LossVerdict::Pending) > 0 {
+        if self.suspicion.held_shards.is_empty()
+            || self.suspicion.count_with(LossVerdict::Pending) > 0
+        {
             return;
         }
-        let lost = self.suspicion.count(LossVerdict::Lost);
-        if lost < SUSPICIOUS_LOSSES && !self.suspicion.suspect {
+        let lost_count = self.suspicion.count_with(LossVerdict::Lost);
+        if lost_count < SUSPICIOUS_LOSSES && !self.suspicion.suspected_on_arrival {
             self.release_held();
             return;
         }
-        if self.suspicion.probe_broke && lost > 0 {
-            for held in std::mem::take(&mut self.suspicion.held) {
-                self.state.fail(held);
+        if self.suspicion.probe_broke && lost_count > 0 {
+            for shard in std::mem::take(&mut self.suspicion.held_shards) {
+                self.state.fail(shard);
             }
             return;
         }
@@ -128,8 +137,8 @@
 
     /// Sends one of the held-back shards as a probe.
     fn probe_next(&mut self) {
-        while !self.suspicion.held.is_empty() {
-            let shard = self.suspicion.held.remove(0);
+        while !self.suspicion.held_shards.is_empty() {
+            let shard = self.suspicion.held_shards.remove(0);
             self.suspicion.probe = Some(shard);
             self.retry(shard, Duration::ZERO);
             if self.state.shards()[shard].is_open() {
@@ -146,8 +155,8 @@
     }
 
     fn start_held(&mut self) {
-        for held in std::mem::take(&mut self.suspicion.held) {
-            self.start(held, Duration::ZERO);
+        for shard in std::mem::take(&mut self.suspicion.held_shards) {
+            self.start(shard, Duration::ZERO);
         }
     }
 
