--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -473,9 +473,9 @@
         let question = HedgeCandidate {
             waited_ms,
             left_ms,
-            original: latency.histogram(kind),
-            other: latency.histogram(other),
-            other_slowness: choice.slowness,
+            original_latency: latency.histogram(kind),
+            hedge_latency: latency.histogram(other),
+            hedge_slowness: choice.slowness,
             known_late: false,
         };
         let hedge = question.is_worthwhile() && replica(&choice.upstream) != attempt.replica;
--- a/crates/ebonyfork/src/gateway/policy/hedge.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge.rs
@@ -17,11 +17,11 @@
     /// Time for which an answer still has its full value; `None` once that time has passed.
     pub left_ms: Option<f64>,
     /// Latency of attempts like the one in flight.
-    pub original: &'a LatencyHistogram,
+    pub original_latency: &'a LatencyHistogram,
     /// Latency of attempts like the hedge.
-    pub other: &'a LatencyHistogram,
+    pub hedge_latency: &'a LatencyHistogram,
     /// Time that the hedge's upstream is expected to take, as a multiple of the usual time.
-    pub other_slowness: f64,
+    pub hedge_slowness: f64,
     /// Whether the attempt in flight is known to be late, regardless of its time in flight, because the VM that gathers
     /// its part has replied without the part.
     pub known_late: bool,
@@ -39,16 +39,16 @@
 
     /// Returns whether to send the hedge.
     pub fn is_worthwhile(&self) -> bool {
-        let usual_ms = self.original.quantile(STRAGGLER_QUANTILE);
+        let usual_ms = self.original_latency.quantile(STRAGGLER_QUANTILE);
         if self.waited_ms < usual_ms && !self.known_late {
             return false;
         }
         let left_ms = self.left_ms.unwrap_or_else(|| {
             // The target has passed, so compare over the time in which the hedge probably ends.
-            self.other.quantile(STRAGGLER_QUANTILE) * self.other_slowness
+            self.hedge_latency.quantile(STRAGGLER_QUANTILE) * self.hedge_slowness
         });
-        let original_likelihood = self.original.ends_within(self.waited_ms, left_ms);
-        let hedge_likelihood = 1.0 - self.other.survival(left_ms / self.other_slowness);
+        let original_likelihood = self.original_latency.ends_within(self.waited_ms, left_ms);
+        let hedge_likelihood = 1.0 - self.hedge_latency.survival(left_ms / self.hedge_slowness);
         (1.0 - original_likelihood) * hedge_likelihood >= MIN_GAIN
     }
 }
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -60,9 +60,9 @@
             let candidate = HedgeCandidate {
                 waited_ms: millis(time.saturating_duration_since(attempt.began)),
                 left_ms: useful_until.map(|until| millis(until.saturating_duration_since(time))),
-                original: latency.histogram(attempt.kind),
-                other: latency.histogram(hedge_kind),
-                other_slowness: choice.slowness,
+                original_latency: latency.histogram(attempt.kind),
+                hedge_latency: latency.histogram(hedge_kind),
+                hedge_slowness: choice.slowness,
                 known_late: attempt.known_late,
             };
             candidate.is_worthwhile()
