--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -305,7 +305,7 @@
             let allowed = |upstream: &Upstream, _: &_| !fresh || !sent(upstream);
             choose_upstream(candidates, allowed, &vm.place, &vm.latency, now)
         };
-        if self.queries[query].state.shards()[shard].ran == 0 {
+        if self.queries[query].state.shards()[shard].possible_runs == 0 {
             return pick(false);
         }
         pick(true).or_else(|| pick(false))
@@ -333,7 +333,7 @@
         choice.upstream.health.borrow_mut().record_start(now);
         let state = self.queries[query].state.shard_mut(shard);
         state.in_flight += 1;
-        state.ran += 1;
+        state.possible_runs += 1;
         self.queries[query].sent[shard][replica] = true;
         let number = self.attempts.len();
         self.attempts.push(ModelAttempt {
@@ -440,7 +440,7 @@
             return;
         }
         let choice = self.choose(query, shard, now);
-        let attempts_left = state.ran < MAX_ATTEMPTS;
+        let attempts_left = state.possible_runs < MAX_ATTEMPTS;
         match choice {
             Some(choice) if attempts_left && self.spend(query, shard, now) => {
                 self.send(query, shard, &choice, now);
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -54,7 +54,7 @@
     /// Number of attempts in flight.
     pub in_flight: usize,
     /// Number of attempts that may have run at an upstream, including those in flight.
-    pub ran: usize,
+    pub possible_runs: usize,
     /// Number of attempts that upstreams declined.
     pub declined_attempts: usize,
     /// Number of attempts that ended before anything was sent.
@@ -74,7 +74,7 @@
         Self {
             outcome: ShardOutcome::Open,
             in_flight: 0,
-            ran: 0,
+            possible_runs: 0,
             declined_attempts: 0,
             unsent_attempts: 0,
             connection_broke: false,
@@ -88,7 +88,7 @@
         if self.connection_broke {
             return ShardReach::Broken;
         }
-        if self.ran > 0 {
+        if self.possible_runs > 0 {
             return ShardReach::Run;
         }
         if self.declined_attempts > 0 {
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -74,10 +74,10 @@
 
     fn try_start(&mut self, shard: usize, pause: Duration) -> bool {
         let shard_state = &self.state.shards()[shard];
-        if shard_state.ran >= self.max_sends() {
+        if shard_state.possible_runs >= self.max_sends() {
             return false;
         }
-        let is_repeat = shard_state.ran > 0 || shard_state.declined_attempts > 0;
+        let is_repeat = shard_state.possible_runs > 0 || shard_state.declined_attempts > 0;
         let Some(choice) = self.choose(shard, is_repeat) else {
             return false;
         };
@@ -259,7 +259,7 @@
         });
         let shard_state = self.state.shard_mut(shard);
         shard_state.in_flight += 1;
-        shard_state.ran += 1;
+        shard_state.possible_runs += 1;
         self.attempts.len() - 1
     }
 
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -270,11 +270,11 @@
         shard_state.in_flight -= 1;
         match reach {
             ShardReach::Unsent => {
-                shard_state.ran -= 1;
+                shard_state.possible_runs -= 1;
                 shard_state.unsent_attempts += 1;
             }
             ShardReach::Declined => {
-                shard_state.ran -= 1;
+                shard_state.possible_runs -= 1;
                 shard_state.declined_attempts += 1;
             }
             ShardReach::Run => {}
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -42,13 +42,13 @@
                 self.retry(shard, Duration::ZERO);
             }
             AttemptOutcome::Declined(_) => {
-                shard_state.ran -= 1;
+                shard_state.possible_runs -= 1;
                 shard_state.declined_attempts += 1;
                 let step = after_declined(shard_state.declined_attempts);
                 self.apply_retry_step(step, shard);
             }
             AttemptOutcome::Unsent(_) => {
-                shard_state.ran -= 1;
+                shard_state.possible_runs -= 1;
                 shard_state.unsent_attempts += 1;
                 let step = after_unsent(shard_state.unsent_attempts);
                 self.apply_retry_step(step, shard);
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -43,7 +43,10 @@
         let shard = self.attempts[number].shard;
         let is_suspected = self.is_suspected();
         let is_at_limit = self.upstreams_run(shard).len() >= self.max_upstreams();
-        if is_suspected || is_at_limit || self.state.shards()[shard].ran >= self.max_sends() {
+        if is_suspected
+            || is_at_limit
+            || self.state.shards()[shard].possible_runs >= self.max_sends()
+        {
             return;
         }
         let Some(choice) = self.choose(shard, true) else {
