--- a/crates/ebonyfork/src/gateway/cold_claims.rs
+++ b/crates/ebonyfork/src/gateway/cold_claims.rs
@@ -220,7 +220,7 @@
     let stored = StoreWrite {
         key: (core.dialect.claim_key)(&zone),
         value,
-        expected: Some(write.expected),
+        expected: Some(write.expected_revision),
         lease: None,
     };
     let written = answer_within(STORE_TIMEOUT, port.write(stored)).await;
@@ -231,7 +231,7 @@
             core.cold_claims.with_zone(&zone, |claim| {
                 claim.record_write(write, *revision, started_at, time);
             });
-            let void = write.expected.era() != revision.era();
+            let void = write.expected_revision.era() != revision.era();
             format_compact!("revision={revision} void={void}")
         }
         Err(StoreError::Conflict { current }) => {
@@ -245,6 +245,6 @@
         target: "ebonyfork::decision",
         "cold zone {zone} claim holder={} expected={} {outcome}",
         holder.as_deref().unwrap_or("-"),
-        write.expected
+        write.expected_revision
     );
 }
--- a/crates/ebonyfork/src/gateway/policy/cold/claim.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClaimWrite {
     /// Revision that the claim's key must have.
-    pub expected: StoreRevision,
+    pub expected_revision: StoreRevision,
     /// Record to write.
     pub record: ClaimRecord,
 }
@@ -171,7 +171,7 @@
             return None;
         }
         let absent_revision = StoreRevision::ABSENT.with_era(self.era);
-        let expected = self
+        let expected_revision = self
             .observed_claim
             .map_or(absent_revision, |observed| observed.revision);
         let is_own = self
@@ -185,7 +185,7 @@
             self.send_period = None;
             self.last_write = Some(now);
             return Some(ClaimWrite {
-                expected,
+                expected_revision,
                 record: ClaimRecord {
                     holder: None,
                     era: self.era,
@@ -199,7 +199,7 @@
         }
         self.last_write = Some(now);
         Some(ClaimWrite {
-            expected,
+            expected_revision,
             record: ClaimRecord {
                 holder: Some(self.own_session),
                 era: self.era,
--- a/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
@@ -40,7 +40,7 @@
     expect_that!(holder.may_send(ms(100)), eq(false));
     expect_that!(holder.next_write(true, ms(5_599)), none());
     let write = holder.next_write(true, ms(5_600)).expect("no term is left");
-    expect_that!(write.expected, eq(in_era(0, 1)));
+    expect_that!(write.expected_revision, eq(in_era(0, 1)));
     // A process that has just started can't know when the era began, so it waits as well.
     let mut new_process = ZoneClaim::new(session(2, 1));
     new_process.enter_era(StoreEra(1), ms(20));
@@ -89,7 +89,7 @@
     let write = claim
         .next_write(true, ms(10_500))
         .expect("the term has passed");
-    expect_that!(write.expected, eq(StoreRevision::new(8)));
+    expect_that!(write.expected_revision, eq(StoreRevision::new(8)));
     claim.record_write(write, StoreRevision::new(9), ms(10_500), ms(10_520));
     expect_that!(claim.may_send(ms(11_519)), eq(false));
     expect_that!(claim.may_send(ms(11_520)), eq(true));
@@ -318,7 +318,7 @@
             write.arrives_at = Duration::MAX;
             // The store compares only the numbers of revisions, not their eras.
             let current_number = self.stored_claim.map_or(0, |(number, _record)| number);
-            if current_number != write.write.expected.number() {
+            if current_number != write.write.expected_revision.number() {
                 continue;
             }
             self.revision_number += 1;
