--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -114,7 +114,8 @@
                 .entry(vm)
                 .or_insert_with(|| UpstreamHealth::new(time, Duration::ZERO));
             let overdue = millis(health.oldest_age(time)) > usual_ms * OVERDUE_FACTOR;
-            if overdue || health.is_ejected(time) || health.success(time) < MIN_USEFUL_REPLIES {
+            if overdue || health.is_ejected(time) || health.success_rate(time) < MIN_USEFUL_REPLIES
+            {
                 continue;
             }
             let expected = health.expected_ms(time, usual_ms, ASSUMED_VM_CONCURRENCY);
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -498,7 +498,7 @@
             return;
         };
         query.done = true;
-        let coverage = query.state.answered() as f64 / query.state.shards().len() as f64;
+        let coverage = query.state.answered_count() as f64 / query.state.shards().len() as f64;
         let late = now > query.began + self.deployment.target;
         let timeliness = if late { 0.1 } else { 1.0 };
         if matches!(end, GatherEnd::Whole | GatherEnd::Partial) {
--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -113,8 +113,8 @@
     }
 
     /// Returns the number of repeats that could be sent to a service now.
-    pub fn available(&self, service: &UpstreamService, now: Duration) -> f64 {
-        self.budget.available(service, now)
+    pub fn available_repeats(&self, service: &UpstreamService, now: Duration) -> f64 {
+        self.budget.available_repeats(service, now)
     }
 
     /// Removes services that were unused for a window, and expired leases.
@@ -152,8 +152,8 @@
     }
 
     /// Returns the number of shares borrowed from other VMs.
-    pub fn borrowed(&self, now: Duration) -> usize {
-        self.leases.borrowed(now)
+    pub fn borrowed_count(&self, now: Duration) -> usize {
+        self.leases.borrowed_count(now)
     }
 
     /// Returns the VM that this VM's own share is leased to.
--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -176,7 +176,7 @@
             // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
             let rate = self.config.slack / self.config.window.as_secs_f64();
             let max_refilled = rate * time.saturating_sub(last_ran).as_secs_f64();
-            let tokens = vm.retry_budget.available(&service(), time);
+            let tokens = vm.retry_budget.available_repeats(&service(), time);
             expect_that!(tokens, le(max_refilled), "VM {number} at {:?}", self.now);
         }
     }
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
@@ -165,7 +165,7 @@
     }
 
     /// Returns the number of repeats that could be sent to a service now.
-    pub fn available(&self, service: &UpstreamService, now: Duration) -> f64 {
+    pub fn available_repeats(&self, service: &UpstreamService, now: Duration) -> f64 {
         let bucket = self.buckets.get(service).unwrap_or(&self.unused_bucket);
         let mut bucket = *bucket;
         bucket.refill(self.parameters(), now);
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -56,22 +56,25 @@
     let mut budget = RetryBudget::new(CONFIG);
     budget.set_vm_count(9, Duration::ZERO);
     let idle_until = Duration::from_secs(30);
-    let single_share = budget.available(&service(), idle_until);
+    let single_share = budget.available_repeats(&service(), idle_until);
     budget.set_held_shares(4, idle_until);
-    expect_that!(budget.available(&service(), idle_until), le(single_share));
+    expect_that!(
+        budget.available_repeats(&service(), idle_until),
+        le(single_share)
+    );
     let two_windows_later = idle_until + CONFIG.window * 2;
     expect_that!(
-        budget.available(&service(), two_windows_later),
+        budget.available_repeats(&service(), two_windows_later),
         near(single_share * 4.0, 1e-9)
     );
     budget.set_held_shares(1, two_windows_later);
     expect_that!(
-        budget.available(&service(), two_windows_later),
+        budget.available_repeats(&service(), two_windows_later),
         near(single_share, 1e-9)
     );
     budget.set_held_shares(0, two_windows_later);
     expect_that!(
-        budget.available(&service(), two_windows_later + CONFIG.window),
+        budget.available_repeats(&service(), two_windows_later + CONFIG.window),
         eq(0.0)
     );
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -81,11 +81,11 @@
     /// assert_eq!(leases.shares(Duration::from_secs(5)), 1);
     /// ```
     pub fn shares(&self, now: Duration) -> usize {
-        usize::from(self.holds_own(now)) + self.borrowed(now)
+        usize::from(self.holds_own(now)) + self.borrowed_count(now)
     }
 
     /// Returns the number of shares borrowed from other VMs at `now`.
-    pub fn borrowed(&self, now: Duration) -> usize {
+    pub fn borrowed_count(&self, now: Duration) -> usize {
         let shares = self.borrowed_shares.values();
         shares.filter(|share| now < share.expires).count()
     }
--- a/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease_tests.rs
@@ -25,7 +25,7 @@
     let number = borrower.request(vm(1), START);
     expect_that!(owner.lend(vm(2), false, START), ok(anything()));
     expect_that!(borrower.accept_grant(vm(1), number), eq(true));
-    let held_shares = |time: Duration| (owner.shares(time), borrower.borrowed(time));
+    let held_shares = |time: Duration| (owner.shares(time), borrower.borrowed_count(time));
     expect_that!(held_shares(START), eq((0, 1)));
     expect_that!(held_shares(START + BORROWER_TERM), eq((0, 0)));
     expect_that!(held_shares(START + LEASE_TERM), eq((1, 0)));
@@ -41,7 +41,7 @@
     let number = borrower.request(vm(1), START);
     let after_term = START + LEASE_TERM;
     expect_that!(borrower.accept_grant(vm(1), number), eq(true));
-    expect_that!(borrower.borrowed(after_term), eq(0));
+    expect_that!(borrower.borrowed_count(after_term), eq(0));
 }
 
 #[gtest]
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -53,7 +53,8 @@
         let near_ms = latency.median_ms(AttemptKind::Zone);
         let upstream_ms = health.expected_ms(now, near_ms, entry.slots);
         let expected_ms = latency.network_ms(kind) + upstream_ms;
-        let mut cost_ms = expected_ms + (1.0 - health.success(now)) * near_ms * FAILURE_COST_FACTOR;
+        let mut cost_ms =
+            expected_ms + (1.0 - health.success_rate(now)) * near_ms * FAILURE_COST_FACTOR;
         if distance != PlaceDistance::Zone {
             cost_ms += FAR_BIAS_MS;
         }
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -251,7 +251,7 @@
     }
 
     /// Returns the number of parts that have arrived.
-    pub fn answered(&self) -> usize {
+    pub fn answered_count(&self) -> usize {
         self.answered_count
     }
 
@@ -261,7 +261,7 @@
     }
 
     /// Returns the number of shards for which a connection broke during an attempt.
-    pub fn lost(&self) -> usize {
+    pub fn lost_count(&self) -> usize {
         self.shards
             .iter()
             .filter(|shard| shard.connection_broke)
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -108,7 +108,7 @@
     expect_that!(query.signatures().count(), eq(1));
     expect_that!(query.signatures().next(), some(eq(&signature("first"))));
     query.fail(0);
-    expect_that!(query.answered(), eq(1));
+    expect_that!(query.answered_count(), eq(1));
 }
 
 #[gtest]
@@ -118,7 +118,7 @@
     query.add_part(1, signature("own"), Bytes::from_static(&[9; 16]));
     let group = vec![(0, signature("a")), (1, signature("b"))];
     query.add_merged_group(group, Bytes::from_static(&[5; 32]));
-    expect_that!(query.answered(), eq(2));
+    expect_that!(query.answered_count(), eq(2));
     let signatures: Vec<_> = query.signatures().cloned().collect();
     expect_that!(
         signatures,
@@ -129,7 +129,7 @@
     // A group with a shard of another group is dropped.
     let overlapping_group = vec![(1, signature("c")), (2, signature("d"))];
     query.add_merged_group(overlapping_group, Bytes::from_static(&[7; 16]));
-    expect_that!(query.answered(), eq(2));
+    expect_that!(query.answered_count(), eq(2));
 }
 
 proptest! {
@@ -161,6 +161,6 @@
             .collect();
         let expected = merge_records(answered_shards.iter().map(|shard| parts[*shard].as_slice()), 4);
         prop_assert_eq!(merge_records(query.records(), 4), expected);
-        prop_assert_eq!(answered_shards.len(), query.answered());
+        prop_assert_eq!(answered_shards.len(), query.answered_count());
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -205,7 +205,7 @@
     }
 
     /// Returns the fraction of attempts that were answered, after decay.
-    pub fn success(&self, now: Instant) -> f64 {
+    pub fn success_rate(&self, now: Instant) -> f64 {
         1.0 - (1.0 - self.success_rate) * self.retention(now)
     }
 
--- a/crates/ebonyfork/src/gateway/registry_tests.rs
+++ b/crates/ebonyfork/src/gateway/registry_tests.rs
@@ -111,7 +111,7 @@
     expect_that!(listed.len(), eq(1));
     expect_that!(Rc::ptr_eq(&before, &listed[0]), eq(false));
     expect_that!(before.is_leaving(), eq(true));
-    expect_that!(listed[0].health.borrow().success(now), eq(1.0));
+    expect_that!(listed[0].health.borrow().success_rate(now), eq(1.0));
 }
 
 #[gtest]
--- a/crates/ebonyfork/src/gateway/reply.rs
+++ b/crates/ebonyfork/src/gateway/reply.rs
@@ -80,7 +80,7 @@
         }
         Err(error) => log::error!("joined signatures are not a valid header value: {error}"),
     }
-    let missing = state.shards().len() - state.answered();
+    let missing = state.shards().len() - state.answered_count();
     headers.insert(names.missing_parts.clone(), HeaderValue::from(missing));
     reply
 }
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -18,7 +18,7 @@
         let decided = now();
         let detail = format_compact!(
             "parts={}/{} attempts={} groups={} hedges={} retries={} unfunded={} denied={} lost={} postponed={} caller_ms={:.1} lag_ms={:.1}",
-            self.state.answered(),
+            self.state.answered_count(),
             self.state.shards().len(),
             self.attempts.len(),
             self.groups.len(),
@@ -26,7 +26,7 @@
             self.retry_count,
             self.denied_repeats.get(),
             self.last_denial.get(),
-            self.state.lost(),
+            self.state.lost_count(),
             self.postponed_count,
             millis(self.request.caller_time),
             millis(self.answer_margin)
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -477,7 +477,7 @@
         let tokens_before = core
             .repeats
             .borrow()
-            .available(&service, core.running_time());
+            .available_repeats(&service, core.running_time());
         let mut failed_shards = Vec::new();
         let answer_by = now() + LONG_TIME;
         run_partial(
@@ -503,7 +503,7 @@
         );
         expect_that!(breaking_upstreams[0].log.borrow().requests.len(), ge(1));
         let time = core.running_time();
-        let tokens_after = core.repeats.borrow().available(&service, time);
+        let tokens_after = core.repeats.borrow().available_repeats(&service, time);
         expect_that!(
             tokens_after - tokens_before,
             lt(0.1),
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -52,7 +52,7 @@
     let time = core.running_time();
     let account = core.repeats.borrow();
     let leased = LeasedShares {
-        borrowed: account.borrowed(time),
+        borrowed: account.borrowed_count(time),
         lent: account.lent_to(time),
     };
     core.metrics.borrowed_shares.set(leased.borrowed as u64);
