--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -34,10 +34,11 @@
     retry_budget: LeasedRetryBudget,
     /// Number of restarts of the VM's process. A message to or from an earlier process is lost with its connection.
     incarnation: u32,
-    started: Duration,
+    started_at: Duration,
     /// Speed of the VM's clock relative to model time.
     rate: f64,
     paused_until: Duration,
+    /// Time at which the VM next requests all shares of the other VMs.
     next_request: Duration,
     /// Whether the VM held no share when it last ran a step, and its own time at that step.
     last_run: (bool, Duration),
@@ -48,7 +49,7 @@
         Self {
             retry_budget: LeasedRetryBudget::new(config),
             incarnation,
-            started: now,
+            started_at: now,
             rate,
             paused_until: now,
             next_request: now,
@@ -58,7 +59,7 @@
 
     /// Returns the VM's own time, which advances while it is paused.
     fn time(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started).mul_f64(self.rate)
+        now.saturating_sub(self.started_at).mul_f64(self.rate)
     }
 }
 
@@ -91,13 +92,15 @@
 struct ShareFleet {
     config: RetryBudgetConfig,
     vms: Vec<FleetVm>,
-    in_transit: VecDeque<InTransitMessage>,
+    messages_in_transit: VecDeque<InTransitMessage>,
     rng: ChaCha8Rng,
     faults: FleetFaults,
     /// Whether the VMs that take requests spend all their tokens in each step.
     spends: bool,
     now: Duration,
+    /// Times of all requests that VMs took.
     requests: Vec<Duration>,
+    /// Times of all repeats that VMs sent.
     repeats: Vec<Duration>,
 }
 
@@ -112,7 +115,7 @@
         Self {
             config,
             vms,
-            in_transit: VecDeque::new(),
+            messages_in_transit: VecDeque::new(),
             rng,
             faults,
             spends: true,
@@ -237,7 +240,7 @@
             return;
         }
         let delay = self.faults.max_delay.mul_f64(self.rng.random::<f64>());
-        self.in_transit.push_back(InTransitMessage {
+        self.messages_in_transit.push_back(InTransitMessage {
             arrives_at: self.now + delay,
             sender: (sender, self.vms[sender].incarnation),
             receiver: (receiver, self.vms[receiver].incarnation),
@@ -246,8 +249,8 @@
     }
 
     fn deliver(&mut self) {
-        for _ in 0..self.in_transit.len() {
-            let Some(delivery) = self.in_transit.pop_front() else {
+        for _ in 0..self.messages_in_transit.len() {
+            let Some(delivery) = self.messages_in_transit.pop_front() else {
                 return;
             };
             let (sender, receiver) = (delivery.sender.0, delivery.receiver.0);
@@ -257,7 +260,7 @@
                 continue;
             }
             if delivery.arrives_at > self.now || self.vms[receiver].paused_until > self.now {
-                self.in_transit.push_back(delivery);
+                self.messages_in_transit.push_back(delivery);
                 continue;
             }
             self.handle(sender, receiver, delivery.message);
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket.rs
@@ -25,9 +25,9 @@
 /// Bound on repeats for each service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Repeats allowed per request.
+    /// Number of repeats allowed per request.
     pub ratio: f64,
-    /// Repeats allowed in addition, for all VMs together.
+    /// Number of repeats allowed in any window in addition to those per request, for all VMs together.
     pub slack: f64,
     /// Length of the window over which the bound holds.
     pub window: Duration,
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -111,13 +111,13 @@
             } else {
                 0
             };
-            for (budget, started) in &mut budgets {
+            for (budget, started_at) in &mut budgets {
                 if rng.random_bool(0.002) {
                     *budget = RetryBudget::new(CONFIG);
-                    *started = now;
+                    *started_at = now;
                 }
-                budget.set_vm_count(vms, now.checked_sub(*started).unwrap());
-                let uptime = now.checked_sub(*started).unwrap();
+                budget.set_vm_count(vms, now.checked_sub(*started_at).unwrap());
+                let uptime = now.checked_sub(*started_at).unwrap();
                 for _ in 0..rng.random_range(0..=max_requests) {
                     budget.record_request(&service(), uptime);
                     requests.push(now);
@@ -164,7 +164,7 @@
 /// Model of one VM: the budget of its current process, and when that process started.
 struct ModelVm {
     budget: RetryBudget,
-    started: Duration,
+    started_at: Duration,
     /// Speed of the VM's clock relative to model time.
     rate: f64,
     /// Weight of this VM when requests are distributed among the VMs.
@@ -174,18 +174,18 @@
 }
 
 impl ModelVm {
-    fn new(started: Duration, rate: f64) -> Self {
+    fn new(started_at: Duration, rate: f64) -> Self {
         Self {
             budget: RetryBudget::new(CONFIG),
-            started,
+            started_at,
             rate,
             caller_weight: 1.0,
-            away_until: started,
+            away_until: started_at,
         }
     }
 
     fn uptime(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started).mul_f64(self.rate)
+        now.saturating_sub(self.started_at).mul_f64(self.rate)
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -45,6 +45,7 @@
 /// Share borrowed from another VM.
 #[derive(Debug, Clone, Copy)]
 struct BorrowedShare {
+    /// Time from which this process no longer uses the share.
     expires: Duration,
 }
 
--- a/crates/ebonyfork/src/gateway/policy/choice.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice.rs
@@ -22,7 +22,7 @@
 /// Selected upstream and its expected speed.
 #[derive(Debug, Clone)]
 pub struct UpstreamChoice {
-    /// Upstream to send to.
+    /// Upstream to which the attempt is sent.
     pub upstream: Rc<Upstream>,
     /// Distance of the upstream from this VM.
     pub distance: PlaceDistance,
--- a/crates/ebonyfork/src/gateway/policy/cold/claim.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim.rs
@@ -29,7 +29,7 @@
 /// Minimum time from the beginning of a write to that of the next one, which repeats the first one if it failed.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// Record in the store for one availability zone.
+/// Record in the store that states which process holds the claim on an availability zone's cold upstreams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Process that may send to the zone's cold upstreams; `None` once it has given the claim back.
@@ -44,7 +44,7 @@
 pub struct ClaimWrite {
     /// Revision that the claim's key must have.
     pub expected_revision: StoreRevision,
-    /// Record to write.
+    /// Record to write under the claim's key.
     pub record: ClaimRecord,
 }
 
@@ -53,7 +53,7 @@
 struct ObservedClaim {
     revision: StoreRevision,
     record: ClaimRecord,
-    /// Time at which this revision was first seen.
+    /// Time at which this process first saw this revision.
     first_seen: Duration,
 }
 
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct ZoneClaim {
     own_session: SessionId,
-    /// Current store era.
+    /// Latest store era that this process knows of.
     era: StoreEra,
     /// Time until which a claim of the previous store era may still be in use on some VM.
     no_writes_until: Duration,
@@ -157,9 +157,9 @@
         });
     }
 
-    /// Returns the write that is due, if any. `wanted` tells whether this process should send to the zone's cold
+    /// Returns the write that is due, if any. `wants_claim` tells whether this process should send to the zone's cold
     /// upstreams.
-    pub fn next_write(&mut self, wanted: bool, now: Duration) -> Option<ClaimWrite> {
+    pub fn next_write(&mut self, wants_claim: bool, now: Duration) -> Option<ClaimWrite> {
         if now < self.no_writes_until {
             return None;
         }
@@ -177,7 +177,7 @@
         let is_own = self
             .observed_claim
             .is_some_and(|observed| self.is_own(observed.record));
-        if !wanted {
+        if !wants_claim {
             if !is_own {
                 return None;
             }
--- a/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
@@ -122,7 +122,7 @@
     expect_that!(claim.may_send(ms(100)), eq(false));
 }
 
-/// Requests that the holder may send per second.
+/// Number of requests that the holder of the claim may send per second.
 const PACE: usize = 3;
 /// Step of model time.
 const STEP: Duration = Duration::from_millis(20);
@@ -198,7 +198,7 @@
     revision_number: u64,
     era: StoreEra,
     /// Random source for restores of the store; `None` if there are none.
-    restores: Option<ChaCha8Rng>,
+    restore_rng: Option<ChaCha8Rng>,
     snapshots: Vec<StoreSnapshot>,
     down_until: Duration,
     /// Send times of all requests, in order.
@@ -214,7 +214,7 @@
             stored_claim: None,
             revision_number: 0,
             era: StoreEra::UNSTATED,
-            restores: None,
+            restore_rng: None,
             snapshots: Vec::new(),
             down_until: Duration::ZERO,
             send_times: Vec::new(),
@@ -225,7 +225,7 @@
     fn with_restores(self, seed: u64) -> Self {
         Self {
             era: StoreEra(1),
-            restores: Some(ChaCha8Rng::seed_from_u64(!seed)),
+            restore_rng: Some(ChaCha8Rng::seed_from_u64(!seed)),
             ..self
         }
     }
@@ -235,7 +235,7 @@
     /// number but leaves the claim as it is, so a number that is assigned again after a restore needn't belong to the
     /// claim.
     fn maybe_restore(&mut self) {
-        let Some(rng) = &mut self.restores else {
+        let Some(rng) = &mut self.restore_rng else {
             return;
         };
         self.snapshots.push(StoreSnapshot {
@@ -249,10 +249,10 @@
         if !rng.random_bool(0.002) {
             return;
         }
-        let restore_from = self.now.saturating_sub(ms(rng.random_range(0..9_000)));
+        let restore_time = self.now.saturating_sub(ms(rng.random_range(0..9_000)));
         let index = self
             .snapshots
-            .partition_point(|snapshot| snapshot.taken_at < restore_from);
+            .partition_point(|snapshot| snapshot.taken_at < restore_time);
         let snapshot = self.snapshots[index];
         (self.revision_number, self.stored_claim) =
             (snapshot.revision_number, snapshot.stored_claim);
@@ -291,7 +291,7 @@
                 vm.wants_claim = !vm.wants_claim;
             }
             // With restores, every VM wants to send: the worst case.
-            vm.wants_claim |= self.restores.is_some();
+            vm.wants_claim |= self.restore_rng.is_some();
             if self.rng.random_bool(0.002) {
                 vm.paused_until = now + ms(self.rng.random_range(100..7_000));
             }
@@ -333,7 +333,7 @@
     fn notify(&mut self, revision_number: u64, record: Option<ClaimRecord>) {
         let revision = StoreRevision::new(revision_number).with_era(self.era);
         for vm in &mut self.vms {
-            let lag = match self.restores {
+            let lag = match self.restore_rng {
                 // The VM may be partitioned from the store for longer than any term.
                 Some(_) if self.rng.random_bool(0.2) => 25_000,
                 _ if self.rng.random_bool(0.1) => 5_000,
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -7,7 +7,7 @@
 
 use crate::gateway::partial::ShardReach;
 
-/// Answer of one shard.
+/// Part of a query's answer that comes from one shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardPart {
     /// Signature of the upstream for this part.
@@ -35,7 +35,7 @@
     Group(usize),
 }
 
-/// Outcome of one shard.
+/// What has become of one shard's part.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ShardOutcome {
     /// The shard's part may still arrive.
@@ -49,9 +49,9 @@
 /// State of one shard of a query.
 #[derive(Debug)]
 pub struct ShardState {
-    /// What has become of the shard's part so far.
+    /// Whether the shard's part has arrived or may still arrive.
     pub outcome: ShardOutcome,
-    /// Number of attempts in flight.
+    /// Number of the shard's attempts in flight.
     pub in_flight: usize,
     /// Number of attempts that may have run at an upstream, including those in flight.
     pub possible_runs: usize,
@@ -116,7 +116,7 @@
     DeadlinePassed,
 }
 
-/// State of one query.
+/// State of one query over many shards.
 #[derive(Debug)]
 pub struct GatherState {
     shards: Vec<ShardState>,
@@ -132,7 +132,7 @@
     waits_for_all: bool,
     /// Time until which an answer has its full value.
     answer_by: Instant,
-    /// Deadline for any answer.
+    /// Time by which the query must have ended, whatever its answer.
     finish_by: Instant,
 }
 
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -15,10 +15,11 @@
 
 /// Weight of a new sample in the moving averages of slowness and success.
 const SAMPLE_WEIGHT: f64 = 0.25;
-/// Weight of a sample that shows a slow upstream: two queries suffer until it is recognised, instead of five.
+/// Weight of a sample that shows a slow upstream: two queries suffer until the upstream is recognised as slow,
+/// instead of five.
 const SLOW_WEIGHT: f64 = 0.6;
 /// Half-life of the estimate for an upstream that gets no requests. Slow phases last some seconds; probes detect
-/// earlier that one has ended.
+/// earlier that a slow phase has ended.
 const HALF_LIFE: Duration = Duration::from_secs(6);
 /// Multiple of the usual time from which an answer counts as late.
 const LATE_FACTOR: f64 = 3.0;
@@ -88,7 +89,7 @@
         0.5_f64.powf(elapsed.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
-    /// Decays the estimate towards its default.
+    /// Decays the averages towards their defaults, a slowness and a success rate of 1.
     fn decay(&mut self, now: Instant) {
         let retention = self.retention(now);
         self.slowness = 1.0 + (self.slowness - 1.0) * retention;
--- a/crates/ebonyfork/src/gateway/policy/hedge.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge.rs
@@ -1,5 +1,5 @@
 //! Decides whether a second attempt (a hedge) is worth its load, from the latencies of the first attempt and of a new
-//! one elsewhere.
+//! one at another upstream.
 
 use crate::gateway::policy::latency::{LatencyHistogram, STRAGGLER_QUANTILE};
 
--- a/crates/ebonyfork/src/gateway/policy/homes.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes.rs
@@ -70,7 +70,7 @@
 /// Regions whose VMs the callers of one host may be referred to, besides the caller's own region.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HostRegions {
-    /// `None` if no route of the host is limited.
+    /// Home regions of the host's limited routes; `None` if no route of the host is limited.
     limits: Option<RegionLimits>,
 }
 
--- a/crates/ebonyfork/src/gateway/policy/load_report.rs
+++ b/crates/ebonyfork/src/gateway/policy/load_report.rs
@@ -10,12 +10,12 @@
 
 /// Age at which the weight of a report has halved; the load of an upstream changes many times per second.
 const HALF_LIFE: Duration = Duration::from_millis(300);
-/// Highest processing time that is accepted, in per cent of the usual one.
+/// Highest processing time that is accepted in a report, in per cent of the usual one.
 const PERCENT_LIMIT: u32 = 10_000;
-/// Highest number of requests or slots that is accepted.
+/// Highest number of requests or slots that is accepted in a report.
 const REQUEST_LIMIT: u32 = 10_000;
 
-/// Load of an upstream as it reports it.
+/// Load of an upstream, as stated in its report.
 ///
 /// # Examples
 ///
--- a/crates/ebonyfork/src/gateway/policy/postpone.rs
+++ b/crates/ebonyfork/src/gateway/policy/postpone.rs
@@ -14,7 +14,7 @@
 pub struct ShardLikelihood {
     /// Index of the shard in the query.
     pub shard: usize,
-    /// Probability from 0 to 1.
+    /// Probability, from 0 to 1, that the part arrives while it is useful.
     pub likelihood: f64,
 }
 
--- a/crates/ebonyfork/src/gateway/policy/route_latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/route_latency.rs
@@ -8,9 +8,9 @@
 
 /// Assumed latency of attempts in the same zone before any was measured.
 const ASSUMED_NEAR: Duration = Duration::from_millis(30);
-/// Assumed latency of attempts in another zone of the region.
+/// Assumed latency of attempts in another zone of the region before any was measured.
 const ASSUMED_REGION: Duration = Duration::from_millis(35);
-/// Assumed latency of attempts in another region; regions are 10 to 20 ms apart one way.
+/// Assumed latency of attempts in another region before any was measured; regions are 10 to 20 ms apart one way.
 const ASSUMED_FAR: Duration = Duration::from_millis(70);
 
 /// Latency of the attempts of one route, by kind.
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -21,7 +21,7 @@
 use crate::gateway::settings::PlaceDistance;
 use crate::gateway::upstream::Upstream;
 
-/// Finished attempt.
+/// Attempt that has finished, with its outcome.
 pub(super) struct FinishedAttempt {
     /// Index of the attempt in the request's list of attempts.
     pub number: usize,
@@ -182,10 +182,10 @@
         self.context.core.home_upstreams(&self.route, service)
     }
 
-    /// Selects the upstream for an attempt of a shard: any candidate for the first one. If `is_repeat` is set, or an
-    /// earlier attempt was not sent, selects an upstream that the shard was not sent to. If there is none and no
-    /// attempt is in flight, selects one that it was sent to, without exceeding the route's limit on upstreams. If this
-    /// VM gathers the part for another VM, only upstreams in this VM's zone are used.
+    /// Selects the upstream for an attempt of a shard: the best of all candidates for the first one. If `is_repeat` is
+    /// set, or an earlier attempt was not sent, selects an upstream that the shard was not sent to. If there is none
+    /// and no attempt is in flight, selects one that it was sent to, without exceeding the route's limit on upstreams.
+    /// If this VM gathers the part for another VM, only upstreams in this VM's zone are used.
     pub(super) fn choose(&self, shard: usize, is_repeat: bool) -> Option<UpstreamChoice> {
         let core = &self.context.core;
         let candidates = self.candidates(shard);
@@ -272,7 +272,7 @@
         let number = self.record_begun(shard, &choice, kind, began, abort_handle);
         let context = self.context.clone();
         let request = Rc::clone(&self.request);
-        let cancelled = Rc::clone(&self.cancelled);
+        let is_cancelled = Rc::clone(&self.is_cancelled);
         let is_sent = Rc::clone(&self.attempts[number].is_sent);
         let useful_until = self.state.useful_until(began);
         let attempt = async move {
@@ -280,7 +280,7 @@
                 tokio::time::sleep(pause).await;
             }
             let may_send = || {
-                is_sent.set(!cancelled.get());
+                is_sent.set(!is_cancelled.get());
                 is_sent.get()
             };
             let upstream = &choice.upstream;
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -32,8 +32,8 @@
             millis(self.answer_margin)
         );
         let (outcome, reply) = match end {
-            GatherEnd::Whole | GatherEnd::Partial => self.answer(end),
-            GatherEnd::InsufficientCoverage | GatherEnd::DeadlinePassed => self.fail(end),
+            GatherEnd::Whole | GatherEnd::Partial => self.success_reply(end),
+            GatherEnd::InsufficientCoverage | GatherEnd::DeadlinePassed => self.failure_reply(end),
         };
         let detail = if reply.status().is_success() {
             detail
@@ -65,7 +65,8 @@
         descriptions.collect()
     }
 
-    fn answer(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
+    /// Returns the outcome and the reply of a request for which enough parts have arrived.
+    fn success_reply(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
         let names = &self.context.core.dialect.names;
         if let RunTarget::Gather(gather_terms) = &self.target {
             let outcome = if end == GatherEnd::Whole {
@@ -81,13 +82,14 @@
         }
     }
 
-    fn fail(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
+    /// Returns the outcome and the reply of a request for which too few parts have arrived.
+    fn failure_reply(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
         let is_single = matches!(self.target, RunTarget::One(_));
         if let Some(failed_answer) = self.failed_answer.take().filter(|_failed_answer| is_single) {
             return ("failed", forwarded(failed_answer));
         }
-        // A request that only waited for a connection hasn't run, so it isn't answered with 504: that status kept
-        // callers from resending requests that may run only once.
+        // A request that only waited for a connection hasn't run, so it isn't answered with 504: after that status
+        // callers don't resend requests that may run only once.
         let reason = match (self.may_have_run(), end) {
             (true, GatherEnd::DeadlinePassed) => RefusalReason::Late,
             (true, _) => RefusalReason::Unknown,
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -107,6 +107,7 @@
         self.delegate_zone(&zone, &[(shard, choice)])
     }
 
+    /// Delegates shards to one VM in a zone. Returns false if there is no VM that can gather them.
     fn delegate_zone(&mut self, zone: &PlaceName, shards: &[(usize, &UpstreamChoice)]) -> bool {
         let core = Rc::clone(&self.context.core);
         let median_ms = {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Marks the attempts that are missing from the first reply of a group as late.
+    /// Marks the attempts of a group that are still in flight after its first reply as late.
     fn mark_rest_late(&mut self, attempts: &[usize], time: Instant) {
         for number in attempts {
             let attempt = &mut self.attempts[*number];
@@ -392,11 +393,11 @@
     }
 
     /// Returns how far the request got with a shard, for the VM that requested it. A broken connection is only reported
-    /// as broken if the upstream is confirmed lost; reporting every broken connection held back the other VM's
+    /// as broken if the upstream is confirmed lost; reporting every broken connection would hold back the other VM's
     /// remaining shards.
     fn reach(&self, shard: usize) -> ShardReach {
         match self.state.shards()[shard].reach() {
-            ShardReach::Broken if !self.suspicion.is_confirmed(shard) => ShardReach::Run,
+            ShardReach::Broken if !self.suspicion.has_confirmed_loss(shard) => ShardReach::Run,
             reach => reach,
         }
     }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -80,26 +80,32 @@
 
 /// State of a running request.
 struct QueryRun {
+    /// Data that all attempts of the request share.
     context: AttemptContext,
     route: Rc<RouteEntry>,
     target: RunTarget,
     request: Rc<ForwardRequest>,
+    /// Parts that have arrived, and the outcome of each shard.
     state: GatherState,
+    /// All attempts started so far, direct and delegated, including those that have ended.
     attempts: Vec<StartedAttempt>,
+    /// Direct attempts in flight.
     in_flight: AttemptSet,
     /// Set when the request has ended; attempts that still wait for a connection are then not sent.
-    cancelled: Rc<Cell<bool>>,
+    is_cancelled: Rc<Cell<bool>>,
     /// Successful answer to a request to a single service.
     single_answer: Option<UpstreamAnswer>,
     /// Last answer with an error status, for requests to a single service.
     failed_answer: Option<UpstreamAnswer>,
-    /// Connection losses that may be caused by the request, and the shards held back because of them.
+    /// Connections that broke during the request, and the shards held back because of them.
     suspicion: RunSuspicion,
     /// Digest by which other VMs identify the route's list of shards; computed for the first group.
     shard_digest: OnceCell<u64>,
     /// Groups of shards that other VMs gather.
     groups: Vec<ShardGroup>,
+    /// Receives the replies for the groups and the losses of the links to their VMs.
     event_receiver: mpsc::UnboundedReceiver<GroupEvent>,
+    /// Sender that is cloned for each group.
     event_sender: mpsc::UnboundedSender<GroupEvent>,
     /// Set if this VM gathers the parts for another VM.
     delivery: Option<PartialDelivery>,
@@ -183,7 +189,7 @@
             state: GatherState::new(shards, required, answer_by, finish_by),
             attempts: Vec::with_capacity(shards + shards / 4),
             in_flight: FuturesUnordered::new(),
-            cancelled: Rc::default(),
+            is_cancelled: Rc::default(),
             single_answer: None,
             failed_answer: None,
             suspicion: RunSuspicion::default(),
@@ -215,6 +221,7 @@
         self.drive_with(&mut |_reply| {}).await
     }
 
+    /// Does the work of [`Self::drive`]; passes the parts for another VM to `reply` as they arrive.
     async fn drive_with(&mut self, reply: &mut impl FnMut(PartialReply)) -> GatherEnd {
         let timer = tokio::time::sleep(Duration::ZERO);
         tokio::pin!(timer);
@@ -239,9 +246,9 @@
         }
     }
 
-    fn record_timer_delay(&self, due: Instant) {
+    fn record_timer_delay(&self, planned_time: Instant) {
         let time = now();
-        let delay = time.saturating_duration_since(due);
+        let delay = time.saturating_duration_since(planned_time);
         let mut lag = self.context.core.lag.borrow_mut();
         lag.record_timer_delay(delay, time);
     }
@@ -257,9 +264,10 @@
         }
     }
 
+    /// Returns the time at which [`Self::drive`] must run again if no attempt ends and no event arrives before.
     fn next_wake(&self, time: Instant) -> Instant {
         let mut wake_time = self.state.next_end_check(time);
-        if self.suspicion.waits() {
+        if self.suspicion.awaits_checks() {
             wake_time = wake_time.min(time + LOSS_CHECK_INTERVAL);
         }
         if self.route.repeat == RepeatKind::Once {
@@ -281,7 +289,7 @@
 impl Drop for QueryRun {
     /// Lets attempts in flight continue for a while so that their connections can be reused.
     fn drop(&mut self) {
-        self.cancelled.set(true);
+        self.is_cancelled.set(true);
         self.end_groups();
         let time = now();
         for attempt in &self.attempts {
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -513,8 +513,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against treating harmless breaks as crashes: upstreams that reset a connection and accept the next one have
-/// not crashed, so the lost shards are retried in parallel and none waits for another.
+/// Guards against treating harmless broken connections as crashes: upstreams that reset a connection and accept the
+/// next one have not crashed, so the lost shards are retried in parallel and none waits for another.
 #[gtest]
 #[tokio::test]
 async fn shards_lost_by_harmless_breaks_do_not_wait_for_one_another() {
@@ -545,8 +545,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Upstreams that are gone after a break may have been crashed by the request. Once two are lost, one shard is sent as
-/// a probe; if its upstream is lost too, nothing more is sent.
+/// Upstreams that are gone after a connection to them broke may have been crashed by the request. Once two are lost,
+/// one shard is sent as a probe; if its upstream is lost too, nothing more is sent.
 #[gtest]
 #[tokio::test]
 async fn a_request_that_crashes_upstreams_is_not_sent_to_more() {
@@ -570,7 +570,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A request that only waited for a connection until its deadline has not run. The answer says so and when to retry,
+/// A request that only waited for a connection until its deadline has not run. The reply says so and when to retry,
 /// and the request isn't sent later.
 #[gtest]
 #[tokio::test]
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -2,7 +2,7 @@
 //!
 //! After an outage of the store, entries that expired meanwhile return within about two seconds. A process that reads
 //! the store during that time, as all processes do after a common power failure, knows only a few upstreams. A request
-//! that those can't answer waits for the others if its deadline allows.
+//! that these upstreams can't answer waits for the others if its deadline allows.
 
 use std::time::Duration;
 
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -9,7 +9,7 @@
 use crate::gateway::settings::PlaceDistance;
 
 impl QueryRun {
-    /// Sends a hedge for each first attempt that is late, if it is worthwhile.
+    /// Sends a hedge for each late attempt that is its shard's only one in flight, if the hedge is worthwhile.
     pub(super) fn check_stragglers(&mut self, time: Instant) {
         if self.route.repeat == RepeatKind::Once {
             return;
--- a/crates/ebonyfork/src/gateway/run/suspicion.rs
+++ b/crates/ebonyfork/src/gateway/run/suspicion.rs
@@ -1,5 +1,5 @@
 //! Detects requests that may crash their upstreams. While such a request is suspected, one shard is sent as a probe and
-//! the others are held back until it is answered.
+//! the others are held back until the probe is answered.
 //!
 //! Most broken connections are harmless: the upstream has reset a connection and accepts the next one, which
 //! [`LossCheck`] finds out about 25 ms later. Shards are only held back from the second broken connection on. If the
@@ -51,19 +51,19 @@
 
     /// Returns whether shards are held back, not for the answer to a probe, but until the causes of broken connections
     /// are known.
-    pub(super) fn waits(&self) -> bool {
+    pub(super) fn awaits_checks(&self) -> bool {
         !self.held_shards.is_empty() && self.probe.is_none()
     }
 
     /// Returns whether an upstream was confirmed lost during an attempt of a shard.
-    pub(super) fn is_confirmed(&self, shard: usize) -> bool {
+    pub(super) fn has_confirmed_loss(&self, shard: usize) -> bool {
         let is_lost = |(broken_shard, check): &(usize, Rc<LossCheck>)| {
             *broken_shard == shard && check.verdict() == LossVerdict::Lost
         };
         self.broken_connections.iter().any(is_lost)
     }
 
-    fn count_with(&self, verdict: LossVerdict) -> usize {
+    fn count_checks(&self, verdict: LossVerdict) -> usize {
         let checks = self.broken_connections.iter();
         checks
             .filter(|(_shard, check)| check.verdict() == verdict)
@@ -72,7 +72,7 @@
 
     /// Returns the number of broken connections that the request may have caused by crashing their upstreams.
     fn possible_losses(&self) -> usize {
-        self.count_with(LossVerdict::Pending) + self.count_with(LossVerdict::Lost)
+        self.count_checks(LossVerdict::Pending) + self.count_checks(LossVerdict::Lost)
     }
 }
 
@@ -117,11 +117,11 @@
             self.suspicion.probe = None;
         }
         if self.suspicion.held_shards.is_empty()
-            || self.suspicion.count_with(LossVerdict::Pending) > 0
+            || self.suspicion.count_checks(LossVerdict::Pending) > 0
         {
             return;
         }
-        let lost_count = self.suspicion.count_with(LossVerdict::Lost);
+        let lost_count = self.suspicion.count_checks(LossVerdict::Lost);
         if lost_count < SUSPICIOUS_LOSSES && !self.suspicion.suspected_on_arrival {
             self.release_held();
             return;
