--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -161,7 +161,7 @@
         if let Some(holder) = self.lent_to(now).filter(|holder| *holder != borrower) {
             return Err(LendRefusal::OnLease { borrower: holder });
         }
-        let is_recent = |since| now.saturating_sub(since) < RECENT_REPEAT_PERIOD;
+        let is_recent = |repeat_time| now.saturating_sub(repeat_time) < RECENT_REPEAT_PERIOD;
         if serves || self.last_repeat.is_some_and(is_recent) {
             return Err(LendRefusal::NeededHere);
         }
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -159,8 +159,8 @@
             .signatures()
             .map(|signature| signature.to_str().expect("text").parse().expect("a number"))
             .collect();
-        let expected = merge_records(answered_shards.iter().map(|shard| parts[*shard].as_slice()), 4);
-        prop_assert_eq!(merge_records(query.records(), 4), expected);
+        let expected_records = merge_records(answered_shards.iter().map(|shard| parts[*shard].as_slice()), 4);
+        prop_assert_eq!(merge_records(query.records(), 4), expected_records);
         prop_assert_eq!(answered_shards.len(), query.answered_count());
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -174,10 +174,9 @@
     /// upstream, so the advice needn't be remembered for longer.
     pub fn record_avoid_advice(&mut self, now: Instant) {
         let advised_until = now + ADVICE_DURATION;
-        self.ejected_until = Some(
-            self.ejected_until
-                .map_or(advised_until, |ejected| ejected.max(advised_until)),
-        );
+        self.ejected_until = Some(self.ejected_until.map_or(advised_until, |ejected_until| {
+            ejected_until.max(advised_until)
+        }));
     }
 
     /// Records that an attempt was abandoned before it was sent.
@@ -187,8 +186,8 @@
 
     /// Returns the age of the oldest attempt in flight, or zero if there is none.
     pub fn oldest_age(&self, now: Instant) -> Duration {
-        let oldest = self.in_flight.iter().min();
-        oldest.map_or(Duration::ZERO, |began| {
+        let oldest_start = self.in_flight.iter().min();
+        oldest_start.map_or(Duration::ZERO, |began| {
             now.saturating_duration_since(*began)
         })
     }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -264,7 +264,7 @@
     let test = async {
         for repeat in [RepeatKind::Idempotent, RepeatKind::Once] {
             let core = core();
-            let _held = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
+            let _holding_upstreams = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
             let (route, target) = single_route(2);
             let route = Rc::new(RouteEntry {
                 repeat,
@@ -437,15 +437,19 @@
             let _first_upstreams = upstreams(&core, "s0", 1, ScriptedReply::Answer(16)).await;
             let (route, target) = gather_route(&["s0", "s1"], 0.9);
             let request = request(Duration::from_millis(patience));
-            let running = tokio::task::spawn_local({
+            let running_request = tokio::task::spawn_local({
                 let core = Rc::clone(&core);
                 let standing = RequestStanding::Clear;
                 async move { run_request(&core, &route, target, request, standing).await }
             });
             tokio::time::sleep(Duration::from_millis(200)).await;
-            expect_that!(running.is_finished(), eq(status == 503), "{patience}");
+            expect_that!(
+                running_request.is_finished(),
+                eq(status == 503),
+                "{patience}"
+            );
             let _second_upstreams = upstreams(&core, "s1", 1, ScriptedReply::Answer(16)).await;
-            let report = running.await.expect("no panic");
+            let report = running_request.await.expect("no panic");
             expect_that!(report.reply.status().as_u16(), eq(status), "{patience}");
         }
     };
@@ -650,7 +654,7 @@
             ScriptedReply::Crash,
             ScriptedReply::Hold,
         ] {
-            for gathered in [false, true] {
+            for is_gathered in [false, true] {
                 let core = core();
                 let services = ["s", "s1", "s2"];
                 let (mut home_upstreams, mut other_upstreams) = (Vec::new(), Vec::new());
@@ -667,7 +671,7 @@
                         list.push(upstream);
                     }
                 }
-                let (route, target) = if gathered {
+                let (route, target) = if is_gathered {
                     gather_route(&services, 0.3)
                 } else {
                     single_route(3)
@@ -678,12 +682,12 @@
                 expect_that!(
                     arrivals(&other_upstreams),
                     eq(0),
-                    "{reply:?} gathered={gathered}"
+                    "{reply:?} gathered={is_gathered}"
                 );
                 expect_that!(
                     arrivals(&home_upstreams),
                     ge(1),
-                    "{reply:?} gathered={gathered}"
+                    "{reply:?} gathered={is_gathered}"
                 );
             }
         }
