--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -170,7 +170,7 @@
             reply: refusal(reason),
             outcome: reason.word(),
             detail: CompactString::default(),
-            decided: None,
+            decided_at: None,
         },
     };
     let mut reply = report.reply;
@@ -181,7 +181,7 @@
         reply.headers_mut().insert(header::CONNECTION, close);
     }
     request_log.finish(report.outcome, &report.detail, reply.status().as_u16());
-    (reply, report.decided)
+    (reply, report.decided_at)
 }
 
 /// Logs a request once, also if its caller disconnects before the answer.
