--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -305,7 +305,7 @@
             let allowed = |upstream: &Upstream, _: &_| !fresh || !sent(upstream);
             choose_upstream(candidates, allowed, &vm.place, &vm.latency, now)
         };
-        if self.queries[query].state.shards()[shard].ran == 0 {
+        if self.queries[query].state.shards()[shard].possible_runs == 0 {
             return pick(false);
         }
         pick(true).or_else(|| pick(false))
@@ -333,7 +333,7 @@
         choice.upstream.health.borrow_mut().record_start(now);
         let state = self.queries[query].state.shard_mut(shard);
         state.in_flight += 1;
-        state.ran += 1;
+        state.possible_runs += 1;
         self.queries[query].sent[shard][replica] = true;
         let number = self.attempts.len();
         self.attempts.push(ModelAttempt {
@@ -440,7 +440,7 @@
             return;
         }
         let choice = self.choose(query, shard, now);
-        let attempts_left = state.ran < MAX_ATTEMPTS;
+        let attempts_left = state.possible_runs < MAX_ATTEMPTS;
         match choice {
             Some(choice) if attempts_left && self.spend(query, shard, now) => {
                 self.send(query, shard, &choice, now);
@@ -473,9 +473,9 @@
         let question = HedgeCandidate {
             waited_ms,
             left_ms,
-            original: latency.histogram(kind),
-            other: latency.histogram(other),
-            other_slowness: choice.slowness,
+            original_latency: latency.histogram(kind),
+            hedge_latency: latency.histogram(other),
+            hedge_slowness: choice.slowness,
             known_late: false,
         };
         let hedge = question.is_worthwhile() && replica(&choice.upstream) != attempt.replica;
@@ -498,7 +498,7 @@
             return;
         };
         query.done = true;
-        let coverage = query.state.answered() as f64 / query.state.shards().len() as f64;
+        let coverage = query.state.answered_count() as f64 / query.state.shards().len() as f64;
         let late = now > query.began + self.deployment.target;
         let timeliness = if late { 0.1 } else { 1.0 };
         if matches!(end, GatherEnd::Whole | GatherEnd::Partial) {
