--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -1,4 +1,4 @@
-//! Runs the protocol: owns the socket and the clock, writes the decision lines, publishes snapshots.
+//! Actor that runs the protocol: owns the socket and the clock, logs events and publishes snapshots.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,18 +22,18 @@
 use crate::membership::snapshot::{GossipNotice, MemberDigest, MemberSnapshot};
 use crate::membership::timing::TICK_PERIOD;
 
-/// Datagrams handed to the actor in one message.
-const READ_BATCH: usize = 32;
-/// Ticks between two snapshots of which only digests differ.
+/// Maximum number of datagrams passed to the actor in one message.
+const MAX_READ_BATCH: usize = 32;
+/// Minimum ticks between two snapshots that differ only in digests.
 const DIGEST_PUBLISH_TICKS: u32 = 10;
-/// Members for which one more tick passes between two snapshots: making one takes time for each.
-const PUBLISH_TICK_MEMBERS: usize = 500;
-/// Notices that wait for a slow reader.
-const NOTICE_QUEUE: usize = 256;
+/// For every this many members, one more tick passes between two snapshots, since their cost grows with the members.
+const MEMBERS_PER_PUBLISH_TICK: usize = 500;
+/// Maximum number of notices queued for a slow subscriber.
+const NOTICE_QUEUE_LIMIT: usize = 256;
 
 type DelayFunction = dyn Fn(VmAddress) -> Duration + Send + Sync;
 
-/// What membership needs to know.
+/// Settings of membership in one process.
 #[derive(Clone)]
 pub struct MemberSettings {
     own: SessionId,
@@ -54,7 +54,7 @@
 }
 
 impl MemberSettings {
-    /// Settings of the process `own`; `peer_port` is the same on every VM; `seed` feeds the random choices.
+    /// Creates the settings of process `own`. `peer_port` is the same on every VM; `seed` seeds the random choices.
     pub fn new(own: SessionId, zone: ZoneName, peer_port: u16, seed: u64) -> Self {
         Self {
             own,
@@ -66,14 +66,14 @@
         }
     }
 
-    /// Names the deployment: datagrams of another one are dropped.
+    /// Sets the deployment number; datagrams of other deployments are dropped.
     #[must_use]
     pub fn with_deployment(mut self, deployment: u32) -> Self {
         self.deployment = deployment;
         self
     }
 
-    /// Delays what is sent to each VM, as distance would. Only the measuring tool does this.
+    /// Delays the datagrams to each VM, to simulate network distance. Only the lab uses this.
     #[must_use]
     pub fn with_delay(
         mut self,
@@ -84,7 +84,7 @@
     }
 }
 
-/// Membership as it runs. Cheap to clone; it stops when the last clone is dropped.
+/// Handle to the membership actor. Cheap to clone; the actor stops when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct MemberHandle {
     actor: Address<MemberActor>,
@@ -95,17 +95,18 @@
 }
 
 impl MemberHandle {
-    /// Starts membership on a bound socket. `seeds` are addresses from the VM list; they may be empty, late or wrong.
+    /// Starts membership on a bound socket. `seeds` are the addresses in the VM list; they may be empty, outdated or
+    /// wrong.
     pub fn start(
         settings: MemberSettings,
         socket: UdpSocket,
         seeds: watch::Receiver<Arc<[VmAddress]>>,
     ) -> Self {
         let socket = Arc::new(socket);
-        let (notice_sender, _) = broadcast::channel(NOTICE_QUEUE);
+        let (notice_sender, _) = broadcast::channel(NOTICE_QUEUE_LIMIT);
         let notices = notice_sender.downgrade();
         let mut actor = MemberActor::new(settings, Arc::clone(&socket), notice_sender);
-        actor.take_seeds(&seeds.borrow());
+        actor.set_seeds(&seeds.borrow());
         let snapshot = actor.snapshot.subscribe();
         let figures = Arc::clone(&actor.figures);
         let (address, mailbox) = Mailbox::unbounded();
@@ -123,47 +124,48 @@
         }
     }
 
-    /// What is believed about all members, as it changes.
+    /// Returns a receiver of the current snapshot of all members.
     pub fn snapshot(&self) -> watch::Receiver<Arc<MemberSnapshot>> {
         self.snapshot.clone()
     }
 
-    /// Replaces what this process says about itself.
+    /// Replaces the digest of this process.
     pub fn set_digest(&self, digest: MemberDigest) {
         self.queue(SetDigest(digest));
     }
 
-    /// Announces a planned stop; the others are told at once.
+    /// Announces a planned stop to the other members at once.
     pub fn announce_leaving(&self) {
         self.queue(AnnounceLeaving);
     }
 
-    /// Tells all members about a request that crashes upstreams.
+    /// Broadcasts a notice to all members.
     pub fn publish_notice(&self, notice: GossipNotice) {
         self.queue(PublishNotice(notice));
     }
 
-    /// Notices learnt from other members from now on. A reader that falls far behind misses the oldest.
+    /// Subscribes to the notices of other members. A subscriber that falls behind by more than [`NOTICE_QUEUE_LIMIT`]
+    /// notices misses the oldest.
     pub fn notices(&self) -> broadcast::Receiver<GossipNotice> {
         match self.notices.upgrade() {
             Some(sender) => sender.subscribe(),
-            // The actor is gone, and so will no notice ever come.
+            // The actor has stopped, so no notice will arrive: return a closed channel.
             None => broadcast::channel(1).1,
         }
     }
 
-    /// When a peer was last heard; none if never.
+    /// Returns when the last datagram arrived from a peer; none if never.
     pub fn last_peer_contact(&self) -> Option<Instant> {
-        self.figures().last_heard
+        self.figures().last_received
     }
 
-    /// Adds the metrics of membership.
+    /// Registers the metrics of membership.
     pub fn register(&self, registry: &mut Registry) {
         let collector = MemberCollector::new(Arc::clone(&self.figures));
         registry.register_collector(Box::new(collector));
     }
 
-    /// What has been counted so far.
+    /// Returns the current counters and gauges.
     pub fn figures(&self) -> MemberFigures {
         *self.figures.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -172,39 +174,39 @@
     where
         MemberActor: Handler<M>,
     {
-        // An unbounded mailbox takes a message at the first poll; the result is not awaited.
+        // Sending to an unbounded mailbox completes at the first poll; the return value is not awaited.
         let _queued = self.actor.send(message).detach().now_or_never();
     }
 }
 
 async fn read_socket(actor: WeakAddress<MemberActor>, socket: Arc<UdpSocket>) {
-    // One byte more than the limit, so that a longer datagram is seen as such.
+    // One byte more than the limit, so that an oversized datagram is recognized.
     let mut buffer = [0; DATAGRAM_LIMIT + 1];
     loop {
         let mut batch = Vec::new();
         match socket.recv_from(&mut buffer).await {
-            Ok((length, source)) => batch.push(arrived(&buffer[..length], source)),
+            Ok((length, source)) => batch.push(received_datagram(&buffer[..length], source)),
             Err(error) => {
-                // Linux reports another host's refusal here; it says nothing about this socket.
-                log::debug!("membership socket: {error}");
+                // Linux reports ICMP errors of earlier sends here; the socket itself is still usable.
+                log::debug!("failed to receive a membership datagram: {error}");
                 tokio::time::sleep(Duration::from_millis(1)).await;
                 continue;
             }
         }
-        while batch.len() < READ_BATCH {
+        while batch.len() < MAX_READ_BATCH {
             let Ok((length, source)) = socket.try_recv_from(&mut buffer) else {
                 break;
             };
-            batch.push(arrived(&buffer[..length], source));
+            batch.push(received_datagram(&buffer[..length], source));
         }
-        // Waiting for the actor keeps what it has not yet read in the socket, which drops what is too much.
-        if actor.send(Arrived(batch)).await.is_err() {
+        // While the actor is busy, datagrams stay in the socket buffer, and the kernel drops those that exceed it.
+        if actor.send(ReceivedDatagrams(batch)).await.is_err() {
             return;
         }
     }
 }
 
-fn arrived(bytes: &[u8], source: SocketAddr) -> (VmAddress, Vec<u8>) {
+fn received_datagram(bytes: &[u8], source: SocketAddr) -> (VmAddress, Vec<u8>) {
     (VmAddress(source.ip().to_canonical()), bytes.to_vec())
 }
 
@@ -214,7 +216,7 @@
 ) {
     while seeds.changed().await.is_ok() {
         let current = Arc::clone(&seeds.borrow_and_update());
-        if actor.send(TakeSeeds(current)).await.is_err() {
+        if actor.send(SetSeeds(current)).await.is_err() {
             return;
         }
     }
@@ -231,8 +233,8 @@
     }
 }
 
-struct Arrived(Vec<(VmAddress, Vec<u8>)>);
-struct TakeSeeds(Arc<[VmAddress]>);
+struct ReceivedDatagrams(Vec<(VmAddress, Vec<u8>)>);
+struct SetSeeds(Arc<[VmAddress]>);
 struct SetDigest(MemberDigest);
 struct AnnounceLeaving;
 struct PublishNotice(GossipNotice);
@@ -248,10 +250,13 @@
     notices: broadcast::Sender<GossipNotice>,
     figures: Arc<Mutex<MemberFigures>>,
     out: Vec<OutgoingDatagram>,
-    pending: SnapshotChange,
-    states: [u32; 4],
+    /// Change since the last published snapshot.
+    pending_change: SnapshotChange,
+    /// Other members in each state, as of the last published snapshot.
+    state_counts: [u32; 4],
     ticks: u32,
-    published: u32,
+    /// Value of `ticks` when the last snapshot was published.
+    published_tick: u32,
 }
 
 impl MemberActor {
@@ -273,10 +278,10 @@
             notices,
             figures: Arc::default(),
             out: Vec::new(),
-            pending: SnapshotChange::None,
-            states: [0; 4],
+            pending_change: SnapshotChange::None,
+            state_counts: [0; 4],
             ticks: 0,
-            published: 0,
+            published_tick: 0,
         }
     }
 
@@ -284,11 +289,11 @@
         self.started.elapsed()
     }
 
-    fn take_seeds(&mut self, seeds: &[VmAddress]) {
-        self.protocol.take_seeds(seeds);
+    fn set_seeds(&mut self, seeds: &[VmAddress]) {
+        self.protocol.set_seeds(seeds);
     }
 
-    /// Sends what the protocol wants sent, reports what has happened.
+    /// Sends the queued datagrams, reports the events and records what has changed.
     fn flush(&mut self) {
         let mut out = std::mem::take(&mut self.out);
         for datagram in out.drain(..) {
@@ -298,7 +303,7 @@
         for event in self.protocol.take_events() {
             self.report(event);
         }
-        self.pending = self.pending.max(self.protocol.take_change());
+        self.pending_change = self.pending_change.max(self.protocol.take_change());
     }
 
     fn send(&self, datagram: OutgoingDatagram) {
@@ -326,26 +331,26 @@
                 log::info!(target: "ebonyfork::decision", "member {session} zone={zone} state={state}");
             }
             MemberEvent::Notice(notice) => {
-                // An error means that nobody reads notices.
+                // An error means that there are no subscribers.
                 let _readers = self.notices.send(notice);
             }
             MemberEvent::Paused(gap) => {
-                log::warn!("membership was paused for {gap:?}; open probes prove nothing");
+                log::warn!("process was paused for {gap:?}; dropping the open membership probe");
             }
             MemberEvent::Superseded(session) => {
-                log::warn!("{session} is told of on this VM: a later life than this process");
+                log::warn!("another process on this VM has a newer incarnation: {session}");
             }
             MemberEvent::Isolated(true) => {
-                log::warn!("no peer has been heard; all are held failed");
+                log::warn!("no datagram from any peer; all other members count as failed");
             }
-            MemberEvent::Isolated(false) => log::info!("a peer has been heard again"),
+            MemberEvent::Isolated(false) => log::info!("receiving datagrams from peers again"),
         }
     }
 
     fn publish(&mut self) {
-        self.pending = SnapshotChange::None;
-        self.published = self.ticks;
-        self.states = self.protocol.count_states();
+        self.pending_change = SnapshotChange::None;
+        self.published_tick = self.ticks;
+        self.state_counts = self.protocol.count_states();
         let snapshot = self.protocol.snapshot();
         self.snapshot.send_if_modified(|current| {
             let changed = **current != snapshot;
@@ -356,37 +361,38 @@
         });
     }
 
-    fn publish_due(&mut self) {
-        let since = self.ticks.wrapping_sub(self.published);
+    /// Publishes a snapshot if one is pending and enough ticks have passed.
+    fn publish_if_due(&mut self) {
+        let elapsed = self.ticks.wrapping_sub(self.published_tick);
         let members = self.snapshot.borrow().members().len();
-        let wait = 1 + (members / PUBLISH_TICK_MEMBERS) as u32;
-        match self.pending {
-            SnapshotChange::Members if since >= wait => self.publish(),
-            SnapshotChange::Digests if since >= wait.max(DIGEST_PUBLISH_TICKS) => self.publish(),
+        let wait = 1 + (members / MEMBERS_PER_PUBLISH_TICK) as u32;
+        match self.pending_change {
+            SnapshotChange::Members if elapsed >= wait => self.publish(),
+            SnapshotChange::Digests if elapsed >= wait.max(DIGEST_PUBLISH_TICKS) => self.publish(),
             _ => {}
         }
     }
 
     fn update_figures(&self) {
-        let heard = self.protocol.last_heard();
+        let last_received = self.protocol.last_received();
         let mut figures = self.figures.lock().unwrap_or_else(PoisonError::into_inner);
         figures.counters = *self.protocol.counters();
-        figures.states = self.states;
-        figures.last_heard = heard.map(|heard| self.started + heard);
+        figures.state_counts = self.state_counts;
+        figures.last_received = last_received.map(|last_received| self.started + last_received);
     }
 }
 
 fn send_now(socket: &UdpSocket, bytes: &[u8], target: SocketAddr) {
-    // A full buffer or a refusal is a lost datagram, which the protocol bears.
+    // A full buffer or an ICMP error amounts to a lost datagram, which the protocol tolerates.
     if let Err(error) = socket.try_send_to(bytes, target) {
-        log::debug!("membership to {target}: {error}");
+        log::debug!("failed to send a membership datagram to {target}: {error}");
     }
 }
 
-impl Handler<Arrived> for MemberActor {
+impl Handler<ReceivedDatagrams> for MemberActor {
     type Return = ();
 
-    async fn handle(&mut self, message: Arrived, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceivedDatagrams, _context: &mut Context<Self>) {
         for (source, bytes) in message.0 {
             let now = self.now();
             self.protocol
@@ -396,11 +402,11 @@
     }
 }
 
-impl Handler<TakeSeeds> for MemberActor {
+impl Handler<SetSeeds> for MemberActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeSeeds, _context: &mut Context<Self>) {
-        self.take_seeds(&message.0);
+    async fn handle(&mut self, message: SetSeeds, _context: &mut Context<Self>) {
+        self.set_seeds(&message.0);
     }
 }
 
@@ -439,7 +445,7 @@
         self.ticks = self.ticks.wrapping_add(1);
         self.protocol.tick(now, &mut self.out);
         self.flush();
-        self.publish_due();
+        self.publish_if_due();
         self.update_figures();
     }
 }
--- a/crates/ebonyfork/src/membership/actor_tests.rs
+++ b/crates/ebonyfork/src/membership/actor_tests.rs
@@ -20,14 +20,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn two_members_meet_on_real_sockets() {
+async fn two_members_exchange_state_over_real_sockets() {
     let (first, port) = start(1, 0, &[]).await;
     let (second, _) = start(2, port, &[VmAddress([127, 83, 1, 1].into())]).await;
     let vm = VmAddress([127, 83, 1, 2].into());
     let mut notices = first.notices();
     let mut snapshot = first.snapshot();
-    let met = snapshot.wait_for(|snapshot| snapshot.get(vm).is_some());
-    expect_that!(met.await.is_ok(), eq(true));
+    let joined = snapshot.wait_for(|snapshot| snapshot.get(vm).is_some());
+    expect_that!(joined.await.is_ok(), eq(true));
     second.set_digest(MemberDigest {
         revision: RevisionNumber(3),
         load: 5,
@@ -35,15 +35,15 @@
     let notice = GossipNotice::new(b"news");
     second.publish_notice(notice.clone());
     second.announce_leaving();
-    let told = snapshot.wait_for(|snapshot| {
+    let updated = snapshot.wait_for(|snapshot| {
         let member = snapshot.get(vm);
         member.is_some_and(|member| {
             member.state == MemberState::Leaving && member.digest.revision == RevisionNumber(3)
         })
     });
-    expect_that!(told.await.is_ok(), eq(true));
-    let heard = notices.recv().await;
-    expect_that!(heard.map(|notice| notice.number), ok(eq(&notice.number)));
+    expect_that!(updated.await.is_ok(), eq(true));
+    let received = notices.recv().await;
+    expect_that!(received.map(|notice| notice.number), ok(eq(&notice.number)));
     expect_that!(first.last_peer_contact(), some(anything()));
     let mut registry = Registry::default();
     first.register(&mut registry);
--- a/crates/ebonyfork/src/membership/belief.rs
+++ b/crates/ebonyfork/src/membership/belief.rs
@@ -1,4 +1,4 @@
-//! What the protocol believes: how news changes the table, and when a suspicion becomes a failure.
+//! Applies updates to the member table and turns expired suspicions into failures.
 
 use std::time::Duration;
 
@@ -8,9 +8,11 @@
 use crate::membership::protocol::MemberProtocol;
 use crate::membership::snapshot::GossipNotice;
 use crate::membership::table::{DigestEffect, MemberRecord, MergeEffect};
-use crate::membership::timing::{DEAF_TIME, MEMBER_LIMIT, REFUTE_TIME, suspicion_time};
+use crate::membership::timing::{
+    MEMBER_LIMIT, MIN_REFUTE_TIME, RECEIVE_SILENCE_TIME, suspicion_time,
+};
 
-/// When a suspect's time to refute runs out.
+/// Deadline by which a suspected member has to refute the suspicion.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspectTimer {
     vm: VmAddress,
@@ -19,38 +21,40 @@
 }
 
 impl MemberProtocol {
-    /// Leaves all suspects until `earliest` at least.
+    /// Extends all suspicions to `earliest` at least.
     pub(super) fn postpone_suspects(&mut self, earliest: Duration) {
         for suspect in &mut self.suspects {
             suspect.deadline = suspect.deadline.max(earliest);
         }
     }
 
+    /// Declares every suspect failed whose deadline has passed, unless this process itself may be cut off.
     pub(super) fn expire_suspects(&mut self, now: Duration) {
-        if !self.hears(now) || !self.is_answered(now) {
-            // A refutation could not reach us either.
-            self.postpone_suspects(now + DEAF_TIME);
+        if !self.has_recent_contact(now) || !self.has_recent_ack(now) {
+            // A refutation could not reach this process either.
+            self.postpone_suspects(now + RECEIVE_SILENCE_TIME);
             return;
         }
-        let mut due: Vec<SuspectTimer> = Vec::new();
+        let mut expired: Vec<SuspectTimer> = Vec::new();
         let table = &self.table;
         self.suspects.retain(|suspect| {
-            let still = table.get(suspect.vm).is_some_and(|record| {
+            let is_pending = table.get(suspect.vm).is_some_and(|record| {
                 record.life == suspect.life && record.health == MemberHealth::Suspect
             });
-            if still && suspect.deadline <= now {
-                due.push(*suspect);
+            if is_pending && suspect.deadline <= now {
+                expired.push(*suspect);
             }
-            still && suspect.deadline > now
+            is_pending && suspect.deadline > now
         });
-        for suspect in due {
+        for suspect in expired {
             self.counters.failures += 1;
-            let failed = self.accusation(suspect.vm, suspect.life, MemberHealth::Failed);
-            self.believe(now, &failed, true);
+            let failed = self.health_update(suspect.vm, suspect.life, MemberHealth::Failed);
+            self.apply_update(now, &failed, true);
         }
     }
 
-    pub(super) fn accusation(
+    /// Builds an update that reports `health` for a known version of a member.
+    pub(super) fn health_update(
         &self,
         vm: VmAddress,
         life: MemberLife,
@@ -67,14 +71,14 @@
         }
     }
 
-    /// Takes news about another member into the table, and passes it on if `tell` or if it is a suspicion.
-    pub(super) fn believe(&mut self, now: Duration, update: &MemberUpdate, tell: bool) {
+    /// Applies an update about another member to the table. Gossips it if `forward` is set or if it is a suspicion.
+    pub(super) fn apply_update(&mut self, now: Duration, update: &MemberUpdate, forward: bool) {
         let before = self.table.get(update.vm).map(MemberRecord::state);
         if before.is_none() && self.table.len() >= MEMBER_LIMIT {
             return;
         }
         let effect = self.table.merge(now, update);
-        if effect == MergeEffect::Known {
+        if effect == MergeEffect::Unchanged {
             return;
         }
         let Some(record) = self.table.get(update.vm) else {
@@ -83,17 +87,18 @@
         let (life, health, state) = (record.life, record.health, record.state());
         let zone = record.zone.clone();
         if health == MemberHealth::Suspect {
-            // The time runs from when the suspicion began, so that late hearers do not wait it out once more.
-            let limit = record.since + suspicion_time(self.table.present());
-            let deadline = limit.max(now + REFUTE_TIME);
+            // The deadline counts from the start of the suspicion, so that members that learn of it late do not restart
+            // the full wait.
+            let suspicion_end = record.health_since + suspicion_time(self.table.present_count());
+            let deadline = suspicion_end.max(now + MIN_REFUTE_TIME);
             let vm = update.vm;
             self.suspects.push(SuspectTimer { vm, life, deadline });
         }
         if effect == MergeEffect::Joined {
             self.probe.insert(update.vm, &mut self.rng);
         }
-        if tell || health == MemberHealth::Suspect {
-            self.news.members.push(update.vm);
+        if forward || health == MemberHealth::Suspect {
+            self.gossip_queues.members.push(update.vm);
         }
         if before != Some(state) || effect == MergeEffect::Joined {
             self.change = SnapshotChange::Members;
@@ -107,26 +112,27 @@
         }
     }
 
-    /// Takes a digest that a member told of itself or another passed on.
-    pub(super) fn believe_digest(&mut self, update: &DigestUpdate) {
+    /// Applies a digest, whether received from its member or forwarded by another one.
+    pub(super) fn apply_digest(&mut self, update: &DigestUpdate) {
         let vm = update.session.vm;
         match self.table.merge_digest(update) {
-            DigestEffect::Known => return,
-            DigestEffect::Load => self.news.digests.push(vm),
-            DigestEffect::Revision => self.news.revisions.push(vm),
+            DigestEffect::Unchanged => return,
+            DigestEffect::Load => self.gossip_queues.digests.push(vm),
+            DigestEffect::Revision => self.gossip_queues.revisions.push(vm),
         }
         self.change = self.change.max(SnapshotChange::Digests);
     }
 
-    pub(super) fn believe_notice(&mut self, now: Duration, notice: GossipNotice) {
-        if self.board.merge(now, &notice) {
-            self.news.notices.push(notice.number);
+    /// Stores a notice, gossips it and reports it as an event, unless it is already known.
+    pub(super) fn apply_notice(&mut self, now: Duration, notice: GossipNotice) {
+        if self.notices.merge(now, &notice) {
+            self.gossip_queues.notices.push(notice.number);
             self.events.push(MemberEvent::Notice(notice));
         }
     }
 
-    /// Answers news about this process itself: a suspicion is refuted.
-    pub(super) fn believe_self(&mut self, update: &MemberUpdate) {
+    /// Handles an update about this process itself: refutes a suspicion, reports a newer incarnation on this VM.
+    pub(super) fn handle_own_update(&mut self, update: &MemberUpdate) {
         if update.life.incarnation > self.own.life.incarnation {
             self.counters.superseded += 1;
             let session = SessionId::new(update.vm, update.life.incarnation);
@@ -140,6 +146,6 @@
         }
         self.counters.refutations += 1;
         self.own.life.refutation = update.life.refutation.saturating_add(1);
-        self.news.members.push(self.own.vm);
+        self.gossip_queues.members.push(self.own.vm);
     }
 }
--- a/crates/ebonyfork/src/membership/event.rs
+++ b/crates/ebonyfork/src/membership/event.rs
@@ -1,76 +1,76 @@
-//! What the protocol hands out besides snapshots: datagrams, counts, events.
+//! Outputs of the protocol besides snapshots: datagrams, counters and events.
 
 use std::time::Duration;
 
 use crate::ident::{SessionId, VmAddress, ZoneName};
 use crate::membership::snapshot::{GossipNotice, MemberState};
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The VM to send it to.
+    /// Destination VM.
     pub to: VmAddress,
-    /// Its content.
+    /// Encoded datagram.
     pub bytes: Vec<u8>,
 }
 
-/// What has happened, counted since the process started.
+/// Counters since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MemberCounters {
     /// Datagrams sent.
     pub sent_datagrams: u64,
-    /// Bytes sent, headers included.
+    /// Bytes sent, IP and UDP headers included.
     pub sent_bytes: u64,
-    /// Datagrams received and believed.
+    /// Datagrams received and accepted.
     pub received_datagrams: u64,
-    /// Bytes received, headers included, of any sender.
+    /// Bytes received from any sender, IP and UDP headers included.
     pub received_bytes: u64,
-    /// Datagrams dropped, by [`super::DatagramError`] in the order of its cases.
+    /// Received datagrams that were dropped, indexed by [`super::DatagramError`].
     pub dropped: [u64; 6],
-    /// Datagrams not sent because the byte budget was spent.
+    /// Datagrams not sent because the byte budget was exhausted.
     pub withheld: u64,
-    /// Members that this process itself began to suspect.
+    /// Suspicions that this process raised after a probe of its own.
     pub suspicions: u64,
-    /// Suspects whose time ran out here.
+    /// Suspicions that expired in this process.
     pub failures: u64,
-    /// Suspicions of itself that this process refuted.
+    /// Suspicions about this process that it refuted.
     pub refutations: u64,
-    /// Pauses of this process that it noticed.
+    /// Detected pauses of this process.
     pub pauses: u64,
-    /// Words of a newer incarnation on this VM: the clock ran backwards, or two processes run.
+    /// Received updates that name a newer incarnation on this VM: its clock ran backwards, or two processes run there.
     pub superseded: u64,
 }
 
-/// Something that is worth a log line or a reader's attention.
+/// An event to log or to forward to subscribers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// What is believed about a member has changed.
+    /// The state of a member changed.
     State {
-        /// The member.
+        /// Process incarnation of the member.
         session: SessionId,
-        /// Its zone.
+        /// Availability zone of the member.
         zone: ZoneName,
-        /// What is believed now.
+        /// The new state.
         state: MemberState,
     },
-    /// A notice was learnt from others.
+    /// A new notice arrived from another member.
     Notice(GossipNotice),
-    /// This process was paused for about this long.
+    /// This process was paused for about this duration.
     Paused(Duration),
-    /// A newer incarnation on this VM was told of: the clock ran backwards, or two processes run.
+    /// An update names a newer incarnation on this VM: its clock ran backwards, or two processes run there.
     Superseded(SessionId),
-    /// No peer has been heard for [`ISOLATION_TIME`]; or one has been heard again.
+    /// True: no datagram has arrived from a peer for [`super::ISOLATION_TIME`]. False: one has arrived again.
     Isolated(bool),
 }
 
-/// What has changed since the last snapshot was taken.
+/// What has changed since the last call of `MemberProtocol::take_change`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SnapshotChange {
-    /// Nothing.
+    /// Nothing has changed.
     #[default]
     None,
-    /// Digests alone.
+    /// Only digests have changed.
     Digests,
-    /// Who is there.
+    /// The set of members or the state of one has changed.
     Members,
 }
--- a/crates/ebonyfork/src/membership/fleet_fixture.rs
+++ b/crates/ebonyfork/src/membership/fleet_fixture.rs
@@ -1,4 +1,4 @@
-//! Many protocols against each other under virtual time, with a lossy delivery in memory: for tests alone.
+//! Test fixture: runs many protocol instances in virtual time over a simulated lossy network.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,25 +13,29 @@
 use crate::membership::snapshot::MemberState;
 use crate::membership::telling::own_update;
 
+/// Step of the virtual clock.
 pub(super) const STEP: Duration = Duration::from_millis(10);
+/// Clock steps between two ticks of a node.
 pub(super) const TICK_STEPS: usize = 10;
 
-/// Whether a datagram from one node to another arrives, at this time.
-pub(super) type Reaches = Box<dyn FnMut(Duration, usize, usize) -> bool>;
+/// Decides whether a datagram arrives, given the time, the sending node and the receiving node.
+pub(super) type DeliveryRule = Box<dyn FnMut(Duration, usize, usize) -> bool>;
 
 pub(super) struct Fleet {
     pub(super) now: Duration,
     pub(super) steps: usize,
     pub(super) nodes: Vec<MemberProtocol>,
     pub(super) running: Vec<bool>,
-    /// A node whose process does not get to run; what is sent to it waits in its socket.
+    /// Node whose process is not scheduled; datagrams to it wait in its socket.
     pub(super) stalled: Option<usize>,
-    pub(super) flying: BTreeMap<Duration, Vec<(usize, OutgoingDatagram)>>,
-    pub(super) reaches: Reaches,
+    /// Datagrams in flight with their senders, by time of arrival.
+    pub(super) in_flight: BTreeMap<Duration, Vec<(usize, OutgoingDatagram)>>,
+    pub(super) delivers: DeliveryRule,
     pub(super) rng: ChaCha8Rng,
-    /// Widest that a node has sent in one second, in bytes.
-    pub(super) peak: u64,
-    pub(super) sent: Vec<u64>,
+    /// Most bytes that any node has sent within one second.
+    pub(super) peak_bytes_per_s: u64,
+    /// Total bytes that each node had sent at the end of the last second.
+    pub(super) last_sent_bytes: Vec<u64>,
 }
 
 pub(super) fn vm(index: usize) -> VmAddress {
@@ -45,31 +49,31 @@
 }
 
 impl Fleet {
-    /// Starts `size` nodes at once that know the first `listed` from the VM list.
-    pub(super) fn new(size: usize, listed: usize) -> Self {
-        let seeds: Vec<VmAddress> = (0..size.min(listed)).map(vm).collect();
+    /// Starts `size` nodes at once whose VM list has the first `seed_count` nodes.
+    pub(super) fn new(size: usize, seed_count: usize) -> Self {
+        let seeds: Vec<VmAddress> = (0..size.min(seed_count)).map(vm).collect();
         let mut nodes: Vec<MemberProtocol> = (0..size)
             .map(|index| protocol(Duration::ZERO, index, 1))
             .collect();
         for node in &mut nodes {
-            node.take_seeds(&seeds);
+            node.set_seeds(&seeds);
         }
         Self {
             now: Duration::ZERO,
             steps: 0,
             running: vec![true; size],
             stalled: None,
-            sent: vec![0; size],
+            last_sent_bytes: vec![0; size],
             nodes,
-            flying: BTreeMap::new(),
-            reaches: Box::new(|_, _, _| true),
+            in_flight: BTreeMap::new(),
+            delivers: Box::new(|_, _, _| true),
             rng: ChaCha8Rng::seed_from_u64(7),
-            peak: 0,
+            peak_bytes_per_s: 0,
         }
     }
 
-    /// Starts nodes and lets them find each other.
-    pub(super) fn settled(size: usize) -> Self {
+    /// Starts nodes and runs them until each knows all others.
+    pub(super) fn converged(size: usize) -> Self {
         let mut fleet = Self::new(size, 3);
         fleet.run(15);
         for index in 0..size {
@@ -78,8 +82,8 @@
         fleet
     }
 
-    /// Starts nodes that know each other already.
-    pub(super) fn acquainted(size: usize) -> Self {
+    /// Starts nodes whose member tables already hold all others.
+    pub(super) fn fully_known(size: usize) -> Self {
         let mut fleet = Self::new(size, size);
         let updates: Vec<MemberUpdate> = fleet
             .nodes
@@ -87,9 +91,9 @@
             .map(|node| own_update(&node.own))
             .collect();
         for (index, node) in fleet.nodes.iter_mut().enumerate() {
-            for (about, update) in updates.iter().enumerate() {
-                if about != index {
-                    node.believe(Duration::ZERO, update, false);
+            for (subject, update) in updates.iter().enumerate() {
+                if subject != index {
+                    node.apply_update(Duration::ZERO, update, false);
                 }
             }
             node.take_events();
@@ -97,12 +101,12 @@
         fleet
     }
 
-    /// Prints how much of what has stopped is known, what is wrongly believed, and what was sent in the last second.
-    pub(super) fn report(&self, second: u64) {
+    /// Prints how many failures have been detected, how many are false, the peak send rate and the total bytes sent.
+    pub(super) fn print_progress(&self, second: u64) {
         let stopped: Vec<usize> = (0..self.nodes.len())
             .filter(|index| !self.running[*index])
             .collect();
-        let (mut learnt, mut wrong) = (0, 0);
+        let (mut detected, mut false_failures) = (0, 0);
         for node in self.observers() {
             let table = &self.nodes[node].table;
             let failed = |vm| {
@@ -110,8 +114,8 @@
                     .get(vm)
                     .is_some_and(|record| record.health == MemberHealth::Failed)
             };
-            learnt += stopped.iter().filter(|index| failed(vm(**index))).count();
-            wrong += self.observers().filter(|index| failed(vm(*index))).count();
+            detected += stopped.iter().filter(|index| failed(vm(**index))).count();
+            false_failures += self.observers().filter(|index| failed(vm(*index))).count();
         }
         let expected = stopped.len() * self.observers().count();
         let sent: u64 = self
@@ -119,18 +123,19 @@
             .iter()
             .map(|node| node.counters().sent_bytes)
             .sum();
-        let (size, peak) = (self.nodes.len(), self.peak);
+        let (size, peak) = (self.nodes.len(), self.peak_bytes_per_s);
         println!(
-            "{size} {second} s: {learnt} of {expected} learnt, {wrong} wrong, peak {peak} B/s, sent {sent} B"
+            "{size} {second} s: {detected} of {expected} detected, {false_failures} false, peak {peak} B/s, sent {sent} B"
         );
     }
 
     pub(super) fn with_loss(mut self, loss: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(3);
-        self.reaches = Box::new(move |_, _, _| !rng.random_bool(loss));
+        self.delivers = Box::new(move |_, _, _| !rng.random_bool(loss));
         self
     }
 
+    /// Advances the virtual clock by whole seconds and records the peak send rate.
     pub(super) fn run(&mut self, seconds: u64) {
         for _second in 0..seconds {
             for _step in 0..100 {
@@ -138,17 +143,20 @@
             }
             for (index, node) in self.nodes.iter().enumerate() {
                 let sent = node.counters().sent_bytes;
-                self.peak = self.peak.max(sent.saturating_sub(self.sent[index]));
-                self.sent[index] = sent;
+                self.peak_bytes_per_s = self
+                    .peak_bytes_per_s
+                    .max(sent.saturating_sub(self.last_sent_bytes[index]));
+                self.last_sent_bytes[index] = sent;
             }
         }
     }
 
+    /// Advances the virtual clock by one [`STEP`]: delivers datagrams and ticks the nodes that are due.
     pub(super) fn step(&mut self) {
         self.now += STEP;
         self.steps += 1;
         let mut out = Vec::new();
-        while let Some(entry) = self.flying.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if *entry.key() > self.now {
                 break;
             }
@@ -160,7 +168,7 @@
             let runs = self.running[index] && self.stalled != Some(index);
             if runs && (self.steps + index).is_multiple_of(TICK_STEPS) {
                 self.nodes[index].tick(self.now, &mut out);
-                self.post(index, &mut out);
+                self.enqueue(index, &mut out);
             }
         }
     }
@@ -171,52 +179,56 @@
         };
         let to = (u32::from(ip) - 0x0a00_0001) as usize;
         if self.stalled == Some(to) {
-            let later = self.flying.entry(self.now + 2 * STEP).or_default();
+            let later = self.in_flight.entry(self.now + 2 * STEP).or_default();
             later.push((from, datagram.clone()));
             return;
         }
-        if !self.running[to] || !(self.reaches)(self.now, from, to) {
+        if !self.running[to] || !(self.delivers)(self.now, from, to) {
             return;
         }
         let mut out = Vec::new();
         self.nodes[to].take_datagram(self.now, vm(from), &datagram.bytes, &mut out);
-        self.post(to, &mut out);
+        self.enqueue(to, &mut out);
     }
 
-    pub(super) fn post(&mut self, from: usize, out: &mut Vec<OutgoingDatagram>) {
+    /// Puts datagrams in flight, each with a random latency.
+    pub(super) fn enqueue(&mut self, from: usize, out: &mut Vec<OutgoingDatagram>) {
         for datagram in out.drain(..) {
-            let arrives = self.now + Duration::from_millis(self.rng.random_range(1..25));
-            self.flying
-                .entry(arrives)
+            let arrives_at = self.now + Duration::from_millis(self.rng.random_range(1..25));
+            self.in_flight
+                .entry(arrives_at)
                 .or_default()
                 .push((from, datagram));
         }
     }
 
-    pub(super) fn state(&self, observer: usize, about: usize) -> Option<MemberState> {
+    /// Returns the state in which `observer` sees `subject`.
+    pub(super) fn state(&self, observer: usize, subject: usize) -> Option<MemberState> {
         let snapshot = self.nodes[observer].snapshot();
-        snapshot.get(vm(about)).map(|member| member.state)
+        snapshot.get(vm(subject)).map(|member| member.state)
     }
 
+    /// Returns how many members `observer` sees in `state`, itself included.
     pub(super) fn count(&self, observer: usize, state: MemberState) -> usize {
         let snapshot = self.nodes[observer].snapshot();
         let members = snapshot.members().iter();
         members.filter(|member| member.state == state).count()
     }
 
-    /// Seconds until every running node believes `state` of `about`, and no running node of another.
+    /// Runs until all running nodes outside `subjects` see every node of `subjects` in `state`; returns the seconds it
+    /// took, or none after `limit` seconds.
     pub(super) fn seconds_until(
         &mut self,
-        about: &[usize],
+        subjects: &[usize],
         state: MemberState,
         limit: u64,
     ) -> Option<u64> {
         for second in 0..limit {
             let agreed = self.observers().all(|observer| {
-                about.contains(&observer)
-                    || about
+                subjects.contains(&observer)
+                    || subjects
                         .iter()
-                        .all(|about| self.state(observer, *about) == Some(state))
+                        .all(|subject| self.state(observer, *subject) == Some(state))
             });
             if agreed {
                 return Some(second);
@@ -226,16 +238,17 @@
         None
     }
 
+    /// Iterates over the running nodes.
     pub(super) fn observers(&self) -> impl Iterator<Item = usize> {
         (0..self.nodes.len()).filter(|index| self.running[*index])
     }
 
-    /// Failures that running nodes wrongly believe of running nodes.
+    /// Returns how many pairs of running nodes exist in which one sees the other as failed.
     pub(super) fn false_failures(&self) -> usize {
         let mut count = 0;
         for observer in self.observers() {
-            for about in self.observers() {
-                count += usize::from(self.state(observer, about) == Some(MemberState::Failed));
+            for subject in self.observers() {
+                count += usize::from(self.state(observer, subject) == Some(MemberState::Failed));
             }
         }
         count
--- a/crates/ebonyfork/src/membership/message.rs
+++ b/crates/ebonyfork/src/membership/message.rs
@@ -1,7 +1,7 @@
-//! What members say to each other: one datagram is a prefix, the sender, one message and as many facts as fit.
+//! Datagram format: a prefix, the sender's header, one message, and as many piggybacked facts as fit.
 //!
-//! The prefix names protocol and deployment, so that a stranger's datagram is told apart before anything in it is
-//! believed. Facts follow one another until the datagram ends; each is small and complete in itself.
+//! The prefix identifies protocol and deployment, so that foreign datagrams are rejected before their content is
+//! decoded. Facts follow one another up to the end of the datagram; each can be decoded by itself.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -9,170 +9,170 @@
 use crate::ident::{IncarnationNumber, SessionId, VmAddress, ZoneName};
 use crate::membership::snapshot::{GossipNotice, MemberDigest};
 
-/// Largest datagram, in bytes; it fits an Ethernet frame with any usual tunnel around it.
+/// Maximum datagram size, in bytes; it fits an Ethernet frame together with common tunnel headers.
 pub const DATAGRAM_LIMIT: usize = 1_200;
 /// Bytes that IP and UDP add to a datagram (IPv4).
 pub const PACKET_OVERHEAD: usize = 28;
-/// Version of the datagrams; another one is dropped.
+/// Version of the datagram format; datagrams of any other version are dropped.
 pub const DATAGRAM_VERSION: u8 = 1;
 /// First bytes of every datagram.
 const MAGIC: [u8; 3] = *b"ebf";
-/// Bytes of the prefix: magic, version, deployment.
+/// Size of the prefix, in bytes: magic, version, deployment.
 const PREFIX_SIZE: usize = MAGIC.len() + 1 + 4;
 
 /// Why a datagram was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Snafu)]
 pub enum DatagramError {
-    /// It does not start as ours do, or is too long.
+    /// The datagram lacks the magic prefix or exceeds [`DATAGRAM_LIMIT`].
     #[snafu(display("not a datagram of this protocol"))]
     Foreign,
-    /// It is of another version of the protocol.
+    /// The datagram has another [`DATAGRAM_VERSION`].
     #[snafu(display("another version of the protocol"))]
     Version,
-    /// It belongs to another deployment.
+    /// The datagram belongs to another deployment.
     #[snafu(display("another deployment"))]
     Deployment,
-    /// Its content can't be read.
+    /// The content of the datagram can't be decoded.
     #[snafu(display("malformed"))]
     Malformed,
-    /// It names a sender other than the one it came from.
+    /// The sender in the header differs from the source address, or is this process.
     #[snafu(display("sender and source differ"))]
     Source,
-    /// Its sender's life is over: a newer process runs there.
+    /// The sender has been replaced: a newer incarnation is known on its VM.
     #[snafu(display("from an earlier incarnation"))]
     Stale,
 }
 
-/// Whether a member answers. The order is the precedence within one refutation.
+/// Health of a member. For equal [`MemberLife`]s, the greater variant takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberHealth {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// Somebody got no answer.
+    /// A member got no answer to a probe.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Failed,
 }
 
-/// One life of a member: the process incarnation, and how often it has refuted a suspicion.
+/// Orders the updates about one member: process incarnation first, then its refutation counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberLife {
     /// The process incarnation.
     pub incarnation: IncarnationNumber,
-    /// Counted up by the member itself, alone, each time it learns that it is suspected.
+    /// Counter that only the member itself increments, each time it learns that it is suspected.
     pub refutation: u32,
 }
 
-/// What a member says about itself in every datagram.
+/// Header of every datagram: the state of its sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SenderHeader {
-    /// Its VM.
+    /// VM of the sender.
     pub vm: VmAddress,
-    /// Its life.
+    /// Incarnation and refutation counter of the sender.
     pub life: MemberLife,
-    /// Its zone.
+    /// Availability zone of the sender.
     pub zone: ZoneName,
-    /// Whether it has announced a planned stop.
+    /// Whether the sender has announced a planned stop.
     pub leaving: bool,
-    /// Its newest digest.
+    /// The sender's newest digest.
     pub digest: MemberDigest,
-    /// Counts the digests of this incarnation.
+    /// Sequence number of `digest` within this incarnation.
     pub stamp: u32,
 }
 
 impl SenderHeader {
-    /// The process incarnation that sent it.
+    /// Returns the process incarnation of the sender.
     pub fn session(&self) -> SessionId {
         SessionId::new(self.vm, self.life.incarnation)
     }
 }
 
-/// The duty of a datagram, besides the facts that ride along.
+/// Message of a datagram, apart from the piggybacked facts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberMessage {
-    /// Asks for an [`MemberMessage::Ack`] with the same number.
+    /// Requests a [`MemberMessage::Ack`] with the same sequence number.
     Ping {
-        /// Chosen by the sender.
+        /// Sequence number chosen by the sender.
         sequence: u32,
     },
-    /// Answers a ping, also one made on somebody's behalf.
+    /// Answers a [`MemberMessage::Ping`] or a [`MemberMessage::PingRequest`].
     Ack {
-        /// That of the ping.
+        /// Sequence number of the answered ping or ping request.
         sequence: u32,
     },
-    /// Asks the receiver to ping a third member and pass the answer on.
+    /// Asks the receiver to ping a third member and to forward the answer.
     PingRequest {
-        /// Chosen by the sender; the passed-on answer carries it.
+        /// Sequence number chosen by the sender; the forwarded answer carries it.
         sequence: u32,
         /// The member to ping.
         target: VmAddress,
     },
-    /// Only facts.
+    /// Carries piggybacked facts only.
     Gossip,
-    /// Asks for a page of all members.
+    /// Requests one page of the member table.
     PageRequest {
-        /// Where the page starts: behind this address.
+        /// The page starts after this address; none for the first page.
         after: Option<VmAddress>,
     },
-    /// A page of members, as [`GossipFact::Member`].
+    /// One page of the member table, sent as [`GossipFact::Member`] facts.
     Page {
-        /// Where the next page starts; none after the last.
+        /// The next page starts after this address; none on the last page.
         next: Option<VmAddress>,
     },
 }
 
-/// What is said about a member.
+/// State of a member as reported by another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// Its VM.
+    /// VM of the member.
     pub vm: VmAddress,
-    /// The life that the rest is about.
+    /// Incarnation and refutation counter to which the other fields apply.
     pub life: MemberLife,
-    /// Whether it answers.
+    /// Health of the member.
     pub health: MemberHealth,
-    /// Whether it has announced a planned stop.
+    /// Whether the member has announced a planned stop.
     pub leaving: bool,
-    /// Tenths of a second since it got this health; what matters is when a suspicion began.
+    /// Time since `health` last changed, in tenths of a second; determines when a suspicion expires.
     pub age_ds: u16,
-    /// Its zone; left out where the receiver must know the member already.
+    /// Availability zone; omitted in updates that apply only to members the receiver already knows.
     pub zone: Option<ZoneName>,
 }
 
-/// What a member has said about itself, passed on.
+/// Digest of a member, forwarded by another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestUpdate {
-    /// The member.
+    /// Process incarnation of the member.
     pub session: SessionId,
-    /// Counts the digests of that incarnation; the higher one is newer.
+    /// Sequence number of `digest` within that incarnation; a higher one is newer.
     pub stamp: u32,
-    /// The digest.
+    /// Revision and load that the member reported.
     pub digest: MemberDigest,
 }
 
-/// One fact that rides along.
+/// One fact that is piggybacked on a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipFact {
-    /// About a member's life.
+    /// Health of a member.
     Member(MemberUpdate),
-    /// About a member's load and revision.
+    /// Load and revision of a member.
     Digest(DigestUpdate),
-    /// About a request that crashes upstreams.
+    /// Notice that a subsystem broadcasts, such as a quarantined request.
     Notice(GossipNotice),
 }
 
-/// A datagram as it is read.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberDatagram {
-    /// Who sent it.
+    /// State of the sender.
     pub sender: SenderHeader,
-    /// Its duty.
+    /// The message.
     pub message: MemberMessage,
-    /// What rides along.
+    /// The piggybacked facts.
     pub facts: Vec<GossipFact>,
 }
 
 impl MemberDatagram {
-    /// Reads a datagram of one deployment.
+    /// Decodes a datagram and rejects those of other deployments.
     pub fn decode(deployment: u32, bytes: &[u8]) -> Result<Self, DatagramError> {
         if bytes.len() < PREFIX_SIZE || bytes.len() > DATAGRAM_LIMIT || bytes[..3] != MAGIC {
             return Err(DatagramError::Foreign);
@@ -189,9 +189,9 @@
         let (message, mut rest) = postcard::take_from_bytes(rest).map_err(malformed)?;
         let mut facts = Vec::new();
         while !rest.is_empty() {
-            let (fact, left) = postcard::take_from_bytes(rest).map_err(malformed)?;
+            let (fact, remainder) = postcard::take_from_bytes(rest).map_err(malformed)?;
             facts.push(fact);
-            rest = left;
+            rest = remainder;
         }
         Ok(Self {
             sender,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Builds one datagram: the duty first, then facts for as long as they fit.
+/// Encodes one datagram: the message first, then facts while they fit.
 #[derive(Debug)]
 pub struct DatagramWriter {
     bytes: Vec<u8>,
@@ -209,7 +209,7 @@
 }
 
 impl DatagramWriter {
-    /// Starts a datagram that stays within `limit` bytes, at most [`DATAGRAM_LIMIT`].
+    /// Starts a datagram of at most `limit` bytes, capped at [`DATAGRAM_LIMIT`].
     pub fn new(
         deployment: u32,
         limit: usize,
@@ -229,7 +229,7 @@
         writer
     }
 
-    /// Adds a fact and tells whether it fitted.
+    /// Appends a fact if it fits; returns whether it did.
     pub fn push(&mut self, fact: &GossipFact) -> bool {
         let before = self.bytes.len();
         self.append(fact);
@@ -240,8 +240,8 @@
         fits
     }
 
-    /// Adds a fact that must be told, up to [`DATAGRAM_LIMIT`].
-    pub fn push_always(&mut self, fact: &GossipFact) {
+    /// Appends a fact even beyond the limit of this datagram, as long as [`DATAGRAM_LIMIT`] allows.
+    pub fn push_mandatory(&mut self, fact: &GossipFact) {
         let before = self.bytes.len();
         self.append(fact);
         if self.bytes.len() > DATAGRAM_LIMIT {
@@ -249,14 +249,14 @@
         }
     }
 
-    /// Returns the datagram.
+    /// Returns the encoded datagram.
     pub fn finish(self) -> Vec<u8> {
         self.bytes
     }
 
     fn append(&mut self, value: &impl Serialize) {
         let bytes = std::mem::take(&mut self.bytes);
-        // Writing plain data to memory can't fail; should it, the datagram would be short and the receiver drop it.
+        // Encoding to memory can't fail for these types; if it did, the receiver would drop the truncated datagram.
         self.bytes = postcard::to_extend(value, bytes).unwrap_or_default();
     }
 }
--- a/crates/ebonyfork/src/membership/message_tests.rs
+++ b/crates/ebonyfork/src/membership/message_tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_datagram_reads_back_and_stays_small() {
+fn a_datagram_round_trips_within_its_limit() {
     let bytes = datagram();
     let read = MemberDatagram::decode(0, &bytes).unwrap();
     expect_that!(read.sender, eq(&sender()));
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn strangers_are_told_apart() {
+fn invalid_datagrams_are_rejected() {
     let changed = |index: usize, byte: u8| {
         let mut bytes = datagram();
         bytes[index] = byte;
@@ -108,9 +108,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever arrives, the protocol neither panics nor sends anything unbounded.
+    /// Arbitrary input neither panics nor causes oversized or unbounded output.
     #[test]
-    fn any_bytes_are_borne(
+    fn arbitrary_bytes_are_tolerated(
         tail in proptest::collection::vec(any::<u8>(), 0..200),
         cut in 0_usize..120,
         flips in proptest::collection::vec((8_usize..100, any::<u8>()), 0..4),
--- a/crates/ebonyfork/src/membership/metrics.rs
+++ b/crates/ebonyfork/src/membership/metrics.rs
@@ -1,4 +1,4 @@
-//! Membership's metrics.
+//! Metrics of membership.
 
 use std::fmt;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,7 +10,7 @@
 
 use crate::membership::event::MemberCounters;
 
-/// Names of the causes in [`MemberCounters::dropped`].
+/// Label values for [`MemberCounters::dropped`], in the same order.
 const DROP_CAUSES: [&str; 6] = [
     "foreign",
     "version",
@@ -19,21 +19,21 @@
     "source",
     "stale",
 ];
-/// Names of the states in [`MemberFigures::states`].
+/// Label values for [`MemberFigures::state_counts`], in the same order.
 const STATE_NAMES: [&str; 4] = ["alive", "suspect", "leaving", "failed"];
 
-/// What one process has counted.
+/// Counters and gauges of membership in one process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MemberFigures {
-    /// Counted since the process started.
+    /// Counters since the process started.
     pub counters: MemberCounters,
-    /// Members by state: alive, suspect, leaving, failed; this process is not counted.
-    pub states: [u32; 4],
-    /// When a peer was last heard.
-    pub last_heard: Option<Instant>,
+    /// Number of other members in each state: alive, suspect, leaving, failed.
+    pub state_counts: [u32; 4],
+    /// When the last datagram arrived from a peer; none if never.
+    pub last_received: Option<Instant>,
 }
 
-/// Writes the figures when metrics are read.
+/// Encodes the membership metrics when they are scraped.
 #[derive(Debug)]
 pub(super) struct MemberCollector {
     figures: Arc<Mutex<MemberFigures>>,
@@ -49,7 +49,7 @@
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
         let figures = *self.figures.lock().unwrap_or_else(PoisonError::into_inner);
         let counters = &figures.counters;
-        let plain = [
+        let counter_metrics = [
             (
                 "member_sent_datagrams",
                 "Datagrams sent",
@@ -101,7 +101,7 @@
                 counters.superseded,
             ),
         ];
-        for (name, help, value) in plain {
+        for (name, help, value) in counter_metrics {
             let metric = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
             encode_counter(metric, value)?;
         }
@@ -113,7 +113,7 @@
         }
         let help = "Other members by what is believed about them";
         let mut family = encoder.encode_descriptor("members", help, None, MetricType::Gauge)?;
-        for (state, value) in STATE_NAMES.into_iter().zip(figures.states) {
+        for (state, value) in STATE_NAMES.into_iter().zip(figures.state_counts) {
             let labels = [("state", state)];
             let mut metric = family.encode_family(&labels)?;
             metric.encode_gauge(&value)?;
--- a/crates/ebonyfork/src/membership/mod.rs
+++ b/crates/ebonyfork/src/membership/mod.rs
@@ -1,10 +1,10 @@
-//! Which of our own processes live: SWIM-style probes and gossip over UDP.
+//! Cluster membership and failure detection: SWIM-style probes and gossip over UDP.
 //!
-//! Every process probes one other at a time and tells what it has learnt along with the probes, so the cost for one
-//! process does not grow with their number. A [`MemberSnapshot`] is the result: what this process believes about all
-//! members. Two processes may believe different things for a while.
+//! Each process probes one member at a time and piggybacks recent membership changes on its probes, so the cost per
+//! process does not grow with the number of members. The result is a [`MemberSnapshot`]: the state of every member as
+//! this process sees it. The snapshots of two processes may differ for a while.
 //!
-//! [`MemberProtocol`] is the whole protocol without socket or clock; [`MemberHandle`] runs it in an actor.
+//! [`MemberProtocol`] implements the protocol without socket or clock; [`MemberHandle`] runs it in an actor.
 
 mod actor;
 mod belief;
--- a/crates/ebonyfork/src/membership/notice.rs
+++ b/crates/ebonyfork/src/membership/notice.rs
@@ -1,7 +1,7 @@
-//! Notices of other duties: a small board that every member holds.
+//! Bounded table of the notices that other subsystems broadcast through gossip.
 //!
-//! A notice is told to everybody once and then forgotten after [`NOTICE_AGE`]. Ages are rounded up when told, so that a
-//! notice can only grow older on its way and never keeps itself alive by going round.
+//! Each notice is broadcast once and removed after [`NOTICE_AGE`]. Ages are rounded up when sent, so that a notice
+//! never becomes younger by being forwarded and can't circulate forever.
 
 use std::time::Duration;
 
@@ -10,34 +10,35 @@
 
 use crate::membership::snapshot::{GossipNotice, NOTICE_PAYLOAD_LIMIT};
 
-/// Most notices that are held; the oldest goes first.
+/// Maximum number of notices held; the oldest is evicted first.
 pub const NOTICE_LIMIT: usize = 64;
-/// Age at which a notice is forgotten.
+/// Age at which a notice expires.
 pub const NOTICE_AGE: Duration = Duration::from_mins(15);
 
+/// A notice with its publication time.
 #[derive(Debug, Clone)]
 struct HeldNotice {
-    /// When it was published, on this process's clock; at its start if it was earlier.
-    published: Duration,
-    /// How old it was when this process started, beyond what `published` can say.
-    elder: Duration,
+    /// Time of publication since the start of this process; zero if the notice is older than the process.
+    published_at: Duration,
+    /// Age that the notice already had when this process started.
+    age_at_start: Duration,
     payload: SmallVec<[u8; 64]>,
 }
 
 impl HeldNotice {
     fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.published) + self.elder
+        now.saturating_sub(self.published_at) + self.age_at_start
     }
 }
 
-/// The notices that this process holds.
+/// Notices that have not expired, by notice number.
 #[derive(Debug, Default)]
-pub struct NoticeBoard {
+pub struct NoticeTable {
     held: FxHashMap<u64, HeldNotice>,
 }
 
-impl NoticeBoard {
-    /// Takes a notice and tells whether it was news.
+impl NoticeTable {
+    /// Stores a notice; returns false if it was known, expired or too long, or was evicted at once.
     pub fn merge(&mut self, now: Duration, notice: &GossipNotice) -> bool {
         let age = notice.age();
         let known = self.held.contains_key(&notice.number);
@@ -45,16 +46,17 @@
             return false;
         }
         let held = HeldNotice {
-            published: now.saturating_sub(age),
-            elder: age.saturating_sub(now),
+            published_at: now.saturating_sub(age),
+            age_at_start: age.saturating_sub(now),
             payload: notice.payload.clone(),
         };
         self.held.insert(notice.number, held);
-        self.bound(now);
+        self.evict_oldest(now);
         self.held.contains_key(&notice.number)
     }
 
-    fn bound(&mut self, now: Duration) {
+    /// Evicts the oldest notices beyond [`NOTICE_LIMIT`].
+    fn evict_oldest(&mut self, now: Duration) {
         while self.held.len() > NOTICE_LIMIT {
             let oldest = self.held.iter().max_by_key(|(_, held)| held.age(now));
             let Some(number) = oldest.map(|(number, _)| *number) else {
@@ -64,12 +66,12 @@
         }
     }
 
-    /// Forgets what is too old.
-    pub fn forget(&mut self, now: Duration) {
+    /// Removes expired notices.
+    pub fn remove_expired(&mut self, now: Duration) {
         self.held.retain(|_, held| held.age(now) < NOTICE_AGE);
     }
 
-    /// What is told to others.
+    /// Returns a notice with its age at `now`, for sending.
     pub fn notice(&self, now: Duration, number: u64) -> Option<GossipNotice> {
         let held = self.held.get(&number)?;
         let age_s = held.age(now).as_millis().div_ceil(1_000) as u32;
@@ -80,7 +82,7 @@
         })
     }
 
-    /// The notices that are held.
+    /// Iterates over the numbers of the stored notices.
     pub fn numbers(&self) -> impl Iterator<Item = u64> {
         self.held.keys().copied()
     }
--- a/crates/ebonyfork/src/membership/paging.rs
+++ b/crates/ebonyfork/src/membership/paging.rs
@@ -1,8 +1,8 @@
-//! How a newcomer learns all members, and how a member repairs what gossip missed: page by page, from several peers.
+//! Paged transfer of the member table, for processes that join and to recover changes that gossip missed.
 //!
-//! A page is one datagram of members in the order of their addresses, and says where the next one starts. The asker
-//! waits for each page, so it is never sent more than one at a time, and a peer serves a page only out of its byte
-//! budget.
+//! A page is one datagram with members in ascending order of address and the address after which the next page starts.
+//! The requester waits for each page, so that it is sent one at a time; a peer sends a page only if its byte budget
+//! allows.
 
 use std::time::Duration;
 
@@ -16,92 +16,96 @@
 use crate::membership::protocol::MemberProtocol;
 use crate::membership::timing::{PAGE_TIMEOUT, REPAIR_PERIOD};
 
-/// Tables up to this size are repaired from their start: one page holds them.
+/// Up to this number of members a repair requests the first page, which holds the whole table.
 const ONE_PAGE_MEMBERS: usize = 40;
 
-/// Which page is wanted next.
+/// The next page to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum PageWanted {
+enum NextPage {
     Nothing,
     First,
     After(VmAddress),
 }
 
-/// Progress through the pages.
+/// State of the paged transfer.
 #[derive(Debug)]
 pub(super) struct PageState {
-    wanted: PageWanted,
-    /// Whether to go on to the last page.
-    whole: bool,
-    asked: Option<(VmAddress, Duration)>,
+    next_page: NextPage,
+    /// Whether to continue up to the last page.
+    until_last_page: bool,
+    /// The peer that was asked for a page, and when.
+    requested: Option<(VmAddress, Duration)>,
     next_repair: Duration,
 }
 
 impl PageState {
     pub(super) fn new(now: Duration, rng: &mut impl Rng) -> Self {
         Self {
-            wanted: PageWanted::First,
-            whole: true,
-            asked: None,
+            next_page: NextPage::First,
+            until_last_page: true,
+            requested: None,
             next_repair: now + REPAIR_PERIOD.mul_f64(1.0 + rng.random::<f64>()),
         }
     }
 }
 
 impl MemberProtocol {
+    /// Requests the next page, or starts a repair if one is due.
     pub(super) fn tick_page(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
-        if self.page.wanted == PageWanted::Nothing && now >= self.page.next_repair {
+        if self.page.next_page == NextPage::Nothing && now >= self.page.next_repair {
             self.start_repair(now);
         }
-        let after = match self.page.wanted {
-            PageWanted::Nothing => return,
-            PageWanted::First => None,
-            PageWanted::After(vm) => Some(vm),
+        let after = match self.page.next_page {
+            NextPage::Nothing => return,
+            NextPage::First => None,
+            NextPage::After(vm) => Some(vm),
         };
-        let waiting = self.page.asked;
-        if waiting.is_some_and(|(_, asked)| now < asked + PAGE_TIMEOUT) {
+        let outstanding = self.page.requested;
+        if outstanding.is_some_and(|(_, requested)| now < requested + PAGE_TIMEOUT) {
             return;
         }
-        let Some(peer) = self.random_member(waiting.map(|(peer, _)| peer)) else {
-            self.page.asked = None;
+        let Some(peer) = self.random_member(outstanding.map(|(peer, _)| peer)) else {
+            self.page.requested = None;
             return;
         };
-        self.page.asked = Some((peer, now));
+        self.page.requested = Some((peer, now));
         self.send(now, peer, MemberMessage::PageRequest { after }, out);
     }
 
+    /// Starts the repair of one page and schedules the next repair.
     fn start_repair(&mut self, now: Duration) {
         let jitter = 1.0 + self.rng.random::<f64>();
         self.page.next_repair = now + REPAIR_PERIOD.mul_f64(jitter);
-        let small = self.table.present() <= ONE_PAGE_MEMBERS;
-        let start = if small {
+        let fits_one_page = self.table.present_count() <= ONE_PAGE_MEMBERS;
+        let start = if fits_one_page {
             None
         } else {
             self.random_member(None)
         };
-        self.page.wanted = start.map_or(PageWanted::First, PageWanted::After);
-        self.page.whole = false;
+        self.page.next_page = start.map_or(NextPage::First, NextPage::After);
+        self.page.until_last_page = false;
     }
 
-    pub(super) fn take_page(&mut self, from: VmAddress, next: Option<VmAddress>) {
-        if self.page.asked.is_none_or(|(peer, _)| peer != from) {
+    /// Advances to the next page after one has arrived.
+    pub(super) fn handle_page(&mut self, from: VmAddress, next: Option<VmAddress>) {
+        if self.page.requested.is_none_or(|(peer, _)| peer != from) {
             return;
         }
-        self.page.asked = None;
-        // A page that does not lead further ends the walk, so that no peer can lead it in circles.
-        let wanted = self.page.wanted;
-        let further = next.filter(|next| match wanted {
-            PageWanted::Nothing => false,
-            PageWanted::First => true,
-            PageWanted::After(vm) => *next > vm,
+        self.page.requested = None;
+        // A page whose next address does not increase ends the transfer, so that a faulty peer can't cause a loop.
+        let next_page = self.page.next_page;
+        let advanced = next.filter(|next| match next_page {
+            NextPage::Nothing => false,
+            NextPage::First => true,
+            NextPage::After(vm) => *next > vm,
         });
-        self.page.wanted = match further {
-            Some(next) if self.page.whole => PageWanted::After(next),
-            _ => PageWanted::Nothing,
+        self.page.next_page = match advanced {
+            Some(next) if self.page.until_last_page => NextPage::After(next),
+            _ => NextPage::Nothing,
         };
     }
 
-    /// Answers with one page, if the budget has room for it; otherwise the asker turns to somebody else.
+    /// Sends one page if the byte budget allows it; otherwise the requester times out and asks another peer.
     pub(super) fn send_page(
         &mut self,
         now: Duration,
@@ -113,14 +117,14 @@
             self.counters.withheld += 1;
             return;
         }
-        // Any address takes the same room, so the first try tells how many members fit.
-        let trial = MemberMessage::Page { next: Some(to) };
-        let (_, last) = self.write_page(now, to, after, trial);
+        // All addresses have the same encoded size, so the first encoding shows how many members fit.
+        let placeholder = MemberMessage::Page { next: Some(to) };
+        let (_, last) = self.write_page(now, to, after, placeholder);
         let (page, _) = self.write_page(now, to, after, MemberMessage::Page { next: last });
-        self.post(to, page, out);
+        self.output_datagram(to, page, out);
     }
 
-    /// Writes a page; returns it with the last member's address if there are more behind it.
+    /// Encodes a page; returns it with the address of its last member if more members follow.
     fn write_page(
         &self,
         now: Duration,
@@ -129,15 +133,15 @@
         message: MemberMessage,
     ) -> (Vec<u8>, Option<VmAddress>) {
         let mut writer = DatagramWriter::new(self.deployment, DATAGRAM_LIMIT, &self.own, message);
-        if let Some(accused) = self.table.update(now, to) {
-            writer.push(&GossipFact::Member(accused));
+        if let Some(requester_update) = self.table.update(now, to) {
+            writer.push(&GossipFact::Member(requester_update));
         }
         if after.is_none() {
-            let mut numbers: Vec<u64> = self.board.numbers().collect();
+            let mut numbers: Vec<u64> = self.notices.numbers().collect();
             numbers.sort_unstable();
             for number in numbers {
-                let notice = self.board.notice(now, number);
-                // What does not fit comes with gossip, as long as it is news.
+                let notice = self.notices.notice(now, number);
+                // Notices that do not fit arrive through gossip while they are being broadcast.
                 let _fits = notice.is_some_and(|notice| writer.push(&GossipFact::Notice(notice)));
             }
         }
@@ -146,7 +150,7 @@
             let Some(mut update) = self.table.update(now, vm) else {
                 continue;
             };
-            // Here the suspects' zones matter as well: the asker may know nobody.
+            // The zone of a suspect is included here, because the requester may not know the member yet.
             if record.health != MemberHealth::Failed {
                 update.zone = Some(record.zone.clone());
             }
--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -1,4 +1,4 @@
-//! Whom to probe, and what a missing answer means.
+//! Failure detection: selects the members to probe and raises suspicions when answers are missing.
 
 use std::time::Duration;
 
@@ -12,46 +12,52 @@
 use crate::membership::protocol::MemberProtocol;
 use crate::membership::table::MemberTable;
 use crate::membership::timing::{
-    DIRECT_TIMEOUT, ENOUGH_MEMBERS, HELPER_COUNT, PROBE_PERIOD, RELAY_LIMIT, RELAY_TIME,
-    SEED_FANOUT, SEED_WAIT, SLOW_PERIOD,
+    DIRECT_TIMEOUT, HELPER_COUNT, INITIAL_SEED_BACKOFF, MAX_RELAYS, MIN_KNOWN_MEMBERS,
+    PROBE_PERIOD, RECONNECT_PERIOD, RELAY_TIMEOUT, SEED_FANOUT,
 };
 
-/// Draws of a random member before none is found.
-const DRAW_LIMIT: usize = 16;
+/// Maximum number of draws when searching for a random member that fits.
+const MAX_DRAWS: usize = 16;
 
-/// The rounds of probes, the one that is out, and those passed on for others.
+/// Probe order, the open probe, and the probes made for other members.
 #[derive(Debug)]
 pub(super) struct ProbeState {
-    /// Members in the order of this round; some may have failed since.
+    /// Members in the order of the current round; some may have failed in the meantime.
     order: Vec<VmAddress>,
     position: usize,
     current: Option<OpenProbe>,
-    next: Duration,
-    next_slow: Duration,
+    next_probe: Duration,
+    /// When the next failed member and unanswered seed are tried again.
+    next_reconnect: Duration,
+    /// When seeds may be probed again.
     next_seed: Duration,
-    seed_wait: Duration,
+    /// Current backoff between probes of seeds.
+    seed_backoff: Duration,
     relays: Vec<RelayedProbe>,
 }
 
-/// The probe of this period.
+/// The probe of the current period, which has not been answered yet.
 #[derive(Debug)]
 struct OpenProbe {
     target: VmAddress,
     life: MemberLife,
     sequence: u32,
-    sent: Duration,
+    sent_at: Duration,
+    /// Members that were asked for an indirect probe.
     helpers: SmallVec<[VmAddress; HELPER_COUNT]>,
-    asked: bool,
+    /// Whether indirect probes have been requested.
+    helpers_asked: bool,
 }
 
-/// A probe made on somebody's behalf.
+/// A probe made at the request of another member.
 #[derive(Debug)]
 struct RelayedProbe {
     target: VmAddress,
     sequence: u32,
     requester: VmAddress,
-    requested: u32,
-    until: Duration,
+    /// Sequence number of the request, which the forwarded answer carries.
+    requester_sequence: u32,
+    expires_at: Duration,
 }
 
 impl ProbeState {
@@ -60,26 +66,26 @@
             order: Vec::new(),
             position: 0,
             current: None,
-            next: now + PROBE_PERIOD.mul_f64(rng.random()),
-            next_slow: now,
+            next_probe: now + PROBE_PERIOD.mul_f64(rng.random()),
+            next_reconnect: now,
             next_seed: now,
-            seed_wait: SEED_WAIT,
+            seed_backoff: INITIAL_SEED_BACKOFF,
             relays: Vec::new(),
         }
     }
 
-    /// Gives up the open probe after a pause; the next one starts when the answers that piled up have been read.
+    /// Drops the open probe after a pause. The next one starts a period later, when the queued answers have been read.
     pub(super) fn suspend(&mut self, now: Duration) {
         self.current = None;
-        self.next = now + PROBE_PERIOD;
+        self.next_probe = now + PROBE_PERIOD;
     }
 
-    /// Leaves the open probe some more time.
+    /// Extends the open probe by [`DIRECT_TIMEOUT`].
     pub(super) fn postpone(&mut self, now: Duration) {
-        self.next = self.next.max(now + DIRECT_TIMEOUT);
+        self.next_probe = self.next_probe.max(now + DIRECT_TIMEOUT);
     }
 
-    /// Adds a member at a random place, so that new ones are probed as evenly as old ones.
+    /// Inserts a member at a random position of the round, so that new members are probed as evenly as old ones.
     pub(super) fn insert(&mut self, vm: VmAddress, rng: &mut impl Rng) {
         if self.order.contains(&vm) {
             return;
@@ -90,6 +96,7 @@
         self.order.swap(place, last);
     }
 
+    /// Returns the next member of the round that is not failed; starts a new shuffled round when this one is exhausted.
     fn next_target(&mut self, table: &MemberTable, rng: &mut impl Rng) -> Option<VmAddress> {
         for _round in 0..2 {
             while let Some(vm) = self.order.get(self.position).copied() {
@@ -99,17 +106,17 @@
                 }
             }
             self.order.clear();
-            let present = table
+            let present_members = table
                 .records()
                 .filter(|(_, record)| record.health != MemberHealth::Failed);
-            self.order.extend(present.map(|(vm, _)| vm));
+            self.order.extend(present_members.map(|(vm, _)| vm));
             self.order.shuffle(rng);
             self.position = 0;
         }
         None
     }
 
-    /// A random member that is not failed.
+    /// Returns a random member that is not failed, other than `except`; none if no draw finds one.
     pub(super) fn random(
         &self,
         table: &MemberTable,
@@ -119,7 +126,7 @@
         if self.order.is_empty() {
             return None;
         }
-        for _draw in 0..DRAW_LIMIT {
+        for _draw in 0..MAX_DRAWS {
             let vm = self.order[rng.random_range(0..self.order.len())];
             if Some(vm) != except && is_present(table, vm) {
                 return Some(vm);
@@ -129,6 +136,7 @@
     }
 }
 
+/// Returns whether the table has a member on `vm` that is not failed.
 fn is_present(table: &MemberTable, vm: VmAddress) -> bool {
     table
         .get(vm)
@@ -136,9 +144,10 @@
 }
 
 impl MemberProtocol {
+    /// Ends the open probe and starts the next one if it is due, requests indirect probes, and probes seeds.
     pub(super) fn tick_probe(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
-        self.probe.relays.retain(|relay| relay.until > now);
-        if now >= self.probe.next {
+        self.probe.relays.retain(|relay| relay.expires_at > now);
+        if now >= self.probe.next_probe {
             self.conclude_probe(now);
             self.start_probe(now, out);
         } else {
@@ -147,13 +156,15 @@
         self.probe_seeds(now, out);
     }
 
-    /// Suspects the target whose answer is missing, unless the fault may be our own.
+    /// Suspects the target of the open probe, unless the missing answer may be due to this process.
     fn conclude_probe(&mut self, now: Duration) {
         let Some(probe) = self.probe.current.take() else {
             return;
         };
-        let heard_since = self.last_heard.is_some_and(|heard| heard > probe.sent);
-        if !heard_since || !self.hears(now) || !self.is_answered(now) {
+        let received_since = self
+            .last_received
+            .is_some_and(|received| received > probe.sent_at);
+        if !received_since || !self.has_recent_contact(now) || !self.has_recent_ack(now) {
             return;
         }
         let Some(record) = self.table.get(probe.target) else {
@@ -163,12 +174,13 @@
             return;
         }
         self.counters.suspicions += 1;
-        let suspicion = self.accusation(probe.target, probe.life, MemberHealth::Suspect);
-        self.believe(now, &suspicion, true);
+        let suspicion = self.health_update(probe.target, probe.life, MemberHealth::Suspect);
+        self.apply_update(now, &suspicion, true);
     }
 
+    /// Pings the next member of the round.
     fn start_probe(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
-        self.probe.next = now + PROBE_PERIOD;
+        self.probe.next_probe = now + PROBE_PERIOD;
         let target = self.probe.next_target(&self.table, &mut self.rng);
         let Some(target) = target else {
             return;
@@ -181,21 +193,22 @@
             target,
             life,
             sequence,
-            sent: now,
+            sent_at: now,
             helpers: SmallVec::new(),
-            asked: false,
+            helpers_asked: false,
         });
         self.send(now, target, MemberMessage::Ping { sequence }, out);
     }
 
+    /// Requests indirect probes when the direct one has not been answered within [`DIRECT_TIMEOUT`].
     fn ask_helpers(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
         let Some(probe) = &mut self.probe.current else {
             return;
         };
-        if probe.asked || now < probe.sent + DIRECT_TIMEOUT {
+        if probe.helpers_asked || now < probe.sent_at + DIRECT_TIMEOUT {
             return;
         }
-        probe.asked = true;
+        probe.helpers_asked = true;
         let (target, sequence) = (probe.target, probe.sequence);
         let mut helpers: SmallVec<[VmAddress; HELPER_COUNT]> = SmallVec::new();
         for _helper in 0..HELPER_COUNT {
@@ -215,7 +228,8 @@
         }
     }
 
-    pub(super) fn take_ack(
+    /// Closes the open probe that an answer belongs to, or forwards the answer to the member that requested the probe.
+    pub(super) fn handle_ack(
         &mut self,
         now: Duration,
         from: VmAddress,
@@ -236,20 +250,21 @@
             return;
         };
         let relay = self.probe.relays.swap_remove(index);
-        let sequence = relay.requested;
+        let sequence = relay.requester_sequence;
         self.send(now, relay.requester, MemberMessage::Ack { sequence }, out);
     }
 
-    pub(super) fn take_ping_request(
+    /// Pings `target` for another member and remembers to forward the answer.
+    pub(super) fn handle_ping_request(
         &mut self,
         now: Duration,
         requester: VmAddress,
-        requested: u32,
+        requester_sequence: u32,
         target: VmAddress,
         out: &mut Vec<OutgoingDatagram>,
     ) {
         let known = self.table.get(target).is_some();
-        if !known || self.probe.relays.len() >= RELAY_LIMIT {
+        if !known || self.probe.relays.len() >= MAX_RELAYS {
             return;
         }
         let sequence = self.draw_sequence();
@@ -257,31 +272,31 @@
             target,
             sequence,
             requester,
-            requested,
-            until: now + RELAY_TIME,
+            requester_sequence,
+            expires_at: now + RELAY_TIMEOUT,
         });
         self.send(now, target, MemberMessage::Ping { sequence }, out);
     }
 
-    /// Probes listed VMs that never answered, quickly while few members are known; and failed members, slowly, because
-    /// a cut that heals must be noticed by somebody.
+    /// Probes listed VMs that have never answered, often while few members are known. Also probes failed members, every
+    /// [`RECONNECT_PERIOD`], so that the end of a network partition is detected.
     fn probe_seeds(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
-        let slow = now >= self.probe.next_slow;
-        if slow {
-            self.probe.next_slow = now + SLOW_PERIOD;
+        let reconnect_due = now >= self.probe.next_reconnect;
+        if reconnect_due {
+            self.probe.next_reconnect = now + RECONNECT_PERIOD;
             if let Some(failed) = self.random_failed() {
                 self.ping_once(now, failed, out);
             }
         }
-        let alone = self.table.present() < ENOUGH_MEMBERS;
-        if now < self.probe.next_seed || !(alone || slow) {
+        let has_few_members = self.table.present_count() < MIN_KNOWN_MEMBERS;
+        if now < self.probe.next_seed || !(has_few_members || reconnect_due) {
             return;
         }
-        // When a whole fleet starts at once, those that are asked first can't answer everybody.
-        self.probe.seed_wait = (self.probe.seed_wait * 2).min(SLOW_PERIOD);
+        // When a whole fleet starts at once, the seeds probed first can't answer every process.
+        self.probe.seed_backoff = (self.probe.seed_backoff * 2).min(RECONNECT_PERIOD);
         let jitter = 0.5 + self.rng.random::<f64>();
-        self.probe.next_seed = now + self.probe.seed_wait.mul_f64(jitter);
-        let fanout = if alone { SEED_FANOUT } else { 1 };
+        self.probe.next_seed = now + self.probe.seed_backoff.mul_f64(jitter);
+        let fanout = if has_few_members { SEED_FANOUT } else { 1 };
         for _seed in 0..fanout {
             if let Some(seed) = self.random_seed() {
                 self.ping_once(now, seed, out);
@@ -289,11 +304,13 @@
         }
     }
 
+    /// Sends a ping without tracking its answer.
     fn ping_once(&mut self, now: Duration, to: VmAddress, out: &mut Vec<OutgoingDatagram>) {
         let sequence = self.draw_sequence();
         self.send(now, to, MemberMessage::Ping { sequence }, out);
     }
 
+    /// Returns a random failed member.
     fn random_failed(&mut self) -> Option<VmAddress> {
         let records = self.table.records();
         let failed = records.filter(|(_, record)| record.health == MemberHealth::Failed);
@@ -301,8 +318,9 @@
         pick(&failed, &mut self.rng)
     }
 
+    /// Returns a random listed VM that is not a known member.
     fn random_seed(&mut self) -> Option<VmAddress> {
-        for _draw in 0..DRAW_LIMIT {
+        for _draw in 0..MAX_DRAWS {
             let seed = pick(&self.seeds, &mut self.rng)?;
             if self.table.get(seed).is_none() {
                 return Some(seed);
@@ -312,6 +330,7 @@
     }
 }
 
+/// Returns a random element.
 fn pick(vms: &[VmAddress], rng: &mut impl Rng) -> Option<VmAddress> {
     if vms.is_empty() {
         return None;
--- a/crates/ebonyfork/src/membership/protocol.rs
+++ b/crates/ebonyfork/src/membership/protocol.rs
@@ -1,9 +1,9 @@
-//! The membership protocol as plain code: takes the time and datagrams, returns datagrams.
+//! The membership protocol without I/O: its inputs are the time and received datagrams, its outputs datagrams to send.
 //!
-//! One probe per period goes to a member drawn in random rounds; if it isn't answered, helpers probe it too; if they get
-//! no answer either, it is suspected. The suspect is told and can refute; otherwise everybody who heard of the
-//! suspicion calls it failed when its own time runs out. A process that was paused, or hears nobody, draws no
-//! conclusions about others.
+//! Each period, one member is probed, in an order that is shuffled every round. If it does not answer, helpers probe it
+//! as well; if they get no answer either, it becomes a suspect. The suspect is informed and can refute the suspicion;
+//! otherwise each member that knows of the suspicion declares it failed at its own deadline. A process that was paused,
+//! or receives nothing from its peers, draws no conclusions about other members.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::membership::belief::SuspectTimer;
 use crate::membership::event::{MemberCounters, MemberEvent, OutgoingDatagram, SnapshotChange};
 use crate::membership::message::{MemberLife, SenderHeader};
-use crate::membership::notice::NoticeBoard;
+use crate::membership::notice::NoticeTable;
 use crate::membership::paging::PageState;
 use crate::membership::probing::ProbeState;
 use crate::membership::snapshot::{
@@ -22,44 +22,55 @@
 };
 use crate::membership::spread::ByteBudget;
 use crate::membership::table::{MemberTable, member_entry};
-use crate::membership::telling::NewsQueues;
+use crate::membership::telling::GossipQueues;
 use crate::membership::timing::{
-    DEAF_TIME, DIGEST_TICKS, DIRECT_TIMEOUT, FORGET_TICKS, FORGET_TIME, ISOLATION_TIME, LATE_GAP,
-    LEAVE_FANOUT, MEMBER_LIMIT, MUTE_TIME, PAUSE_GAP, SEND_BURST, SEND_RATE, digest_period,
+    ACK_SILENCE_TIME, CLEANUP_TICKS, DIGEST_TICKS, DIRECT_TIMEOUT, FAILED_RETENTION_TIME,
+    ISOLATION_TIME, LATE_TICK_GAP, LEAVE_FANOUT, MEMBER_LIMIT, PAUSE_GAP, RECEIVE_SILENCE_TIME,
+    SEND_BURST, SEND_RATE, digest_period,
 };
 
-/// State of the protocol in one process. Times are spans since the process started.
+/// Protocol state of one process. Times are durations since the process started.
 #[derive(Debug)]
 pub struct MemberProtocol {
+    /// State of this process, sent in every datagram.
     pub(super) own: SenderHeader,
+    /// Number of the deployment, sent in every datagram.
     pub(super) deployment: u32,
     pub(super) table: MemberTable,
+    /// Other VMs in the VM list.
     pub(super) seeds: Vec<VmAddress>,
     pub(super) probe: ProbeState,
     pub(super) page: PageState,
-    pub(super) board: NoticeBoard,
+    pub(super) notices: NoticeTable,
     pub(super) counters: MemberCounters,
     pub(super) rng: ChaCha8Rng,
-    pub(super) last_heard: Option<Duration>,
+    /// When the last datagram arrived from a peer.
+    pub(super) last_received: Option<Duration>,
+    /// When the last answer to one of our own probes arrived.
     pub(super) last_ack: Option<Duration>,
     pub(super) events: Vec<MemberEvent>,
+    /// Change since the last call of [`Self::take_change`].
     pub(super) change: SnapshotChange,
-    pub(super) news: NewsQueues,
+    pub(super) gossip_queues: GossipQueues,
+    /// Deadlines of the current suspicions.
     pub(super) suspects: Vec<SuspectTimer>,
     pub(super) budget: ByteBudget,
-    last_call: Duration,
-    last_tick: Duration,
+    last_call_at: Duration,
+    last_tick_at: Duration,
+    /// Whether no datagram has arrived from a peer for [`ISOLATION_TIME`].
     isolated: bool,
-    digest_due: Option<MemberDigest>,
+    /// Digest to announce once `next_digest` is reached.
+    pending_digest: Option<MemberDigest>,
+    /// Earliest time of the next digest with a new load.
     next_digest: Duration,
     ticks: u32,
 }
 
 impl MemberProtocol {
-    /// The protocol of the process `own` in `zone`; `seed` makes its random choices repeatable.
+    /// Creates the state of process `own` in `zone`. Random choices depend only on `seed` and the VM address.
     pub fn new(now: Duration, own: SessionId, zone: ZoneName, deployment: u32, seed: u64) -> Self {
-        // Processes that start at the same moment must not draw the same members.
-        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ vm_number(own.vm));
+        // Processes started with the same seed must not probe the same members in the same order.
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ vm_hash(own.vm));
         let life = MemberLife {
             incarnation: own.incarnation,
             refutation: 0,
@@ -81,165 +92,174 @@
             seeds: Vec::new(),
             probe,
             page,
-            board: NoticeBoard::default(),
+            notices: NoticeTable::default(),
             counters: MemberCounters::default(),
             rng,
-            last_heard: None,
+            last_received: None,
             last_ack: None,
             events: Vec::new(),
             change: SnapshotChange::Members,
-            news: NewsQueues::default(),
+            gossip_queues: GossipQueues::default(),
             suspects: Vec::new(),
             budget: ByteBudget::new(now, SEND_RATE, SEND_BURST),
-            last_call: now,
-            last_tick: now,
+            last_call_at: now,
+            last_tick_at: now,
             isolated: false,
-            digest_due: None,
+            pending_digest: None,
             next_digest: now,
             ticks: 0,
         }
     }
 
-    /// Replaces the addresses from the VM list.
-    pub fn take_seeds(&mut self, seeds: &[VmAddress]) {
+    /// Replaces the addresses from the VM list, which are probed until they are known as members.
+    pub fn set_seeds(&mut self, seeds: &[VmAddress]) {
         let own = self.own.vm;
         let others = seeds.iter().filter(|seed| **seed != own);
         self.seeds = others.copied().take(MEMBER_LIMIT).collect();
     }
 
-    /// Replaces what this process says about itself. A new revision is told at once, a new load when it is due.
+    /// Replaces the digest of this process. A new revision is announced at once, a new load when the next digest is
+    /// due.
     pub fn set_digest(&mut self, now: Duration, digest: MemberDigest) {
         if digest.revision != self.own.digest.revision {
             self.next_digest = now;
         }
-        self.digest_due = Some(digest);
+        self.pending_digest = Some(digest);
         self.announce_digest(now);
     }
 
-    /// Announces a planned stop and tells several members at once.
+    /// Announces a planned stop by gossip to several members at once.
     pub fn announce_leaving(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
-        self.begin(now);
+        self.advance_clock(now);
         if self.own.leaving {
             return;
         }
         self.own.leaving = true;
         self.change = SnapshotChange::Members;
-        self.news.members.push(self.own.vm);
-        for _member in 0..LEAVE_FANOUT.min(self.table.present()) {
+        self.gossip_queues.members.push(self.own.vm);
+        for _datagram in 0..LEAVE_FANOUT.min(self.table.present_count()) {
             self.gossip(now, out);
         }
     }
 
-    /// Tells all members about a request that crashes upstreams.
+    /// Broadcasts a notice to all members, unless it is already known.
     pub fn publish_notice(&mut self, now: Duration, notice: GossipNotice) {
-        if self.board.merge(now, &notice) {
-            self.news.notices.push(notice.number);
+        if self.notices.merge(now, &notice) {
+            self.gossip_queues.notices.push(notice.number);
         }
     }
 
-    /// Does what is due; to be called about every [`TICK_PERIOD`](super::TICK_PERIOD).
+    /// Runs all periodic work; call it about once every [`TICK_PERIOD`](super::TICK_PERIOD).
     pub fn tick(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
-        self.begin(now);
-        if now.saturating_sub(self.last_tick) > LATE_GAP {
+        self.advance_clock(now);
+        if now.saturating_sub(self.last_tick_at) > LATE_TICK_GAP {
             self.probe.postpone(now);
             self.postpone_suspects(now + DIRECT_TIMEOUT);
         }
-        self.last_tick = now;
+        self.last_tick_at = now;
         self.ticks = self.ticks.wrapping_add(1);
         self.check_isolation(now);
         self.expire_suspects(now);
         self.announce_digest(now);
         self.tick_probe(now, out);
         self.tick_page(now, out);
-        let urgent = self.news.is_urgent();
-        let digests = !self.news.digests.is_empty() && self.ticks.is_multiple_of(DIGEST_TICKS);
-        if urgent || digests {
+        let urgent = self.gossip_queues.is_urgent();
+        let digests_due =
+            !self.gossip_queues.digests.is_empty() && self.ticks.is_multiple_of(DIGEST_TICKS);
+        if urgent || digests_due {
             self.gossip(now, out);
         }
-        self.forget(now);
+        self.clean_up(now);
     }
 
-    fn forget(&mut self, now: Duration) {
-        if !self.ticks.is_multiple_of(FORGET_TICKS) {
+    /// Removes expired notices and long-failed members, every [`CLEANUP_TICKS`] ticks.
+    fn clean_up(&mut self, now: Duration) {
+        if !self.ticks.is_multiple_of(CLEANUP_TICKS) {
             return;
         }
-        self.board.forget(now);
-        self.table.forget(now.saturating_sub(FORGET_TIME));
+        self.notices.remove_expired(now);
+        self.table
+            .remove_failed(now.saturating_sub(FAILED_RETENTION_TIME));
         self.change = SnapshotChange::Members;
     }
 
-    /// Starts every call: refills the budget and notices a pause.
-    pub(super) fn begin(&mut self, now: Duration) {
+    /// Advances the clock to `now`: refills the byte budget and detects a pause of the process. Called first by `tick`,
+    /// `take_datagram` and `announce_leaving`.
+    pub(super) fn advance_clock(&mut self, now: Duration) {
         self.budget.refill(now);
-        let gap = now.saturating_sub(self.last_call);
-        self.last_call = self.last_call.max(now);
+        let gap = now.saturating_sub(self.last_call_at);
+        self.last_call_at = self.last_call_at.max(now);
         if gap < PAUSE_GAP {
             return;
         }
-        // Whatever ran out meanwhile ran out because nobody here listened.
+        // Deadlines that passed during the pause show no failure: this process could not receive any answer.
         self.counters.pauses += 1;
         self.events.push(MemberEvent::Paused(gap));
         for suspect in &mut self.suspects {
             suspect.deadline += gap;
         }
-        self.last_heard = self.last_heard.map(|heard| heard + gap);
-        self.last_ack = self.last_ack.map(|acked| acked + gap);
+        self.last_received = self.last_received.map(|received| received + gap);
+        self.last_ack = self.last_ack.map(|received| received + gap);
         self.probe.suspend(now);
     }
 
-    /// Tells whether a peer has been heard so lately that silence means something.
-    pub(super) fn hears(&self, now: Duration) -> bool {
-        self.last_heard
-            .is_some_and(|heard| now.saturating_sub(heard) < DEAF_TIME)
+    /// Returns whether any datagram has arrived recently, so that a missing answer can count against its member.
+    pub(super) fn has_recent_contact(&self, now: Duration) -> bool {
+        self.last_received
+            .is_some_and(|received| now.saturating_sub(received) < RECEIVE_SILENCE_TIME)
     }
 
-    /// Tells whether our own probes are answered at all, so that one without an answer means something.
-    pub(super) fn is_answered(&self, now: Duration) -> bool {
+    /// Returns whether any of our own probes was answered recently, so that a missing answer can count against its
+    /// member.
+    pub(super) fn has_recent_ack(&self, now: Duration) -> bool {
         self.last_ack
-            .is_some_and(|acked| now.saturating_sub(acked) < MUTE_TIME)
+            .is_some_and(|received| now.saturating_sub(received) < ACK_SILENCE_TIME)
     }
 
+    /// Updates whether this process counts as isolated, and reports a change.
     fn check_isolation(&mut self, now: Duration) {
-        let silent = self
-            .last_heard
-            .is_some_and(|heard| now.saturating_sub(heard) >= ISOLATION_TIME);
-        if silent != self.isolated {
-            self.isolated = silent;
+        let isolated = self
+            .last_received
+            .is_some_and(|received| now.saturating_sub(received) >= ISOLATION_TIME);
+        if isolated != self.isolated {
+            self.isolated = isolated;
             self.change = SnapshotChange::Members;
-            self.events.push(MemberEvent::Isolated(silent));
+            self.events.push(MemberEvent::Isolated(isolated));
         }
     }
 
-    pub(super) fn heard(&mut self, now: Duration) {
-        self.last_heard = Some(now);
+    /// Records that a datagram has arrived from a peer.
+    pub(super) fn record_contact(&mut self, now: Duration) {
+        self.last_received = Some(now);
         self.check_isolation(now);
     }
 
+    /// Publishes and gossips the pending digest, once the next one is due.
     fn announce_digest(&mut self, now: Duration) {
         if now < self.next_digest {
             return;
         }
-        let Some(digest) = self.digest_due.take() else {
+        let Some(digest) = self.pending_digest.take() else {
             return;
         };
         if digest == self.own.digest {
             return;
         }
-        let news = if digest.revision == self.own.digest.revision {
-            &mut self.news.digests
+        let queue = if digest.revision == self.own.digest.revision {
+            &mut self.gossip_queues.digests
         } else {
-            &mut self.news.revisions
+            &mut self.gossip_queues.revisions
         };
-        news.push(self.own.vm);
+        queue.push(self.own.vm);
         self.own.digest = digest;
         self.own.stamp = self.own.stamp.saturating_add(1);
-        // Spread over time, or processes that start together would tell their digests together for good.
+        // Without jitter, processes that start together would send their digests at the same times forever.
         let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
-        self.next_digest = now + digest_period(self.table.present()).mul_f64(jitter);
+        self.next_digest = now + digest_period(self.table.present_count()).mul_f64(jitter);
         self.change = self.change.max(SnapshotChange::Digests);
     }
 
-    /// What this process believes about all members, itself included.
+    /// Returns the state of all members as this process sees them, itself included.
     pub fn snapshot(&self) -> MemberSnapshot {
         let own = MemberEntry {
             vm: self.own.vm,
@@ -250,7 +270,7 @@
             } else {
                 MemberState::Alive
             },
-            digest: self.digest_due.unwrap_or(self.own.digest),
+            digest: self.pending_digest.unwrap_or(self.own.digest),
         };
         let others = self.table.records().map(|(vm, record)| {
             let mut entry = member_entry(vm, record);
@@ -262,38 +282,38 @@
         MemberSnapshot::new(others.chain([own]))
     }
 
-    /// Other members by state: alive, suspect, leaving, failed.
+    /// Returns the number of other members in each state: alive, suspect, leaving, failed.
     pub fn count_states(&self) -> [u32; 4] {
-        let mut states = [0; 4];
+        let mut counts = [0; 4];
         for (_, record) in self.table.records() {
-            states[record.state() as usize] += 1;
+            counts[record.state() as usize] += 1;
         }
-        states
+        counts
     }
 
-    /// Tells what has changed since the last call.
+    /// Returns what has changed since the last call.
     pub fn take_change(&mut self) -> SnapshotChange {
         std::mem::take(&mut self.change)
     }
 
-    /// Hands out what has happened since the last call.
+    /// Returns the events since the last call.
     pub fn take_events(&mut self) -> Vec<MemberEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// What has been counted.
+    /// Returns the counters of this process.
     pub fn counters(&self) -> &MemberCounters {
         &self.counters
     }
 
-    /// When a peer was last heard.
-    pub fn last_heard(&self) -> Option<Duration> {
-        self.last_heard
+    /// Returns when the last datagram arrived from a peer; none if never.
+    pub fn last_received(&self) -> Option<Duration> {
+        self.last_received
     }
 }
 
-/// A number that differs from VM to VM.
-fn vm_number(vm: VmAddress) -> u64 {
+/// Returns a hash of the VM address, used to give each VM its own random sequence.
+fn vm_hash(vm: VmAddress) -> u64 {
     match vm.0 {
         std::net::IpAddr::V4(ip) => xxhash_rust::xxh3::xxh3_64(&ip.octets()),
         std::net::IpAddr::V6(ip) => xxhash_rust::xxh3::xxh3_64(&ip.octets()),
--- a/crates/ebonyfork/src/membership/protocol_tests.rs
+++ b/crates/ebonyfork/src/membership/protocol_tests.rs
@@ -1,15 +1,15 @@
-//! Faults, alone and together, under virtual time.
+//! Tests of the protocol under network and process faults, in virtual time.
 
 use googletest::prelude::*;
 
 use super::*;
 use crate::ident::{IncarnationNumber, RevisionNumber};
-use crate::membership::fleet::{Fleet, Reaches, TICK_STEPS, protocol, vm};
+use crate::membership::fleet::{DeliveryRule, Fleet, TICK_STEPS, protocol, vm};
 use crate::membership::message::DatagramError;
 
 #[gtest]
-fn a_stopped_member_is_failed_everywhere_in_seconds() {
-    // Members, members that stop at once, share of datagrams lost, most seconds until all know.
+fn a_stopped_member_is_detected_by_all_within_seconds() {
+    // Members, members that stop at once, share of datagrams lost, maximum seconds until all others detect it.
     let cases = [
         (2, 1, 0.0, 8),
         (3, 1, 0.0, 8),
@@ -21,7 +21,7 @@
         (40, 13, 0.05, 12),
     ];
     for (size, stopped, loss, limit) in cases {
-        let mut fleet = Fleet::settled(size).with_loss(loss);
+        let mut fleet = Fleet::converged(size).with_loss(loss);
         let stopped: Vec<usize> = (size - stopped..size).collect();
         for index in &stopped {
             fleet.running[*index] = false;
@@ -30,14 +30,17 @@
         expect_that!(seconds, some(le(limit)), "{size} {stopped:?} {loss}");
         fleet.run(30);
         expect_that!(fleet.false_failures(), eq(0), "{size} {stopped:?} {loss}");
-        expect_that!(fleet.peak, le(u64::from(SEND_RATE + 2 * SEND_BURST)));
+        expect_that!(
+            fleet.peak_bytes_per_s,
+            le(u64::from(SEND_RATE + 2 * SEND_BURST))
+        );
     }
 }
 
 #[gtest]
-fn loss_alone_fails_nobody() {
+fn datagram_loss_alone_causes_no_failure() {
     for (size, loss) in [(5, 0.2), (20, 0.1), (20, 0.2)] {
-        let mut fleet = Fleet::settled(size).with_loss(loss);
+        let mut fleet = Fleet::converged(size).with_loss(loss);
         let mut failures = 0;
         for _second in 0..120 {
             fleet.run(1);
@@ -48,12 +51,12 @@
 }
 
 #[gtest]
-fn leaving_is_known_everywhere_at_once_and_sticks() {
+fn leaving_spreads_at_once_and_persists() {
     for (size, loss) in [(7, 0.0), (40, 0.1)] {
-        let mut fleet = Fleet::settled(size).with_loss(loss);
+        let mut fleet = Fleet::converged(size).with_loss(loss);
         let mut out = Vec::new();
         fleet.nodes[1].announce_leaving(fleet.now, &mut out);
-        fleet.post(1, &mut out);
+        fleet.enqueue(1, &mut out);
         let seconds = fleet.seconds_until(&[1], MemberState::Leaving, 10);
         expect_that!(seconds, some(le(2)), "{size} {loss}");
         fleet.run(20);
@@ -68,34 +71,34 @@
 }
 
 #[gtest]
-fn a_paused_member_blames_nobody_and_returns() {
-    for (size, pause) in [(3, 3), (7, 3), (7, 60), (20, 60)] {
-        let mut fleet = Fleet::settled(size);
+fn a_paused_member_reports_no_failures_and_returns() {
+    for (size, pause_s) in [(3, 3), (7, 3), (7, 60), (20, 60)] {
+        let mut fleet = Fleet::converged(size);
         fleet.running[2] = false;
-        fleet.run(pause);
+        fleet.run(pause_s);
         fleet.running[2] = true;
         let mut false_failures = 0;
         for _second in 0..20 {
             fleet.run(1);
-            for about in 0..size {
-                false_failures += usize::from(fleet.state(2, about) == Some(MemberState::Failed));
+            for subject in 0..size {
+                false_failures += usize::from(fleet.state(2, subject) == Some(MemberState::Failed));
             }
         }
-        expect_that!(false_failures, eq(0), "{size} {pause}");
+        expect_that!(false_failures, eq(0), "{size} {pause_s}");
         expect_that!(fleet.nodes[2].counters().pauses, eq(1));
         let seconds = fleet.seconds_until(&[2], MemberState::Alive, 1);
-        expect_that!(seconds, some(eq(0)), "{size} {pause}");
+        expect_that!(seconds, some(eq(0)), "{size} {pause_s}");
     }
 }
 
 #[gtest]
-fn a_process_that_is_late_reads_before_it_judges() {
-    for tenths in [2, 5, 7] {
-        let mut fleet = Fleet::settled(7);
+fn a_late_process_reads_datagrams_before_it_suspects() {
+    for stall_ticks in [2, 5, 7] {
+        let mut fleet = Fleet::converged(7);
         for round in 0..100 {
-            // The first tick after the stall comes before what has waited in the socket.
+            // The first tick after the stall runs before the datagrams that waited in the socket are read.
             fleet.stalled = Some(0);
-            for _step in 0..tenths * TICK_STEPS {
+            for _step in 0..stall_ticks * TICK_STEPS {
                 fleet.step();
             }
             while !(fleet.steps + 1).is_multiple_of(TICK_STEPS) {
@@ -110,47 +113,47 @@
         expect_that!(
             (counters.suspicions, counters.pauses),
             eq((0, 0)),
-            "{tenths}"
+            "{stall_ticks}"
         );
     }
 }
 
 #[gtest]
-fn a_new_life_under_the_old_address_replaces_the_old_one() {
-    // Seconds between the end of the old life and the start of the new one.
-    for gap in [0, 2, 30] {
-        let mut fleet = Fleet::settled(7);
+fn a_new_incarnation_replaces_the_old_one_at_its_address() {
+    // Seconds between the end of the old process and the start of the new one.
+    for gap_s in [0, 2, 30] {
+        let mut fleet = Fleet::converged(7);
         fleet.running[4] = false;
-        fleet.run(gap);
+        fleet.run(gap_s);
         let seeds: Vec<VmAddress> = (0..3).map(vm).collect();
         fleet.nodes[4] = protocol(fleet.now, 4, 2);
-        fleet.nodes[4].take_seeds(&seeds);
-        fleet.sent[4] = 0;
+        fleet.nodes[4].set_seeds(&seeds);
+        fleet.last_sent_bytes[4] = 0;
         fleet.running[4] = true;
         fleet.run(5);
         for observer in 0..7 {
             let snapshot = fleet.nodes[observer].snapshot();
             let member = snapshot.get(vm(4)).unwrap();
-            expect_that!(member.incarnation, eq(IncarnationNumber(2)), "{gap}");
-            expect_that!(member.state, eq(MemberState::Alive), "{gap}");
+            expect_that!(member.incarnation, eq(IncarnationNumber(2)), "{gap_s}");
+            expect_that!(member.state, eq(MemberState::Alive), "{gap_s}");
         }
     }
 }
 
 #[gtest]
-fn a_life_that_began_earlier_is_believed_once_the_later_one_is_forgotten() {
-    // The clock of the VM ran backwards between two lives.
-    let mut fleet = Fleet::settled(3);
+fn an_earlier_incarnation_is_accepted_once_the_later_one_is_removed() {
+    // The clock of the VM ran backwards between two incarnations.
+    let mut fleet = Fleet::converged(3);
     fleet.nodes[2] = protocol(fleet.now, 2, 0);
-    fleet.nodes[2].take_seeds(&[vm(0), vm(1)]);
-    fleet.sent[2] = 0;
+    fleet.nodes[2].set_seeds(&[vm(0), vm(1)]);
+    fleet.last_sent_bytes[2] = 0;
     fleet.run(20);
     expect_that!(fleet.state(0, 2), some(eq(MemberState::Failed)));
     expect_that!(
         fleet.nodes[0].counters().dropped[DatagramError::Stale as usize],
         gt(0)
     );
-    fleet.run(FORGET_TIME.as_secs() + 120);
+    fleet.run(FAILED_RETENTION_TIME.as_secs() + 120);
     let snapshot = fleet.nodes[0].snapshot();
     expect_that!(
         snapshot.get(vm(2)).map(MemberEntry::session),
@@ -159,17 +162,17 @@
 }
 
 #[gtest]
-fn a_deaf_or_mute_member_is_failed_and_fails_nobody_else() {
-    type Way = fn(usize, usize) -> bool;
-    // Node 3 sends but does not receive, or receives but does not send, or neither; failed ones it sees itself.
-    let cases: [(Way, usize); 3] = [
+fn an_unreachable_member_fails_without_failing_others() {
+    type DeliversBetween = fn(usize, usize) -> bool;
+    // Node 3 only sends, only receives, or does neither; and the number of members that node 3 itself sees as failed.
+    let cases: [(DeliversBetween, usize); 3] = [
         (|_from, to| to != 3, 6),
         (|from, _to| from != 3, 0),
         (|from, to| from != 3 && to != 3, 6),
     ];
-    for (case, (reaches, seen)) in cases.into_iter().enumerate() {
-        let mut fleet = Fleet::settled(7);
-        fleet.reaches = Box::new(move |_, from, to| reaches(from, to));
+    for (case, (delivers, failed_count)) in cases.into_iter().enumerate() {
+        let mut fleet = Fleet::converged(7);
+        fleet.delivers = Box::new(move |_, from, to| delivers(from, to));
         let seconds = fleet.seconds_until(&[3], MemberState::Failed, 30);
         expect_that!(seconds, some(le(10)), "{case}");
         fleet.run(60);
@@ -180,8 +183,12 @@
                 "{case} {observer}"
             );
         }
-        expect_that!(fleet.count(3, MemberState::Failed), eq(seen), "{case}");
-        fleet.reaches = Box::new(|_, _, _| true);
+        expect_that!(
+            fleet.count(3, MemberState::Failed),
+            eq(failed_count),
+            "{case}"
+        );
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.run(10);
         for observer in 0..7 {
             expect_that!(
@@ -190,19 +197,19 @@
                 "{case} {observer}"
             );
         }
-        let refuted: u64 = fleet
+        let refutations: u64 = fleet
             .nodes
             .iter()
             .map(|node| node.counters().refutations)
             .sum();
-        expect_that!(refuted, le(12), "{case}");
+        expect_that!(refutations, le(12), "{case}");
     }
 }
 
 #[gtest]
-fn one_lossy_way_between_two_fails_neither() {
-    let mut fleet = Fleet::settled(7);
-    fleet.reaches = Box::new(|_, from, to| (from, to) != (1, 2));
+fn one_way_loss_between_two_members_fails_neither() {
+    let mut fleet = Fleet::converged(7);
+    fleet.delivers = Box::new(|_, from, to| (from, to) != (1, 2));
     let mut failures = 0;
     for _second in 0..60 {
         fleet.run(1);
@@ -212,13 +219,13 @@
 }
 
 #[gtest]
-fn a_cut_zone_is_failed_and_comes_back_when_healed() {
-    for (size, cut) in [(9, 60), (30, 300)] {
-        let mut fleet = Fleet::settled(size);
-        let heals = fleet.now + Duration::from_secs(cut);
-        fleet.reaches =
-            Box::new(move |now, from, to| now > heals || (from % 3 == 0) == (to % 3 == 0));
-        fleet.run(cut);
+fn a_partitioned_zone_fails_and_returns_after_the_partition() {
+    for (size, partition_s) in [(9, 60), (30, 300)] {
+        let mut fleet = Fleet::converged(size);
+        let healed_at = fleet.now + Duration::from_secs(partition_s);
+        fleet.delivers =
+            Box::new(move |now, from, to| now > healed_at || (from % 3 == 0) == (to % 3 == 0));
+        fleet.run(partition_s);
         expect_that!(fleet.count(0, MemberState::Alive), eq(size / 3));
         expect_that!(fleet.count(1, MemberState::Failed), eq(size / 3));
         fleet.run(20);
@@ -233,8 +240,8 @@
 }
 
 #[gtest]
-fn digests_and_notices_reach_everybody() {
-    let mut fleet = Fleet::settled(40).with_loss(0.1);
+fn digests_and_notices_reach_all_members() {
+    let mut fleet = Fleet::converged(40).with_loss(0.1);
     let digest = MemberDigest {
         revision: RevisionNumber(9),
         load: 700,
@@ -249,43 +256,46 @@
     fleet.run(5);
     for node in &mut fleet.nodes[1..] {
         expect_that!(node.snapshot().get(vm(0)).unwrap().digest, eq(digest));
-        let heard = node
+        let received = node
             .take_events()
             .into_iter()
             .find_map(|event| match event {
                 MemberEvent::Notice(notice) => Some(notice.number),
                 _ => None,
             });
-        expect_that!(heard, some(eq(notice.number)));
+        expect_that!(received, some(eq(notice.number)));
     }
 }
 
 #[gtest]
-fn a_newcomer_learns_all_members_page_by_page() {
-    let mut fleet = Fleet::settled(150);
+fn a_joining_member_learns_all_members_page_by_page() {
+    let mut fleet = Fleet::converged(150);
     let notice = GossipNotice::new(b"news");
     fleet.nodes[9].publish_notice(fleet.now, notice);
     fleet.run(60);
     fleet.nodes.push(protocol(fleet.now, 150, 2));
-    fleet.nodes[150].take_seeds(&[vm(0), vm(1), vm(2)]);
+    fleet.nodes[150].set_seeds(&[vm(0), vm(1), vm(2)]);
     fleet.running.push(true);
-    fleet.sent.push(0);
+    fleet.last_sent_bytes.push(0);
     fleet.run(3);
     expect_that!(fleet.count(150, MemberState::Alive), eq(151));
     let events = fleet.nodes[150].take_events();
-    let told = events
+    let notified = events
         .iter()
         .any(|event| matches!(event, MemberEvent::Notice(_)));
-    expect_that!(told, eq(true));
+    expect_that!(notified, eq(true));
     let known = fleet
         .observers()
         .filter(|observer| fleet.state(*observer, 150).is_some());
     expect_that!(known.count(), eq(151));
-    expect_that!(fleet.peak, le(u64::from(SEND_RATE + 2 * SEND_BURST)));
+    expect_that!(
+        fleet.peak_bytes_per_s,
+        le(u64::from(SEND_RATE + 2 * SEND_BURST))
+    );
 }
 
-/// One way in which datagrams are lost for a while.
-fn random_loss(rng: &mut ChaCha8Rng) -> Reaches {
+/// Returns a random rule by which datagrams are lost.
+fn random_loss(rng: &mut ChaCha8Rng) -> DeliveryRule {
     let (one, other) = (rng.random_range(0..9), rng.random_range(0..9));
     let mut losses = ChaCha8Rng::seed_from_u64(rng.random());
     match rng.random_range(0..5) {
@@ -298,48 +308,48 @@
 }
 
 #[gtest]
-fn after_any_faults_together_all_agree_again() {
+fn all_members_agree_after_combined_faults() {
     for seed in 0..12 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut fleet = Fleet::settled(9);
-        let mut lives = [1_u64; 9];
-        for _slot in 0..8 {
-            fleet.reaches = random_loss(&mut rng);
+        let mut fleet = Fleet::converged(9);
+        let mut incarnations = [1_u64; 9];
+        for _round in 0..8 {
+            fleet.delivers = random_loss(&mut rng);
             let (paused, replaced) = (rng.random_range(3..9), rng.random_range(3..9));
             fleet.running[paused] = false;
-            lives[replaced] += 1;
-            fleet.nodes[replaced] = protocol(fleet.now, replaced, lives[replaced]);
-            fleet.nodes[replaced].take_seeds(&[vm(0), vm(1), vm(2)]);
-            fleet.sent[replaced] = 0;
+            incarnations[replaced] += 1;
+            fleet.nodes[replaced] = protocol(fleet.now, replaced, incarnations[replaced]);
+            fleet.nodes[replaced].set_seeds(&[vm(0), vm(1), vm(2)]);
+            fleet.last_sent_bytes[replaced] = 0;
             fleet.run(rng.random_range(1..12));
             fleet.running[paused] = true;
         }
-        fleet.reaches = Box::new(|_, _, _| true);
+        fleet.delivers = Box::new(|_, _, _| true);
         fleet.running[8] = false;
         fleet.run(25);
         for observer in fleet.observers() {
             let snapshot = fleet.nodes[observer].snapshot();
-            for (about, life) in lives.iter().enumerate() {
-                let member = snapshot.get(vm(about));
-                let expected = if about == 8 {
+            for (subject, incarnation) in incarnations.iter().enumerate() {
+                let member = snapshot.get(vm(subject));
+                let expected = if subject == 8 {
                     MemberState::Failed
                 } else {
                     MemberState::Alive
                 };
                 let known = member.map(|member| (member.state, member.incarnation.0));
-                // A life that ended before it was heard of is not missed.
-                if about == 8 && known.is_none_or(|(state, _)| state == MemberState::Failed) {
+                // Node 8 may have stopped before any other node learned of its last incarnation.
+                if subject == 8 && known.is_none_or(|(state, _)| state == MemberState::Failed) {
                     continue;
                 }
                 expect_that!(
                     known,
-                    some(eq((expected, *life))),
-                    "{seed} {observer} {about}"
+                    some(eq((expected, *incarnation))),
+                    "{seed} {observer} {subject}"
                 );
             }
         }
         expect_that!(
-            fleet.peak,
+            fleet.peak_bytes_per_s,
             le(u64::from(SEND_RATE + 2 * SEND_BURST)),
             "{seed}"
         );
@@ -374,7 +384,7 @@
 #[ignore = "takes minutes and 8.4 GB; gives figures of docs/design/membership.md"]
 fn a_zone_of_a_large_fleet_vanishes() {
     for size in [300, 1_000, 2_000, 4_900] {
-        let mut fleet = Fleet::acquainted(size);
+        let mut fleet = Fleet::fully_known(size);
         for second in 0..45_u64 {
             if second == 15 {
                 for index in (9..size).step_by(10) {
@@ -388,9 +398,9 @@
                 };
                 node.set_digest(fleet.now, digest);
             }
-            fleet.peak = 0;
+            fleet.peak_bytes_per_s = 0;
             fleet.run(1);
-            fleet.report(second);
+            fleet.print_progress(second);
         }
     }
 }
--- a/crates/ebonyfork/src/membership/receive.rs
+++ b/crates/ebonyfork/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! What the protocol does with a datagram.
+//! Handles received datagrams.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::membership::telling::own_update;
 
 impl MemberProtocol {
-    /// Takes a datagram that came from `source`. What can't be believed is dropped and counted.
+    /// Handles a datagram received from `source`. Invalid datagrams are dropped and counted.
     pub fn take_datagram(
         &mut self,
         now: Duration,
@@ -20,18 +20,19 @@
         bytes: &[u8],
         out: &mut Vec<OutgoingDatagram>,
     ) {
-        self.begin(now);
+        self.advance_clock(now);
         self.counters.received_bytes += (bytes.len() + PACKET_OVERHEAD) as u64;
-        match self.read(source, bytes) {
+        match self.decode(source, bytes) {
             Ok(datagram) => {
                 self.counters.received_datagrams += 1;
-                self.take(now, &datagram, out);
+                self.handle_datagram(now, &datagram, out);
             }
             Err(error) => self.counters.dropped[error as usize] += 1,
         }
     }
 
-    fn read(&self, source: VmAddress, bytes: &[u8]) -> Result<MemberDatagram, DatagramError> {
+    /// Decodes a datagram and checks its sender.
+    fn decode(&self, source: VmAddress, bytes: &[u8]) -> Result<MemberDatagram, DatagramError> {
         let datagram = MemberDatagram::decode(self.deployment, bytes)?;
         let sender = &datagram.sender;
         if sender.vm != source || sender.vm == self.own.vm {
@@ -44,16 +45,22 @@
         Ok(datagram)
     }
 
-    fn take(&mut self, now: Duration, datagram: &MemberDatagram, out: &mut Vec<OutgoingDatagram>) {
-        self.heard(now);
-        self.take_sender(now, &datagram.sender);
-        // A page is old news: passing it on would make every newcomer repeat the whole table.
-        let tell = !matches!(datagram.message, MemberMessage::Page { .. });
+    /// Applies the sender state and the facts of a datagram, then handles its message.
+    fn handle_datagram(
+        &mut self,
+        now: Duration,
+        datagram: &MemberDatagram,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
+        self.record_contact(now);
+        self.apply_sender(now, &datagram.sender);
+        // The facts of a page are not gossiped: a process that joins would otherwise resend the whole table.
+        let forward = !matches!(datagram.message, MemberMessage::Page { .. });
         for fact in &datagram.facts {
             match fact {
-                GossipFact::Member(update) => self.take_update(now, update, tell),
-                GossipFact::Digest(update) => self.believe_digest(update),
-                GossipFact::Notice(notice) => self.believe_notice(now, notice.clone()),
+                GossipFact::Member(update) => self.handle_update(now, update, forward),
+                GossipFact::Digest(update) => self.apply_digest(update),
+                GossipFact::Notice(notice) => self.apply_notice(now, notice.clone()),
             }
         }
         let from = datagram.sender.vm;
@@ -61,47 +68,50 @@
             MemberMessage::Ping { sequence } => {
                 self.send(now, from, MemberMessage::Ack { sequence }, out);
             }
-            MemberMessage::Ack { sequence } => self.take_ack(now, from, sequence, out),
+            MemberMessage::Ack { sequence } => self.handle_ack(now, from, sequence, out),
             MemberMessage::PingRequest { sequence, target } => {
-                self.take_ping_request(now, from, sequence, target, out);
+                self.handle_ping_request(now, from, sequence, target, out);
             }
             MemberMessage::Gossip => {}
             MemberMessage::PageRequest { after } => self.send_page(now, from, after, out),
-            MemberMessage::Page { next } => self.take_page(from, next),
+            MemberMessage::Page { next } => self.handle_page(from, next),
         }
     }
 
-    fn take_sender(&mut self, now: Duration, sender: &SenderHeader) {
-        self.believe(now, &own_update(sender), true);
+    /// Applies the state that the sender reports about itself.
+    fn apply_sender(&mut self, now: Duration, sender: &SenderHeader) {
+        self.apply_update(now, &own_update(sender), true);
         let digest = DigestUpdate {
             session: sender.session(),
             stamp: sender.stamp,
             digest: sender.digest,
         };
-        self.believe_digest(&digest);
+        self.apply_digest(&digest);
     }
 
-    fn take_update(&mut self, now: Duration, update: &MemberUpdate, tell: bool) {
+    /// Applies an update about another member, or handles one about this process.
+    fn handle_update(&mut self, now: Duration, update: &MemberUpdate, forward: bool) {
         if update.vm == self.own.vm {
-            self.believe_self(update);
+            self.handle_own_update(update);
             return;
         }
-        // One process's verdict is not enough: who has not even heard of the suspicion lets the member refute it.
+        // A failure reported by another member is treated as a suspicion if this process had none yet, so that the
+        // member can still refute it.
         let known = self.table.get(update.vm);
-        let sudden = update.health == MemberHealth::Failed
+        let skips_suspicion = update.health == MemberHealth::Failed
             && known.is_some_and(|record| {
                 record.health == MemberHealth::Alive
                     && record.life.incarnation == update.life.incarnation
             });
-        if sudden {
+        if skips_suspicion {
             let suspicion = MemberUpdate {
                 health: MemberHealth::Suspect,
                 age_ds: 0,
                 ..update.clone()
             };
-            self.believe(now, &suspicion, tell);
+            self.apply_update(now, &suspicion, forward);
             return;
         }
-        self.believe(now, update, tell);
+        self.apply_update(now, update, forward);
     }
 }
--- a/crates/ebonyfork/src/membership/snapshot.rs
+++ b/crates/ebonyfork/src/membership/snapshot.rs
@@ -1,4 +1,4 @@
-//! What membership tells the rest of the process.
+//! The membership state that is published to the rest of the process.
 
 use std::fmt;
 use std::time::Duration;
@@ -8,21 +8,21 @@
 
 use crate::ident::{IncarnationNumber, RevisionNumber, SessionId, VmAddress, ZoneName};
 
-/// What is believed about a member.
+/// State of a member as one process sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It has not answered; it can still refute that.
+    /// The member has not answered a probe, but can still refute the suspicion.
     Suspect,
-    /// It has announced a planned stop, and still answers.
+    /// The member has announced a planned stop and is not failed yet.
     Leaving,
-    /// It has not answered for too long, or has stopped.
+    /// The member has not answered for too long, or has stopped.
     Failed,
 }
 
 impl MemberState {
-    /// Tells whether the member is believed to run, leaving or not.
+    /// Returns whether the member is considered running, leaving or not.
     pub fn is_present(self) -> bool {
         self != Self::Failed
     }
@@ -39,32 +39,32 @@
     }
 }
 
-/// What a member says about itself; the newest one wins.
+/// Revision and load that a member reports about itself; a newer digest replaces an older one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberDigest {
-    /// The newest revision of the configuration that it holds.
+    /// Newest configuration revision that the member holds.
     pub revision: RevisionNumber,
-    /// How busy it is, in per mille of what it can take.
+    /// Load of the member, in per mille of its capacity.
     pub load: u16,
 }
 
-/// Longest payload of a notice, in bytes, so that several fit into one datagram.
+/// Maximum payload of a notice, in bytes; several notices fit into one datagram.
 pub const NOTICE_PAYLOAD_LIMIT: usize = 192;
 
-/// A short text of another duty that every member is told once, such as news about quarantined requests. Membership
-/// does not read the payload; it only keeps count of its age.
+/// A short message that a subsystem broadcasts to all members, such as a quarantined request. Membership does not
+/// interpret the payload; it only tracks the age.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipNotice {
-    /// Names the notice: of two with the same number only the first is told.
+    /// Identifies the notice: of two with the same number, only the first is broadcast.
     pub number: u64,
-    /// Seconds since it was published, rounded up.
+    /// Time since the notice was published, in seconds, rounded up.
     pub age_s: u32,
-    /// What it says.
+    /// Content of the notice, opaque to membership.
     pub payload: SmallVec<[u8; 64]>,
 }
 
 impl GossipNotice {
-    /// Makes a new notice that is named by the hash of its payload.
+    /// Creates a notice whose number is the hash of its payload.
     ///
     /// # Examples
     ///
@@ -84,42 +84,42 @@
         }
     }
 
-    /// Names the notice by what stays the same when another member publishes the same news.
+    /// Replaces the number, so that notices of the same event from several members share one.
     #[must_use]
     pub fn with_number(mut self, number: u64) -> Self {
         self.number = number;
         self
     }
 
-    /// The time since it was published.
+    /// Returns the time since the notice was published.
     pub fn age(&self) -> Duration {
         Duration::from_secs(u64::from(self.age_s))
     }
 }
 
-/// One member as this process sees it.
+/// Snapshot entry of one member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberEntry {
-    /// Its VM.
+    /// VM of the member.
     pub vm: VmAddress,
-    /// The availability zone it is in.
+    /// Availability zone of the member.
     pub zone: ZoneName,
-    /// The newest life of the process on that VM.
+    /// Newest known process incarnation on that VM.
     pub incarnation: IncarnationNumber,
-    /// What is believed about it.
+    /// State of the member as this process sees it.
     pub state: MemberState,
-    /// What it last said about itself.
+    /// Newest digest received from the member.
     pub digest: MemberDigest,
 }
 
 impl MemberEntry {
-    /// The process incarnation that the entry is about.
+    /// Returns the VM and process incarnation of the member.
     pub fn session(&self) -> SessionId {
         SessionId::new(self.vm, self.incarnation)
     }
 }
 
-/// All members that this process knows, itself included.
+/// All members known to this process, itself included.
 ///
 /// # Examples
 ///
@@ -145,7 +145,7 @@
 }
 
 impl MemberSnapshot {
-    /// Makes a snapshot of members with distinct addresses.
+    /// Creates a snapshot; of members with the same address only one is kept.
     pub fn new(members: impl IntoIterator<Item = MemberEntry>) -> Self {
         let mut members: Vec<_> = members.into_iter().collect();
         members.sort_unstable_by_key(|member| member.vm);
@@ -153,13 +153,13 @@
         Self { members }
     }
 
-    /// Returns what is known about the member on a VM.
+    /// Returns the member on a VM.
     pub fn get(&self, vm: VmAddress) -> Option<&MemberEntry> {
         let found = self.members.binary_search_by_key(&vm, |member| member.vm);
         found.ok().map(|index| &self.members[index])
     }
 
-    /// All members, ascending by address.
+    /// Returns all members in ascending order of address.
     pub fn members(&self) -> &[MemberEntry] {
         &self.members
     }
--- a/crates/ebonyfork/src/membership/spread.rs
+++ b/crates/ebonyfork/src/membership/spread.rs
@@ -1,8 +1,8 @@
-//! Which facts still have to be told, and how much may be said.
+//! Queues of facts to gossip, and the byte budget for sending.
 //!
-//! A [`SpreadQueue`] holds keys, not facts: what is told is always the newest. The facts that were told least often go
-//! first, so that fresh news overtakes old; after a bounded number of tellings a fact leaves the queue. A
-//! [`ByteBudget`] bounds the bytes per second whatever happens.
+//! A [`GossipQueue`] holds keys instead of facts, so that always the newest version of a fact is sent. Facts that were
+//! sent least often come first, so that new facts overtake old ones; a fact leaves the queue after a bounded number of
+//! transmissions. A [`ByteBudget`] limits the bytes sent per second.
 
 use std::collections::VecDeque;
 use std::hash::Hash;
@@ -10,76 +10,79 @@
 
 use rustc_hash::FxHashMap;
 
-/// What became of a fact that was offered to a datagram.
+/// Result of offering a fact to a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OfferResult {
-    /// It was written.
-    Taken,
-    /// It did not fit: the datagram is full.
+    /// The fact was added to the datagram.
+    Added,
+    /// The fact did not fit: the datagram is full.
     Full,
-    /// There is nothing left to tell.
-    Gone,
+    /// The fact no longer exists.
+    Obsolete,
 }
 
-/// Keys of facts, those that were told least often first.
+/// Queue of fact keys, those with the fewest transmissions first.
 #[derive(Debug)]
-pub struct SpreadQueue<K> {
-    /// Keys by how often they were told, each with the generation it was queued as.
-    rounds: Vec<VecDeque<(K, u32)>>,
-    /// The valid generation of each key; an older one in `rounds` is skipped.
+pub struct GossipQueue<K> {
+    /// Keys with their generations, indexed by the number of transmissions so far.
+    by_transmissions: Vec<VecDeque<(K, u32)>>,
+    /// Current generation of each queued key; entries of `by_transmissions` with an older one are skipped.
     queued: FxHashMap<K, u32>,
+    /// Generation of the last pushed key.
     generation: u32,
-    told: Vec<(usize, K, u32)>,
+    /// Keys that the current call of `fill` has sent, with their new number of transmissions.
+    sent: Vec<(usize, K, u32)>,
 }
 
-impl<K> Default for SpreadQueue<K> {
+impl<K> Default for GossipQueue<K> {
     fn default() -> Self {
         Self {
-            rounds: Vec::new(),
+            by_transmissions: Vec::new(),
             queued: FxHashMap::default(),
             generation: 0,
-            told: Vec::new(),
+            sent: Vec::new(),
         }
     }
 }
 
-impl<K: Copy + Eq + Hash> SpreadQueue<K> {
-    /// Queues a fact that has changed, to be told from the start again.
+impl<K: Copy + Eq + Hash> GossipQueue<K> {
+    /// Queues a fact that has changed, with its number of transmissions reset to zero.
     pub fn push(&mut self, key: K) {
         self.generation = self.generation.wrapping_add(1);
         self.queued.insert(key, self.generation);
-        if self.rounds.is_empty() {
-            self.rounds.push(VecDeque::new());
+        if self.by_transmissions.is_empty() {
+            self.by_transmissions.push(VecDeque::new());
         }
-        self.rounds[0].push_back((key, self.generation));
+        self.by_transmissions[0].push_back((key, self.generation));
     }
 
-    /// Drops a fact.
+    /// Removes a fact from the queue.
     pub fn remove(&mut self, key: K) {
         self.queued.remove(&key);
     }
 
-    /// Tells whether there is nothing to tell.
+    /// Returns whether no fact is queued.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
 
-    /// Offers facts until the datagram is full, each at most once. A fact that has been told `limit` times leaves.
+    /// Offers facts until the datagram is full, each at most once. A fact that has been sent `limit` times is removed.
     pub fn fill(&mut self, limit: usize, mut offer: impl FnMut(K) -> OfferResult) {
         let mut full = false;
-        for round in 0..self.rounds.len() {
+        for transmissions in 0..self.by_transmissions.len() {
             while !full {
-                let Some((key, generation)) = self.rounds[round].pop_front() else {
+                let Some((key, generation)) = self.by_transmissions[transmissions].pop_front()
+                else {
                     break;
                 };
                 if self.queued.get(&key) != Some(&generation) {
                     continue;
                 }
                 match offer(key) {
-                    OfferResult::Taken => self.told.push((round + 1, key, generation)),
-                    OfferResult::Gone => self.remove(key),
+                    OfferResult::Added => self.sent.push((transmissions + 1, key, generation)),
+                    OfferResult::Obsolete => self.remove(key),
                     OfferResult::Full => {
-                        self.rounds[round].push_front((key, generation));
+                        self.by_transmissions[transmissions].push_front((key, generation));
                         full = true;
                     }
                 }
@@ -88,60 +91,67 @@
         self.requeue(limit);
     }
 
+    /// Puts the sent facts back into the queue, except those that have reached `limit`.
     fn requeue(&mut self, limit: usize) {
-        let mut told = std::mem::take(&mut self.told);
-        for (round, key, generation) in told.drain(..) {
-            if round >= limit {
+        let mut sent = std::mem::take(&mut self.sent);
+        for (transmissions, key, generation) in sent.drain(..) {
+            if transmissions >= limit {
                 self.queued.remove(&key);
                 continue;
             }
-            if self.rounds.len() <= round {
-                self.rounds.resize_with(round + 1, VecDeque::new);
+            if self.by_transmissions.len() <= transmissions {
+                self.by_transmissions
+                    .resize_with(transmissions + 1, VecDeque::new);
             }
-            self.rounds[round].push_back((key, generation));
+            self.by_transmissions[transmissions].push_back((key, generation));
         }
-        self.told = told;
+        self.sent = sent;
     }
 }
 
-/// Bytes that may be sent, refilled over time.
+/// Token bucket that limits the bytes sent per second.
 #[derive(Debug, Clone)]
 pub struct ByteBudget {
-    rate: f64,
+    /// Refill rate, in bytes per second.
+    bytes_per_s: f64,
+    /// Maximum number of tokens, in bytes.
     burst: f64,
+    /// Bytes that may be sent now; negative while in debt.
     tokens: f64,
-    last: Duration,
+    /// When the tokens were last refilled.
+    refilled_at: Duration,
 }
 
 impl ByteBudget {
-    /// A full budget of `rate` bytes a second that saves up at most `burst` bytes.
-    pub fn new(now: Duration, rate: u32, burst: u32) -> Self {
+    /// Creates a full budget of `bytes_per_s` bytes per second that accumulates at most `burst` bytes.
+    pub fn new(now: Duration, bytes_per_s: u32, burst: u32) -> Self {
         Self {
-            rate: f64::from(rate),
+            bytes_per_s: f64::from(bytes_per_s),
             burst: f64::from(burst),
             tokens: f64::from(burst),
-            last: now,
+            refilled_at: now,
         }
     }
 
-    /// Refills up to `now`.
+    /// Adds the tokens for the time up to `now`.
     pub fn refill(&mut self, now: Duration) {
-        let passed = now.saturating_sub(self.last).as_secs_f64();
-        self.last = self.last.max(now);
-        self.tokens = (self.tokens + passed * self.rate).min(self.burst);
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed * self.bytes_per_s).min(self.burst);
     }
 
-    /// Bytes that may be sent now.
+    /// Returns the number of bytes that may be sent now.
     pub fn available(&self) -> usize {
         self.tokens.max(0.0) as usize
     }
 
-    /// Takes the bytes of a datagram that must be sent, into debt of at most one burst; tells whether it may be.
-    pub fn take_due(&mut self, bytes: usize) -> bool {
-        let left = self.tokens - bytes as f64;
-        let allowed = left >= -self.burst;
+    /// Spends the bytes of a datagram, going into debt by at most one burst. Returns false, and spends nothing, if the
+    /// debt would be larger.
+    pub fn try_spend(&mut self, bytes: usize) -> bool {
+        let remaining = self.tokens - bytes as f64;
+        let allowed = remaining >= -self.burst;
         if allowed {
-            self.tokens = left;
+            self.tokens = remaining;
         }
         allowed
     }
--- a/crates/ebonyfork/src/membership/spread_tests.rs
+++ b/crates/ebonyfork/src/membership/spread_tests.rs
@@ -2,21 +2,21 @@
 
 use super::*;
 
-fn fill(queue: &mut SpreadQueue<u32>, limit: usize, room: usize) -> Vec<u32> {
+fn fill(queue: &mut GossipQueue<u32>, limit: usize, capacity: usize) -> Vec<u32> {
     let mut taken = Vec::new();
     queue.fill(limit, |key| {
-        if taken.len() == room {
+        if taken.len() == capacity {
             return OfferResult::Full;
         }
         taken.push(key);
-        OfferResult::Taken
+        OfferResult::Added
     });
     taken
 }
 
 #[gtest]
-fn what_was_told_least_goes_first_and_leaves_at_the_limit() {
-    let mut queue = SpreadQueue::default();
+fn least_sent_facts_go_first_and_leave_at_the_limit() {
+    let mut queue = GossipQueue::default();
     for key in 1..=3 {
         queue.push(key);
     }
@@ -26,7 +26,7 @@
         fill(&mut queue, 2, 3),
         elements_are![eq(&3), eq(&4), eq(&1)]
     );
-    // 1 has been told twice; pushed again it starts anew.
+    // Key 1 has been sent twice and was removed; pushed again, it starts from zero.
     expect_that!(
         fill(&mut queue, 2, 9),
         elements_are![eq(&2), eq(&3), eq(&4)]
@@ -39,12 +39,12 @@
 }
 
 #[gtest]
-fn a_budget_bounds_bytes_over_any_time() {
+fn a_budget_limits_bytes_per_second_plus_bursts() {
     let mut budget = ByteBudget::new(Duration::ZERO, 1_000, 500);
     let mut taken = 0;
     for millisecond in 0..10_000_u64 {
         budget.refill(Duration::from_millis(millisecond));
-        while budget.take_due(100) {
+        while budget.try_spend(100) {
             taken += 100;
         }
     }
--- a/crates/ebonyfork/src/membership/table.rs
+++ b/crates/ebonyfork/src/membership/table.rs
@@ -1,7 +1,8 @@
-//! All known members and the rules by which news about them is believed.
+//! Table of the known members, and the rules for merging updates into it.
 //!
-//! News about a newer life always wins; within one life the worse health wins, because only the member itself can
-//! refute it, by counting its refutation up. A planned stop is never taken back within one incarnation.
+//! An update with a newer version always wins. For equal versions the worse health wins, because only the member
+//! itself can refute it, by incrementing its refutation counter. The leaving flag is never cleared within one
+//! incarnation.
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -11,27 +12,27 @@
 use crate::membership::message::{DigestUpdate, MemberHealth, MemberLife, MemberUpdate};
 use crate::membership::snapshot::{MemberDigest, MemberEntry, MemberState};
 
-/// What is known about one member.
+/// Table entry of one member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its zone.
+    /// Availability zone of the member.
     pub zone: ZoneName,
-    /// Its newest known life.
+    /// Newest known incarnation and refutation counter.
     pub life: MemberLife,
-    /// Whether it answers.
+    /// Health of the member.
     pub health: MemberHealth,
-    /// Whether it has announced a planned stop.
+    /// Whether the member has announced a planned stop.
     pub leaving: bool,
-    /// When its health last changed, as far as known.
-    pub since: Duration,
-    /// What it last said about itself.
+    /// When `health` last changed, computed from the age in the update.
+    pub health_since: Duration,
+    /// Newest digest received from the member.
     pub digest: MemberDigest,
-    /// Number of that digest within the incarnation.
+    /// Sequence number of `digest` within the incarnation; 0 if none has been received.
     pub stamp: u32,
 }
 
 impl MemberRecord {
-    /// The state as the rest of the process sees it.
+    /// Returns the state that is published in snapshots.
     pub fn state(&self) -> MemberState {
         match (self.health, self.leaving) {
             (MemberHealth::Failed, _) => MemberState::Failed,
@@ -42,57 +43,58 @@
     }
 }
 
-/// What news did to the table.
+/// Effect of an update on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeEffect {
-    /// Nothing new.
-    Known,
+    /// The update was not newer, or was ignored.
+    Unchanged,
     /// The member was unknown, or known by an earlier incarnation.
     Joined,
-    /// What is believed about it changed.
+    /// The entry of the member changed.
     Changed,
 }
 
-/// What a digest did to the table.
+/// Effect of a digest on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DigestEffect {
-    /// Nothing new.
-    Known,
-    /// It is newer, with another load at most.
+    /// The digest was not newer.
+    Unchanged,
+    /// The digest is newer and has the same revision.
     Load,
-    /// It is newer and shows another revision.
+    /// The digest is newer and has another revision.
     Revision,
 }
 
-/// The members other than the own process.
+/// Known members except this process.
 #[derive(Debug, Default)]
 pub struct MemberTable {
     records: BTreeMap<VmAddress, MemberRecord>,
-    present: usize,
+    /// Number of records that are not failed.
+    present_count: usize,
 }
 
 impl MemberTable {
-    /// Returns what is known about a member.
+    /// Returns the record of a member.
     pub fn get(&self, vm: VmAddress) -> Option<&MemberRecord> {
         self.records.get(&vm)
     }
 
-    /// All members, failed ones included.
+    /// Returns the number of members, failed ones included.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Members that are not failed.
-    pub fn present(&self) -> usize {
-        self.present
+    /// Returns the number of members that are not failed.
+    pub fn present_count(&self) -> usize {
+        self.present_count
     }
 
-    /// All members, ascending by address.
+    /// Iterates over all members in ascending order of address.
     pub fn records(&self) -> impl Iterator<Item = (VmAddress, &MemberRecord)> {
         self.records.iter().map(|(vm, record)| (*vm, record))
     }
 
-    /// Members behind an address, ascending.
+    /// Iterates over the members with an address greater than `after`, in ascending order.
     pub fn records_after(
         &self,
         after: Option<VmAddress>,
@@ -102,26 +104,26 @@
         range.map(|(vm, record)| (*vm, record))
     }
 
-    /// Believes news, if it is newer or worse than what is known. News about an unknown member counts only with its
-    /// zone and if it is not that the member has failed.
+    /// Merges an update if its version is newer, or equal with a worse health. An update about an unknown member is
+    /// ignored if it lacks the zone or reports a failure.
     pub fn merge(&mut self, now: Duration, update: &MemberUpdate) -> MergeEffect {
         let Some(record) = self.records.get_mut(&update.vm) else {
             return self.insert(now, update);
         };
         let before = record.health;
-        let joined = update.life.incarnation > record.life.incarnation;
+        let is_new_incarnation = update.life.incarnation > record.life.incarnation;
         let newer = (update.life, update.health) > (record.life, record.health);
-        let leaves =
+        let starts_leaving =
             update.leaving && !record.leaving && update.life.incarnation == record.life.incarnation;
         if !newer {
-            record.leaving |= leaves;
-            return if leaves {
+            record.leaving |= starts_leaving;
+            return if starts_leaving {
                 MergeEffect::Changed
             } else {
-                MergeEffect::Known
+                MergeEffect::Unchanged
             };
         }
-        if joined {
+        if is_new_incarnation {
             record.digest = MemberDigest::default();
             record.stamp = 0;
             record.leaving = false;
@@ -130,13 +132,13 @@
         record.life = update.life;
         if record.health != update.health {
             record.health = update.health;
-            record.since = began(now, update);
+            record.health_since = health_changed_at(now, update);
         }
         if let Some(zone) = &update.zone {
             record.zone.clone_from(zone);
         }
-        self.count(before, update.health);
-        if joined && update.health != MemberHealth::Failed {
+        self.update_present_count(before, update.health);
+        if is_new_incarnation && update.health != MemberHealth::Failed {
             MergeEffect::Joined
         } else {
             MergeEffect::Changed
@@ -145,41 +147,41 @@
 
     fn insert(&mut self, now: Duration, update: &MemberUpdate) -> MergeEffect {
         let Some(zone) = &update.zone else {
-            return MergeEffect::Known;
+            return MergeEffect::Unchanged;
         };
         if update.health == MemberHealth::Failed {
-            return MergeEffect::Known;
+            return MergeEffect::Unchanged;
         }
         let record = MemberRecord {
             zone: zone.clone(),
             life: update.life,
             health: update.health,
             leaving: update.leaving,
-            since: began(now, update),
+            health_since: health_changed_at(now, update),
             digest: MemberDigest::default(),
             stamp: 0,
         };
         self.records.insert(update.vm, record);
-        self.present += 1;
+        self.present_count += 1;
         MergeEffect::Joined
     }
 
-    fn count(&mut self, before: MemberHealth, after: MemberHealth) {
-        let (was, is) = (
+    fn update_present_count(&mut self, before: MemberHealth, after: MemberHealth) {
+        let (was_present, is_present) = (
             before != MemberHealth::Failed,
             after != MemberHealth::Failed,
         );
-        self.present += usize::from(is && !was);
-        self.present -= usize::from(was && !is);
+        self.present_count += usize::from(is_present && !was_present);
+        self.present_count -= usize::from(was_present && !is_present);
     }
 
-    /// Believes a digest, if it is newer.
+    /// Stores a digest if it is newer.
     pub fn merge_digest(&mut self, update: &DigestUpdate) -> DigestEffect {
         let Some(record) = self.records.get_mut(&update.session.vm) else {
-            return DigestEffect::Known;
+            return DigestEffect::Unchanged;
         };
         if record.life.incarnation != update.session.incarnation || record.stamp >= update.stamp {
-            return DigestEffect::Known;
+            return DigestEffect::Unchanged;
         }
         let before = record.digest;
         record.stamp = update.stamp;
@@ -191,12 +193,12 @@
         }
     }
 
-    /// What is said to others about a member at `now`. Its zone is left out where it does not answer: who has never heard
-    /// of it can wait, and bad news must be short because it comes in heaps.
+    /// Returns the update about a member to send at `now`. The zone is omitted unless the member is alive: receivers
+    /// that don't know the member can wait, and updates about failures have to be small because many occur at once.
     pub fn update(&self, now: Duration, vm: VmAddress) -> Option<MemberUpdate> {
         let record = self.records.get(&vm)?;
         let zone = (record.health == MemberHealth::Alive).then(|| record.zone.clone());
-        let age = now.saturating_sub(record.since).as_millis() / 100;
+        let age = now.saturating_sub(record.health_since).as_millis() / 100;
         Some(MemberUpdate {
             vm,
             life: record.life,
@@ -207,19 +209,21 @@
         })
     }
 
-    /// Forgets members that failed before `before`. One that returns is then new, even if its clock ran backwards.
-    pub fn forget(&mut self, before: Duration) {
-        self.records
-            .retain(|_, record| record.health != MemberHealth::Failed || record.since >= before);
+    /// Removes members that failed before `before`. One that returns later counts as new, even if its clock ran
+    /// backwards.
+    pub fn remove_failed(&mut self, before: Duration) {
+        self.records.retain(|_, record| {
+            record.health != MemberHealth::Failed || record.health_since >= before
+        });
     }
 }
 
-/// When a member got the health that is told of it.
-fn began(now: Duration, update: &MemberUpdate) -> Duration {
+/// Returns when the health in an update last changed.
+fn health_changed_at(now: Duration, update: &MemberUpdate) -> Duration {
     now.saturating_sub(Duration::from_millis(u64::from(update.age_ds) * 100))
 }
 
-/// What the rest of the process sees of a record.
+/// Converts a record to a snapshot entry.
 pub fn member_entry(vm: VmAddress, record: &MemberRecord) -> MemberEntry {
     MemberEntry {
         vm,
--- a/crates/ebonyfork/src/membership/table_tests.rs
+++ b/crates/ebonyfork/src/membership/table_tests.rs
@@ -18,10 +18,10 @@
 }
 
 #[gtest]
-fn the_newer_life_wins_and_the_worse_health_within_it() {
+fn the_newer_version_wins_and_the_worse_health_within_it() {
     use MemberHealth::{Alive, Failed, Suspect};
     let alive = update((5, 1), Alive, false, true);
-    // What is known, what is heard, what is believed afterwards, what it did.
+    // Stored update, received update, resulting state, effect of the merge.
     let cases = [
         (
             None,
@@ -39,31 +39,31 @@
             None,
             update((5, 1), Suspect, false, false),
             None,
-            MergeEffect::Known,
+            MergeEffect::Unchanged,
         ),
         (
             None,
             update((5, 1), Failed, false, true),
             None,
-            MergeEffect::Known,
+            MergeEffect::Unchanged,
         ),
         (
             Some(&alive),
             alive.clone(),
             Some(MemberState::Alive),
-            MergeEffect::Known,
+            MergeEffect::Unchanged,
         ),
         (
             Some(&alive),
             update((5, 0), Failed, false, false),
             Some(MemberState::Alive),
-            MergeEffect::Known,
+            MergeEffect::Unchanged,
         ),
         (
             Some(&alive),
             update((4, 9), Failed, true, false),
             Some(MemberState::Alive),
-            MergeEffect::Known,
+            MergeEffect::Unchanged,
         ),
         (
             Some(&alive),
@@ -102,21 +102,25 @@
             MergeEffect::Changed,
         ),
     ];
-    for (known, heard, state, effect) in cases {
+    for (stored, received, state, effect) in cases {
         let mut table = MemberTable::default();
-        if let Some(known) = known {
-            table.merge(Duration::ZERO, known);
+        if let Some(stored) = stored {
+            table.merge(Duration::ZERO, stored);
         }
-        expect_that!(table.merge(Duration::ZERO, &heard), eq(effect), "{heard:?}");
-        let record = table.get(heard.vm);
-        expect_that!(record.map(MemberRecord::state), eq(state), "{heard:?}");
-        let present = usize::from(state.is_some_and(MemberState::is_present));
-        expect_that!(table.present(), eq(present), "{heard:?}");
+        expect_that!(
+            table.merge(Duration::ZERO, &received),
+            eq(effect),
+            "{received:?}"
+        );
+        let record = table.get(received.vm);
+        expect_that!(record.map(MemberRecord::state), eq(state), "{received:?}");
+        let present_count = usize::from(state.is_some_and(MemberState::is_present));
+        expect_that!(table.present_count(), eq(present_count), "{received:?}");
     }
 }
 
 #[gtest]
-fn leaving_is_not_taken_back_but_ends_with_the_incarnation() {
+fn leaving_persists_until_the_next_incarnation() {
     let mut table = MemberTable::default();
     table.merge(
         Duration::ZERO,
@@ -129,10 +133,10 @@
         ((5, 2), MemberHealth::Alive, MemberState::Leaving),
         ((6, 0), MemberHealth::Alive, MemberState::Alive),
     ] {
-        let heard = update(life, health, false, false);
-        table.merge(Duration::ZERO, &heard);
+        let received = update(life, health, false, false);
+        table.merge(Duration::ZERO, &received);
         expect_that!(
-            table.get(heard.vm).map(MemberRecord::state),
+            table.get(received.vm).map(MemberRecord::state),
             some(eq(state))
         );
     }
--- a/crates/ebonyfork/src/membership/telling.rs
+++ b/crates/ebonyfork/src/membership/telling.rs
@@ -1,4 +1,4 @@
-//! What the protocol tells: which facts ride along with which datagram, within the byte budget.
+//! Sends datagrams: selects the facts to piggyback and enforces the byte budget.
 
 use std::time::Duration;
 
@@ -11,31 +11,31 @@
     MemberUpdate, PACKET_OVERHEAD, SenderHeader,
 };
 use crate::membership::protocol::MemberProtocol;
-use crate::membership::spread::{OfferResult, SpreadQueue};
-use crate::membership::timing::{DIGEST_TELLINGS, REVISION_TELLINGS, telling_limit};
+use crate::membership::spread::{GossipQueue, OfferResult};
+use crate::membership::timing::{DIGEST_TRANSMISSIONS, REVISION_TRANSMISSIONS, max_transmissions};
 
-/// What still has to be told, in the order in which it goes into a datagram.
+/// Queues of facts to gossip, in the order in which they are added to a datagram.
 #[derive(Debug, Default)]
-pub(super) struct NewsQueues {
-    /// Members whose life has changed.
-    pub(super) members: SpreadQueue<VmAddress>,
-    /// Notices of other duties.
-    pub(super) notices: SpreadQueue<u64>,
-    /// Members whose digest shows another revision.
-    pub(super) revisions: SpreadQueue<VmAddress>,
-    /// Members whose load has changed: a lost one is replaced by the next.
-    pub(super) digests: SpreadQueue<VmAddress>,
+pub(super) struct GossipQueues {
+    /// Members whose health, version or leaving flag has changed.
+    pub(super) members: GossipQueue<VmAddress>,
+    /// Notices to broadcast, by number.
+    pub(super) notices: GossipQueue<u64>,
+    /// Members whose digest has a new revision.
+    pub(super) revisions: GossipQueue<VmAddress>,
+    /// Members whose digest has a new load only; if it is lost, the next digest replaces it.
+    pub(super) digests: GossipQueue<VmAddress>,
 }
 
-impl NewsQueues {
-    /// Tells whether there is news that does not wait for the next probe.
+impl GossipQueues {
+    /// Returns whether any queued fact is sent without waiting for the next probe.
     pub(super) fn is_urgent(&self) -> bool {
         !(self.members.is_empty() && self.notices.is_empty() && self.revisions.is_empty())
     }
 }
 
 impl MemberProtocol {
-    /// Sends facts to one random member, if there is one and the budget has room.
+    /// Sends queued facts to one random member, if there is one and the byte budget allows a full datagram.
     pub(super) fn gossip(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
         if self.budget.available() < DATAGRAM_LIMIT {
             self.counters.withheld += 1;
@@ -47,12 +47,12 @@
         self.send(now, to, MemberMessage::Gossip, out);
     }
 
-    /// A random member that is not failed.
+    /// Returns a random member that is not failed, other than `except`.
     pub(super) fn random_member(&mut self, except: Option<VmAddress>) -> Option<VmAddress> {
         self.probe.random(&self.table, &mut self.rng, except)
     }
 
-    /// Sends a message, with as many facts as budget and datagram have room for.
+    /// Sends a message with as many piggybacked facts as the byte budget and the datagram allow.
     pub(super) fn send(
         &mut self,
         now: Duration,
@@ -62,40 +62,43 @@
     ) {
         let limit = self.budget.available().min(DATAGRAM_LIMIT);
         let mut writer = DatagramWriter::new(self.deployment, limit, &self.own, message);
-        // Whoever is held for dead or dying is told first, so that it can refute.
-        let accused = self.table.get(to);
-        if accused.is_some_and(|record| record.health != MemberHealth::Alive)
+        // A suspected or failed receiver is informed of its own state first, so that it can refute it.
+        let receiver = self.table.get(to);
+        if receiver.is_some_and(|record| record.health != MemberHealth::Alive)
             && let Some(update) = self.table.update(now, to)
         {
-            writer.push_always(&GossipFact::Member(update));
+            writer.push_mandatory(&GossipFact::Member(update));
         }
         self.fill(now, to, &mut writer);
-        self.post(to, writer.finish(), out);
+        self.output_datagram(to, writer.finish(), out);
     }
 
+    /// Adds queued facts to a datagram while they fit.
     fn fill(&mut self, now: Duration, to: VmAddress, writer: &mut DatagramWriter) {
-        let offered = |writer: &mut DatagramWriter, fact: Option<GossipFact>| match fact {
-            None => OfferResult::Gone,
-            Some(fact) if writer.push(&fact) => OfferResult::Taken,
+        let offer_fact = |writer: &mut DatagramWriter, fact: Option<GossipFact>| match fact {
+            None => OfferResult::Obsolete,
+            Some(fact) if writer.push(&fact) => OfferResult::Added,
             Some(_fact) => OfferResult::Full,
         };
-        let (own, table, board) = (&self.own, &self.table, &self.board);
-        let tellings = telling_limit(table.present());
-        self.news.members.fill(tellings, |vm| {
+        let (own, table, notices) = (&self.own, &self.table, &self.notices);
+        let max_transmissions = max_transmissions(table.present_count());
+        self.gossip_queues.members.fill(max_transmissions, |vm| {
             if vm == to {
-                // The receiver knows best about itself; its accusation was told already.
-                return OfferResult::Taken;
+                // The receiver needs no update about itself; `send` has added its suspicion, if any.
+                return OfferResult::Added;
             }
             let update = if vm == own.vm {
                 Some(own_update(own))
             } else {
                 table.update(now, vm)
             };
-            offered(writer, update.map(GossipFact::Member))
-        });
-        self.news.notices.fill(tellings, |number| {
-            offered(writer, board.notice(now, number).map(GossipFact::Notice))
+            offer_fact(writer, update.map(GossipFact::Member))
         });
+        self.gossip_queues
+            .notices
+            .fill(max_transmissions, |number| {
+                offer_fact(writer, notices.notice(now, number).map(GossipFact::Notice))
+            });
         let mut digest = |vm| {
             let update = if vm == own.vm {
                 Some(own_digest(own))
@@ -106,16 +109,25 @@
                     digest: record.digest,
                 })
             };
-            offered(writer, update.map(GossipFact::Digest))
+            offer_fact(writer, update.map(GossipFact::Digest))
         };
-        self.news.revisions.fill(REVISION_TELLINGS, &mut digest);
-        self.news.digests.fill(DIGEST_TELLINGS, &mut digest);
+        self.gossip_queues
+            .revisions
+            .fill(REVISION_TRANSMISSIONS, &mut digest);
+        self.gossip_queues
+            .digests
+            .fill(DIGEST_TRANSMISSIONS, &mut digest);
     }
 
-    /// Hands a finished datagram over, if the budget bears it.
-    pub(super) fn post(&mut self, to: VmAddress, bytes: Vec<u8>, out: &mut Vec<OutgoingDatagram>) {
+    /// Outputs an encoded datagram and counts it, or counts it as withheld if the byte budget is exhausted.
+    pub(super) fn output_datagram(
+        &mut self,
+        to: VmAddress,
+        bytes: Vec<u8>,
+        out: &mut Vec<OutgoingDatagram>,
+    ) {
         let size = bytes.len() + PACKET_OVERHEAD;
-        if !self.budget.take_due(size) {
+        if !self.budget.try_spend(size) {
             self.counters.withheld += 1;
             return;
         }
@@ -124,18 +136,18 @@
         out.push(OutgoingDatagram { to, bytes });
     }
 
-    /// Bytes that may be sent now.
+    /// Returns the number of bytes that the budget allows to send now.
     pub(super) fn budget_room(&self) -> usize {
         self.budget.available()
     }
 
-    /// Draws a number that no earlier message of this process is likely to have used.
+    /// Returns a random sequence number; a repetition within one process is unlikely.
     pub(super) fn draw_sequence(&mut self) -> u32 {
         self.rng.random()
     }
 }
 
-/// What this process says about its own life.
+/// Returns the membership update of the process that sends `own` as its header.
 pub(super) fn own_update(own: &SenderHeader) -> MemberUpdate {
     MemberUpdate {
         vm: own.vm,
@@ -147,6 +159,7 @@
     }
 }
 
+/// Returns the digest update of the process that sends `own` as its header.
 fn own_digest(own: &SenderHeader) -> DigestUpdate {
     DigestUpdate {
         session: own.session(),
--- a/crates/ebonyfork/src/membership/timing.rs
+++ b/crates/ebonyfork/src/membership/timing.rs
@@ -1,81 +1,87 @@
-//! Times, counts and rates of membership, with what they follow from.
+//! Timeouts, periods and limits of the membership protocol.
 
 use std::time::Duration;
 
 /// Time between two ticks of the protocol.
 pub const TICK_PERIOD: Duration = Duration::from_millis(100);
-/// Time between two probes: a member is probed about once in this time by somebody, whatever their number.
+/// Time between two probes by one process. Each member is probed about once per period, by some other member.
 pub const PROBE_PERIOD: Duration = Duration::from_millis(500);
-/// Wait for a direct answer before others are asked to probe; several times the way between regions and back.
+/// Wait for the answer to a direct probe before indirect probes are requested; several round trips between regions.
 pub const DIRECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Members asked to probe on our behalf.
+/// Number of members that are asked for an indirect probe of a member that has not answered.
 pub const HELPER_COUNT: usize = 3;
-/// How long an answer to somebody else's probe is passed on.
-pub const RELAY_TIME: Duration = Duration::from_secs(1);
-/// Most probes that are passed on at a time.
-pub const RELAY_LIMIT: usize = 64;
-/// A tick this late may come before answers that wait in the socket: they are read first.
-pub const LATE_GAP: Duration = Duration::from_millis(250);
-/// A gap this long between two calls means that the process was paused: its timers prove nothing.
+/// How long a probe made for another member is kept in order to forward its answer.
+pub const RELAY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of concurrent probes made for other members.
+pub const MAX_RELAYS: usize = 64;
+/// A gap between ticks above this extends the open probe and suspicions: answers may still be unread in the socket.
+pub const LATE_TICK_GAP: Duration = Duration::from_millis(250);
+/// A gap between two calls from which the process counts as paused, so that expired timers show no failure.
 pub const PAUSE_GAP: Duration = Duration::from_millis(900);
-/// Without any word from a peer for this long, missing answers are laid to ourselves.
-pub const DEAF_TIME: Duration = Duration::from_secs(1);
-/// Without any answer to our own probes for this long, they are taken not to leave this VM.
-pub const MUTE_TIME: Duration = Duration::from_secs(3);
-/// Without any word from a peer for this long, all of them are out of reach.
+/// After this long without any datagram from a peer, missing answers are attributed to this process's own network.
+pub const RECEIVE_SILENCE_TIME: Duration = Duration::from_secs(1);
+/// After this long without any answer to its own probes, this process assumes that its probes do not leave the VM.
+pub const ACK_SILENCE_TIME: Duration = Duration::from_secs(3);
+/// After this long without any datagram from a peer, this process reports all other members as failed.
 pub const ISOLATION_TIME: Duration = Duration::from_secs(5);
-/// Time between two probes of failed members and of listed VMs that never answered.
-pub const SLOW_PERIOD: Duration = Duration::from_secs(2);
-/// Listed VMs probed at a time until enough members are known.
+/// Time between two attempts to reach a failed member or a listed VM that has never answered.
+pub const RECONNECT_PERIOD: Duration = Duration::from_secs(2);
+/// Number of listed VMs probed at a time while fewer than [`MIN_KNOWN_MEMBERS`] members are known.
 pub const SEED_FANOUT: usize = 3;
-/// Half the wait between the first two such probes; it doubles up to [`SLOW_PERIOD`].
-pub const SEED_WAIT: Duration = Duration::from_millis(100);
-/// Members that are enough to learn the others from.
-pub const ENOUGH_MEMBERS: usize = 3;
-/// How long a page of members is waited for.
+/// Half the wait between the first two probes of listed VMs; the wait doubles up to [`RECONNECT_PERIOD`].
+pub const INITIAL_SEED_BACKOFF: Duration = Duration::from_millis(100);
+/// Number of known members from which listed VMs are probed only once per [`RECONNECT_PERIOD`].
+pub const MIN_KNOWN_MEMBERS: usize = 3;
+/// Timeout of a request for a page of the member table.
 pub const PAGE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time between two pages that repair what gossip missed.
+/// Minimum time between two page requests that fetch changes missed by gossip.
 pub const REPAIR_PERIOD: Duration = Duration::from_secs(10);
-/// Ticks between two looks at what can be forgotten.
-pub const FORGET_TICKS: u32 = 600;
-/// How long a failed member is remembered.
-pub const FORGET_TIME: Duration = Duration::from_mins(10);
-/// Ticks between two datagrams that carry only digests.
+/// Ticks between two removals of expired notices and failed members.
+pub const CLEANUP_TICKS: u32 = 600;
+/// How long a failed member stays in the table.
+pub const FAILED_RETENTION_TIME: Duration = Duration::from_mins(10);
+/// Ticks between two gossip datagrams that are sent for load digests alone.
 pub const DIGEST_TICKS: u32 = 5;
-/// How often one process tells a digest: a lost one is replaced by the next.
-pub const DIGEST_TELLINGS: usize = 4;
-/// How often one process tells a digest with a new revision. Who misses it all the same learns it with the next load.
-pub const REVISION_TELLINGS: usize = 8;
-/// Members told at once that this one leaves.
+/// How many times one process sends a digest whose load has changed. Loss is harmless: the next digest replaces it.
+pub const DIGEST_TRANSMISSIONS: usize = 4;
+/// How many times one process sends a digest with a new revision. A member that misses all of them learns the
+/// revision with the next load digest.
+pub const REVISION_TRANSMISSIONS: usize = 8;
+/// Number of gossip datagrams sent at once to announce a planned stop.
 pub const LEAVE_FANOUT: usize = 8;
-/// Bytes a second that one process sends at most, IP and UDP headers included: a third of the control budget.
+/// Maximum bytes per second that one process sends, IP and UDP headers included: a third of the budget for control
+/// traffic.
 pub const SEND_RATE: u32 = 10_000;
-/// Bytes that may be saved up.
+/// Burst size of the send budget, in bytes.
 pub const SEND_BURST: u32 = 6_000;
-/// Most members that are held; more than twice the fleet we design for.
+/// Maximum number of members in the table; more than twice the largest supported fleet.
 pub const MEMBER_LIMIT: usize = 12_000;
 
-const DIGEST_PERIOD_EACH: Duration = Duration::from_millis(30);
+/// Time that each member adds to the period between two digests of one member.
+const DIGEST_PERIOD_PER_MEMBER: Duration = Duration::from_millis(30);
+/// Shortest period between two digests of one member.
 const DIGEST_PERIOD_MIN: Duration = Duration::from_secs(1);
+/// Longest period between two digests of one member.
 const DIGEST_PERIOD_MAX: Duration = Duration::from_mins(1);
 
-/// How long a suspect has to refute. The suspicion must reach it and the refutation come back, each in a number of
-/// gossip rounds that grows with the logarithm of the members.
+/// Returns how long a suspected member has to refute the suspicion. The suspicion has to reach it and the refutation
+/// has to spread, each in a number of gossip rounds that grows with the logarithm of the member count.
 pub fn suspicion_time(members: usize) -> Duration {
     let rounds = ((members + 1) as f64).log2();
     Duration::from_millis((1_000.0 + 500.0 * rounds) as u64)
 }
 
-/// Whoever hears late of a suspicion waits at least this long: the refutation may come right behind it.
-pub const REFUTE_TIME: Duration = Duration::from_millis(1_500);
+/// Minimum time from learning of a suspicion to declaring the member failed: a refutation may already be on its way.
+pub const MIN_REFUTE_TIME: Duration = Duration::from_millis(1_500);
 
-/// How often one process tells a fact about a member's life.
-pub fn telling_limit(members: usize) -> usize {
+/// Returns how many times one process sends the same membership update or notice.
+pub fn max_transmissions(members: usize) -> usize {
     4 + 2 * (members + 1).next_power_of_two().trailing_zeros() as usize
 }
 
-/// Time between two digests of one member, so that the digests of all keep to a fixed share of the bytes.
+/// Returns the time between two digests of one member. It grows with the member count, so that the digests of all
+/// members use a fixed share of the byte budget.
 pub fn digest_period(members: usize) -> Duration {
-    let period = DIGEST_PERIOD_EACH * members as u32;
+    let period = DIGEST_PERIOD_PER_MEMBER * members as u32;
     period.clamp(DIGEST_PERIOD_MIN, DIGEST_PERIOD_MAX)
 }
