--- a/crates/ebonyfork/benches/fleet.rs
+++ b/crates/ebonyfork/benches/fleet.rs
@@ -10,8 +10,8 @@
 use ebonyfork::locate::{LocateSettings, locate_addresses};
 use ebonyfork::membership::{
     DATAGRAM_LIMIT, DatagramWriter, DigestUpdate, GossipFact, MemberDigest, MemberEntry,
-    MemberHealth, MemberLife, MemberMessage, MemberProtocol, MemberSnapshot, MemberState,
-    MemberUpdate, SenderHeader,
+    MemberHealth, MemberMessage, MemberProtocol, MemberSnapshot, MemberState, MemberUpdate,
+    MemberVersion, SenderHeader,
 };
 use ebonyfork::topology::TopologyJoin;
 use ebonyfork::topology::{OWN_GROUP, VmRecord, VmState};
@@ -100,14 +100,14 @@
 fn header(number: u32) -> SenderHeader {
     SenderHeader {
         vm: vm(number),
-        life: MemberLife {
+        version: MemberVersion {
             incarnation: session(number).incarnation,
             refutation: 0,
         },
         zone: zone(number),
         leaving: false,
         digest: MemberDigest::default(),
-        stamp: 1,
+        digest_sequence: 1,
     }
 }
 
@@ -122,7 +122,7 @@
         while number < size {
             let update = MemberUpdate {
                 vm: vm(number),
-                life: header(number).life,
+                version: header(number).version,
                 health: MemberHealth::Alive,
                 leaving: false,
                 age_ds: 0,
@@ -133,7 +133,7 @@
             }
             number += 1;
         }
-        protocol.take_datagram(Duration::ZERO, vm(1), &writer.finish(), &mut out);
+        protocol.receive_datagram(Duration::ZERO, vm(1), &writer.finish(), &mut out);
     }
     protocol
 }
@@ -155,18 +155,18 @@
                 protocol.tick(now, &mut out);
             });
         });
-        let mut stamp = 1;
+        let mut digest_sequence = 1;
         let mut datagrams = Vec::new();
         for _datagram in 0..64 {
             let mut writer =
                 DatagramWriter::new(0, DATAGRAM_LIMIT, &header(1), MemberMessage::Gossip);
             let mut number = 1;
             loop {
-                stamp += 1;
+                digest_sequence += 1;
                 number = number % size.max(3) + 1;
                 let update = DigestUpdate {
                     session: session(number),
-                    stamp,
+                    digest_sequence,
                     digest: MemberDigest::default(),
                 };
                 if !writer.push(&GossipFact::Digest(update)) {
@@ -180,7 +180,7 @@
             bencher.iter(|| {
                 next = (next + 1) % datagrams.len();
                 out.clear();
-                protocol.take_datagram(now, vm(1), &datagrams[next], &mut out);
+                protocol.receive_datagram(now, vm(1), &datagrams[next], &mut out);
             });
         });
     }
--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -396,7 +396,7 @@
         for (source, bytes) in message.0 {
             let now = self.now();
             self.protocol
-                .take_datagram(now, source, &bytes, &mut self.out);
+                .receive_datagram(now, source, &bytes, &mut self.out);
         }
         self.flush();
     }
--- a/crates/ebonyfork/src/membership/belief.rs
+++ b/crates/ebonyfork/src/membership/belief.rs
@@ -4,7 +4,7 @@
 
 use crate::ident::{SessionId, VmAddress};
 use crate::membership::event::{MemberEvent, SnapshotChange};
-use crate::membership::message::{DigestUpdate, MemberHealth, MemberLife, MemberUpdate};
+use crate::membership::message::{DigestUpdate, MemberHealth, MemberUpdate, MemberVersion};
 use crate::membership::protocol::MemberProtocol;
 use crate::membership::snapshot::GossipNotice;
 use crate::membership::table::{DigestEffect, MemberRecord, MergeEffect};
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspectTimer {
     vm: VmAddress,
-    life: MemberLife,
+    version: MemberVersion,
     pub(super) deadline: Duration,
 }
 
@@ -39,7 +39,7 @@
         let table = &self.table;
         self.suspects.retain(|suspect| {
             let is_pending = table.get(suspect.vm).is_some_and(|record| {
-                record.life == suspect.life && record.health == MemberHealth::Suspect
+                record.version == suspect.version && record.health == MemberHealth::Suspect
             });
             if is_pending && suspect.deadline <= now {
                 expired.push(*suspect);
@@ -48,7 +48,7 @@
         });
         for suspect in expired {
             self.counters.failures += 1;
-            let failed = self.health_update(suspect.vm, suspect.life, MemberHealth::Failed);
+            let failed = self.health_update(suspect.vm, suspect.version, MemberHealth::Failed);
             self.apply_update(now, &failed, true);
         }
     }
@@ -57,13 +57,13 @@
     pub(super) fn health_update(
         &self,
         vm: VmAddress,
-        life: MemberLife,
+        version: MemberVersion,
         health: MemberHealth,
     ) -> MemberUpdate {
         let leaving = self.table.get(vm).is_some_and(|record| record.leaving);
         MemberUpdate {
             vm,
-            life,
+            version,
             health,
             leaving,
             age_ds: 0,
@@ -84,7 +84,7 @@
         let Some(record) = self.table.get(update.vm) else {
             return;
         };
-        let (life, health, state) = (record.life, record.health, record.state());
+        let (version, health, state) = (record.version, record.health, record.state());
         let zone = record.zone.clone();
         if health == MemberHealth::Suspect {
             // The deadline counts from the start of the suspicion, so that members that learn of it late do not restart
@@ -92,7 +92,11 @@
             let suspicion_end = record.health_since + suspicion_time(self.table.present_count());
             let deadline = suspicion_end.max(now + MIN_REFUTE_TIME);
             let vm = update.vm;
-            self.suspects.push(SuspectTimer { vm, life, deadline });
+            self.suspects.push(SuspectTimer {
+                vm,
+                version,
+                deadline,
+            });
         }
         if effect == MergeEffect::Joined {
             self.probe.insert(update.vm, &mut self.rng);
@@ -102,7 +106,7 @@
         }
         if before != Some(state) || effect == MergeEffect::Joined {
             self.change = SnapshotChange::Members;
-            let session = SessionId::new(update.vm, life.incarnation);
+            let session = SessionId::new(update.vm, version.incarnation);
             let event = MemberEvent::State {
                 session,
                 zone,
@@ -133,19 +137,19 @@
 
     /// Handles an update about this process itself: refutes a suspicion, reports a newer incarnation on this VM.
     pub(super) fn handle_own_update(&mut self, update: &MemberUpdate) {
-        if update.life.incarnation > self.own.life.incarnation {
+        if update.version.incarnation > self.own.version.incarnation {
             self.counters.superseded += 1;
-            let session = SessionId::new(update.vm, update.life.incarnation);
+            let session = SessionId::new(update.vm, update.version.incarnation);
             self.events.push(MemberEvent::Superseded(session));
         }
         if update.health == MemberHealth::Alive
-            || update.life.incarnation != self.own.life.incarnation
-            || update.life.refutation < self.own.life.refutation
+            || update.version.incarnation != self.own.version.incarnation
+            || update.version.refutation < self.own.version.refutation
         {
             return;
         }
         self.counters.refutations += 1;
-        self.own.life.refutation = update.life.refutation.saturating_add(1);
+        self.own.version.refutation = update.version.refutation.saturating_add(1);
         self.gossip_queues.members.push(self.own.vm);
     }
 }
--- a/crates/ebonyfork/src/membership/fleet_fixture.rs
+++ b/crates/ebonyfork/src/membership/fleet_fixture.rs
@@ -187,7 +187,7 @@
             return;
         }
         let mut out = Vec::new();
-        self.nodes[to].take_datagram(self.now, vm(from), &datagram.bytes, &mut out);
+        self.nodes[to].receive_datagram(self.now, vm(from), &datagram.bytes, &mut out);
         self.enqueue(to, &mut out);
     }
 
--- a/crates/ebonyfork/src/membership/message.rs
+++ b/crates/ebonyfork/src/membership/message.rs
@@ -43,7 +43,7 @@
     Stale,
 }
 
-/// Health of a member. For equal [`MemberLife`]s, the greater variant takes precedence.
+/// Health of a member. For equal [`MemberVersion`]s, the greater variant takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum MemberHealth {
     /// The member answers.
@@ -56,7 +56,7 @@
 
 /// Orders the updates about one member: process incarnation first, then its refutation counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct MemberLife {
+pub struct MemberVersion {
     /// The process incarnation.
     pub incarnation: IncarnationNumber,
     /// Counter that only the member itself increments, each time it learns that it is suspected.
@@ -69,7 +69,7 @@
     /// VM of the sender.
     pub vm: VmAddress,
     /// Incarnation and refutation counter of the sender.
-    pub life: MemberLife,
+    pub version: MemberVersion,
     /// Availability zone of the sender.
     pub zone: ZoneName,
     /// Whether the sender has announced a planned stop.
@@ -77,13 +77,13 @@
     /// The sender's newest digest.
     pub digest: MemberDigest,
     /// Sequence number of `digest` within this incarnation.
-    pub stamp: u32,
+    pub digest_sequence: u32,
 }
 
 impl SenderHeader {
     /// Returns the process incarnation of the sender.
     pub fn session(&self) -> SessionId {
-        SessionId::new(self.vm, self.life.incarnation)
+        SessionId::new(self.vm, self.version.incarnation)
     }
 }
 
@@ -127,7 +127,7 @@
     /// VM of the member.
     pub vm: VmAddress,
     /// Incarnation and refutation counter to which the other fields apply.
-    pub life: MemberLife,
+    pub version: MemberVersion,
     /// Health of the member.
     pub health: MemberHealth,
     /// Whether the member has announced a planned stop.
@@ -144,7 +144,7 @@
     /// Process incarnation of the member.
     pub session: SessionId,
     /// Sequence number of `digest` within that incarnation; a higher one is newer.
-    pub stamp: u32,
+    pub digest_sequence: u32,
     /// Revision and load that the member reported.
     pub digest: MemberDigest,
 }
--- a/crates/ebonyfork/src/membership/message_tests.rs
+++ b/crates/ebonyfork/src/membership/message_tests.rs
@@ -9,7 +9,7 @@
 fn sender() -> SenderHeader {
     SenderHeader {
         vm: VmAddress([10, 0, 0, 2].into()),
-        life: MemberLife {
+        version: MemberVersion {
             incarnation: IncarnationNumber(1_800_000_000_000),
             refutation: 1,
         },
@@ -19,7 +19,7 @@
             revision: RevisionNumber(300),
             load: 900,
         },
-        stamp: 70,
+        digest_sequence: 70,
     }
 }
 
@@ -27,7 +27,7 @@
     let sender = sender();
     let update = MemberUpdate {
         vm: sender.vm,
-        life: sender.life,
+        version: sender.version,
         health: MemberHealth::Suspect,
         leaving: true,
         age_ds: 12,
@@ -36,7 +36,7 @@
     let notice = GossipNotice::new(b"news");
     let digest = DigestUpdate {
         session: sender.session(),
-        stamp: 4,
+        digest_sequence: 4,
         digest: sender.digest,
     };
     vec![
@@ -127,7 +127,7 @@
         let now = std::time::Duration::ZERO;
         let mut protocol = MemberProtocol::new(now, own, "a".parse().unwrap(), 0, 1);
         let mut out = Vec::new();
-        protocol.take_datagram(now, sender().vm, &bytes, &mut out);
+        protocol.receive_datagram(now, sender().vm, &bytes, &mut out);
         protocol.tick(now + std::time::Duration::from_millis(100), &mut out);
         prop_assert!(out.iter().all(|datagram| datagram.bytes.len() <= DATAGRAM_LIMIT));
         prop_assert!(out.len() < 16);
--- a/crates/ebonyfork/src/membership/mod.rs
+++ b/crates/ebonyfork/src/membership/mod.rs
@@ -29,7 +29,7 @@
 pub use event::{MemberCounters, MemberEvent, OutgoingDatagram, SnapshotChange};
 pub use message::{
     DATAGRAM_LIMIT, DATAGRAM_VERSION, DatagramError, DatagramWriter, DigestUpdate, GossipFact,
-    MemberDatagram, MemberHealth, MemberLife, MemberMessage, MemberUpdate, PACKET_OVERHEAD,
+    MemberDatagram, MemberHealth, MemberMessage, MemberUpdate, MemberVersion, PACKET_OVERHEAD,
     SenderHeader,
 };
 pub use metrics::MemberFigures;
--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -8,7 +8,7 @@
 
 use crate::ident::VmAddress;
 use crate::membership::event::OutgoingDatagram;
-use crate::membership::message::{MemberHealth, MemberLife, MemberMessage};
+use crate::membership::message::{MemberHealth, MemberMessage, MemberVersion};
 use crate::membership::protocol::MemberProtocol;
 use crate::membership::table::MemberTable;
 use crate::membership::timing::{
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct OpenProbe {
     target: VmAddress,
-    life: MemberLife,
+    version: MemberVersion,
     sequence: u32,
     sent_at: Duration,
     /// Members that were asked for an indirect probe.
@@ -170,11 +170,11 @@
         let Some(record) = self.table.get(probe.target) else {
             return;
         };
-        if record.life != probe.life || record.health != MemberHealth::Alive {
+        if record.version != probe.version || record.health != MemberHealth::Alive {
             return;
         }
         self.counters.suspicions += 1;
-        let suspicion = self.health_update(probe.target, probe.life, MemberHealth::Suspect);
+        let suspicion = self.health_update(probe.target, probe.version, MemberHealth::Suspect);
         self.apply_update(now, &suspicion, true);
     }
 
@@ -185,13 +185,13 @@
         let Some(target) = target else {
             return;
         };
-        let Some(life) = self.table.get(target).map(|record| record.life) else {
+        let Some(version) = self.table.get(target).map(|record| record.version) else {
             return;
         };
         let sequence = self.draw_sequence();
         self.probe.current = Some(OpenProbe {
             target,
-            life,
+            version,
             sequence,
             sent_at: now,
             helpers: SmallVec::new(),
--- a/crates/ebonyfork/src/membership/protocol.rs
+++ b/crates/ebonyfork/src/membership/protocol.rs
@@ -13,7 +13,7 @@
 use crate::ident::{SessionId, VmAddress, ZoneName};
 use crate::membership::belief::SuspectTimer;
 use crate::membership::event::{MemberCounters, MemberEvent, OutgoingDatagram, SnapshotChange};
-use crate::membership::message::{MemberLife, SenderHeader};
+use crate::membership::message::{MemberVersion, SenderHeader};
 use crate::membership::notice::NoticeTable;
 use crate::membership::paging::PageState;
 use crate::membership::probing::ProbeState;
@@ -71,17 +71,17 @@
     pub fn new(now: Duration, own: SessionId, zone: ZoneName, deployment: u32, seed: u64) -> Self {
         // Processes started with the same seed must not probe the same members in the same order.
         let mut rng = ChaCha8Rng::seed_from_u64(seed ^ vm_hash(own.vm));
-        let life = MemberLife {
+        let version = MemberVersion {
             incarnation: own.incarnation,
             refutation: 0,
         };
         let own = SenderHeader {
             vm: own.vm,
-            life,
+            version,
             zone,
             leaving: false,
             digest: MemberDigest::default(),
-            stamp: 1,
+            digest_sequence: 1,
         };
         let probe = ProbeState::new(now, &mut rng);
         let page = PageState::new(now, &mut rng);
@@ -184,7 +184,7 @@
     }
 
     /// Advances the clock to `now`: refills the byte budget and detects a pause of the process. Called first by `tick`,
-    /// `take_datagram` and `announce_leaving`.
+    /// `receive_datagram` and `announce_leaving`.
     pub(super) fn advance_clock(&mut self, now: Duration) {
         self.budget.refill(now);
         let gap = now.saturating_sub(self.last_call_at);
@@ -252,7 +252,7 @@
         };
         queue.push(self.own.vm);
         self.own.digest = digest;
-        self.own.stamp = self.own.stamp.saturating_add(1);
+        self.own.digest_sequence = self.own.digest_sequence.saturating_add(1);
         // Without jitter, processes that start together would send their digests at the same times forever.
         let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
         self.next_digest = now + digest_period(self.table.present_count()).mul_f64(jitter);
@@ -264,7 +264,7 @@
         let own = MemberEntry {
             vm: self.own.vm,
             zone: self.own.zone.clone(),
-            incarnation: self.own.life.incarnation,
+            incarnation: self.own.version.incarnation,
             state: if self.own.leaving {
                 MemberState::Leaving
             } else {
--- a/crates/ebonyfork/src/membership/receive.rs
+++ b/crates/ebonyfork/src/membership/receive.rs
@@ -13,7 +13,7 @@
 
 impl MemberProtocol {
     /// Handles a datagram received from `source`. Invalid datagrams are dropped and counted.
-    pub fn take_datagram(
+    pub fn receive_datagram(
         &mut self,
         now: Duration,
         source: VmAddress,
@@ -39,7 +39,7 @@
             return Err(DatagramError::Source);
         }
         let known = self.table.get(sender.vm);
-        if known.is_some_and(|record| record.life.incarnation > sender.life.incarnation) {
+        if known.is_some_and(|record| record.version.incarnation > sender.version.incarnation) {
             return Err(DatagramError::Stale);
         }
         Ok(datagram)
@@ -83,7 +83,7 @@
         self.apply_update(now, &own_update(sender), true);
         let digest = DigestUpdate {
             session: sender.session(),
-            stamp: sender.stamp,
+            digest_sequence: sender.digest_sequence,
             digest: sender.digest,
         };
         self.apply_digest(&digest);
@@ -101,7 +101,7 @@
         let skips_suspicion = update.health == MemberHealth::Failed
             && known.is_some_and(|record| {
                 record.health == MemberHealth::Alive
-                    && record.life.incarnation == update.life.incarnation
+                    && record.version.incarnation == update.version.incarnation
             });
         if skips_suspicion {
             let suspicion = MemberUpdate {
--- a/crates/ebonyfork/src/membership/table.rs
+++ b/crates/ebonyfork/src/membership/table.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::ident::{VmAddress, ZoneName};
-use crate::membership::message::{DigestUpdate, MemberHealth, MemberLife, MemberUpdate};
+use crate::membership::message::{DigestUpdate, MemberHealth, MemberUpdate, MemberVersion};
 use crate::membership::snapshot::{MemberDigest, MemberEntry, MemberState};
 
 /// Table entry of one member.
@@ -18,7 +18,7 @@
     /// Availability zone of the member.
     pub zone: ZoneName,
     /// Newest known incarnation and refutation counter.
-    pub life: MemberLife,
+    pub version: MemberVersion,
     /// Health of the member.
     pub health: MemberHealth,
     /// Whether the member has announced a planned stop.
@@ -28,7 +28,7 @@
     /// Newest digest received from the member.
     pub digest: MemberDigest,
     /// Sequence number of `digest` within the incarnation; 0 if none has been received.
-    pub stamp: u32,
+    pub digest_sequence: u32,
 }
 
 impl MemberRecord {
@@ -111,10 +111,11 @@
             return self.insert(now, update);
         };
         let before = record.health;
-        let is_new_incarnation = update.life.incarnation > record.life.incarnation;
-        let newer = (update.life, update.health) > (record.life, record.health);
-        let starts_leaving =
-            update.leaving && !record.leaving && update.life.incarnation == record.life.incarnation;
+        let is_new_incarnation = update.version.incarnation > record.version.incarnation;
+        let newer = (update.version, update.health) > (record.version, record.health);
+        let starts_leaving = update.leaving
+            && !record.leaving
+            && update.version.incarnation == record.version.incarnation;
         if !newer {
             record.leaving |= starts_leaving;
             return if starts_leaving {
@@ -125,11 +126,11 @@
         }
         if is_new_incarnation {
             record.digest = MemberDigest::default();
-            record.stamp = 0;
+            record.digest_sequence = 0;
             record.leaving = false;
         }
         record.leaving |= update.leaving;
-        record.life = update.life;
+        record.version = update.version;
         if record.health != update.health {
             record.health = update.health;
             record.health_since = health_changed_at(now, update);
@@ -154,12 +155,12 @@
         }
         let record = MemberRecord {
             zone: zone.clone(),
-            life: update.life,
+            version: update.version,
             health: update.health,
             leaving: update.leaving,
             health_since: health_changed_at(now, update),
             digest: MemberDigest::default(),
-            stamp: 0,
+            digest_sequence: 0,
         };
         self.records.insert(update.vm, record);
         self.present_count += 1;
@@ -180,11 +181,13 @@
         let Some(record) = self.records.get_mut(&update.session.vm) else {
             return DigestEffect::Unchanged;
         };
-        if record.life.incarnation != update.session.incarnation || record.stamp >= update.stamp {
+        if record.version.incarnation != update.session.incarnation
+            || record.digest_sequence >= update.digest_sequence
+        {
             return DigestEffect::Unchanged;
         }
         let before = record.digest;
-        record.stamp = update.stamp;
+        record.digest_sequence = update.digest_sequence;
         record.digest = update.digest;
         if before.revision == update.digest.revision {
             DigestEffect::Load
@@ -201,7 +204,7 @@
         let age = now.saturating_sub(record.health_since).as_millis() / 100;
         Some(MemberUpdate {
             vm,
-            life: record.life,
+            version: record.version,
             health: record.health,
             leaving: record.leaving,
             age_ds: u16::try_from(age).unwrap_or(u16::MAX),
@@ -228,7 +231,7 @@
     MemberEntry {
         vm,
         zone: record.zone.clone(),
-        incarnation: record.life.incarnation,
+        incarnation: record.version.incarnation,
         state: record.state(),
         digest: record.digest,
     }
--- a/crates/ebonyfork/src/membership/table_tests.rs
+++ b/crates/ebonyfork/src/membership/table_tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 use crate::ident::IncarnationNumber;
 
-fn update(life: (u64, u32), health: MemberHealth, leaving: bool, zone: bool) -> MemberUpdate {
+fn update(version: (u64, u32), health: MemberHealth, leaving: bool, zone: bool) -> MemberUpdate {
     MemberUpdate {
         vm: VmAddress([10, 0, 0, 2].into()),
-        life: MemberLife {
-            incarnation: IncarnationNumber(life.0),
-            refutation: life.1,
+        version: MemberVersion {
+            incarnation: IncarnationNumber(version.0),
+            refutation: version.1,
         },
         health,
         leaving,
@@ -126,14 +126,14 @@
         Duration::ZERO,
         &update((5, 0), MemberHealth::Alive, true, true),
     );
-    for (life, health, state) in [
+    for (version, health, state) in [
         ((5, 1), MemberHealth::Alive, MemberState::Leaving),
         ((5, 1), MemberHealth::Suspect, MemberState::Leaving),
         ((5, 1), MemberHealth::Failed, MemberState::Failed),
         ((5, 2), MemberHealth::Alive, MemberState::Leaving),
         ((6, 0), MemberHealth::Alive, MemberState::Alive),
     ] {
-        let received = update(life, health, false, false);
+        let received = update(version, health, false, false);
         table.merge(Duration::ZERO, &received);
         expect_that!(
             table.get(received.vm).map(MemberRecord::state),
--- a/crates/ebonyfork/src/membership/telling.rs
+++ b/crates/ebonyfork/src/membership/telling.rs
@@ -104,8 +104,8 @@
                 Some(own_digest(own))
             } else {
                 table.get(vm).map(|record| DigestUpdate {
-                    session: SessionId::new(vm, record.life.incarnation),
-                    stamp: record.stamp,
+                    session: SessionId::new(vm, record.version.incarnation),
+                    digest_sequence: record.digest_sequence,
                     digest: record.digest,
                 })
             };
@@ -151,7 +151,7 @@
 pub(super) fn own_update(own: &SenderHeader) -> MemberUpdate {
     MemberUpdate {
         vm: own.vm,
-        life: own.life,
+        version: own.version,
         health: MemberHealth::Alive,
         leaving: own.leaving,
         age_ds: 0,
@@ -163,7 +163,7 @@
 fn own_digest(own: &SenderHeader) -> DigestUpdate {
     DigestUpdate {
         session: own.session(),
-        stamp: own.stamp,
+        digest_sequence: own.digest_sequence,
         digest: own.digest,
     }
 }
