--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -10,7 +10,7 @@
 
 use ebonyfork::ident::{IncarnationNumber, RevisionNumber, SessionId, VmAddress};
 use ebonyfork::membership::{
-    MemberDigest, MemberFigures, MemberHandle, MemberSettings, MemberState,
+    MemberDigest, MemberHandle, MemberMetrics, MemberSettings, MemberState,
 };
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
@@ -150,7 +150,7 @@
     fn totals(&self) -> (u64, u64) {
         let mut totals = (0, 0);
         for (_, handle) in &self.members {
-            let MemberFigures { counters, .. } = handle.figures();
+            let MemberMetrics { counters, .. } = handle.metrics();
             totals.0 += counters.sent_bytes + counters.received_bytes;
             totals.1 += counters.sent_datagrams + counters.received_datagrams;
         }
--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -17,7 +17,7 @@
 use crate::ident::{SessionId, VmAddress, ZoneName};
 use crate::membership::event::{MemberEvent, OutgoingDatagram, SnapshotChange};
 use crate::membership::message::DATAGRAM_LIMIT;
-use crate::membership::metrics::{MemberCollector, MemberFigures};
+use crate::membership::metrics::{MemberCollector, MemberMetrics};
 use crate::membership::protocol::MemberProtocol;
 use crate::membership::snapshot::{GossipNotice, MemberDigest, MemberSnapshot};
 use crate::membership::timing::TICK_PERIOD;
@@ -90,7 +90,7 @@
     actor: Address<MemberActor>,
     snapshot: watch::Receiver<Arc<MemberSnapshot>>,
     notices: broadcast::WeakSender<GossipNotice>,
-    figures: Arc<Mutex<MemberFigures>>,
+    metrics: Arc<Mutex<MemberMetrics>>,
     _tasks: Arc<JoinSet<()>>,
 }
 
@@ -108,7 +108,7 @@
         let mut actor = MemberActor::new(settings, Arc::clone(&socket), notice_sender);
         actor.set_seeds(&seeds.borrow());
         let snapshot = actor.snapshot.subscribe();
-        let figures = Arc::clone(&actor.figures);
+        let metrics = Arc::clone(&actor.metrics);
         let (address, mailbox) = Mailbox::unbounded();
         let mut tasks = JoinSet::new();
         tasks.spawn(xtra::run(mailbox, actor));
@@ -119,7 +119,7 @@
             actor: address,
             snapshot,
             notices,
-            figures,
+            metrics,
             _tasks: Arc::new(tasks),
         }
     }
@@ -156,18 +156,18 @@
 
     /// Returns when the last datagram arrived from a peer; none if never.
     pub fn last_peer_contact(&self) -> Option<Instant> {
-        self.figures().last_received
+        self.metrics().last_received
     }
 
     /// Registers the metrics of membership.
     pub fn register(&self, registry: &mut Registry) {
-        let collector = MemberCollector::new(Arc::clone(&self.figures));
+        let collector = MemberCollector::new(Arc::clone(&self.metrics));
         registry.register_collector(Box::new(collector));
     }
 
     /// Returns the current counters and gauges.
-    pub fn figures(&self) -> MemberFigures {
-        *self.figures.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn metrics(&self) -> MemberMetrics {
+        *self.metrics.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn queue<M: Send + 'static>(&self, message: M)
@@ -248,7 +248,7 @@
     started: Instant,
     snapshot: watch::Sender<Arc<MemberSnapshot>>,
     notices: broadcast::Sender<GossipNotice>,
-    figures: Arc<Mutex<MemberFigures>>,
+    metrics: Arc<Mutex<MemberMetrics>>,
     out: Vec<OutgoingDatagram>,
     /// Change since the last published snapshot.
     pending_change: SnapshotChange,
@@ -276,7 +276,7 @@
             started: Instant::now(),
             snapshot,
             notices,
-            figures: Arc::default(),
+            metrics: Arc::default(),
             out: Vec::new(),
             pending_change: SnapshotChange::None,
             state_counts: [0; 4],
@@ -373,12 +373,12 @@
         }
     }
 
-    fn update_figures(&self) {
+    fn update_metrics(&self) {
         let last_received = self.protocol.last_received();
-        let mut figures = self.figures.lock().unwrap_or_else(PoisonError::into_inner);
-        figures.counters = *self.protocol.counters();
-        figures.state_counts = self.state_counts;
-        figures.last_received = last_received.map(|last_received| self.started + last_received);
+        let mut metrics = self.metrics.lock().unwrap_or_else(PoisonError::into_inner);
+        metrics.counters = *self.protocol.counters();
+        metrics.state_counts = self.state_counts;
+        metrics.last_received = last_received.map(|last_received| self.started + last_received);
     }
 }
 
@@ -446,7 +446,7 @@
         self.protocol.tick(now, &mut self.out);
         self.flush();
         self.publish_if_due();
-        self.update_figures();
+        self.update_metrics();
     }
 }
 
--- a/crates/ebonyfork/src/membership/metrics.rs
+++ b/crates/ebonyfork/src/membership/metrics.rs
@@ -19,12 +19,12 @@
     "source",
     "stale",
 ];
-/// Label values for [`MemberFigures::state_counts`], in the same order.
+/// Label values for [`MemberMetrics::state_counts`], in the same order.
 const STATE_NAMES: [&str; 4] = ["alive", "suspect", "leaving", "failed"];
 
 /// Counters and gauges of membership in one process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct MemberFigures {
+pub struct MemberMetrics {
     /// Counters since the process started.
     pub counters: MemberCounters,
     /// Number of other members in each state: alive, suspect, leaving, failed.
@@ -36,19 +36,19 @@
 /// Encodes the membership metrics when they are scraped.
 #[derive(Debug)]
 pub(super) struct MemberCollector {
-    figures: Arc<Mutex<MemberFigures>>,
+    metrics: Arc<Mutex<MemberMetrics>>,
 }
 
 impl MemberCollector {
-    pub(super) fn new(figures: Arc<Mutex<MemberFigures>>) -> Self {
-        Self { figures }
+    pub(super) fn new(metrics: Arc<Mutex<MemberMetrics>>) -> Self {
+        Self { metrics }
     }
 }
 
 impl Collector for MemberCollector {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        let figures = *self.figures.lock().unwrap_or_else(PoisonError::into_inner);
-        let counters = &figures.counters;
+        let metrics = *self.metrics.lock().unwrap_or_else(PoisonError::into_inner);
+        let counters = &metrics.counters;
         let counter_metrics = [
             (
                 "member_sent_datagrams",
@@ -113,7 +113,7 @@
         }
         let help = "Other members by what is believed about them";
         let mut family = encoder.encode_descriptor("members", help, None, MetricType::Gauge)?;
-        for (state, value) in STATE_NAMES.into_iter().zip(figures.state_counts) {
+        for (state, value) in STATE_NAMES.into_iter().zip(metrics.state_counts) {
             let labels = [("state", state)];
             let mut metric = family.encode_family(&labels)?;
             metric.encode_gauge(&value)?;
--- a/crates/ebonyfork/src/membership/mod.rs
+++ b/crates/ebonyfork/src/membership/mod.rs
@@ -32,7 +32,7 @@
     MemberDatagram, MemberHealth, MemberMessage, MemberUpdate, MemberVersion, PACKET_OVERHEAD,
     SenderHeader,
 };
-pub use metrics::MemberFigures;
+pub use metrics::MemberMetrics;
 pub use notice::{NOTICE_AGE, NOTICE_LIMIT};
 pub use protocol::MemberProtocol;
 pub use snapshot::{
