--- a/crates/ebonyfork/src/wire/link.rs
+++ b/crates/ebonyfork/src/wire/link.rs
@@ -1,4 +1,4 @@
-//! One established link: a sender handle, and the loops that write and read frames.
+//! A single link: its sender handle, the handshake, and reading and writing of frames.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,60 +17,60 @@
 use crate::traffic::{CountedReader, LinkTraffic};
 use crate::wire::message::{LinkHello, PROTOCOL_VERSION, PeerMessage};
 
-/// Largest frame, in bytes: a configuration part (1 MiB) with room for its envelope.
-const FRAME_LIMIT: usize = 2 << 20;
-/// Messages that may wait for a link's writer.
+/// Maximum frame size, in bytes: fits a configuration part (1 MiB) with its envelope.
+const MAX_FRAME_BYTES: usize = 2 << 20;
+/// Maximum number of messages queued for the writer of a link.
 pub(super) const QUEUE_LIMIT: usize = 8_192;
-/// A message that has left later than this after it was handed over shows in the log: at 14 Mbit/s it is 0.4 MB that
-/// waited before it, many times what queries and gossip put on a link.
-const SLOW_WAIT: Duration = Duration::from_millis(250);
-/// Shortest time between two log lines about one slow link.
-const SLOW_LOG_SPACING: Duration = Duration::from_secs(1);
+/// A link is logged as slow when a message took longer than this from queueing to writing. At 14 Mbit/s that
+/// corresponds to 0.4 MB queued before it, many times what queries and gossip put on a link.
+const SLOW_LINK_THRESHOLD: Duration = Duration::from_millis(250);
+/// Minimum time between two log lines about one slow link.
+const SLOW_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a message can't be sent, or a link can't be used.
+/// Why a message can't be sent or a link can't be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum LinkError {
     /// The link is closed.
     #[snafu(display("the link to {peer} is closed"))]
     Closed {
-        /// The peer, as far as known.
+        /// Process incarnation of the peer; empty if not known yet.
         peer: String,
     },
-    /// Too many messages wait for the link's writer.
+    /// The queue of the link's writer is full.
     #[snafu(display("{QUEUE_LIMIT} messages wait for the link to {peer}"))]
     Full {
-        /// The peer, as far as known.
+        /// Process incarnation of the peer; empty if not known yet.
         peer: String,
     },
-    /// The socket failed.
+    /// An operation on the socket failed.
     #[snafu(display("socket: {source}"))]
     Socket {
-        /// The cause.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
-    /// A frame did not hold a message.
+    /// A frame could not be decoded, or a message could not be encoded.
     #[snafu(display("malformed frame: {source}"))]
     Malformed {
-        /// The cause.
+        /// The underlying encoding error.
         source: postcard::Error,
     },
-    /// The peer did not start with a `Hello` of our protocol version.
+    /// The first message of the peer was not a `Hello` with the same [`PROTOCOL_VERSION`].
     #[snafu(display("expected a hello of protocol {PROTOCOL_VERSION}"))]
     Handshake,
     /// The peer did not answer in time.
     #[snafu(display("no answer within {within:?}"))]
     Timeout {
-        /// The time that was allowed.
+        /// The timeout that was exceeded.
         within: Duration,
     },
 }
 
-/// A message that waits for the writer, with the time it was handed over.
+/// A message that waits for the writer, with the time at which it was queued.
 #[derive(Debug)]
 pub(super) struct QueuedMessage {
     pub(super) message: PeerMessage,
-    pub(super) queued: Instant,
+    pub(super) queued_at: Instant,
 }
 
 /// Sends messages on one link. Cheap to clone.
@@ -81,16 +81,16 @@
 }
 
 impl LinkSender {
-    /// The peer's process incarnation; none on a link that is still being opened.
+    /// Returns the peer's process incarnation; none for the sender of a link that this process opened.
     pub fn peer(&self) -> Option<SessionId> {
         self.peer
     }
 
-    /// Hands a message to the writer without waiting. On an error it was not sent and never will be.
+    /// Queues a message for the writer without waiting. On an error it was not sent and never will be.
     pub fn send(&self, message: PeerMessage) -> Result<(), LinkError> {
         let queued = QueuedMessage {
             message,
-            queued: Instant::now(),
+            queued_at: Instant::now(),
         };
         self.queue.try_send(queued).map_err(|error| {
             let peer = self.peer.map(|peer| peer.to_string()).unwrap_or_default();
@@ -101,21 +101,23 @@
         })
     }
 
-    /// Tells whether both send on the same link: what is sent on it arrives in order or not at all.
+    /// Returns whether both handles send on the same link. Messages on one link arrive in order or not at all.
     pub fn is_same(&self, other: &Self) -> bool {
         self.queue.same_channel(&other.queue)
     }
 
-    /// Tells whether the link can no longer send.
+    /// Returns whether the link no longer accepts messages.
     pub fn is_closed(&self) -> bool {
         self.queue.is_closed()
     }
 }
 
+/// Receiving half of a link.
 pub(super) type FrameReader = FramedRead<CountedReader<OwnedReadHalf>, LengthDelimitedCodec>;
+/// Sending half of a link.
 pub(super) type FrameWriter = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
-/// Splits a connected socket into framed halves; what is read is counted.
+/// Splits a connected socket into framed halves; `traffic` counts the bytes read.
 pub(super) fn frame(
     stream: TcpStream,
     traffic: LinkTraffic,
@@ -124,14 +126,14 @@
         .set_nodelay(true)
         .map_err(|source| LinkError::Socket { source })?;
     let mut codec = LengthDelimitedCodec::builder();
-    codec.max_frame_length(FRAME_LIMIT);
+    codec.max_frame_length(MAX_FRAME_BYTES);
     let (read, write) = stream.into_split();
     let read = CountedReader::new(read, traffic);
     Ok((codec.new_read(read), codec.new_write(write)))
 }
 
-/// Exchanges hellos and returns the peer's session.
-pub(super) async fn shake_hands(
+/// Exchanges `Hello` messages and returns the peer's process incarnation.
+pub(super) async fn exchange_hellos(
     reader: &mut FrameReader,
     writer: &mut FrameWriter,
     own: SessionId,
@@ -140,15 +142,17 @@
         protocol: PROTOCOL_VERSION,
         session: own,
     };
-    write_one(writer, &PeerMessage::Hello(hello)).await?;
-    match read_one(reader).await? {
+    write_message(writer, &PeerMessage::Hello(hello)).await?;
+    match read_message(reader).await? {
         Some(PeerMessage::Hello(hello)) if hello.protocol == PROTOCOL_VERSION => Ok(hello.session),
         _ => Err(LinkError::Handshake),
     }
 }
 
-/// Reads the next message; none when the peer has closed the link.
-pub(super) async fn read_one(reader: &mut FrameReader) -> Result<Option<PeerMessage>, LinkError> {
+/// Reads the next message; returns none when the peer has closed the link.
+pub(super) async fn read_message(
+    reader: &mut FrameReader,
+) -> Result<Option<PeerMessage>, LinkError> {
     let Some(frame) = reader.next().await else {
         return Ok(None);
     };
@@ -170,7 +174,7 @@
     SinkExt::<Bytes>::flush(writer).await
 }
 
-async fn write_one(writer: &mut FrameWriter, message: &PeerMessage) -> Result<(), LinkError> {
+async fn write_message(writer: &mut FrameWriter, message: &PeerMessage) -> Result<(), LinkError> {
     let frame = encode(message)?;
     writer
         .send(frame)
@@ -178,9 +182,9 @@
         .map_err(|source| LinkError::Socket { source })
 }
 
-/// Writes queued messages until the queue closes, the socket fails or `closing` is cancelled; returns those that were
-/// never handed to the socket, so that their sender can truthfully say so. With a `delay`, each message leaves that
-/// long after it was queued: the measuring tool's stand-in for distance.
+/// Writes queued messages until the queue closes, the socket fails or `closing` is cancelled. Returns the messages that
+/// were never passed to the socket, so that their sender can report them as unsent. With a `delay`, each message is
+/// written that long after it was queued, with which the lab simulates network distance.
 pub(super) async fn write_queued(
     peer: VmAddress,
     mut writer: FrameWriter,
@@ -188,45 +192,52 @@
     delay: Duration,
     closing: CancellationToken,
 ) -> VecDeque<PeerMessage> {
-    const BATCH: usize = 256;
-    let mut waiting = VecDeque::with_capacity(BATCH);
-    let mut batch = Vec::with_capacity(BATCH);
-    let mut slow_log = SlowLog { peer, last: None };
+    /// Maximum number of messages taken from the queue at a time.
+    const MAX_BATCH: usize = 256;
+    let mut pending = VecDeque::with_capacity(MAX_BATCH);
+    let mut batch = Vec::with_capacity(MAX_BATCH);
+    let mut slow_log = SlowLog {
+        peer,
+        last_logged: None,
+    };
     loop {
         let received = tokio::select! {
-            received = queue.recv_many(&mut batch, BATCH) => received,
+            received = queue.recv_many(&mut batch, MAX_BATCH) => received,
             () = closing.cancelled() => 0,
         };
         if received == 0 {
-            return give_back(waiting, queue);
+            return collect_unsent(pending, queue);
         }
-        waiting.extend(batch.drain(..));
-        let oldest = waiting.front().map(|next| next.queued);
+        pending.extend(batch.drain(..));
+        let oldest_queued_at = pending.front().map(|next| next.queued_at);
         let written = tokio::select! {
-            written = write_batch(&mut writer, &mut waiting, delay) => written,
+            written = write_batch(&mut writer, &mut pending, delay) => written,
             () = closing.cancelled() => false,
         };
         if !written {
-            return give_back(waiting, queue);
+            return collect_unsent(pending, queue);
         }
-        slow_log.note(oldest, received, delay);
+        slow_log.log_if_slow(oldest_queued_at, received, delay);
     }
 }
 
-/// Says in the log that messages wait long for a link, but not too often.
+/// Logs when a link is slow, at most once per [`SLOW_LOG_INTERVAL`].
 struct SlowLog {
     peer: VmAddress,
-    last: Option<Instant>,
+    last_logged: Option<Instant>,
 }
 
 impl SlowLog {
-    fn note(&mut self, oldest: Option<Instant>, messages: usize, delay: Duration) {
-        let waited = oldest.map(|queued| queued.elapsed()).unwrap_or_default();
-        let recent = |last: Instant| last.elapsed() < SLOW_LOG_SPACING;
-        if waited < SLOW_WAIT + delay || self.last.is_some_and(recent) {
+    /// Logs the link as slow if `oldest_queued_at`, when the oldest message of a batch was queued, is too long ago.
+    fn log_if_slow(&mut self, oldest_queued_at: Option<Instant>, messages: usize, delay: Duration) {
+        let waited = oldest_queued_at
+            .map(|queued| queued.elapsed())
+            .unwrap_or_default();
+        let recent = |last: Instant| last.elapsed() < SLOW_LOG_INTERVAL;
+        if waited < SLOW_LINK_THRESHOLD + delay || self.last_logged.is_some_and(recent) {
             return;
         }
-        self.last = Some(Instant::now());
+        self.last_logged = Some(Instant::now());
         log::info!(
             target: "ebonyfork::decision",
             "link slow vm={} waited_ms={} messages={messages}",
@@ -235,25 +246,25 @@
     }
 }
 
-/// Writes a batch and flushes once. A message leaves `waiting` before the socket sees any of it, so that what stays
-/// behind was provably never sent. Returns false when the socket has failed.
+/// Writes a batch and flushes once. A message is removed from `pending` before any of it reaches the socket, so that
+/// those that remain were certainly never sent. Returns false if the socket has failed.
 async fn write_batch(
     writer: &mut FrameWriter,
-    waiting: &mut VecDeque<QueuedMessage>,
+    pending: &mut VecDeque<QueuedMessage>,
     delay: Duration,
 ) -> bool {
-    while let Some(next) = waiting.front() {
-        let leaves = next.queued + delay;
-        if !delay.is_zero() && leaves > Instant::now() {
+    while let Some(next) = pending.front() {
+        let send_at = next.queued_at + delay;
+        if !delay.is_zero() && send_at > Instant::now() {
             if flush_frames(writer).await.is_err() {
                 return false;
             }
-            tokio::time::sleep_until(leaves).await;
+            tokio::time::sleep_until(send_at).await;
         }
-        let Some(next) = waiting.pop_front() else {
+        let Some(next) = pending.pop_front() else {
             break;
         };
-        // A message that can't be encoded was never sent; dropping it is the only choice left.
+        // Encoding fails again on every attempt, so the message is dropped.
         let Ok(frame) = encode(&next.message) else {
             continue;
         };
@@ -264,16 +275,17 @@
     flush_frames(writer).await.is_ok()
 }
 
-fn give_back(
-    waiting: VecDeque<QueuedMessage>,
+/// Returns the messages that were never passed to the socket: those in `pending`, then those in the queue.
+fn collect_unsent(
+    pending: VecDeque<QueuedMessage>,
     mut queue: mpsc::Receiver<QueuedMessage>,
 ) -> VecDeque<PeerMessage> {
-    let mut unsent: VecDeque<PeerMessage> = waiting.into_iter().map(|next| next.message).collect();
+    let mut unsent: VecDeque<PeerMessage> = pending.into_iter().map(|next| next.message).collect();
     unsent.extend(drain_queue(&mut queue));
     unsent
 }
 
-/// Closes a queue and returns what waits in it: a sender that comes later gets an error instead.
+/// Closes a queue and returns the messages in it. Later attempts to send return an error.
 pub(super) fn drain_queue(queue: &mut mpsc::Receiver<QueuedMessage>) -> VecDeque<PeerMessage> {
     queue.close();
     let mut unsent = VecDeque::new();
--- a/crates/ebonyfork/src/wire/message.rs
+++ b/crates/ebonyfork/src/wire/message.rs
@@ -1,4 +1,4 @@
-//! The messages of a link, by duty.
+//! Messages that are exchanged on links.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,41 +9,41 @@
 use crate::relay::{CancelBatch, OutcomeBatch, SubmitBatch};
 use crate::revision::RevisionMessage;
 
-/// Version of the protocol between our processes; a peer of another version is refused.
+/// Version of the link protocol; peers with any other version are refused.
 pub const PROTOCOL_VERSION: u16 = 4;
 
-/// The first message each way.
+/// First message in each direction of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkHello {
     /// The sender's [`PROTOCOL_VERSION`].
     pub protocol: u16,
-    /// The sender's process incarnation.
+    /// Process incarnation of the sender.
     pub session: SessionId,
 }
 
-/// One message between two of our processes. Variants are only ever appended: their order is their code on the wire.
+/// Message between two processes. New variants are only appended: the position of a variant is its code on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// First message each way.
+    /// First message in each direction.
     Hello(LinkHello),
     /// Entry to relay: attempts to run.
     Submit(SubmitBatch),
-    /// Entry to relay: attempts no longer wanted.
+    /// Entry to relay: attempts to cancel.
     Cancel(CancelBatch),
-    /// Relay to entry: what became of attempts.
+    /// Relay to entry: outcomes of attempts.
     Outcomes(OutcomeBatch),
-    /// Configuration: what is held, and the parts of revisions.
+    /// Configuration: which revisions a VM holds, and the parts of revisions.
     Revision(RevisionMessage),
-    /// Index catalogues: what is held, and the catalogues themselves.
+    /// Index catalogues: which catalogues a VM holds, and their content.
     Catalog(CatalogMessage),
-    /// Keys of non-idempotent queries.
+    /// Non-idempotent queries with an idempotency key.
     Once(OnceMessage),
-    /// Gateway to gateway: parts of queries over many shards.
+    /// Gateway to gateway: parts of queries that span many shards.
     Partial(PartialMessage),
-    /// Gateway to gateway: changes of the store.
+    /// Gateway to gateway: changes in the store.
     Mirror(MirrorMessage),
-    /// Gateway to gateway: whether a route is the same in both configurations.
+    /// Gateway to gateway: checks whether a route is the same in both configurations.
     RouteCheck(RouteCheckMessage),
-    /// Gateway to gateway: shares of the slack of repeats.
+    /// Gateway to gateway: shares of the retry budget.
     Share(ShareMessage),
 }
--- a/crates/ebonyfork/src/wire/mod.rs
+++ b/crates/ebonyfork/src/wire/mod.rs
@@ -1,9 +1,9 @@
-//! Links between our own processes: TCP, length-prefixed frames, one `postcard` message a frame.
+//! Links between the processes of the deployment: TCP with length-prefixed frames, one `postcard` message per frame.
 //!
-//! A process opens one link to each peer it needs and sends its requests there; the peer's replies come back on the
-//! same link. Both sides say `Hello` first, so that each knows which process incarnation it speaks to. Messages that
-//! wait for the writer are written together. When a link breaks, whatever was not yet written is handed back: it
-//! provably never left, which lets the sender say "not run".
+//! A process opens one link to each peer it needs and sends its requests on it; the peer replies on the same link. Both
+//! sides send `Hello` first, so that each knows the process incarnation of its peer. Queued messages are written in
+//! batches. When a link breaks, the messages that were not yet written are returned to their sender: they were
+//! certainly never sent, so that the sender can report "not run".
 
 mod link;
 mod message;
--- a/crates/ebonyfork/src/wire/pool.rs
+++ b/crates/ebonyfork/src/wire/pool.rs
@@ -1,4 +1,4 @@
-//! All links of one process: opens them when first needed, accepts those of peers, reports what happens on them.
+//! Pool of the links of one process: opens links on demand, accepts links of peers and reports link events.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -16,42 +16,44 @@
 use crate::traffic::LinkTraffic;
 use crate::wire::link::{
     FrameReader, FrameWriter, LinkError, LinkSender, QUEUE_LIMIT, QueuedMessage, drain_queue,
-    frame, read_one, shake_hands, write_queued,
+    exchange_hellos, frame, read_message, write_queued,
 };
 use crate::wire::message::PeerMessage;
 
-/// Longest time to open a link.
+/// Timeout for connecting and exchanging `Hello` messages.
 const OPEN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What happens on the links of a process.
+/// An event on a link.
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
     reason = "the large variant is nearly every event"
 )]
 pub enum LinkEvent {
-    /// A peer sent a message; replies go back by `from`.
+    /// A message arrived from a peer; replies are sent through `from`.
     Message {
-        /// The link it came by.
+        /// The link on which the message arrived.
         from: LinkSender,
-        /// The message.
+        /// The received message.
         message: PeerMessage,
     },
-    /// A link that this process opened is gone.
+    /// A link that this process opened has closed, or could not be opened.
     Down {
-        /// The peer's VM.
+        /// VM of the peer.
         vm: VmAddress,
-        /// Messages that were never handed to the socket.
+        /// Queued messages that were never passed to the socket.
         unsent: VecDeque<PeerMessage>,
     },
 }
 
-/// A future that finishes when an event has been taken in; a slow receiver slows the link it comes from.
+/// Future that completes when an event has been handled. The link is not read further until then.
 pub type EventFuture = Pin<Box<dyn Future<Output = ()> + Send>>;
+/// Callback for link events.
 type EventHandler = dyn Fn(LinkEvent) -> EventFuture + Send + Sync;
+/// Returns the simulated one-way delay to a VM.
 type DelayFunction = dyn Fn(VmAddress) -> Duration + Send + Sync;
 
-/// What a pool needs to know.
+/// Settings of a [`PeerPool`].
 #[derive(Clone)]
 pub struct PoolSettings {
     own: SessionId,
@@ -70,7 +72,7 @@
 }
 
 impl PoolSettings {
-    /// Settings of a process; `peer_port` is the same on every VM.
+    /// Creates the settings of process `own`; `peer_port` is the same on every VM.
     pub fn new(own: SessionId, peer_port: u16) -> Self {
         Self {
             own,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Delays what is sent to each VM, as distance would. Only the measuring tool does this.
+    /// Delays the messages to each VM, to simulate network distance. Only the lab uses this.
     #[must_use]
     pub fn with_delay(
         mut self,
@@ -90,15 +92,17 @@
     }
 }
 
-/// The links of one process. Cheap to clone.
+/// Pool of the links of one process. Cheap to clone.
 #[derive(Clone)]
 pub struct PeerPool {
     shared: Arc<PoolShared>,
 }
 
+/// State shared by all clones of a [`PeerPool`].
 struct PoolShared {
     settings: PoolSettings,
     handler: Box<EventHandler>,
+    /// Links that this process has opened, by peer.
     links: Mutex<FxHashMap<VmAddress, OpenedLink>>,
     stop: CancellationToken,
 }
@@ -119,7 +123,7 @@
 }
 
 impl PeerPool {
-    /// Makes a pool that reports events to `handler`. Links end when `stop` is cancelled.
+    /// Creates a pool that passes link events to `handler`. All links close when `stop` is cancelled.
     pub fn new(
         settings: PoolSettings,
         stop: CancellationToken,
@@ -137,14 +141,14 @@
         }
     }
 
-    /// Sends a message to a VM, opening a link if there is none. On an error it was not sent and never will be.
-    /// A message taken in here comes back with [`LinkEvent::Down`] if the link breaks before it is written.
+    /// Sends a message to a VM, opening a link if there is none. On an error the message was not sent and never will
+    /// be. A message accepted here is returned in [`LinkEvent::Down`] if the link breaks before it is written.
     pub fn send(&self, vm: VmAddress, message: PeerMessage) -> Result<(), LinkError> {
-        let link = self.link(vm);
+        let link = self.link_to(vm);
         link.send(message)
     }
 
-    /// Counts what comes in on the link that this process has opened to a VM; none if there is no such link.
+    /// Returns the traffic counter of the link that this process has opened to a VM; none if there is no such link.
     pub fn traffic(&self, vm: VmAddress) -> Option<LinkTraffic> {
         let links = self
             .shared
@@ -154,7 +158,7 @@
         links.get(&vm).map(|link| link.traffic.clone())
     }
 
-    /// Accepts links of peers until the pool stops.
+    /// Accepts links from peers until the pool stops.
     pub async fn accept(&self, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
@@ -166,31 +170,32 @@
                     tokio::spawn(self.clone().serve_accepted(stream, from));
                 }
                 Err(error) => {
-                    log::warn!("peer listener: {error}");
+                    log::warn!("failed to accept a peer link: {error}");
                     tokio::time::sleep(Duration::from_millis(100)).await;
                 }
             }
         }
     }
 
-    /// Closes the links to VMs that are not wanted any more, such as failed ones: TCP alone notices a peer that went
-    /// silent only after minutes. What waits on them comes back with [`LinkEvent::Down`].
-    pub fn retain(&self, keeps: impl Fn(VmAddress) -> bool) {
+    /// Closes the links to VMs for which `is_wanted` returns false, such as failed ones: TCP alone detects a silent
+    /// peer only after minutes. Their queued messages are returned in [`LinkEvent::Down`].
+    pub fn retain(&self, is_wanted: impl Fn(VmAddress) -> bool) {
         let mut links = self
             .shared
             .links
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         links.retain(|vm, link| {
-            let kept = *vm == self.shared.settings.own.vm || keeps(*vm);
-            if !kept {
+            let wanted = *vm == self.shared.settings.own.vm || is_wanted(*vm);
+            if !wanted {
                 link.closing.cancel();
             }
-            kept
+            wanted
         });
     }
 
-    fn link(&self, vm: VmAddress) -> LinkSender {
+    /// Returns the open link to a VM, or starts opening one.
+    fn link_to(&self, vm: VmAddress) -> LinkSender {
         let mut links = self
             .shared
             .links
@@ -222,37 +227,38 @@
         sender
     }
 
-    /// A link to this process itself: messages go straight to the handler, and so do the replies.
+    /// Serves the link of this process to itself: passes messages and replies directly to the handler.
     async fn serve_local(self, mut queue: mpsc::Receiver<QueuedMessage>) {
-        let (replies, mut replied) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
-        let back = LinkSender {
+        let (replies, mut reply_receiver) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
+        let reply_sender = LinkSender {
             peer: Some(self.shared.settings.own),
             queue: replies,
         };
-        let forward = async {
+        let handle_requests = async {
             while let Some(next) = queue.recv().await {
                 let event = LinkEvent::Message {
-                    from: back.clone(),
+                    from: reply_sender.clone(),
                     message: next.message,
                 };
                 (self.shared.handler)(event).await;
             }
         };
-        let backward = async {
-            while let Some(next) = replied.recv().await {
+        let handle_replies = async {
+            while let Some(next) = reply_receiver.recv().await {
                 let event = LinkEvent::Message {
-                    from: back.clone(),
+                    from: reply_sender.clone(),
                     message: next.message,
                 };
                 (self.shared.handler)(event).await;
             }
         };
         tokio::select! {
-            ((), ()) = async { tokio::join!(forward, backward) } => {}
+            ((), ()) = async { tokio::join!(handle_requests, handle_replies) } => {}
             () = self.shared.stop.cancelled() => {}
         }
     }
 
+    /// Opens a link to a VM, runs it until it closes, and reports [`LinkEvent::Down`].
     async fn serve_opened(
         self,
         vm: VmAddress,
@@ -274,17 +280,18 @@
                 self.run_link(reader, from, writing, closing).await
             }
             Ok(Err(error)) => {
-                log::debug!("link to {vm}: {error}");
+                log::debug!("failed to open a link to {vm}: {error}");
                 drain_queue(&mut queue)
             }
             Err(_elapsed) => {
-                log::debug!("link to {vm}: no answer within {OPEN_TIMEOUT:?}");
+                log::debug!("failed to open a link to {vm}: no answer within {OPEN_TIMEOUT:?}");
                 drain_queue(&mut queue)
             }
         };
         (self.shared.handler)(LinkEvent::Down { vm, unsent }).await;
     }
 
+    /// Connects to a peer and exchanges `Hello` messages.
     async fn open(
         &self,
         address: SocketAddr,
@@ -293,16 +300,17 @@
         let stream = TcpStream::connect(address).await;
         let stream = stream.map_err(|source| LinkError::Socket { source })?;
         let (mut reader, mut writer) = frame(stream, traffic)?;
-        let peer = shake_hands(&mut reader, &mut writer, self.shared.settings.own).await?;
+        let peer = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own).await?;
         Ok((reader, writer, peer))
     }
 
+    /// Runs a link that a peer has opened, until it closes.
     async fn serve_accepted(self, stream: TcpStream, from: SocketAddr) {
         let Ok((mut reader, mut writer)) = frame(stream, LinkTraffic::default()) else {
             return;
         };
-        let shaking = shake_hands(&mut reader, &mut writer, self.shared.settings.own);
-        let peer = match tokio::time::timeout(OPEN_TIMEOUT, shaking).await {
+        let handshake = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own);
+        let peer = match tokio::time::timeout(OPEN_TIMEOUT, handshake).await {
             Ok(Ok(peer)) => peer,
             Ok(Err(error)) => {
                 log::warn!("link from {from} refused: {error}");
@@ -321,7 +329,7 @@
         self.run_link(reader, link, writing, closing).await;
     }
 
-    /// Runs both directions until either ends; returns what was never handed to the socket.
+    /// Reads and writes until either ends; returns the messages that were never passed to the socket.
     async fn run_link(
         &self,
         mut reader: FrameReader,
@@ -345,9 +353,10 @@
         unsent
     }
 
+    /// Passes received messages to the handler until the link closes or fails.
     async fn read_messages(&self, reader: &mut FrameReader, from: &LinkSender) {
         loop {
-            match read_one(reader).await {
+            match read_message(reader).await {
                 Ok(Some(message)) => {
                     let event = LinkEvent::Message {
                         from: from.clone(),
@@ -357,7 +366,7 @@
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    log::debug!("link with {:?}: {error}", from.peer());
+                    log::debug!("failed to read from the link to {:?}: {error}", from.peer());
                     return;
                 }
             }
--- a/crates/ebonyfork/src/wire/pool_tests.rs
+++ b/crates/ebonyfork/src/wire/pool_tests.rs
@@ -96,19 +96,19 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_stranger_is_refused_and_the_listener_goes_on() {
+async fn an_invalid_handshake_is_refused_and_the_listener_continues() {
     let (listener, port) = listener(4, 0).await;
     let (server, mut received) = pool(session(4), port);
     tokio::spawn(async move { server.accept(listener).await });
-    for junk in [
+    for invalid_bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         &[0, 0, 0, 2, 0, 99],
         &[255; 64],
     ] {
         let mut stream = TcpStream::connect((loopback(4).0, port)).await.unwrap();
-        stream.write_all(junk).await.unwrap();
+        stream.write_all(invalid_bytes).await.unwrap();
         let mut answer = Vec::new();
-        // The server ends the connection, whether cleanly or by a reset.
+        // The server closes the connection, either cleanly or with a reset.
         let _ended = stream.read_to_end(&mut answer).await;
     }
     let (client, _events) = pool(session(1), port);
@@ -145,7 +145,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_process_reaches_itself() {
+async fn a_process_can_send_to_itself() {
     let (client, mut events) = pool(session(1), 1);
     client.send(loopback(1), message(1)).unwrap();
     let Some(LinkEvent::Message { from, .. }) = events.recv().await else {
