--- a/crates/ebonyfork/src/topology/feed.rs
+++ b/crates/ebonyfork/src/topology/feed.rs
@@ -1,6 +1,6 @@
-//! Feeds the topology view: polls the VM list, follows membership, takes signs that an upstream leaves.
+//! Keeps the topology view current: polls the VM list, follows membership and handles reports of leaving upstreams.
 //!
-//! One poller reads the list; while that fails the last one stays in force. Each change becomes one new view.
+//! While reading the list fails, the last list stays in force. Each change is published as a new view.
 
 use std::fmt::Display;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 use crate::topology::listed::VmRecord;
 use crate::topology::view::TopologyView;
 
-/// Time between two reads of a short VM list.
+/// Minimum time between two reads of the VM list.
 pub const LIST_PERIOD: Duration = Duration::from_secs(2);
-/// Time between two reads for each line of a long one, so that what all VMs read of it stays bounded.
-const LIST_PERIOD_EACH: Duration = Duration::from_millis(4);
-/// Time between two looks at what has aged.
-const AGE_PERIOD: Duration = Duration::from_secs(1);
+/// Minimum time between two reads per item of the VM list, which bounds the read load on the store for long lists.
+const LIST_PERIOD_PER_RECORD: Duration = Duration::from_millis(4);
+/// Time between two checks whether the view changes without new input.
+const VIEW_CHECK_PERIOD: Duration = Duration::from_secs(1);
 
-/// What the feed needs to know.
+/// Settings of the topology feed.
 #[derive(Debug)]
 pub struct TopologySettings {
     own: SessionId,
@@ -37,7 +37,7 @@
 }
 
 impl TopologySettings {
-    /// Settings of the process `own` in `zone`.
+    /// Creates the settings of process `own` in `zone`.
     pub fn new(own: SessionId, zone: ZoneName) -> Self {
         Self {
             own,
@@ -47,20 +47,20 @@
         }
     }
 
-    /// Replaces the time between two reads of the VM list.
+    /// Sets the minimum time between two reads of the VM list.
     #[must_use]
     pub fn with_list_period(mut self, period: Duration) -> Self {
         self.list_period = period;
         self
     }
 
-    /// Our other VMs on the list, as the feed will learn them. Membership needs them before the feed can start.
+    /// Returns a receiver of the deployment's other VMs on the list. Membership needs it before the feed can start.
     pub fn seeds(&self) -> watch::Receiver<Arc<[VmAddress]>> {
         self.seeds.subscribe()
     }
 }
 
-/// The running feed. Cheap to clone; the feed stops when the last clone is dropped.
+/// Handle to the topology feed. Cheap to clone; the feed stops when the last clone is dropped.
 #[derive(Debug, Clone)]
 pub struct TopologyHandle {
     actor: Address<FeedActor>,
@@ -69,7 +69,8 @@
 }
 
 impl TopologyHandle {
-    /// Starts the feed. `list` reads the VM list once; `members` is membership's view; `writer` receives the result.
+    /// Starts the feed. `list` reads the VM list once, `members` is the membership snapshot, and views are published to
+    /// `writer`.
     pub fn start<E: Display + Send + 'static>(
         settings: TopologySettings,
         list: impl Fn() -> BoxFuture<'static, Result<Vec<VmRecord>, E>> + Send + Sync + 'static,
@@ -101,17 +102,17 @@
         }
     }
 
-    /// Notes that an upstream has said that it leaves; it gets no new work from now on.
+    /// Records that an upstream has reported that it is leaving; it gets no new work from now on.
     pub fn note_leaving(&self, upstream: UpstreamAddress) {
-        // An unbounded mailbox takes a message at the first poll; the result is not awaited.
+        // Sending to an unbounded mailbox completes at the first poll; the return value is not awaited.
         let _queued = self
             .actor
-            .send(LeavingSign(upstream))
+            .send(LeavingReport(upstream))
             .detach()
             .now_or_never();
     }
 
-    /// Our other VMs on the list.
+    /// Returns a receiver of the deployment's other VMs on the list.
     pub fn seeds(&self) -> watch::Receiver<Arc<[VmAddress]>> {
         self.seeds.clone()
     }
@@ -126,12 +127,12 @@
     loop {
         match list().await {
             Ok(records) => {
-                wait = period.max(LIST_PERIOD_EACH * records.len() as u32);
+                wait = period.max(LIST_PERIOD_PER_RECORD * records.len() as u32);
                 if actor.send(ListRead(records)).await.is_err() {
                     return;
                 }
             }
-            Err(error) => log::warn!("VM list: {error}; the last one stays in force"),
+            Err(error) => log::warn!("VM list not read, keeping the last one: {error}"),
         }
         tokio::time::sleep(wait).await;
     }
@@ -150,8 +151,8 @@
 
 async fn tick(actor: WeakAddress<FeedActor>) {
     loop {
-        tokio::time::sleep(AGE_PERIOD).await;
-        if actor.send(AgeTick).await.is_err() {
+        tokio::time::sleep(VIEW_CHECK_PERIOD).await;
+        if actor.send(ViewCheck).await.is_err() {
             return;
         }
     }
@@ -159,8 +160,8 @@
 
 struct ListRead(Vec<VmRecord>);
 struct MembersChanged;
-struct LeavingSign(UpstreamAddress);
-struct AgeTick;
+struct LeavingReport(UpstreamAddress);
+struct ViewCheck;
 
 #[derive(Debug, xtra::Actor)]
 struct FeedActor {
@@ -169,7 +170,7 @@
     members: watch::Receiver<Arc<MemberSnapshot>>,
     seeds: watch::Sender<Arc<[VmAddress]>>,
     writer: watch::Sender<Arc<TopologyView>>,
-    /// When the view has to be built again though nothing was heard.
+    /// When the view changes without new input.
     next_change: Option<Duration>,
 }
 
@@ -205,7 +206,9 @@
 
     async fn handle(&mut self, message: ListRead, _context: &mut Context<Self>) {
         if !self.join.take_list(self.now(), message.0) {
-            log::warn!("VM list lacks more than half of the last one; it must be read again");
+            log::warn!(
+                "VM list lacks more than half of the last one; waiting for the next read to confirm it"
+            );
             return;
         }
         let peers = self.join.listed_peers();
@@ -228,26 +231,26 @@
     }
 }
 
-impl Handler<LeavingSign> for FeedActor {
+impl Handler<LeavingReport> for FeedActor {
     type Return = ();
 
-    async fn handle(&mut self, message: LeavingSign, _context: &mut Context<Self>) {
+    async fn handle(&mut self, message: LeavingReport, _context: &mut Context<Self>) {
         self.join.note_leaving(self.now(), message.0);
         self.publish();
     }
 }
 
-impl Handler<AgeTick> for FeedActor {
+impl Handler<ViewCheck> for FeedActor {
     type Return = ();
 
-    async fn handle(&mut self, _message: AgeTick, _context: &mut Context<Self>) {
+    async fn handle(&mut self, _message: ViewCheck, _context: &mut Context<Self>) {
         if self.next_change.is_some_and(|change| change <= self.now()) {
             self.publish();
         }
     }
 }
 
-/// Writes one decision line per VM or upstream that is placed differently from now on.
+/// Logs one decision line per VM or upstream that was added, changed or removed.
 fn log_changes(old: &TopologyView, new: &TopologyView) {
     if !log::log_enabled!(target: "ebonyfork::decision", log::Level::Info) {
         return;
--- a/crates/ebonyfork/src/topology/feed_tests.rs
+++ b/crates/ebonyfork/src/topology/feed_tests.rs
@@ -19,7 +19,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn feeds_list_outages_members_and_signs() {
+async fn the_view_survives_list_outages_and_applies_leaving_reports() {
     let own = SessionId::new(VmAddress([10, 0, 0, 1].into()), IncarnationNumber(5));
     let peer = VmAddress([10, 0, 0, 2].into());
     let reads = Arc::new(AtomicU32::new(0));
@@ -46,7 +46,7 @@
     let (writer, mut view) = watch::channel(Arc::default());
     let (_members, members) = watch::channel(Arc::default());
     let handle = TopologyHandle::start(settings, list, members, writer);
-    // The first read fails: only the own VM is known. The second succeeds; the later ones fail again.
+    // The first read fails, so that only the own VM is known. The second succeeds; all later ones fail.
     expect_that!(view.borrow_and_update().vms.len(), eq(1));
     seeds.changed().await.unwrap();
     expect_that!(&**seeds.borrow(), elements_are![eq(&peer)]);
@@ -54,8 +54,8 @@
     let upstream: UpstreamAddress = "10.0.0.9:80".parse().unwrap();
     expect_that!(view.borrow().upstreams[&upstream].leaving, eq(false));
     handle.note_leaving(upstream);
-    let left = view.wait_for(|view| view.upstreams[&upstream].leaving);
-    expect_that!(left.await.is_ok(), eq(true));
+    let reported = view.wait_for(|view| view.upstreams[&upstream].leaving);
+    expect_that!(reported.await.is_ok(), eq(true));
     tokio::time::sleep(LIST_PERIOD * 60).await;
     expect_that!(reads.load(Ordering::Relaxed), gt(30));
     expect_that!(view.borrow().upstreams[&upstream].leaving, eq(true));
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -1,8 +1,8 @@
-//! Joins the VM list with what membership has learnt into one view.
+//! Merges the VM list and the state of membership into one view.
 //!
-//! The list lags and has outages; membership is quick but knows only our own VMs. Membership's word about a VM goes
-//! first. A listed VM that membership has never heard of is trusted for [`UNHEARD_GRACE`], and for as long as no peer
-//! at all has answered: then the fault may be our own.
+//! The list lags and may be unavailable; membership is fast but covers only the deployment's own VMs, not upstreams.
+//! For a VM that membership knows, membership takes precedence. A listed VM that membership does not know is included
+//! for [`UNCONFIRMED_GRACE`], and for as long as no peer has answered at all, since the cause may then be this process.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,53 +15,60 @@
 use crate::topology::listed::{OWN_GROUP, VmRecord, VmState};
 use crate::topology::view::{TopologyView, UpstreamEntry, VmEntry};
 
-/// How long a listed VM is used that has never answered membership.
-pub const UNHEARD_GRACE: Duration = Duration::from_secs(10);
-/// How much longer for each VM on the list: when all start at once, they need longer to hear of each other.
-const UNHEARD_GRACE_EACH: Duration = Duration::from_millis(40);
-/// How long a sign of leaving counts against a list that goes on saying live: longer than the list lags.
-pub const LEAVING_SIGN_AGE: Duration = Duration::from_mins(2);
-/// Lists shorter than this are believed whatever they lack.
-const DOUBT_SIZE: usize = 8;
+/// How long a listed VM is included although membership has never discovered it.
+pub const UNCONFIRMED_GRACE: Duration = Duration::from_secs(10);
+/// Time added to [`UNCONFIRMED_GRACE`] per listed VM: a larger fleet that starts at once takes longer to discover its
+/// members.
+const UNCONFIRMED_GRACE_PER_VM: Duration = Duration::from_millis(40);
+/// How long an upstream's report that it is leaving overrides a list that shows it live; longer than the list lags.
+pub const LEAVING_REPORT_AGE: Duration = Duration::from_mins(2);
+/// The check for a list that shrinks by half applies only if the last list had at least this many items.
+const MIN_SHRINK_CHECK_ITEMS: usize = 8;
 
-/// State of the join. Times are spans since the process started.
+/// Inputs of the topology view. Times are durations since the process started.
 #[derive(Debug)]
 pub struct TopologyJoin {
     own: SessionId,
     zone: ZoneName,
+    /// The deployment's VMs on the last accepted list.
     vms: BTreeMap<VmAddress, ListedVm>,
+    /// Upstreams on the last accepted list.
     upstreams: BTreeMap<UpstreamAddress, UpstreamEntry>,
-    signs: FxHashMap<UpstreamAddress, Duration>,
+    /// Upstreams that reported to be leaving, with the time of the report.
+    leaving_reports: FxHashMap<UpstreamAddress, Duration>,
     members: Arc<MemberSnapshot>,
-    doubted: bool,
-    /// The upstreams as the views share them, without VMs.
-    shared: TopologyView,
+    /// Whether the last list was rejected because it lacked more than half of the previous one.
+    shrink_rejected: bool,
+    /// View of the upstreams only, from which all views share them.
+    upstream_view: TopologyView,
 }
 
+/// A VM of the deployment on the VM list.
 #[derive(Debug)]
 struct ListedVm {
     zone: ZoneName,
     leaving: bool,
+    /// When the VM first appeared on the list, without interruption since.
     first_listed: Duration,
 }
 
 impl TopologyJoin {
-    /// A join that knows only its own process.
+    /// Creates the state with this process as the only VM.
     pub fn new(own: SessionId, zone: ZoneName) -> Self {
         Self {
             own,
             zone,
             vms: BTreeMap::new(),
             upstreams: BTreeMap::new(),
-            signs: FxHashMap::default(),
+            leaving_reports: FxHashMap::default(),
             members: Arc::default(),
-            doubted: false,
-            shared: TopologyView::default(),
+            shrink_rejected: false,
+            upstream_view: TopologyView::default(),
         }
     }
 
-    /// Takes in a VM list that was read at `now`. One that lacks more than half of what the last one had is believed
-    /// only when the next read bears it out; returns whether it was believed.
+    /// Applies a VM list that was read at `now` and returns whether it was accepted. A list with less than half the
+    /// items of the previous one is rejected once and accepted only if the next read confirms it.
     pub fn take_list(
         &mut self,
         now: Duration,
@@ -89,20 +96,21 @@
         }
         let before = self.vms.len() + self.upstreams.len();
         let after = vms.len() + upstreams.len();
-        self.doubted = !self.doubted && before >= DOUBT_SIZE && after * 2 < before;
-        if self.doubted {
+        self.shrink_rejected =
+            !self.shrink_rejected && before >= MIN_SHRINK_CHECK_ITEMS && after * 2 < before;
+        if self.shrink_rejected {
             return false;
         }
-        self.age_signs(now, &upstreams);
+        self.remove_refuted_reports(now, &upstreams);
         self.vms = vms;
         self.upstreams = upstreams;
-        self.share_upstreams();
+        self.rebuild_upstream_view();
         true
     }
 
-    /// Takes in what membership has learnt, and tells whether anything but digests has changed.
+    /// Applies a membership snapshot and returns whether anything other than digests has changed.
     pub fn take_members(&mut self, members: Arc<MemberSnapshot>) -> bool {
-        let same = members.members().len() == self.members.members().len()
+        let unchanged = members.members().len() == self.members.members().len()
             && members
                 .members()
                 .iter()
@@ -111,70 +119,77 @@
                     (new.session(), new.state, &new.zone) == (old.session(), old.state, &old.zone)
                 });
         self.members = members;
-        !same
+        !unchanged
     }
 
-    /// Notes at `now` that an upstream has said that it leaves.
+    /// Records that an upstream has reported at `now` that it is leaving.
     pub fn note_leaving(&mut self, now: Duration, upstream: UpstreamAddress) {
-        if self.signs.insert(upstream, now).is_none() {
-            self.share_upstreams();
+        if self.leaving_reports.insert(upstream, now).is_none() {
+            self.rebuild_upstream_view();
         }
     }
 
-    fn share_upstreams(&mut self) {
+    /// Rebuilds the shared view of the upstreams.
+    fn rebuild_upstream_view(&mut self) {
         let upstreams = self.upstreams.values().map(|entry| {
             let mut entry = entry.clone();
-            entry.leaving |= self.signs.contains_key(&entry.upstream);
+            entry.leaving |= self.leaving_reports.contains_key(&entry.upstream);
             entry
         });
-        self.shared = TopologyView::new([], upstreams);
+        self.upstream_view = TopologyView::new([], upstreams);
     }
 
-    /// Drops the signs that a new list refutes: the upstream is gone, is live again after it was shown leaving, or is
-    /// still shown live long after the sign.
-    fn age_signs(&mut self, now: Duration, upstreams: &BTreeMap<UpstreamAddress, UpstreamEntry>) {
+    /// Removes the leaving reports that a new list refutes: the upstream is not listed any more, is live again after it
+    /// was listed as leaving, or is still listed as live [`LEAVING_REPORT_AGE`] after the report.
+    fn remove_refuted_reports(
+        &mut self,
+        now: Duration,
+        upstreams: &BTreeMap<UpstreamAddress, UpstreamEntry>,
+    ) {
         let before = &self.upstreams;
-        self.signs.retain(|upstream, noted| {
+        self.leaving_reports.retain(|upstream, reported_at| {
             let Some(entry) = upstreams.get(upstream) else {
                 return false;
             };
             let returned = before.get(upstream).is_some_and(|entry| entry.leaving);
-            let aged = now.saturating_sub(*noted) >= LEAVING_SIGN_AGE;
-            entry.leaving || !(returned || aged)
+            let report_expired = now.saturating_sub(*reported_at) >= LEAVING_REPORT_AGE;
+            entry.leaving || !(returned || report_expired)
         });
     }
 
-    /// When the view will change by itself: the next listed VM that has not been heard of loses its grace.
+    /// Returns when the view changes without new input: when the grace of the next listed VM that membership does not
+    /// know ends.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let unheard = self
+        let unconfirmed = self
             .vms
             .iter()
             .filter(|(vm, _)| self.members.get(**vm).is_none());
-        let ends = unheard.map(|(_, listed)| listed.first_listed + self.unheard_grace());
+        let ends = unconfirmed.map(|(_, listed)| listed.first_listed + self.unconfirmed_grace());
         ends.filter(|end| *end > now).min()
     }
 
-    fn unheard_grace(&self) -> Duration {
-        UNHEARD_GRACE + UNHEARD_GRACE_EACH * self.vms.len() as u32
+    /// Returns how long a listed VM that membership does not know is included.
+    fn unconfirmed_grace(&self) -> Duration {
+        UNCONFIRMED_GRACE + UNCONFIRMED_GRACE_PER_VM * self.vms.len() as u32
     }
 
-    /// Our VMs on the list, the own one left out.
+    /// Returns the deployment's VMs on the list, except the own one.
     pub fn listed_peers(&self) -> Vec<VmAddress> {
         let peers = self.vms.keys().filter(|vm| **vm != self.own.vm);
         peers.copied().collect()
     }
 
-    /// Builds the view at `now`.
+    /// Returns the view at `now`.
     pub fn view(&self, now: Duration) -> TopologyView {
         let mut vms = Vec::with_capacity(self.vms.len().max(self.members.members().len()) + 1);
         for member in self.members.members() {
             if member.vm == self.own.vm || !member.state.is_present() {
                 continue;
             }
-            vms.push(self.present_entry(member));
+            vms.push(self.member_entry(member));
         }
         for (vm, listed) in &self.vms {
-            if *vm == self.own.vm || !self.trusts_unheard(now, *vm, listed) {
+            if *vm == self.own.vm || !self.includes_unconfirmed(now, *vm, listed) {
                 continue;
             }
             vms.push(VmEntry {
@@ -185,22 +200,24 @@
             });
         }
         vms.push(self.own_entry());
-        self.shared.with_vms(vms)
+        self.upstream_view.with_vms(vms)
     }
 
+    /// Returns the view entry of this VM.
     fn own_entry(&self) -> VmEntry {
         let member = self.members.get(self.own.vm);
-        let announced = member.is_some_and(|member| member.state == MemberState::Leaving);
+        let announced_leaving = member.is_some_and(|member| member.state == MemberState::Leaving);
         let listed = self.vms.get(&self.own.vm);
         VmEntry {
             vm: self.own.vm,
             zone: self.zone.clone(),
             incarnation: Some(self.own.incarnation),
-            leaving: announced || listed.is_some_and(|listed| listed.leaving),
+            leaving: announced_leaving || listed.is_some_and(|listed| listed.leaving),
         }
     }
 
-    fn present_entry(&self, member: &MemberEntry) -> VmEntry {
+    /// Returns the view entry of a VM that membership knows.
+    fn member_entry(&self, member: &MemberEntry) -> VmEntry {
         let listed = self.vms.get(&member.vm);
         VmEntry {
             vm: member.vm,
@@ -211,17 +228,18 @@
         }
     }
 
-    /// Tells whether a listed VM that membership does not know is used all the same.
-    fn trusts_unheard(&self, now: Duration, vm: VmAddress, listed: &ListedVm) -> bool {
+    /// Returns whether a listed VM is included although membership does not know it.
+    fn includes_unconfirmed(&self, now: Duration, vm: VmAddress, listed: &ListedVm) -> bool {
         if self.members.get(vm).is_some() {
             return false;
         }
         let mut peers = self.members.members().iter();
-        let peers_answer = peers.any(|member| member.vm != self.own.vm);
-        !peers_answer || now.saturating_sub(listed.first_listed) < self.unheard_grace()
+        let any_peer_answered = peers.any(|member| member.vm != self.own.vm);
+        !any_peer_answered || now.saturating_sub(listed.first_listed) < self.unconfirmed_grace()
     }
 }
 
+/// Converts a list item to an upstream; returns none if it lacks a port or a valid service name.
 fn read_upstream(record: VmRecord, leaving: bool) -> Option<UpstreamEntry> {
     let service = record.group.parse().ok()?;
     let port = record.port?;
--- a/crates/ebonyfork/src/topology/join_tests.rs
+++ b/crates/ebonyfork/src/topology/join_tests.rs
@@ -54,10 +54,11 @@
 }
 
 #[gtest]
-fn a_vm_is_placed_by_list_and_membership() {
+fn a_vm_is_included_by_list_and_membership() {
     use MemberState::{Alive, Failed, Leaving, Suspect};
     use VmState::Live;
-    // What the list says, what membership says, whether some other peer answers, seconds since listed: in, leaving.
+    // State on the list, state in membership, whether another peer answers, seconds since first listed; expected: none
+    // if the VM is left out of the view, else whether it is leaving.
     let cases = [
         (Some(Live), None, false, 0, Some(false)),
         (Some(Live), None, false, 1_000, Some(false)),
@@ -73,18 +74,18 @@
         (None, Some(Failed), true, 0, None),
         (None, None, true, 0, None),
     ];
-    for (listed, believed, answered, age, expected) in cases {
+    for (listed, member_state, any_peer_answered, age, expected) in cases {
         let mut join = join();
         join.take_list(seconds(5), listed.map(|state| record(2, state)));
-        let other = answered.then(|| member(3, Alive));
-        let members = believed.map(|state| member(2, state)).into_iter();
+        let other = any_peer_answered.then(|| member(3, Alive));
+        let members = member_state.map(|state| member(2, state)).into_iter();
         join.take_members(Arc::new(MemberSnapshot::new(members.chain(other))));
         let view = join.view(seconds(5 + age));
-        let placed = view.vms.get(&vm(2)).map(|entry| entry.leaving);
+        let leaving = view.vms.get(&vm(2)).map(|entry| entry.leaving);
         expect_that!(
-            placed,
+            leaving,
             eq(expected),
-            "{listed:?} {believed:?} {answered} {age}"
+            "{listed:?} {member_state:?} {any_peer_answered} {age}"
         );
         expect_that!(
             view.vms[&vm(1)].incarnation,
@@ -94,7 +95,7 @@
 }
 
 #[gtest]
-fn a_sign_of_leaving_holds_until_the_list_refutes_it() {
+fn a_leaving_report_holds_until_the_list_refutes_it() {
     let leaving = |join: &TopologyJoin, now| {
         let view = join.view(seconds(now));
         view.upstreams.get(&upstream(9)).map(|entry| entry.leaving)
@@ -104,18 +105,18 @@
     expect_that!(leaving(&join, 0), some(eq(false)));
     join.note_leaving(seconds(1), upstream(9));
     expect_that!(leaving(&join, 1), some(eq(true)));
-    // The list lags and goes on saying live; an outage of the list changes nothing either.
+    // The list lags and still shows the upstream live; without any further list, nothing changes either.
     join.take_list(seconds(30), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 1_000), some(eq(true)));
     join.take_list(seconds(121), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 121), some(eq(false)));
-    // Shown leaving and live again is a new instance, however short the time.
+    // An upstream listed as leaving and then live again is a new instance, however short the time between.
     join.note_leaving(seconds(130), upstream(9));
     join.take_list(seconds(131), [server(9, VmState::Leaving)]);
     expect_that!(leaving(&join, 1_000), some(eq(true)));
     join.take_list(seconds(132), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 132), some(eq(false)));
-    // Gone and listed again is a new instance.
+    // An upstream that was removed from the list and listed again is a new instance.
     join.note_leaving(seconds(170), upstream(9));
     join.take_list(seconds(171), []);
     expect_that!(leaving(&join, 171), none());
@@ -124,13 +125,13 @@
 }
 
 #[gtest]
-fn a_list_that_lost_most_must_be_read_twice() {
+fn a_list_that_shrinks_by_half_must_be_confirmed() {
     let many = || (20..40).map(|last| server(last, VmState::Live));
     let mut join = join();
     expect_that!(join.take_list(seconds(0), many()), eq(true));
     expect_that!(join.take_list(seconds(2), []), eq(false));
     expect_that!(join.view(seconds(2)).upstreams.len(), eq(20));
-    // The whole list again, a doubt, and the same again: only now it is believed.
+    // After the whole list, a short one is rejected at first and accepted when the next read confirms it.
     expect_that!(join.take_list(seconds(4), many()), eq(true));
     expect_that!(join.take_list(seconds(6), many().take(9)), eq(false));
     expect_that!(join.take_list(seconds(8), many().take(9)), eq(true));
@@ -138,7 +139,7 @@
 }
 
 #[gtest]
-fn only_what_is_not_a_digest_changes_the_view() {
+fn digests_alone_do_not_change_the_view() {
     let mut join = join();
     let mut changed = member(2, MemberState::Alive);
     expect_that!(
@@ -159,7 +160,7 @@
         seconds(1),
         [record(2, VmState::Live), record(3, VmState::Live)],
     );
-    // The third has not been heard of: it loses its grace 10 s and twice 40 ms after it was listed.
+    // Membership does not know VM 3: its grace ends 10 s plus 40 ms for each of two VMs after it was listed.
     expect_that!(
         join.next_change(seconds(1)),
         some(eq(Duration::from_millis(11_080)))
--- a/crates/ebonyfork/src/topology/listed.rs
+++ b/crates/ebonyfork/src/topology/listed.rs
@@ -1,4 +1,4 @@
-//! The VM list: one item of the store for each of our VMs and each upstream.
+//! The VM list: one store item for each VM of the deployment and each upstream.
 
 use std::net::IpAddr;
 
@@ -8,22 +8,22 @@
 use crate::ident::ZoneName;
 use crate::store::{StoreClient, StoreError};
 
-/// Group of our own VMs in the VM list; every other group is a service of upstreams.
+/// Group of the deployment's own VMs in the VM list; every other group is a service of upstreams.
 pub const OWN_GROUP: &str = "ebonyfork";
-/// Prefix of the keys of the list; the rest of a key is a name that the list's writer chooses.
+/// Key prefix of the list items; the rest of a key is chosen by the writer of the list.
 pub const VM_LIST_PREFIX: &str = "vms/";
 
-/// State of a VM in the list, which lags.
+/// State of a VM according to the VM list, which lags.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum VmState {
-    /// It runs.
+    /// The VM runs.
     Live,
-    /// It is about to be removed.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// One line of the VM list.
+/// One item of the VM list.
 ///
 /// # Examples
 ///
@@ -37,19 +37,19 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRecord {
-    /// IP address.
+    /// IP address of the VM.
     pub ip: IpAddr,
-    /// Port of an upstream's server; none for our VMs, whose ports are settings.
+    /// Port of an upstream; none for the deployment's own VMs, whose ports are set in the settings file.
     pub port: Option<u16>,
-    /// Availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// [`OWN_GROUP`], or the name of a service.
+    /// [`OWN_GROUP`], or the name of the service that the upstream belongs to.
     pub group: CompactString,
-    /// State.
+    /// Whether the VM runs or is about to be removed.
     pub state: VmState,
 }
 
-/// Reads the VM list. One line that can't be read fails the reading: a list that lacks it would drop a VM.
+/// Reads the VM list. An item that can't be decoded fails the whole read: without it, the list would drop a VM.
 pub async fn read_vm_list(client: &StoreClient) -> Result<Vec<VmRecord>, StoreError> {
     let items = client.list(VM_LIST_PREFIX).await?;
     let mut records = Vec::with_capacity(items.len());
--- a/crates/ebonyfork/src/topology/mod.rs
+++ b/crates/ebonyfork/src/topology/mod.rs
@@ -1,8 +1,8 @@
-//! Who is there: our live VMs, the upstreams of each service, and which VM owns which upstream.
+//! Topology: the live VMs of the deployment, the upstreams of each service, and which VM owns which upstream.
 //!
-//! A [`TopologyView`] is an immutable snapshot that is replaced as a whole. It joins the platform's lagging VM list with
-//! what membership has learned. Decisions take it by reference; two VMs may hold different views for a while, and
-//! every rule built on it has to bear that.
+//! A [`TopologyView`] is an immutable snapshot that is replaced as a whole. It merges the platform's VM list, which
+//! lags, with the state of membership. The views of two VMs may differ for a while, and every rule that uses them has
+//! to tolerate that.
 
 mod feed;
 mod join;
@@ -11,7 +11,7 @@
 mod view;
 
 pub use feed::{LIST_PERIOD, TopologyHandle, TopologySettings};
-pub use join::{LEAVING_SIGN_AGE, TopologyJoin, UNHEARD_GRACE};
+pub use join::{LEAVING_REPORT_AGE, TopologyJoin, UNCONFIRMED_GRACE};
 pub use listed::{OWN_GROUP, VM_LIST_PREFIX, VmRecord, VmState, read_vm_list};
 pub use ownership::{OwnerPair, connection_share, direct_share, owner_pair};
 pub use view::{TopologyView, UpstreamEntry, VmEntry};
--- a/crates/ebonyfork/src/topology/ownership.rs
+++ b/crates/ebonyfork/src/topology/ownership.rs
@@ -1,37 +1,40 @@
-//! Which VM owns the connections of an upstream: rendezvous hashing.
+//! Ownership of the connections to an upstream, chosen by rendezvous hashing.
 //!
-//! Every VM computes a score for each pair of VM and upstream; the highest score owns the upstream, the second highest
-//! stands by. A VM that comes or goes moves only the upstreams that it wins or held. Two VMs with different views may
-//! both believe that they own one: the connection shares leave room for that.
+//! Every VM computes a score for each pair of VM and upstream. The VM with the highest score owns the upstream, the one
+//! with the second highest is its standby. When a VM joins or leaves, only the upstreams that it gains or owned move.
+//! Two VMs with different views may both consider themselves owner; the connection shares allow for that.
 
 use crate::ident::{UpstreamAddress, VmAddress};
 use crate::topology::TopologyView;
-use crate::topology::view::{StayingVm, address_hash};
+use crate::topology::view::{OwnerCandidate, address_hash};
 
 /// The owner of an upstream and its standby.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OwnerPair {
-    /// Holds the connections and the queue.
+    /// VM that holds the connections and the queue.
     pub primary: VmAddress,
-    /// Takes over when the primary is unreachable; the primary itself if it is the only VM.
+    /// VM that takes over when the primary is unreachable; equal to `primary` if there is only one VM.
     pub standby: VmAddress,
 }
 
-/// Chooses the owner of an upstream over the VMs that stay, in its zone if that has any, else in all zones.
+/// Returns the owner and standby of an upstream, chosen from the VMs that are not leaving: those in its zone, or those
+/// of all zones if its zone has none.
 pub fn owner_pair(view: &TopologyView, upstream: UpstreamAddress) -> Option<OwnerPair> {
     let zone = &view.upstreams.get(&upstream)?.zone;
-    pair_among(view.staying_in(zone), upstream).or_else(|| pair_among(view.staying(), upstream))
+    choose_pair(view.owner_candidates_in(zone), upstream)
+        .or_else(|| choose_pair(view.owner_candidates(), upstream))
 }
 
-/// Connections that the owner of an upstream may hold, as a part of what the upstream accepts.
-const PRIMARY_PART: u32 = 3;
-/// Connections that any other VM may hold, as a part of what the upstream accepts.
-const OTHER_PART: u32 = 6;
+/// The owner of an upstream may hold its connection limit divided by this number.
+const PRIMARY_DIVISOR: u32 = 3;
+/// Any other VM may hold the connection limit of an upstream divided by this number.
+const OTHER_DIVISOR: u32 = 6;
 
-/// How many of an upstream's `limit` connections a VM may hold by its own view.
+/// Returns how many of an upstream's `limit` connections a VM may hold according to its own view.
 ///
-/// The owner may hold a third, any other VM a sixth. Whatever three VMs believe, they fit together: at worst each of
-/// them takes itself for the owner. The standby of an upstream with few connections may hold one.
+/// The owner may hold a third of the limit, any other VM a sixth. The shares of any three VMs never exceed the limit,
+/// even if each considers itself the owner. The standby of an upstream with a limit of at least 3 may always hold one
+/// connection.
 ///
 /// # Examples
 ///
@@ -50,44 +53,45 @@
     limit: u32,
 ) -> u32 {
     let pair = owner_pair(view, upstream);
-    let least = u32::from(limit >= PRIMARY_PART);
+    let standby_minimum = u32::from(limit >= PRIMARY_DIVISOR);
     match pair {
-        Some(pair) if pair.primary == vm => u32::max(limit / PRIMARY_PART, 1),
-        Some(pair) if pair.standby == vm => u32::max(limit / OTHER_PART, least),
-        _ => limit / OTHER_PART,
+        Some(pair) if pair.primary == vm => u32::max(limit / PRIMARY_DIVISOR, 1),
+        Some(pair) if pair.standby == vm => u32::max(limit / OTHER_DIVISOR, standby_minimum),
+        _ => limit / OTHER_DIVISOR,
     }
 }
 
-/// How many of an upstream's `limit` connections each VM may hold when every VM connects for itself.
+/// Returns how many of an upstream's `limit` connections each VM may hold when all VMs connect to it directly.
 pub fn direct_share(view: &TopologyView, limit: u32) -> u32 {
     let vms = u32::max(view.vms.len() as u32, 1);
     u32::max(limit / vms, 1)
 }
 
-fn pair_among<'a>(
-    vms: impl IntoIterator<Item = &'a StayingVm>,
+/// Returns the two VMs with the highest scores for an upstream.
+fn choose_pair<'a>(
+    vms: impl IntoIterator<Item = &'a OwnerCandidate>,
     upstream: UpstreamAddress,
 ) -> Option<OwnerPair> {
     let hash = address_hash(upstream.0.ip(), upstream.0.port());
-    let mut first: Option<(u64, VmAddress)> = None;
-    let mut second: Option<(u64, VmAddress)> = None;
-    for staying in vms {
-        let scored = Some((mix(staying.hash ^ hash), staying.vm));
-        if scored > first {
-            second = first;
-            first = scored;
-        } else if scored > second {
-            second = scored;
+    let mut best: Option<(u64, VmAddress)> = None;
+    let mut runner_up: Option<(u64, VmAddress)> = None;
+    for candidate in vms {
+        let score = Some((mix_hash(candidate.hash ^ hash), candidate.vm));
+        if score > best {
+            runner_up = best;
+            best = score;
+        } else if score > runner_up {
+            runner_up = score;
         }
     }
-    let (_, primary) = first?;
-    let standby = second.map_or(primary, |(_, vm)| vm);
+    let (_, primary) = best?;
+    let standby = runner_up.map_or(primary, |(_, vm)| vm);
     Some(OwnerPair { primary, standby })
 }
 
-/// Spreads the combined hash of a pair over all bits (the finalizer of `SplitMix64`), so that each pair has a score of its
-/// own although the hash of a VM is made once for all upstreams.
-fn mix(hash: u64) -> u64 {
+/// Finalizer of `SplitMix64`. Applied to the XOR of the VM hash and the upstream hash, it gives independent scores to
+/// all pairs although the hash of a VM is computed only once for all upstreams.
+fn mix_hash(hash: u64) -> u64 {
     let hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     hash ^ (hash >> 31)
--- a/crates/ebonyfork/src/topology/ownership_tests.rs
+++ b/crates/ebonyfork/src/topology/ownership_tests.rs
@@ -23,34 +23,38 @@
     "10.1.0.1:80".parse().unwrap()
 }
 
-/// Three VMs, each with any view of seven VMs that it is part of itself: their shares fit, and the owner by a view
-/// always has one.
+/// The shares of any three of seven VMs fit the limit, whichever views they hold, and the owner in a view may always
+/// hold a connection.
 #[gtest]
-fn any_three_views_fit_the_limit() {
+fn shares_of_any_three_views_fit_the_limit() {
     for limit in [3, 4, 5, 6, 7, 8, 25, 45, 100] {
-        let mut most = [0; 7];
-        for members in 1..1_u8 << 7 {
-            let view = view((0..7).filter(|vm| members & (1 << vm) != 0));
-            for (vm, most) in most.iter_mut().enumerate() {
+        let mut max_shares = [0; 7];
+        for view_mask in 1..1_u8 << 7 {
+            let view = view((0..7).filter(|vm| view_mask & (1 << vm) != 0));
+            for (vm, max_shares) in max_shares.iter_mut().enumerate() {
                 let vm = format!("10.0.0.{vm}").parse().unwrap();
-                *most = u32::max(*most, connection_share(&view, vm, upstream(), limit));
+                *max_shares = u32::max(*max_shares, connection_share(&view, vm, upstream(), limit));
             }
             let primary = owner_pair(&view, upstream()).unwrap().primary;
             expect_that!(connection_share(&view, primary, upstream(), limit), ge(1));
         }
-        most.sort_unstable();
-        expect_that!(most[4..].iter().sum::<u32>(), le(limit), "limit {limit}");
+        max_shares.sort_unstable();
+        expect_that!(
+            max_shares[4..].iter().sum::<u32>(),
+            le(limit),
+            "limit {limit}"
+        );
     }
 }
 
 #[gtest]
-fn vm_that_leaves_moves_only_what_it_held() {
+fn a_leaving_vm_moves_only_the_upstreams_it_owned() {
     let all = view(0..7);
     let mut moved = 0;
     for port in 1..=700 {
         let upstream = UpstreamAddress(([10, 1, 0, 1], port).into());
-        let before = pair_among(all.staying(), upstream).unwrap();
-        let after = pair_among(view(1..7).staying(), upstream).unwrap();
+        let before = choose_pair(all.owner_candidates(), upstream).unwrap();
+        let after = choose_pair(view(1..7).owner_candidates(), upstream).unwrap();
         if before.primary == "10.0.0.0".parse().unwrap() {
             moved += 1;
             expect_that!(after.primary, eq(before.standby));
--- a/crates/ebonyfork/src/topology/view.rs
+++ b/crates/ebonyfork/src/topology/view.rs
@@ -1,4 +1,4 @@
-//! The snapshot of VMs and upstreams.
+//! Snapshot of the VMs and upstreams.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,54 +9,54 @@
 
 use crate::ident::{IncarnationNumber, ServiceName, UpstreamAddress, VmAddress, ZoneName};
 
-/// One of our VMs that takes work.
+/// A live VM of the deployment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmEntry {
-    /// Its address.
+    /// Address of the VM.
     pub vm: VmAddress,
-    /// The availability zone it is in.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// Its process incarnation, once membership has learned it.
+    /// Process incarnation on the VM; none until membership has discovered it.
     pub incarnation: Option<IncarnationNumber>,
-    /// Whether it has announced a planned stop, or the VM list says that it leaves.
+    /// Whether the VM has announced a planned stop or is marked as leaving in the VM list.
     pub leaving: bool,
 }
 
 /// One upstream server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamEntry {
-    /// Its address.
+    /// Address of the upstream.
     pub upstream: UpstreamAddress,
-    /// The availability zone it is in.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// The service it belongs to.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Whether any sign says that it leaves: it gets no new work.
+    /// Whether the upstream is leaving, by the VM list or its own report. It then gets no new work.
     pub leaving: bool,
 }
 
-/// What one VM believes about all VMs and upstreams.
+/// The VMs and upstreams as one VM sees them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TopologyView {
-    /// Live VMs, those that leave included.
+    /// Live VMs, including leaving ones.
     pub vms: BTreeMap<VmAddress, VmEntry>,
-    /// Upstreams by address, those that leave included. Shared between views: VMs come and go much more often.
+    /// Upstreams by address, including leaving ones. Shared between views, because the VMs change much more often.
     pub upstreams: Arc<BTreeMap<UpstreamAddress, UpstreamEntry>>,
-    /// Upstreams of each service.
+    /// Addresses of the upstreams of each service.
     pub services: Arc<BTreeMap<ServiceName, SmallVec<[UpstreamAddress; 4]>>>,
-    /// The VMs of each zone that stay, made with the view so that ownership needs no search through all VMs.
-    staying: BTreeMap<ZoneName, Vec<StayingVm>>,
+    /// VMs of each zone that are not leaving, computed with the view so that choosing an owner does not filter all VMs.
+    owner_candidates: BTreeMap<ZoneName, Vec<OwnerCandidate>>,
 }
 
-/// A VM that may own upstreams, with the hash that rendezvous scores are made of.
+/// A VM that may own upstreams, with its hash for the rendezvous scores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct StayingVm {
+pub(super) struct OwnerCandidate {
     pub(super) vm: VmAddress,
     pub(super) hash: u64,
 }
 
 impl TopologyView {
-    /// Builds a view from its parts.
+    /// Creates a view of VMs and upstreams.
     pub fn new(
         vms: impl IntoIterator<Item = VmEntry>,
         upstreams: impl IntoIterator<Item = UpstreamEntry>,
@@ -65,8 +65,8 @@
         let mut by_address = BTreeMap::new();
         for entry in upstreams {
             match services.get_mut(&entry.service) {
-                Some(servers) if servers.contains(&entry.upstream) => {}
-                Some(servers) => servers.push(entry.upstream),
+                Some(addresses) if addresses.contains(&entry.upstream) => {}
+                Some(addresses) => addresses.push(entry.upstream),
                 None => {
                     services.insert(entry.service.clone(), SmallVec::from_iter([entry.upstream]));
                 }
@@ -83,24 +83,24 @@
         .with_vms(vms)
     }
 
-    /// Builds a view of other VMs over the same upstreams, which are shared and not copied.
+    /// Creates a view with other VMs and the same upstreams, which are shared instead of copied.
     #[must_use]
     pub fn with_vms(&self, vms: impl IntoIterator<Item = VmEntry>) -> Self {
         let vms: BTreeMap<_, _> = vms.into_iter().map(|entry| (entry.vm, entry)).collect();
         let (upstreams, services) = (Arc::clone(&self.upstreams), Arc::clone(&self.services));
-        let mut staying: BTreeMap<ZoneName, Vec<StayingVm>> = BTreeMap::new();
+        let mut owner_candidates: BTreeMap<ZoneName, Vec<OwnerCandidate>> = BTreeMap::new();
         for entry in vms.values() {
             if entry.leaving {
                 continue;
             }
-            let staying_vm = StayingVm {
+            let candidate = OwnerCandidate {
                 vm: entry.vm,
                 hash: address_hash(entry.vm.0, 0),
             };
-            match staying.get_mut(&entry.zone) {
-                Some(zone) => zone.push(staying_vm),
+            match owner_candidates.get_mut(&entry.zone) {
+                Some(candidates) => candidates.push(candidate),
                 None => {
-                    staying.insert(entry.zone.clone(), vec![staying_vm]);
+                    owner_candidates.insert(entry.zone.clone(), vec![candidate]);
                 }
             }
         }
@@ -108,27 +108,27 @@
             vms,
             upstreams,
             services,
-            staying,
+            owner_candidates,
         }
     }
 
-    /// The VMs of a zone that stay.
-    pub(super) fn staying_in(&self, zone: &ZoneName) -> &[StayingVm] {
-        self.staying.get(zone).map_or(&[], Vec::as_slice)
+    /// Returns the VMs of a zone that are not leaving.
+    pub(super) fn owner_candidates_in(&self, zone: &ZoneName) -> &[OwnerCandidate] {
+        self.owner_candidates.get(zone).map_or(&[], Vec::as_slice)
     }
 
-    /// The VMs of all zones that stay.
-    pub(super) fn staying(&self) -> impl Iterator<Item = &StayingVm> {
-        self.staying.values().flatten()
+    /// Iterates over the VMs of all zones that are not leaving.
+    pub(super) fn owner_candidates(&self) -> impl Iterator<Item = &OwnerCandidate> {
+        self.owner_candidates.values().flatten()
     }
 
-    /// Returns the upstreams of a service, or none if it is unknown.
+    /// Returns the upstreams of a service; empty if the service is unknown.
     pub fn service(&self, service: &ServiceName) -> &[UpstreamAddress] {
         self.services.get(service).map_or(&[], SmallVec::as_slice)
     }
 }
 
-/// Hash of an address and port, for rendezvous scores.
+/// Returns the hash of an address and port for rendezvous scores.
 pub(super) fn address_hash(ip: IpAddr, port: u16) -> u64 {
     let seed = u64::from(port);
     match ip {
