--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -1,4 +1,4 @@
-//! The assembly: builds each slice, joins it to its neighbours, and ends them in order.
+//! Starts and connects the subsystems of a node, and stops them in order.
 
 use std::sync::{Arc, Mutex, OnceLock, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -20,8 +20,8 @@
 use crate::lifecycle::{LifecycleHandle, LifecycleSettings, StopPlan, StopReport, StopSteps};
 use crate::locate::{LocateSettings, locate_addresses};
 use crate::membership::{MemberHandle, MemberSettings};
-use crate::node::dispatch::{FeedGuard, PeerDispatch};
-use crate::node::gossip::{join_gossip, newest_revision};
+use crate::node::dispatch::{FeedStopGuard, PeerDispatch};
+use crate::node::gossip::{connect_gossip, newest_revision};
 use crate::node::listening::{NodeError, NodeSockets};
 use crate::node::options::NodeOptions;
 use crate::node::status::StatusReader;
@@ -37,10 +37,10 @@
 use crate::views::{CatalogSet, NodeReadiness, NodeViews, ViewWriters, view_channels};
 use crate::wire::{EventFuture, LinkError, LinkEvent, PeerMessage, PeerPool, PoolSettings};
 
-/// Longest wait for the servers to write the answers that are due when a planned stop ends.
-const SERVER_BOUND: Duration = Duration::from_secs(5);
+/// Timeout for the servers to finish writing answers at the end of a planned stop.
+const SERVER_STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// One running process of the tier.
+/// A running node: one process of the deployment.
 #[derive(Debug)]
 pub struct Node {
     session: SessionId,
@@ -51,38 +51,41 @@
     lifecycle: LifecycleHandle,
     locate_ttl: Duration,
     hurry: CancellationToken,
+    /// Caller servers, which a planned stop waits for.
     servers: JoinSet<()>,
+    /// All other tasks, aborted when the node is dropped.
     _tasks: JoinSet<()>,
-    _feeds: FeedGuard,
+    _feeds: FeedStopGuard,
 }
 
 impl Node {
-    /// Binds all sockets and starts every slice on the current runtime. `store` reaches what lasts.
+    /// Binds all sockets and starts all subsystems on the current runtime. `store` connects to the persistent store.
     pub async fn start(
         settings: NodeSettings,
         options: NodeOptions,
         store: impl StorePort,
     ) -> Result<Self, NodeError> {
         let sockets = NodeSockets::bind(&settings).await?;
-        let session = SessionId::new(settings.vm, incarnation());
+        let session = SessionId::new(settings.vm, new_incarnation());
         log::info!("node {session} starts in {}", settings.zone);
         let client = StoreClient::new(store, settings.platform_timeout);
         Ok(NodeAssembly::new(settings, options, session, client).assemble(sockets))
     }
 
-    /// The identity of this process.
+    /// Returns the VM and process incarnation of this node.
     pub fn session(&self) -> SessionId {
         self.session
     }
 
-    /// Returns once the node takes work.
+    /// Waits until the node accepts work.
     pub async fn ready(&self) {
         let mut readiness = self.views.readiness.clone();
-        // The writer lives as long as the node, so that the wait can only end in readiness.
+        // The writer lives as long as the node, so the wait can't end with an error.
         let _found = readiness.wait_for(|readiness| readiness.takes_work()).await;
     }
 
-    /// Stops as planned: tells callers to go elsewhere, finishes what is in flight, then ends.
+    /// Performs a planned stop: announces that the node is leaving, finishes the work in flight, then stops all
+    /// subsystems.
     pub async fn stop(self) -> StopReport {
         let Self {
             session,
@@ -91,7 +94,7 @@
             members,
             ..
         } = &self;
-        let plan = StopPlan::new(self.locate_ttl, slowest_bound(views));
+        let plan = StopPlan::new(self.locate_ttl, longest_class_bound(views));
         let steps = StopSteps {
             announce: || members.announce_leaving(),
             in_flight: || dispatch.in_flight(),
@@ -103,14 +106,14 @@
         };
         let report = self.lifecycle.stop(plan, steps).await;
         self.stop.cancel();
-        // The servers finish the answers they are writing; what is left has no work.
+        // Let the servers finish the answers they are writing; the other tasks are dropped with the node.
         let serving = self.servers.join_all();
-        let _finished = tokio::time::timeout(SERVER_BOUND, serving).await;
+        let _finished = tokio::time::timeout(SERVER_STOP_TIMEOUT, serving).await;
         report
     }
 }
 
-/// Tells whether a request's class is known to be idempotent, so that a key on it means nothing.
+/// Returns whether the class of a request is declared idempotent, in which case its idempotency key is ignored.
 fn is_idempotent(config: &DeclaredConfig, request: &QueryRequest) -> bool {
     config
         .classes
@@ -118,38 +121,40 @@
         .is_some_and(|class| class.idempotent)
 }
 
-/// The longest that any class allows a query to take.
-fn slowest_bound(views: &NodeViews) -> Duration {
+/// Returns the longest time that any class allows for a query.
+fn longest_class_bound(views: &NodeViews) -> Duration {
     let config = views.config.borrow();
     let bounds = config.classes.values().map(|class| class.bound);
     bounds.max().unwrap_or_default()
 }
 
-fn incarnation() -> IncarnationNumber {
-    let since = SystemTime::now()
+/// Returns the incarnation of a process that starts now: the wall-clock time in milliseconds.
+fn new_incarnation() -> IncarnationNumber {
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    IncarnationNumber(since.as_millis() as u64)
+    IncarnationNumber(since_epoch.as_millis() as u64)
 }
 
-/// Sends to peers through a pool that is made after those who send.
+/// Reference to the peer pool, which is created after the subsystems that send through it.
 #[derive(Debug, Clone, Default)]
-struct LatePool(Arc<OnceLock<PeerPool>>);
+struct DeferredPool(Arc<OnceLock<PeerPool>>);
 
-impl LatePool {
+impl DeferredPool {
+    /// Sends a message to a VM; fails if the pool has not been created yet.
     fn send(&self, vm: VmAddress, message: PeerMessage) -> Result<(), LinkError> {
         let pool = self.0.get().ok_or(LinkError::Handshake)?;
         pool.send(vm, message)
     }
 }
 
-/// What the steps of the assembly share.
+/// State shared by the steps that assemble a node.
 struct NodeAssembly {
     settings: NodeSettings,
     options: NodeOptions,
     session: SessionId,
     stop: CancellationToken,
-    pool: LatePool,
+    pool: DeferredPool,
     registry: Registry,
     client: StoreClient,
     quarantine: QuarantineHandle,
@@ -169,7 +174,7 @@
             options,
             session,
             stop: CancellationToken::new(),
-            pool: LatePool::default(),
+            pool: DeferredPool::default(),
             registry: Registry::with_prefix("ebonyfork"),
             client,
             quarantine: QuarantineHandle::new(),
@@ -178,6 +183,7 @@
         }
     }
 
+    /// Starts all subsystems in the order of their dependencies.
     fn assemble(mut self, sockets: NodeSockets) -> Node {
         let (writers, views) = view_channels();
         let ViewWriters {
@@ -201,7 +207,7 @@
         self.register(&dispatch);
         members.register(&mut self.registry);
         lifecycle.register(&mut self.registry);
-        join_gossip(
+        connect_gossip(
             &mut self.tasks,
             &members,
             &dispatch,
@@ -211,7 +217,7 @@
         self.start_links(sockets.peers, &dispatch, &views);
         self.start_callers(sockets.callers, &dispatch, &views, &members, &lifecycle);
         self.start_operators(sockets.operators, &dispatch, &views);
-        let feeds = FeedGuard {
+        let feeds = FeedStopGuard {
             revision: dispatch.revision.clone(),
             catalog: dispatch.catalog.clone(),
         };
@@ -259,12 +265,12 @@
     }
 
     fn start_entry(&self, views: &NodeViews) -> EntryHandle {
-        let (quarantine, suspicion) = (self.quarantine.clone(), self.quarantine.clone());
+        let (quarantine, for_suspicion) = (self.quarantine.clone(), self.quarantine.clone());
         let settings = EntrySettings::new(self.session, self.settings.zone.clone(), views.clone())
             .with_experiment(self.settings.experiment)
             .with_quarantine(move |fingerprint| quarantine.refuses(fingerprint))
             .with_suspicion(move |fingerprint| {
-                suspicion.admit(fingerprint) == QuarantineStatus::Suspect
+                for_suspicion.admit(fingerprint) == QuarantineStatus::Suspect
             });
         let pool = self.pool.clone();
         EntryHandle::start(settings, move |vm, message| pool.send(vm, message))
@@ -282,19 +288,19 @@
     }
 
     fn start_relay(&self, views: &NodeViews, topology: TopologyHandle) -> RelayHandle {
-        let refusing = self.quarantine.clone();
-        let reporting = self.quarantine.clone();
-        let (status_source, answering) = (self.quarantine.clone(), self.quarantine.clone());
+        let for_refusals = self.quarantine.clone();
+        let for_losses = self.quarantine.clone();
+        let (for_status, for_answers) = (self.quarantine.clone(), self.quarantine.clone());
         let settings =
             RelaySettings::new(self.settings.vm, self.settings.zone.clone(), views.clone())
                 .with_experiment(self.settings.experiment)
                 .with_quarantine(
-                    move |fingerprint| refusing.refuses(fingerprint),
-                    move |loss| reporting.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
+                    move |fingerprint| for_refusals.refuses(fingerprint),
+                    move |loss| for_losses.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
                 )
                 .with_suspicion(
-                    move |fingerprint| status_source.admit(fingerprint),
-                    move |fingerprint, flight| answering.report_answer(fingerprint, flight),
+                    move |fingerprint| for_status.admit(fingerprint),
+                    move |fingerprint, flight| for_answers.report_answer(fingerprint, flight),
                 )
                 .with_leaving_report(move |upstream| topology.note_leaving(upstream));
         RelayHandle::start(settings)
@@ -332,6 +338,7 @@
         )
     }
 
+    /// Registers the metrics of all subsystems in `dispatch`, the store client and the quarantine.
     fn register(&mut self, dispatch: &PeerDispatch) {
         dispatch.entry.register(&mut self.registry);
         dispatch.relay.register(&mut self.registry);
@@ -347,12 +354,13 @@
         let settings = PoolSettings::new(self.session, self.settings.peer_port)
             .with_delay(move |vm| delay(vm));
         let dispatch = dispatch.clone();
-        let handler =
-            move |event: LinkEvent| -> EventFuture { Box::pin(dispatch.clone().take(event)) };
+        let handler = move |event: LinkEvent| -> EventFuture {
+            Box::pin(dispatch.clone().handle_event(event))
+        };
         let pool = PeerPool::new(settings, self.stop.clone(), handler);
-        // The cell is set here and nowhere else.
+        // This is the only place that sets the cell, so setting it can't fail.
         let _first = self.pool.0.set(pool.clone());
-        self.tasks.spawn(close_unwanted(
+        self.tasks.spawn(close_obsolete_links(
             pool.clone(),
             views.clone(),
             self.stop.clone(),
@@ -375,13 +383,14 @@
             let keyed = request.key.is_some() && !is_idempotent(&config.borrow(), &request);
             Box::pin(async move { lifecycle.serve(keyed, once.run(request)).await })
         };
-        let locate = self.locator(views, members);
+        let locate = self.address_selector(views, members);
         let service = CallerService::new(run, locate, views.clone());
         self.servers
             .spawn(serve_callers(listener, service, self.stop.clone()));
     }
 
-    fn locator(
+    /// Returns the function that selects the addresses for a locate request.
+    fn address_selector(
         &self,
         views: &NodeViews,
         members: &MemberHandle,
@@ -410,15 +419,15 @@
         let reader = StatusReader::new(self.session, &self.settings, views, dispatch);
         let readiness = views.readiness.clone();
         let registry = std::mem::take(&mut self.registry);
-        let (listing, lifting) = (self.quarantine.clone(), self.quarantine.clone());
+        let (for_list, for_lift) = (self.quarantine.clone(), self.quarantine.clone());
         let service = OperatorService::new(
             registry,
             move || readiness.borrow().takes_work(),
             move || reader.read(),
         )
         .with_quarantine(
-            move || crate::node::status::quarantine_list(&listing),
-            move |fingerprint| lifting.lift(fingerprint),
+            move || crate::node::status::quarantine_statuses(&for_list),
+            move |fingerprint| for_lift.lift(fingerprint),
         );
         self.tasks
             .spawn(serve_operators(listener, service, self.stop.clone()));
@@ -439,8 +448,8 @@
     LifecycleHandle::start(settings, writer, views.clone())
 }
 
-/// Closes links to VMs that have left the topology.
-async fn close_unwanted(pool: PeerPool, mut views: NodeViews, stop: CancellationToken) {
+/// Closes links to VMs that are no longer in the topology view.
+async fn close_obsolete_links(pool: PeerPool, mut views: NodeViews, stop: CancellationToken) {
     loop {
         let changed = tokio::select! {
             changed = views.topology.changed() => changed,
--- a/crates/ebonyfork/src/node/dispatch.rs
+++ b/crates/ebonyfork/src/node/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which slice hears of what happens on the peer links.
+//! Dispatches link events to the subsystems.
 
 use crate::catalog::CatalogHandle;
 use crate::entry::EntryHandle;
@@ -7,7 +7,7 @@
 use crate::revision::RevisionHandle;
 use crate::wire::{LinkEvent, LinkSender, PeerMessage};
 
-/// The slices that take messages of peers. Cheap to clone.
+/// Handles of the subsystems that receive messages from peers. Cheap to clone.
 #[derive(Debug, Clone)]
 pub(super) struct PeerDispatch {
     pub(super) entry: EntryHandle,
@@ -18,15 +18,15 @@
 }
 
 impl PeerDispatch {
-    /// Work that has not been answered.
+    /// Returns the number of queries and attempts that have not been answered yet.
     pub(super) fn in_flight(&self) -> usize {
         self.entry.in_flight() + self.once.in_flight() + self.relay.in_flight()
     }
 
-    /// Hands one event to the slice that it concerns.
-    pub(super) async fn take(self, event: LinkEvent) {
+    /// Passes a link event to the subsystems that it concerns.
+    pub(super) async fn handle_event(self, event: LinkEvent) {
         match event {
-            LinkEvent::Message { from, message } => self.take_message(from, message).await,
+            LinkEvent::Message { from, message } => self.handle_message(from, message).await,
             LinkEvent::Down { vm, unsent } => {
                 let is_keyed = |message: &PeerMessage| matches!(message, PeerMessage::Once(_));
                 let (keyed, unsent) = unsent.into_iter().partition(is_keyed);
@@ -36,7 +36,8 @@
         }
     }
 
-    async fn take_message(self, from: LinkSender, message: PeerMessage) {
+    /// Passes a message to the subsystem that handles its kind.
+    async fn handle_message(self, from: LinkSender, message: PeerMessage) {
         match message {
             PeerMessage::Submit(batch) => self.relay.submit(from, batch).await,
             PeerMessage::Cancel(batch) => self.relay.cancel(&from, batch).await,
@@ -51,21 +52,22 @@
             | PeerMessage::Mirror(_)
             | PeerMessage::RouteCheck(_)
             | PeerMessage::Share(_) => {
-                log::debug!("a gateway's message from {:?}", from.peer());
+                log::debug!("ignoring a gateway message from {:?}", from.peer());
             }
-            PeerMessage::Hello(_) => log::debug!("a second hello from {:?}", from.peer()),
+            PeerMessage::Hello(_) => log::debug!("ignoring a second hello from {:?}", from.peer()),
         }
     }
 }
 
-/// Ends the configuration feeds when the node ends: links and feeds hold each other, so neither would end by itself.
+/// Stops the configuration and catalogue feeds when the node is dropped. Links and feeds hold references to each other,
+/// so neither would stop by itself.
 #[derive(Debug)]
-pub(super) struct FeedGuard {
+pub(super) struct FeedStopGuard {
     pub(super) revision: RevisionHandle,
     pub(super) catalog: CatalogHandle,
 }
 
-impl Drop for FeedGuard {
+impl Drop for FeedStopGuard {
     fn drop(&mut self) {
         self.revision.stop();
         self.catalog.stop();
--- a/crates/ebonyfork/src/node/gossip.rs
+++ b/crates/ebonyfork/src/node/gossip.rs
@@ -1,4 +1,4 @@
-//! What the slices of a node tell other members, and what they hear from them.
+//! Connects membership to the subsystems that exchange state with other members through gossip.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,41 +12,42 @@
 use crate::revision::RevisionHandle;
 use crate::views::NodeViews;
 
-/// Time between two looks at the load that the digest tells.
-const LOAD_PERIOD: Duration = Duration::from_secs(1);
-/// Queries in flight that count as a full load in the digest.
-const FULL_LOAD: usize = 512;
+/// Time between two updates of the load in the digest.
+const LOAD_UPDATE_PERIOD: Duration = Duration::from_secs(1);
+/// Number of queries in flight that is reported as full load in the digest.
+const FULL_LOAD_QUERIES: usize = 512;
 
-/// Joins membership to the slices that speak through it.
-pub(super) fn join_gossip(
+/// Starts the tasks that exchange digests and notices between membership and the other subsystems.
+pub(super) fn connect_gossip(
     tasks: &mut JoinSet<()>,
     members: &MemberHandle,
     dispatch: &PeerDispatch,
     quarantine: &QuarantineHandle,
     views: &NodeViews,
 ) {
-    tasks.spawn(tell_digest(
+    tasks.spawn(publish_digest(
         members.clone(),
         dispatch.clone(),
         views.clone(),
     ));
-    tasks.spawn(hear_digests(members.clone(), dispatch.revision.clone()));
+    tasks.spawn(follow_digests(members.clone(), dispatch.revision.clone()));
     tasks.spawn(publish_notices(members.clone(), quarantine.clone()));
     tasks.spawn(receive_notices(members.clone(), quarantine.clone()));
 }
 
-async fn tell_digest(members: MemberHandle, dispatch: PeerDispatch, mut views: NodeViews) {
-    let mut told = MemberDigest::default();
+/// Updates the digest of this process when its revision or load changes.
+async fn publish_digest(members: MemberHandle, dispatch: PeerDispatch, mut views: NodeViews) {
+    let mut published = MemberDigest::default();
     loop {
-        let load = dispatch.entry.in_flight().min(FULL_LOAD) * 1_000 / FULL_LOAD;
+        let load = dispatch.entry.in_flight().min(FULL_LOAD_QUERIES) * 1_000 / FULL_LOAD_QUERIES;
         let revision = views.config.borrow_and_update().revision;
         let digest = MemberDigest {
             revision,
             load: load as u16,
         };
-        if digest != told {
+        if digest != published {
             members.set_digest(digest);
-            told = digest;
+            published = digest;
         }
         tokio::select! {
             changed = views.config.changed() => {
@@ -54,33 +55,35 @@
                     return;
                 }
             }
-            () = tokio::time::sleep(LOAD_PERIOD) => {}
+            () = tokio::time::sleep(LOAD_UPDATE_PERIOD) => {}
         }
     }
 }
 
-async fn hear_digests(members: MemberHandle, revision: RevisionHandle) {
+/// Passes the revisions that the members hold to the configuration subsystem.
+async fn follow_digests(members: MemberHandle, revision: RevisionHandle) {
     let mut snapshot = members.snapshot();
     loop {
-        let seen = snapshot.borrow_and_update().clone();
-        revision.note_members(held_revisions(&seen));
+        let current = snapshot.borrow_and_update().clone();
+        revision.note_members(held_revisions(&current));
         if snapshot.changed().await.is_err() {
             return;
         }
     }
 }
 
+/// Returns the revision that each running member holds.
 fn held_revisions(
     snapshot: &Arc<MemberSnapshot>,
 ) -> impl Iterator<Item = (VmAddress, RevisionNumber)> {
-    let present = snapshot
+    let running = snapshot
         .members()
         .iter()
         .filter(|member| member.state.is_present());
-    present.map(|member| (member.vm, member.digest.revision))
+    running.map(|member| (member.vm, member.digest.revision))
 }
 
-/// The newest revision that any member holds.
+/// Returns the newest revision that any member holds.
 pub(super) fn newest_revision(snapshot: &MemberSnapshot) -> RevisionNumber {
     let revisions = snapshot
         .members()
--- a/crates/ebonyfork/src/node/listening.rs
+++ b/crates/ebonyfork/src/node/listening.rs
@@ -1,4 +1,4 @@
-//! The sockets of a node, bound before anything else starts, so that a clash of addresses is the first thing told.
+//! Sockets of a node. They are bound before anything else starts, so that an address conflict is reported first.
 
 use std::net::SocketAddr;
 
@@ -10,24 +10,28 @@
 /// Why a node can't start.
 #[derive(Debug, Snafu)]
 pub enum NodeError {
-    /// An address can't be listened on.
+    /// A socket can't be bound to its address.
     #[snafu(display("can't listen for {role} on {address}: {source}"))]
     Bind {
-        /// Who was to be served there.
+        /// Use of the socket, such as `callers` or `peers`.
         role: &'static str,
-        /// The address.
+        /// Address to bind to.
         address: SocketAddr,
-        /// The cause.
+        /// The underlying I/O error.
         source: std::io::Error,
     },
 }
 
-/// The bound sockets of a node.
+/// Bound sockets of a node.
 #[derive(Debug)]
 pub(super) struct NodeSockets {
+    /// Listener for HTTP requests of callers.
     pub(super) callers: TcpListener,
+    /// Listener for links of peers.
     pub(super) peers: TcpListener,
+    /// Socket for membership datagrams.
     pub(super) members: UdpSocket,
+    /// Listener for HTTP requests of operators.
     pub(super) operators: TcpListener,
 }
 
@@ -53,6 +57,7 @@
     }
 }
 
+/// Binds a TCP listener.
 async fn listen(role: &'static str, address: SocketAddr) -> Result<TcpListener, NodeError> {
     TcpListener::bind(address)
         .await
--- a/crates/ebonyfork/src/node/mod.rs
+++ b/crates/ebonyfork/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One process put together: sockets, views, and the slices joined to each other.
+//! A complete process: binds the sockets, creates the views, and starts and connects all subsystems.
 //!
-//! The daemon and the measuring tool start a node by the same call. Nothing is decided here; this module says which
-//! slice hears of what. A node ends by a planned stop, or abruptly when its runtime is dropped.
+//! The daemon and the lab start a node with the same call. This module only connects the subsystems and makes no
+//! decisions itself. A node ends with a planned stop, or abruptly when its runtime is dropped.
 
 mod assembly;
 mod dispatch;
--- a/crates/ebonyfork/src/node/options.rs
+++ b/crates/ebonyfork/src/node/options.rs
@@ -1,4 +1,4 @@
-//! What the one who starts a node may vary beyond its settings.
+//! Options of a node that are set in code instead of the settings file.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,12 +8,14 @@
 
 use crate::ident::VmAddress;
 
+/// Returns the simulated one-way delay to a VM.
 pub(super) type DelayFunction = dyn Fn(VmAddress) -> Duration + Send + Sync;
 
 /// Options of a node; the daemon uses the defaults.
 #[derive(Clone)]
 pub struct NodeOptions {
     pub(super) link_delay: Arc<DelayFunction>,
+    /// Cancelled to cut a planned stop short.
     pub(super) hurry: CancellationToken,
 }
 
@@ -35,12 +37,12 @@
 }
 
 impl NodeOptions {
-    /// Options without delays.
+    /// Creates options without simulated delays.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Delays what is sent to each VM, one way, as distance would. Only the measuring tool does this.
+    /// Delays the traffic to each VM by a one-way delay, to simulate network distance. Only the lab uses this.
     #[must_use]
     pub fn with_link_delay(
         mut self,
@@ -50,7 +52,7 @@
         self
     }
 
-    /// Cuts a planned stop short once `hurry` is cancelled: what is still in flight is given up and answered truthfully.
+    /// Cuts a planned stop short once `hurry` is cancelled: work still in flight is abandoned and answered as such.
     #[must_use]
     pub fn with_hurry(mut self, hurry: CancellationToken) -> Self {
         self.hurry = hurry;
--- a/crates/ebonyfork/src/node/status.rs
+++ b/crates/ebonyfork/src/node/status.rs
@@ -1,4 +1,4 @@
-//! Reads a node's state for operators.
+//! Status of a node for operators.
 
 use compact_str::format_compact;
 
@@ -12,7 +12,7 @@
 use crate::topology::{TopologyView, owner_pair};
 use crate::views::{CatalogSet, NodeViews};
 
-/// Puts a [`NodeStatus`] together on request.
+/// Collects a [`NodeStatus`] on request.
 #[derive(Debug)]
 pub(super) struct StatusReader {
     session: SessionId,
@@ -37,6 +37,7 @@
         }
     }
 
+    /// Returns the current status of the node.
     pub(super) fn read(&self) -> NodeStatus {
         let topology = self.views.topology.borrow().clone();
         let catalogs = self.views.catalog.borrow().clone();
@@ -46,9 +47,9 @@
             zone: self.zone.clone(),
             readiness: format_compact!("{readiness:?}").to_ascii_lowercase(),
             revision: self.views.config.borrow().revision,
-            catalogs: catalog_list(&catalogs),
-            vms: vm_list(&topology),
-            upstreams: upstream_list(&topology),
+            catalogs: catalog_statuses(&catalogs),
+            vms: vm_statuses(&topology),
+            upstreams: upstream_statuses(&topology),
             in_flight: self.in_flight(),
         }
     }
@@ -62,40 +63,40 @@
     }
 }
 
-fn catalog_list(catalogs: &CatalogSet) -> Vec<CatalogStatus> {
-    let mut list = Vec::with_capacity(catalogs.len());
+fn catalog_statuses(catalogs: &CatalogSet) -> Vec<CatalogStatus> {
+    let mut statuses = Vec::with_capacity(catalogs.len());
     for (index, catalog) in catalogs {
         let newest = catalog.newest().map(|shards| shards.version);
-        list.push(CatalogStatus {
+        statuses.push(CatalogStatus {
             index: index.clone(),
             epoch: catalog.epoch,
             newest,
         });
     }
-    list
+    statuses
 }
 
-fn vm_list(topology: &TopologyView) -> Vec<VmStatus> {
-    let mut list = Vec::with_capacity(topology.vms.len());
+fn vm_statuses(topology: &TopologyView) -> Vec<VmStatus> {
+    let mut statuses = Vec::with_capacity(topology.vms.len());
     for entry in topology.vms.values() {
         let session = entry
             .incarnation
             .map(|number| SessionId::new(entry.vm, number));
-        list.push(VmStatus {
+        statuses.push(VmStatus {
             vm: entry.vm,
             zone: entry.zone.clone(),
             session: session.map(NodeStatus::session_text),
             leaving: entry.leaving,
         });
     }
-    list
+    statuses
 }
 
-fn upstream_list(topology: &TopologyView) -> Vec<UpstreamStatus> {
-    let mut list = Vec::with_capacity(topology.upstreams.len());
+fn upstream_statuses(topology: &TopologyView) -> Vec<UpstreamStatus> {
+    let mut statuses = Vec::with_capacity(topology.upstreams.len());
     for entry in topology.upstreams.values() {
         let owner = owner_pair(topology, entry.upstream).map(|pair| pair.primary);
-        list.push(UpstreamStatus {
+        statuses.push(UpstreamStatus {
             upstream: entry.upstream,
             service: entry.service.clone(),
             zone: entry.zone.clone(),
@@ -103,17 +104,17 @@
             owner,
         });
     }
-    list
+    statuses
 }
 
-/// Lists what is quarantined here.
-pub(super) fn quarantine_list(quarantine: &QuarantineHandle) -> Vec<QuarantineStatus> {
-    let mut list = Vec::new();
+/// Returns the requests that are quarantined on this node.
+pub(super) fn quarantine_statuses(quarantine: &QuarantineHandle) -> Vec<QuarantineStatus> {
+    let mut statuses = Vec::new();
     for entry in quarantine.entries() {
-        list.push(QuarantineStatus {
+        statuses.push(QuarantineStatus {
             fingerprint: entry.fingerprint,
             expires_in_s: entry.remaining.as_secs(),
         });
     }
-    list
+    statuses
 }
