--- a/crates/ebonyfork/benches/fleet.rs
+++ b/crates/ebonyfork/benches/fleet.rs
@@ -65,8 +65,8 @@
 
 fn join(size: u32) -> TopologyJoin {
     let mut join = TopologyJoin::new(session(0), zone(0));
-    join.take_list(Duration::ZERO, list(size));
-    join.take_members(Arc::new(snapshot(size)));
+    join.apply_list(Duration::ZERO, list(size));
+    join.apply_members(Arc::new(snapshot(size)));
     join
 }
 
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -302,7 +302,7 @@
                     move |fingerprint| for_status.admit(fingerprint),
                     move |fingerprint, flight| for_answers.report_answer(fingerprint, flight),
                 )
-                .with_leaving_report(move |upstream| topology.note_leaving(upstream));
+                .with_leaving_report(move |upstream| topology.mark_leaving(upstream));
         RelayHandle::start(settings)
     }
 
--- a/crates/ebonyfork/src/topology/feed.rs
+++ b/crates/ebonyfork/src/topology/feed.rs
@@ -87,7 +87,7 @@
             writer,
             next_change: None,
         };
-        actor.take_members();
+        actor.apply_members();
         actor.publish();
         let (address, mailbox) = Mailbox::unbounded();
         let mut tasks = JoinSet::new();
@@ -103,7 +103,7 @@
     }
 
     /// Records that an upstream has reported that it is leaving; it gets no new work from now on.
-    pub fn note_leaving(&self, upstream: UpstreamAddress) {
+    pub fn mark_leaving(&self, upstream: UpstreamAddress) {
         // Sending to an unbounded mailbox completes at the first poll; the return value is not awaited.
         let _queued = self
             .actor
@@ -179,9 +179,9 @@
         self.started.elapsed()
     }
 
-    fn take_members(&mut self) {
+    fn apply_members(&mut self) {
         let members = Arc::clone(&self.members.borrow_and_update());
-        if self.join.take_members(members) {
+        if self.join.apply_members(members) {
             self.publish();
         }
     }
@@ -205,7 +205,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: ListRead, _context: &mut Context<Self>) {
-        if !self.join.take_list(self.now(), message.0) {
+        if !self.join.apply_list(self.now(), message.0) {
             log::warn!(
                 "VM list lacks more than half of the last one; waiting for the next read to confirm it"
             );
@@ -227,7 +227,7 @@
     type Return = ();
 
     async fn handle(&mut self, _message: MembersChanged, _context: &mut Context<Self>) {
-        self.take_members();
+        self.apply_members();
     }
 }
 
@@ -235,7 +235,7 @@
     type Return = ();
 
     async fn handle(&mut self, message: LeavingReport, _context: &mut Context<Self>) {
-        self.join.note_leaving(self.now(), message.0);
+        self.join.mark_leaving(self.now(), message.0);
         self.publish();
     }
 }
--- a/crates/ebonyfork/src/topology/feed_tests.rs
+++ b/crates/ebonyfork/src/topology/feed_tests.rs
@@ -53,7 +53,7 @@
     view.wait_for(|view| view.vms.len() == 2).await.unwrap();
     let upstream: UpstreamAddress = "10.0.0.9:80".parse().unwrap();
     expect_that!(view.borrow().upstreams[&upstream].leaving, eq(false));
-    handle.note_leaving(upstream);
+    handle.mark_leaving(upstream);
     let reported = view.wait_for(|view| view.upstreams[&upstream].leaving);
     expect_that!(reported.await.is_ok(), eq(true));
     tokio::time::sleep(LIST_PERIOD * 60).await;
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -69,7 +69,7 @@
 
     /// Applies a VM list that was read at `now` and returns whether it was accepted. A list with less than half the
     /// items of the previous one is rejected once and accepted only if the next read confirms it.
-    pub fn take_list(
+    pub fn apply_list(
         &mut self,
         now: Duration,
         records: impl IntoIterator<Item = VmRecord>,
@@ -109,7 +109,7 @@
     }
 
     /// Applies a membership snapshot and returns whether anything other than digests has changed.
-    pub fn take_members(&mut self, members: Arc<MemberSnapshot>) -> bool {
+    pub fn apply_members(&mut self, members: Arc<MemberSnapshot>) -> bool {
         let unchanged = members.members().len() == self.members.members().len()
             && members
                 .members()
@@ -123,7 +123,7 @@
     }
 
     /// Records that an upstream has reported at `now` that it is leaving.
-    pub fn note_leaving(&mut self, now: Duration, upstream: UpstreamAddress) {
+    pub fn mark_leaving(&mut self, now: Duration, upstream: UpstreamAddress) {
         if self.leaving_reports.insert(upstream, now).is_none() {
             self.rebuild_upstream_view();
         }
--- a/crates/ebonyfork/src/topology/join_tests.rs
+++ b/crates/ebonyfork/src/topology/join_tests.rs
@@ -76,10 +76,10 @@
     ];
     for (listed, member_state, any_peer_answered, age, expected) in cases {
         let mut join = join();
-        join.take_list(seconds(5), listed.map(|state| record(2, state)));
+        join.apply_list(seconds(5), listed.map(|state| record(2, state)));
         let other = any_peer_answered.then(|| member(3, Alive));
         let members = member_state.map(|state| member(2, state)).into_iter();
-        join.take_members(Arc::new(MemberSnapshot::new(members.chain(other))));
+        join.apply_members(Arc::new(MemberSnapshot::new(members.chain(other))));
         let view = join.view(seconds(5 + age));
         let leaving = view.vms.get(&vm(2)).map(|entry| entry.leaving);
         expect_that!(
@@ -101,26 +101,26 @@
         view.upstreams.get(&upstream(9)).map(|entry| entry.leaving)
     };
     let mut join = join();
-    join.take_list(seconds(0), [server(9, VmState::Live)]);
+    join.apply_list(seconds(0), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 0), some(eq(false)));
-    join.note_leaving(seconds(1), upstream(9));
+    join.mark_leaving(seconds(1), upstream(9));
     expect_that!(leaving(&join, 1), some(eq(true)));
     // The list lags and still shows the upstream live; without any further list, nothing changes either.
-    join.take_list(seconds(30), [server(9, VmState::Live)]);
+    join.apply_list(seconds(30), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 1_000), some(eq(true)));
-    join.take_list(seconds(121), [server(9, VmState::Live)]);
+    join.apply_list(seconds(121), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 121), some(eq(false)));
     // An upstream listed as leaving and then live again is a new instance, however short the time between.
-    join.note_leaving(seconds(130), upstream(9));
-    join.take_list(seconds(131), [server(9, VmState::Leaving)]);
+    join.mark_leaving(seconds(130), upstream(9));
+    join.apply_list(seconds(131), [server(9, VmState::Leaving)]);
     expect_that!(leaving(&join, 1_000), some(eq(true)));
-    join.take_list(seconds(132), [server(9, VmState::Live)]);
+    join.apply_list(seconds(132), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 132), some(eq(false)));
     // An upstream that was removed from the list and listed again is a new instance.
-    join.note_leaving(seconds(170), upstream(9));
-    join.take_list(seconds(171), []);
+    join.mark_leaving(seconds(170), upstream(9));
+    join.apply_list(seconds(171), []);
     expect_that!(leaving(&join, 171), none());
-    join.take_list(seconds(172), [server(9, VmState::Live)]);
+    join.apply_list(seconds(172), [server(9, VmState::Live)]);
     expect_that!(leaving(&join, 172), some(eq(false)));
 }
 
@@ -128,13 +128,13 @@
 fn a_list_that_shrinks_by_half_must_be_confirmed() {
     let many = || (20..40).map(|last| server(last, VmState::Live));
     let mut join = join();
-    expect_that!(join.take_list(seconds(0), many()), eq(true));
-    expect_that!(join.take_list(seconds(2), []), eq(false));
+    expect_that!(join.apply_list(seconds(0), many()), eq(true));
+    expect_that!(join.apply_list(seconds(2), []), eq(false));
     expect_that!(join.view(seconds(2)).upstreams.len(), eq(20));
     // After the whole list, a short one is rejected at first and accepted when the next read confirms it.
-    expect_that!(join.take_list(seconds(4), many()), eq(true));
-    expect_that!(join.take_list(seconds(6), many().take(9)), eq(false));
-    expect_that!(join.take_list(seconds(8), many().take(9)), eq(true));
+    expect_that!(join.apply_list(seconds(4), many()), eq(true));
+    expect_that!(join.apply_list(seconds(6), many().take(9)), eq(false));
+    expect_that!(join.apply_list(seconds(8), many().take(9)), eq(true));
     expect_that!(join.view(seconds(8)).upstreams.len(), eq(9));
 }
 
@@ -143,20 +143,20 @@
     let mut join = join();
     let mut changed = member(2, MemberState::Alive);
     expect_that!(
-        join.take_members(Arc::new(MemberSnapshot::new([changed.clone()]))),
+        join.apply_members(Arc::new(MemberSnapshot::new([changed.clone()]))),
         eq(true)
     );
     changed.digest.load = 9;
     expect_that!(
-        join.take_members(Arc::new(MemberSnapshot::new([changed.clone()]))),
+        join.apply_members(Arc::new(MemberSnapshot::new([changed.clone()]))),
         eq(false)
     );
     changed.state = MemberState::Suspect;
     expect_that!(
-        join.take_members(Arc::new(MemberSnapshot::new([changed]))),
+        join.apply_members(Arc::new(MemberSnapshot::new([changed]))),
         eq(true)
     );
-    join.take_list(
+    join.apply_list(
         seconds(1),
         [record(2, VmState::Live), record(3, VmState::Live)],
     );
