--- a/crates/ebonyfork/src/membership/actor_tests.rs
+++ b/crates/ebonyfork/src/membership/actor_tests.rs
@@ -7,12 +7,12 @@
 use crate::membership::MemberState;
 
 /// Members in one test share a port and differ in their loopback address.
-async fn start(number: u8, port: u16, seeds: &[VmAddress]) -> (MemberHandle, u16) {
-    let ip: IpAddr = [127, 83, 1, number].into();
+async fn start(host: u8, port: u16, seeds: &[VmAddress]) -> (MemberHandle, u16) {
+    let ip: IpAddr = [127, 83, 1, host].into();
     let socket = UdpSocket::bind((ip, port)).await.unwrap();
     let port = socket.local_addr().unwrap().port();
     let own = SessionId::new(VmAddress(ip), IncarnationNumber(5));
-    let settings = MemberSettings::new(own, "a".parse().unwrap(), port, u64::from(number))
+    let settings = MemberSettings::new(own, "a".parse().unwrap(), port, u64::from(host))
         .with_delay(|_vm| Duration::from_millis(1));
     let (_sender, seeds) = watch::channel(seeds.into());
     (MemberHandle::start(settings, socket, seeds), port)
--- a/crates/ebonyfork/src/membership/belief.rs
+++ b/crates/ebonyfork/src/membership/belief.rs
@@ -16,6 +16,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspectTimer {
     vm: VmAddress,
+    /// Version of the member that is suspected; the timer is void once the member has another one.
     version: MemberVersion,
     pub(super) deadline: Duration,
 }
@@ -73,8 +74,8 @@
 
     /// Applies an update about another member to the table. Gossips it if `forward` is set or if it is a suspicion.
     pub(super) fn apply_update(&mut self, now: Duration, update: &MemberUpdate, forward: bool) {
-        let before = self.table.get(update.vm).map(MemberRecord::state);
-        if before.is_none() && self.table.len() >= MEMBER_LIMIT {
+        let state_before = self.table.get(update.vm).map(MemberRecord::state);
+        if state_before.is_none() && self.table.len() >= MEMBER_LIMIT {
             return;
         }
         let effect = self.table.merge(now, update);
@@ -104,7 +105,7 @@
         if forward || health == MemberHealth::Suspect {
             self.gossip_queues.members.push(update.vm);
         }
-        if before != Some(state) || effect == MergeEffect::Joined {
+        if state_before != Some(state) || effect == MergeEffect::Joined {
             self.change = SnapshotChange::Members;
             let session = SessionId::new(update.vm, version.incarnation);
             let event = MemberEvent::State {
--- a/crates/ebonyfork/src/membership/fleet_fixture.rs
+++ b/crates/ebonyfork/src/membership/fleet_fixture.rs
@@ -25,11 +25,13 @@
     pub(super) now: Duration,
     pub(super) steps: usize,
     pub(super) nodes: Vec<MemberProtocol>,
+    /// Whether each node runs; a node that does not run loses its datagrams.
     pub(super) running: Vec<bool>,
     /// Node whose process is not scheduled; datagrams to it wait in its socket.
     pub(super) stalled: Option<usize>,
     /// Datagrams in flight with their senders, by time of arrival.
     pub(super) in_flight: BTreeMap<Duration, Vec<(usize, OutgoingDatagram)>>,
+    /// Rule by which datagrams arrive or are lost.
     pub(super) delivers: DeliveryRule,
     pub(super) rng: ChaCha8Rng,
     /// Most bytes that any node has sent within one second.
@@ -38,10 +40,12 @@
     pub(super) last_sent_bytes: Vec<u64>,
 }
 
+/// Returns the address of a node.
 pub(super) fn vm(index: usize) -> VmAddress {
     VmAddress(std::net::Ipv4Addr::from(0x0a00_0001 + index as u32).into())
 }
 
+/// Creates the protocol state of a node that starts at `now`.
 pub(super) fn protocol(now: Duration, index: usize, incarnation: u64) -> MemberProtocol {
     let own = SessionId::new(vm(index), IncarnationNumber(incarnation));
     let zone = format!("zone-{}", index % 3).parse().unwrap();
@@ -129,6 +133,7 @@
         );
     }
 
+    /// Drops each datagram with probability `loss`.
     pub(super) fn with_loss(mut self, loss: f64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(3);
         self.delivers = Box::new(move |_, _, _| !rng.random_bool(loss));
@@ -173,6 +178,7 @@
         }
     }
 
+    /// Delivers a datagram, drops it if the receiver does not run or by the delivery rule, or keeps it for a stalled node.
     pub(super) fn deliver(&mut self, from: usize, datagram: &OutgoingDatagram) {
         let std::net::IpAddr::V4(ip) = datagram.to.0 else {
             return;
--- a/crates/ebonyfork/src/membership/message.rs
+++ b/crates/ebonyfork/src/membership/message.rs
@@ -57,7 +57,7 @@
 /// Orders the updates about one member: process incarnation first, then its refutation counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MemberVersion {
-    /// The process incarnation.
+    /// Incarnation of the process that runs on the VM.
     pub incarnation: IncarnationNumber,
     /// Counter that only the member itself increments, each time it learns that it is suspected.
     pub refutation: u32,
@@ -121,7 +121,7 @@
     },
 }
 
-/// State of a member as reported by another one.
+/// State of a member, reported by itself or by another member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
     /// VM of the member.
@@ -138,7 +138,7 @@
     pub zone: Option<ZoneName>,
 }
 
-/// Digest of a member, forwarded by another one.
+/// Digest of a member, sent by itself or forwarded by another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DigestUpdate {
     /// Process incarnation of the member.
@@ -165,7 +165,7 @@
 pub struct MemberDatagram {
     /// State of the sender.
     pub sender: SenderHeader,
-    /// The message.
+    /// What the sender asks or answers.
     pub message: MemberMessage,
     /// The piggybacked facts.
     pub facts: Vec<GossipFact>,
@@ -205,6 +205,7 @@
 #[derive(Debug)]
 pub struct DatagramWriter {
     bytes: Vec<u8>,
+    /// Maximum size of this datagram, in bytes.
     limit: usize,
 }
 
@@ -231,21 +232,21 @@
 
     /// Appends a fact if it fits; returns whether it did.
     pub fn push(&mut self, fact: &GossipFact) -> bool {
-        let before = self.bytes.len();
+        let length_before = self.bytes.len();
         self.append(fact);
         let fits = self.bytes.len() <= self.limit;
         if !fits {
-            self.bytes.truncate(before);
+            self.bytes.truncate(length_before);
         }
         fits
     }
 
     /// Appends a fact even beyond the limit of this datagram, as long as [`DATAGRAM_LIMIT`] allows.
     pub fn push_mandatory(&mut self, fact: &GossipFact) {
-        let before = self.bytes.len();
+        let length_before = self.bytes.len();
         self.append(fact);
         if self.bytes.len() > DATAGRAM_LIMIT {
-            self.bytes.truncate(before);
+            self.bytes.truncate(length_before);
         }
     }
 
@@ -254,6 +255,7 @@
         self.bytes
     }
 
+    /// Appends an encoded value without checking the limit.
     fn append(&mut self, value: &impl Serialize) {
         let bytes = std::mem::take(&mut self.bytes);
         // Encoding to memory can't fail for these types; if it did, the receiver would drop the truncated datagram.
--- a/crates/ebonyfork/src/membership/notice.rs
+++ b/crates/ebonyfork/src/membership/notice.rs
@@ -26,12 +26,13 @@
 }
 
 impl HeldNotice {
+    /// Returns the time since the notice was published.
     fn age(&self, now: Duration) -> Duration {
         now.saturating_sub(self.published_at) + self.age_at_start
     }
 }
 
-/// Notices that have not expired, by notice number.
+/// Notices that are known to this process, by notice number.
 #[derive(Debug, Default)]
 pub struct NoticeTable {
     held: FxHashMap<u64, HeldNotice>,
--- a/crates/ebonyfork/src/membership/paging.rs
+++ b/crates/ebonyfork/src/membership/paging.rs
@@ -22,8 +22,11 @@
 /// The next page to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextPage {
+    /// No transfer is in progress.
     Nothing,
+    /// The first page of the table.
     First,
+    /// The page that starts after this address.
     After(VmAddress),
 }
 
@@ -35,6 +38,7 @@
     until_last_page: bool,
     /// The peer that was asked for a page, and when.
     requested: Option<(VmAddress, Duration)>,
+    /// When the next repair starts.
     next_repair: Duration,
 }
 
--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -24,8 +24,11 @@
 pub(super) struct ProbeState {
     /// Members in the order of the current round; some may have failed in the meantime.
     order: Vec<VmAddress>,
+    /// Index of the next member in `order` to probe.
     position: usize,
+    /// Probe that waits for an answer.
     current: Option<OpenProbe>,
+    /// When the open probe ends and the next one starts.
     next_probe: Duration,
     /// When the next failed member and unanswered seed are tried again.
     next_reconnect: Duration,
@@ -33,6 +36,7 @@
     next_seed: Duration,
     /// Current backoff between probes of seeds.
     seed_backoff: Duration,
+    /// Probes made for other members whose answers are to be forwarded.
     relays: Vec<RelayedProbe>,
 }
 
@@ -330,7 +334,7 @@
     }
 }
 
-/// Returns a random element.
+/// Returns a random VM of `vms`; none if it is empty.
 fn pick(vms: &[VmAddress], rng: &mut impl Rng) -> Option<VmAddress> {
     if vms.is_empty() {
         return None;
--- a/crates/ebonyfork/src/membership/protocol.rs
+++ b/crates/ebonyfork/src/membership/protocol.rs
@@ -46,8 +46,9 @@
     pub(super) rng: ChaCha8Rng,
     /// When the last datagram arrived from a peer.
     pub(super) last_received: Option<Duration>,
-    /// When the last answer to one of our own probes arrived.
+    /// When the last answer to a ping of this process arrived.
     pub(super) last_ack: Option<Duration>,
+    /// Events since the last call of [`Self::take_events`].
     pub(super) events: Vec<MemberEvent>,
     /// Change since the last call of [`Self::take_change`].
     pub(super) change: SnapshotChange,
@@ -55,6 +56,7 @@
     /// Deadlines of the current suspicions.
     pub(super) suspects: Vec<SuspectTimer>,
     pub(super) budget: ByteBudget,
+    /// Time of the last call of [`Self::advance_clock`], used to detect pauses.
     last_call_at: Duration,
     last_tick_at: Duration,
     /// Whether no datagram has arrived from a peer for [`ISOLATION_TIME`].
@@ -209,7 +211,7 @@
             .is_some_and(|received| now.saturating_sub(received) < RECEIVE_SILENCE_TIME)
     }
 
-    /// Returns whether any of our own probes was answered recently, so that a missing answer can count against its
+    /// Returns whether any ping of this process was answered recently, so that a missing answer can count against its
     /// member.
     pub(super) fn has_recent_ack(&self, now: Duration) -> bool {
         self.last_ack
--- a/crates/ebonyfork/src/membership/table.rs
+++ b/crates/ebonyfork/src/membership/table.rs
@@ -110,7 +110,7 @@
         let Some(record) = self.records.get_mut(&update.vm) else {
             return self.insert(now, update);
         };
-        let before = record.health;
+        let health_before = record.health;
         let is_new_incarnation = update.version.incarnation > record.version.incarnation;
         let newer = (update.version, update.health) > (record.version, record.health);
         let starts_leaving = update.leaving
@@ -138,7 +138,7 @@
         if let Some(zone) = &update.zone {
             record.zone.clone_from(zone);
         }
-        self.update_present_count(before, update.health);
+        self.update_present_count(health_before, update.health);
         if is_new_incarnation && update.health != MemberHealth::Failed {
             MergeEffect::Joined
         } else {
@@ -146,6 +146,7 @@
         }
     }
 
+    /// Adds an unknown member, unless the update lacks the zone or reports a failure.
     fn insert(&mut self, now: Duration, update: &MemberUpdate) -> MergeEffect {
         let Some(zone) = &update.zone else {
             return MergeEffect::Unchanged;
@@ -167,6 +168,7 @@
         MergeEffect::Joined
     }
 
+    /// Adjusts the number of members that are not failed to a change of health.
     fn update_present_count(&mut self, before: MemberHealth, after: MemberHealth) {
         let (was_present, is_present) = (
             before != MemberHealth::Failed,
@@ -186,10 +188,10 @@
         {
             return DigestEffect::Unchanged;
         }
-        let before = record.digest;
+        let digest_before = record.digest;
         record.digest_sequence = update.digest_sequence;
         record.digest = update.digest;
-        if before.revision == update.digest.revision {
+        if digest_before.revision == update.digest.revision {
             DigestEffect::Load
         } else {
             DigestEffect::Revision
@@ -212,11 +214,11 @@
         })
     }
 
-    /// Removes members that failed before `before`. One that returns later counts as new, even if its clock ran
+    /// Removes members that failed before `failed_before`. One that returns later counts as new, even if its clock ran
     /// backwards.
-    pub fn remove_failed(&mut self, before: Duration) {
+    pub fn remove_failed(&mut self, failed_before: Duration) {
         self.records.retain(|_, record| {
-            record.health != MemberHealth::Failed || record.health_since >= before
+            record.health != MemberHealth::Failed || record.health_since >= failed_before
         });
     }
 }
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -46,10 +46,12 @@
     session: SessionId,
     views: NodeViews,
     dispatch: PeerDispatch,
+    /// Cancelled at the end of a planned stop: ends links and servers.
     stop: CancellationToken,
     members: MemberHandle,
     lifecycle: LifecycleHandle,
     locate_ttl: Duration,
+    /// Cancelled to cut a planned stop short.
     hurry: CancellationToken,
     /// Caller servers, which a planned stop waits for.
     servers: JoinSet<()>,
@@ -81,7 +83,7 @@
     pub async fn ready(&self) {
         let mut readiness = self.views.readiness.clone();
         // The writer lives as long as the node, so the wait can't end with an error.
-        let _found = readiness.wait_for(|readiness| readiness.takes_work()).await;
+        let _ready = readiness.wait_for(|readiness| readiness.takes_work()).await;
     }
 
     /// Performs a planned stop: announces that the node is leaving, finishes the work in flight, then stops all
@@ -359,7 +361,7 @@
         };
         let pool = PeerPool::new(settings, self.stop.clone(), handler);
         // This is the only place that sets the cell, so setting it can't fail.
-        let _first = self.pool.0.set(pool.clone());
+        let _set_result = self.pool.0.set(pool.clone());
         self.tasks.spawn(close_obsolete_links(
             pool.clone(),
             views.clone(),
--- a/crates/ebonyfork/src/topology/feed_tests.rs
+++ b/crates/ebonyfork/src/topology/feed_tests.rs
@@ -7,9 +7,9 @@
 use crate::ident::IncarnationNumber;
 use crate::topology::{OWN_GROUP, VmState};
 
-fn record(last: u8, group: &str, port: Option<u16>) -> VmRecord {
+fn record(last_octet: u8, group: &str, port: Option<u16>) -> VmRecord {
     VmRecord {
-        ip: [10, 0, 0, last].into(),
+        ip: [10, 0, 0, last_octet].into(),
         port,
         zone: "a".parse().unwrap(),
         group: CompactString::new(group),
--- a/crates/ebonyfork/src/topology/join_tests.rs
+++ b/crates/ebonyfork/src/topology/join_tests.rs
@@ -5,17 +5,17 @@
 use crate::ident::IncarnationNumber;
 use crate::membership::MemberDigest;
 
-fn vm(last: u8) -> VmAddress {
-    VmAddress([10, 0, 0, last].into())
+fn vm(last_octet: u8) -> VmAddress {
+    VmAddress([10, 0, 0, last_octet].into())
 }
 
 fn own() -> SessionId {
     SessionId::new(vm(1), IncarnationNumber(100))
 }
 
-fn record(last: u8, state: VmState) -> VmRecord {
+fn record(last_octet: u8, state: VmState) -> VmRecord {
     VmRecord {
-        ip: vm(last).0,
+        ip: vm(last_octet).0,
         port: None,
         zone: "a".parse().unwrap(),
         group: CompactString::new(OWN_GROUP),
@@ -23,17 +23,17 @@
     }
 }
 
-fn server(last: u8, state: VmState) -> VmRecord {
+fn server(last_octet: u8, state: VmState) -> VmRecord {
     VmRecord {
         port: Some(80),
         group: "tender-00".into(),
-        ..record(last, state)
+        ..record(last_octet, state)
     }
 }
 
-fn member(last: u8, state: MemberState) -> MemberEntry {
+fn member(last_octet: u8, state: MemberState) -> MemberEntry {
     MemberEntry {
-        vm: vm(last),
+        vm: vm(last_octet),
         zone: "a".parse().unwrap(),
         incarnation: IncarnationNumber(7),
         state,
@@ -41,8 +41,8 @@
     }
 }
 
-fn upstream(last: u8) -> UpstreamAddress {
-    format!("10.0.0.{last}:80").parse().unwrap()
+fn upstream(last_octet: u8) -> UpstreamAddress {
+    format!("10.0.0.{last_octet}:80").parse().unwrap()
 }
 
 fn join() -> TopologyJoin {
@@ -126,15 +126,15 @@
 
 #[gtest]
 fn a_list_that_shrinks_by_half_must_be_confirmed() {
-    let many = || (20..40).map(|last| server(last, VmState::Live));
+    let full_list = || (20..40).map(|last_octet| server(last_octet, VmState::Live));
     let mut join = join();
-    expect_that!(join.apply_list(seconds(0), many()), eq(true));
+    expect_that!(join.apply_list(seconds(0), full_list()), eq(true));
     expect_that!(join.apply_list(seconds(2), []), eq(false));
     expect_that!(join.view(seconds(2)).upstreams.len(), eq(20));
     // After the whole list, a short one is rejected at first and accepted when the next read confirms it.
-    expect_that!(join.apply_list(seconds(4), many()), eq(true));
-    expect_that!(join.apply_list(seconds(6), many().take(9)), eq(false));
-    expect_that!(join.apply_list(seconds(8), many().take(9)), eq(true));
+    expect_that!(join.apply_list(seconds(4), full_list()), eq(true));
+    expect_that!(join.apply_list(seconds(6), full_list().take(9)), eq(false));
+    expect_that!(join.apply_list(seconds(8), full_list().take(9)), eq(true));
     expect_that!(join.view(seconds(8)).upstreams.len(), eq(9));
 }
 
--- a/crates/ebonyfork/src/topology/ownership_tests.rs
+++ b/crates/ebonyfork/src/topology/ownership_tests.rs
@@ -4,8 +4,8 @@
 use crate::topology::{UpstreamEntry, VmEntry};
 
 fn view(vms: impl IntoIterator<Item = u8>) -> TopologyView {
-    let vm = |last: u8| VmEntry {
-        vm: format!("10.0.0.{last}").parse().unwrap(),
+    let vm = |last_octet: u8| VmEntry {
+        vm: format!("10.0.0.{last_octet}").parse().unwrap(),
         zone: "zone-a".parse().unwrap(),
         incarnation: None,
         leaving: false,
@@ -31,9 +31,9 @@
         let mut max_shares = [0; 7];
         for view_mask in 1..1_u8 << 7 {
             let view = view((0..7).filter(|vm| view_mask & (1 << vm) != 0));
-            for (vm, max_shares) in max_shares.iter_mut().enumerate() {
+            for (vm, max_share) in max_shares.iter_mut().enumerate() {
                 let vm = format!("10.0.0.{vm}").parse().unwrap();
-                *max_shares = u32::max(*max_shares, connection_share(&view, vm, upstream(), limit));
+                *max_share = u32::max(*max_share, connection_share(&view, vm, upstream(), limit));
             }
             let primary = owner_pair(&view, upstream()).unwrap().primary;
             expect_that!(connection_share(&view, primary, upstream(), limit), ge(1));
--- a/crates/ebonyfork/src/wire/link.rs
+++ b/crates/ebonyfork/src/wire/link.rs
@@ -118,7 +118,7 @@
 pub(super) type FrameWriter = FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>;
 
 /// Splits a connected socket into framed halves; `traffic` counts the bytes read.
-pub(super) fn frame(
+pub(super) fn framed_halves(
     stream: TcpStream,
     traffic: LinkTraffic,
 ) -> Result<(FrameReader, FrameWriter), LinkError> {
@@ -224,6 +224,7 @@
 /// Logs when a link is slow, at most once per [`SLOW_LOG_INTERVAL`].
 struct SlowLog {
     peer: VmAddress,
+    /// When the last line was logged.
     last_logged: Option<Instant>,
 }
 
@@ -233,8 +234,8 @@
         let waited = oldest_queued_at
             .map(|queued| queued.elapsed())
             .unwrap_or_default();
-        let recent = |last: Instant| last.elapsed() < SLOW_LOG_INTERVAL;
-        if waited < SLOW_LINK_THRESHOLD + delay || self.last_logged.is_some_and(recent) {
+        let is_recent = |last: Instant| last.elapsed() < SLOW_LOG_INTERVAL;
+        if waited < SLOW_LINK_THRESHOLD + delay || self.last_logged.is_some_and(is_recent) {
             return;
         }
         self.last_logged = Some(Instant::now());
--- a/crates/ebonyfork/src/wire/pool.rs
+++ b/crates/ebonyfork/src/wire/pool.rs
@@ -16,7 +16,7 @@
 use crate::traffic::LinkTraffic;
 use crate::wire::link::{
     FrameReader, FrameWriter, LinkError, LinkSender, QUEUE_LIMIT, QueuedMessage, drain_queue,
-    exchange_hellos, frame, read_message, write_queued,
+    exchange_hellos, framed_halves, read_message, write_queued,
 };
 use crate::wire::message::PeerMessage;
 
@@ -104,12 +104,14 @@
     handler: Box<EventHandler>,
     /// Links that this process has opened, by peer.
     links: Mutex<FxHashMap<VmAddress, OpenedLink>>,
+    /// Closes all links when cancelled.
     stop: CancellationToken,
 }
 
 /// A link that this process opened.
 struct OpenedLink {
     sender: LinkSender,
+    /// Closes the link when cancelled.
     closing: CancellationToken,
     traffic: LinkTraffic,
 }
@@ -299,14 +301,14 @@
     ) -> Result<(FrameReader, FrameWriter, SessionId), LinkError> {
         let stream = TcpStream::connect(address).await;
         let stream = stream.map_err(|source| LinkError::Socket { source })?;
-        let (mut reader, mut writer) = frame(stream, traffic)?;
+        let (mut reader, mut writer) = framed_halves(stream, traffic)?;
         let peer = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own).await?;
         Ok((reader, writer, peer))
     }
 
     /// Runs a link that a peer has opened, until it closes.
     async fn serve_accepted(self, stream: TcpStream, from: SocketAddr) {
-        let Ok((mut reader, mut writer)) = frame(stream, LinkTraffic::default()) else {
+        let Ok((mut reader, mut writer)) = framed_halves(stream, LinkTraffic::default()) else {
             return;
         };
         let handshake = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own);
--- a/crates/ebonyfork/src/wire/pool_tests.rs
+++ b/crates/ebonyfork/src/wire/pool_tests.rs
@@ -108,7 +108,7 @@
         let mut stream = TcpStream::connect((loopback(4).0, port)).await.unwrap();
         stream.write_all(invalid_bytes).await.unwrap();
         let mut answer = Vec::new();
-        // The server closes the connection, either cleanly or with a reset.
+        // The server closes the connection, cleanly or with a reset.
         let _ended = stream.read_to_end(&mut answer).await;
     }
     let (client, _events) = pool(session(1), port);
