--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -26,11 +26,12 @@
 const MAX_READ_BATCH: usize = 32;
 /// Minimum ticks between two snapshots that differ only in digests.
 const DIGEST_PUBLISH_TICKS: u32 = 10;
-/// For every this many members, one more tick passes between two snapshots, since their cost grows with the members.
+/// Number of members for which one more tick passes between two snapshots, as their cost grows with the members.
 const MEMBERS_PER_PUBLISH_TICK: usize = 500;
 /// Maximum number of notices queued for a slow subscriber.
 const NOTICE_QUEUE_LIMIT: usize = 256;
 
+/// Returns the simulated one-way delay to a VM.
 type DelayFunction = dyn Fn(VmAddress) -> Duration + Send + Sync;
 
 /// Settings of membership in one process.
@@ -39,8 +40,11 @@
     own: SessionId,
     zone: ZoneName,
     peer_port: u16,
+    /// Seed of the random choices.
     seed: u64,
+    /// Number of the deployment, sent in every datagram.
     deployment: u32,
+    /// Simulated network delay; none outside the lab.
     delay: Option<Arc<DelayFunction>>,
 }
 
@@ -144,8 +148,7 @@
         self.queue(PublishNotice(notice));
     }
 
-    /// Subscribes to the notices of other members. A subscriber that falls behind by more than [`NOTICE_QUEUE_LIMIT`]
-    /// notices misses the oldest.
+    /// Subscribes to the notices of other members. A subscriber that falls too far behind misses the oldest.
     pub fn notices(&self) -> broadcast::Receiver<GossipNotice> {
         match self.notices.upgrade() {
             Some(sender) => sender.subscribe(),
@@ -170,6 +173,7 @@
         *self.metrics.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Sends a message to the actor without waiting for it to be handled.
     fn queue<M: Send + 'static>(&self, message: M)
     where
         MemberActor: Handler<M>,
@@ -179,6 +183,7 @@
     }
 }
 
+/// Passes received datagrams to the actor in batches.
 async fn read_socket(actor: WeakAddress<MemberActor>, socket: Arc<UdpSocket>) {
     // One byte more than the limit, so that an oversized datagram is recognized.
     let mut buffer = [0; DATAGRAM_LIMIT + 1];
@@ -206,10 +211,12 @@
     }
 }
 
+/// Returns a datagram with the VM that sent it.
 fn received_datagram(bytes: &[u8], source: SocketAddr) -> (VmAddress, Vec<u8>) {
     (VmAddress(source.ip().to_canonical()), bytes.to_vec())
 }
 
+/// Passes each change of the VM list to the actor.
 async fn follow_seeds(
     actor: WeakAddress<MemberActor>,
     mut seeds: watch::Receiver<Arc<[VmAddress]>>,
@@ -222,6 +229,7 @@
     }
 }
 
+/// Sends a [`Tick`] to the actor every [`TICK_PERIOD`].
 async fn tick(actor: WeakAddress<MemberActor>) {
     let mut interval = tokio::time::interval(TICK_PERIOD);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -233,6 +241,7 @@
     }
 }
 
+/// Datagrams with the VMs that sent them.
 struct ReceivedDatagrams(Vec<(VmAddress, Vec<u8>)>);
 struct SetSeeds(Arc<[VmAddress]>);
 struct SetDigest(MemberDigest);
@@ -245,10 +254,12 @@
     protocol: MemberProtocol,
     socket: Arc<UdpSocket>,
     settings: MemberSettings,
+    /// Zero point of the protocol's clock.
     started: Instant,
     snapshot: watch::Sender<Arc<MemberSnapshot>>,
     notices: broadcast::Sender<GossipNotice>,
     metrics: Arc<Mutex<MemberMetrics>>,
+    /// Datagrams to send; reused as a buffer.
     out: Vec<OutgoingDatagram>,
     /// Change since the last published snapshot.
     pending_change: SnapshotChange,
@@ -285,6 +296,7 @@
         }
     }
 
+    /// Returns the time since the actor was created.
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -306,6 +318,7 @@
         self.pending_change = self.pending_change.max(self.protocol.take_change());
     }
 
+    /// Sends a datagram, after its simulated delay if there is one.
     fn send(&self, datagram: OutgoingDatagram) {
         let target = SocketAddr::new(datagram.to.0, self.settings.peer_port);
         let delay = self.settings.delay.as_ref().map(|delay| delay(datagram.to));
@@ -321,6 +334,7 @@
         }
     }
 
+    /// Logs an event; passes a notice to the subscribers instead.
     fn report(&self, event: MemberEvent) {
         match event {
             MemberEvent::State {
@@ -347,6 +361,7 @@
         }
     }
 
+    /// Publishes a snapshot if it differs from the last one.
     fn publish(&mut self) {
         self.pending_change = SnapshotChange::None;
         self.published_tick = self.ticks;
@@ -373,6 +388,7 @@
         }
     }
 
+    /// Copies the counters and gauges to where they are scraped.
     fn update_metrics(&self) {
         let last_received = self.protocol.last_received();
         let mut metrics = self.metrics.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/ebonyfork/src/membership/fleet_fixture.rs
+++ b/crates/ebonyfork/src/membership/fleet_fixture.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Delivers a datagram, drops it if the receiver does not run or by the delivery rule, or keeps it for a stalled node.
+    /// Delivers a datagram to a running node, unless the delivery rule drops it; retries later if the node is stalled.
     pub(super) fn deliver(&mut self, from: usize, datagram: &OutgoingDatagram) {
         let std::net::IpAddr::V4(ip) = datagram.to.0 else {
             return;
--- a/crates/ebonyfork/src/membership/timing.rs
+++ b/crates/ebonyfork/src/membership/timing.rs
@@ -54,7 +54,7 @@
 pub const SEND_RATE: u32 = 10_000;
 /// Burst size of the send budget, in bytes.
 pub const SEND_BURST: u32 = 6_000;
-/// Maximum number of members in the table; more than twice the largest supported fleet.
+/// Maximum number of members in the table; more than twice the fleet size that the design targets.
 pub const MEMBER_LIMIT: usize = 12_000;
 
 /// Time that each member adds to the period between two digests of one member.
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -160,7 +160,9 @@
     registry: Registry,
     client: StoreClient,
     quarantine: QuarantineHandle,
+    /// Caller servers, which a planned stop waits for.
     servers: JoinSet<()>,
+    /// All other tasks, aborted when the node is dropped.
     tasks: JoinSet<()>,
 }
 
@@ -238,6 +240,7 @@
         }
     }
 
+    /// Starts membership on the bound socket, with the VM list of the topology feed as seeds.
     fn start_membership(&self, socket: UdpSocket, topology: &TopologySettings) -> MemberHandle {
         let delay = Arc::clone(&self.options.link_delay);
         let (zone, port) = (self.settings.zone.clone(), self.settings.peer_port);
@@ -247,6 +250,7 @@
         MemberHandle::start(settings, socket, topology.seeds())
     }
 
+    /// Starts the topology feed; each successful read of the VM list counts as store contact.
     fn start_topology(
         &self,
         settings: TopologySettings,
@@ -351,6 +355,7 @@
         self.quarantine.register(&mut self.registry);
     }
 
+    /// Creates the peer pool and accepts links from peers.
     fn start_links(&mut self, listener: TcpListener, dispatch: &PeerDispatch, views: &NodeViews) {
         let delay = Arc::clone(&self.options.link_delay);
         let settings = PoolSettings::new(self.session, self.settings.peer_port)
@@ -370,6 +375,7 @@
         self.tasks.spawn(async move { pool.accept(listener).await });
     }
 
+    /// Starts the HTTP server for callers.
     fn start_callers(
         &mut self,
         listener: TcpListener,
@@ -412,6 +418,7 @@
         }
     }
 
+    /// Starts the HTTP server for operators.
     fn start_operators(
         &mut self,
         listener: TcpListener,
@@ -436,6 +443,7 @@
     }
 }
 
+/// Starts the lifecycle, which decides when the node is ready.
 fn start_lifecycle(
     views: &NodeViews,
     members: &MemberHandle,
--- a/crates/ebonyfork/src/node/status.rs
+++ b/crates/ebonyfork/src/node/status.rs
@@ -54,6 +54,7 @@
         }
     }
 
+    /// Returns the counts of queries and attempts in flight.
     fn in_flight(&self) -> InFlightStatus {
         InFlightStatus {
             queries: self.dispatch.entry.in_flight(),
--- a/crates/ebonyfork/src/topology/feed.rs
+++ b/crates/ebonyfork/src/topology/feed.rs
@@ -33,6 +33,7 @@
     own: SessionId,
     zone: ZoneName,
     list_period: Duration,
+    /// The deployment's other VMs on the list, published for membership.
     seeds: watch::Sender<Arc<[VmAddress]>>,
 }
 
@@ -118,6 +119,7 @@
     }
 }
 
+/// Reads the VM list periodically and passes it to the actor.
 async fn poll_list<E: Display>(
     actor: WeakAddress<FeedActor>,
     list: impl Fn() -> BoxFuture<'static, Result<Vec<VmRecord>, E>>,
@@ -138,6 +140,7 @@
     }
 }
 
+/// Informs the actor about each new membership snapshot.
 async fn follow_members(
     actor: WeakAddress<FeedActor>,
     mut members: watch::Receiver<Arc<MemberSnapshot>>,
@@ -149,6 +152,7 @@
     }
 }
 
+/// Sends a [`ViewCheck`] to the actor every [`VIEW_CHECK_PERIOD`].
 async fn tick(actor: WeakAddress<FeedActor>) {
     loop {
         tokio::time::sleep(VIEW_CHECK_PERIOD).await;
@@ -158,13 +162,17 @@
     }
 }
 
+/// Items of the VM list after a successful read.
 struct ListRead(Vec<VmRecord>);
 struct MembersChanged;
+/// An upstream has reported that it is leaving.
 struct LeavingReport(UpstreamAddress);
+/// Publishes a view if one is due without new input.
 struct ViewCheck;
 
 #[derive(Debug, xtra::Actor)]
 struct FeedActor {
+    /// Zero point of the clock of `join`.
     started: Instant,
     join: TopologyJoin,
     members: watch::Receiver<Arc<MemberSnapshot>>,
@@ -186,6 +194,7 @@
         }
     }
 
+    /// Publishes the current view if it differs from the last one.
     fn publish(&mut self) {
         let now = self.now();
         self.next_change = self.join.next_change(now);
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -36,6 +36,7 @@
     upstreams: BTreeMap<UpstreamAddress, UpstreamEntry>,
     /// Upstreams that reported to be leaving, with the time of the report.
     leaving_reports: FxHashMap<UpstreamAddress, Duration>,
+    /// Last snapshot of membership.
     members: Arc<MemberSnapshot>,
     /// Whether the last list was rejected because it lacked more than half of the previous one.
     shrink_rejected: bool,
