--- a/crates/ebonyfork/src/membership/message_tests.rs
+++ b/crates/ebonyfork/src/membership/message_tests.rs
@@ -9,7 +9,7 @@
 fn sender() -> SenderHeader {
     SenderHeader {
         vm: VmAddress([10, 0, 0, 2].into()),
-        life: MemberLife {
+        version: MemberVersion {
             incarnation: IncarnationNumber(1_800_000_000_000),
             refutation: 1,
         },
@@ -19,7 +19,7 @@
             revision: RevisionNumber(300),
             load: 900,
         },
-        stamp: 70,
+        digest_sequence: 70,
     }
 }
 
@@ -27,7 +27,7 @@
     let sender = sender();
     let update = MemberUpdate {
         vm: sender.vm,
-        life: sender.life,
+        version: sender.version,
         health: MemberHealth::Suspect,
         leaving: true,
         age_ds: 12,
@@ -36,7 +36,7 @@
     let notice = GossipNotice::new(b"news");
     let digest = DigestUpdate {
         session: sender.session(),
-        stamp: 4,
+        digest_sequence: 4,
         digest: sender.digest,
     };
     vec![
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_datagram_reads_back_and_stays_small() {
+fn a_datagram_round_trips_within_its_limit() {
     let bytes = datagram();
     let read = MemberDatagram::decode(0, &bytes).unwrap();
     expect_that!(read.sender, eq(&sender()));
@@ -68,7 +68,7 @@
 }
 
 #[gtest]
-fn strangers_are_told_apart() {
+fn invalid_datagrams_are_rejected() {
     let changed = |index: usize, byte: u8| {
         let mut bytes = datagram();
         bytes[index] = byte;
@@ -108,9 +108,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Whatever arrives, the protocol neither panics nor sends anything unbounded.
+    /// Arbitrary input neither panics nor causes oversized or unbounded output.
     #[test]
-    fn any_bytes_are_borne(
+    fn arbitrary_bytes_are_tolerated(
         tail in proptest::collection::vec(any::<u8>(), 0..200),
         cut in 0_usize..120,
         flips in proptest::collection::vec((8_usize..100, any::<u8>()), 0..4),
@@ -127,7 +127,7 @@
         let now = std::time::Duration::ZERO;
         let mut protocol = MemberProtocol::new(now, own, "a".parse().unwrap(), 0, 1);
         let mut out = Vec::new();
-        protocol.take_datagram(now, sender().vm, &bytes, &mut out);
+        protocol.receive_datagram(now, sender().vm, &bytes, &mut out);
         protocol.tick(now + std::time::Duration::from_millis(100), &mut out);
         prop_assert!(out.iter().all(|datagram| datagram.bytes.len() <= DATAGRAM_LIMIT));
         prop_assert!(out.len() < 16);
