--- a/crates/ebonyfork/src/catalog/feed.rs
+++ b/crates/ebonyfork/src/catalog/feed.rs
@@ -1,4 +1,4 @@
-//! The part of a process that learns index catalogues: the actor beside [`CatalogSpread`].
+//! The actor that learns of index catalogues and puts them in force; [`CatalogSpread`] makes its decisions.
 
 use std::fmt;
 use std::sync::Arc;
@@ -30,16 +30,16 @@
 use super::message::CatalogMessage;
 use super::spread::{CatalogAction, CatalogSpread, catalog_key};
 
-/// How often timers are looked at.
+/// Interval at which the actor checks its timers.
 const TICK_PERIOD: Duration = Duration::from_millis(200);
 
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 
-/// The feed of index catalogues. Cheap to clone; the feed ends when the last handle is dropped.
+/// Handle to the feed of index catalogues. Cheap to clone; the feed ends when the last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct CatalogHandle {
     address: Address<CatalogActor>,
-    epochs: EpochFamily,
+    epoch_gauges: EpochFamily,
 }
 
 type EpochFamily = Family<IndexLabels, Gauge>;
@@ -51,39 +51,42 @@
 
 impl CatalogHandle {
     /// Starts to follow the catalogue of each index that a declared class names. Two VMs of a zone watch the store for
-    /// an index, the others learn from them; peers are reached by `send`.
+    /// an index and the others learn from them; messages to peers are sent through `send`.
     pub fn start(
         settings: &NodeSettings,
         client: StoreClient,
         views: NodeViews,
-        writer: watch::Sender<Arc<CatalogSet>>,
+        catalog_sender: watch::Sender<Arc<CatalogSet>>,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
     ) -> Self {
         let peers = ZonePeers::new(settings.vm, settings.zone.clone());
-        let actor = CatalogActor::new(peers, client, writer, send);
-        let epochs = actor.epochs.clone();
+        let actor = CatalogActor::new(peers, client, catalog_sender, send);
+        let epoch_gauges = actor.epoch_gauges.clone();
         let address = spawn_catalog_actor(actor, views.config, views.topology);
-        Self { address, epochs }
+        Self {
+            address,
+            epoch_gauges,
+        }
     }
 
-    /// Registers the epochs in force.
+    /// Registers the gauge of the catalogue epochs in force.
     pub fn register(&self, registry: &mut Registry) {
         registry.register(
             "catalog_epoch",
             "Epoch of the catalogue in force, by index",
-            self.epochs.clone(),
+            self.epoch_gauges.clone(),
         );
     }
 
-    /// Takes a message of a peer; replies go back by `from`.
-    pub async fn take_message(&self, from: LinkSender, message: CatalogMessage) {
-        // A feed that has ended takes no messages; the process is stopping.
-        let _ended = self.address.send(PeerInput { from, message }).await;
+    /// Handles a message from a peer; replies go back over `sender`.
+    pub async fn take_message(&self, sender: LinkSender, message: CatalogMessage) {
+        // A stopped feed accepts no messages, which happens only while the process is stopping.
+        let _send_result = self.address.send(PeerInput { sender, message }).await;
     }
 
-    /// Ends the feed, although handles may still be around.
+    /// Stops the feed even if other handles to it still exist.
     pub fn stop(&self) {
-        let _ended = self.address.send(StopFeed).detach().now_or_never();
+        let _send_result = self.address.send(StopFeed).detach().now_or_never();
     }
 }
 
@@ -92,24 +95,24 @@
 struct TopologyChanged(Arc<TopologyView>);
 struct ConfigChanged(Arc<DeclaredConfig>);
 struct PeerInput {
-    from: LinkSender,
+    sender: LinkSender,
     message: CatalogMessage,
 }
-struct ValueSeen {
+struct CatalogObserved {
     index: IndexName,
     text: Bytes,
 }
 
-/// Learns catalogues and puts them in force.
+/// Learns of index catalogues and puts them in force.
 #[derive(xtra::Actor)]
 pub struct CatalogActor {
     client: StoreClient,
-    writer: watch::Sender<Arc<CatalogSet>>,
+    catalog_sender: watch::Sender<Arc<CatalogSet>>,
     send: Arc<SendFunction>,
-    started: Instant,
-    epochs: EpochFamily,
+    started_at: Instant,
+    epoch_gauges: EpochFamily,
     spread: CatalogSpread,
-    watches: FxHashMap<IndexName, AbortHandle>,
+    watch_tasks: FxHashMap<IndexName, AbortHandle>,
     tasks: JoinSet<()>,
 }
 
@@ -143,11 +146,11 @@
     }
 }
 
-/// Hands each value of a view to the actor.
+/// Forwards each new value of a view to the actor.
 async fn follow_view<T, M>(
     address: WeakAddress<CatalogActor>,
     mut view: watch::Receiver<Arc<T>>,
-    wrap: impl Fn(Arc<T>) -> M + Send,
+    to_message: impl Fn(Arc<T>) -> M + Send,
 ) where
     T: Send + Sync,
     M: Send + 'static,
@@ -155,7 +158,7 @@
 {
     loop {
         let value = view.borrow_and_update().clone();
-        if address.send(wrap(value)).await.is_err() {
+        if address.send(to_message(value)).await.is_err() {
             return;
         }
         if view.changed().await.is_err() {
@@ -167,12 +170,12 @@
 async fn watch_catalog(client: StoreClient, index: IndexName, address: WeakAddress<CatalogActor>) {
     let mut watch = KeyWatch::new(client, catalog_key(&index));
     while address.is_connected() {
-        // A catalogue that is gone changes nothing: what is in force stays.
+        // The catalogue in force stays if its key is removed from the store.
         let Some(stored) = watch.next().await else {
             continue;
         };
         let (index, text) = (index.clone(), stored.value);
-        let _ended = address.send(ValueSeen { index, text }).await;
+        let _send_result = address.send(CatalogObserved { index, text }).await;
     }
 }
 
@@ -180,33 +183,33 @@
     fn new(
         peers: ZonePeers,
         client: StoreClient,
-        writer: watch::Sender<Arc<CatalogSet>>,
+        catalog_sender: watch::Sender<Arc<CatalogSet>>,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
     ) -> Self {
         Self {
             client,
-            writer,
+            catalog_sender,
             send: Arc::new(send),
-            started: Instant::now(),
-            epochs: EpochFamily::default(),
+            started_at: Instant::now(),
+            epoch_gauges: EpochFamily::default(),
             spread: CatalogSpread::new(peers, rand::random()),
-            watches: FxHashMap::default(),
+            watch_tasks: FxHashMap::default(),
             tasks: JoinSet::new(),
         }
     }
 
-    fn run(&mut self, actions: Vec<CatalogAction>, address: &WeakAddress<Self>) {
+    fn run_actions(&mut self, actions: Vec<CatalogAction>, address: &WeakAddress<Self>) {
         for action in actions {
             match action {
                 CatalogAction::Watch(index) => {
-                    let watching =
+                    let watch_future =
                         watch_catalog(self.client.clone(), index.clone(), address.clone());
-                    let watch = self.tasks.spawn(watching);
-                    self.watches.insert(index, watch);
+                    let watch_task = self.tasks.spawn(watch_future);
+                    self.watch_tasks.insert(index, watch_task);
                 }
                 CatalogAction::Unwatch(index) => {
-                    if let Some(watch) = self.watches.remove(&index) {
-                        watch.abort();
+                    if let Some(watch_task) = self.watch_tasks.remove(&index) {
+                        watch_task.abort();
                     }
                 }
                 CatalogAction::Send(vm, message) => self.send_to(vm, message),
@@ -231,17 +234,19 @@
         let labels = IndexLabels {
             index: index.to_string(),
         };
-        self.epochs.get_or_create(&labels).set(catalog.epoch as i64);
-        self.writer.send_modify(|catalogs| {
-            let mut next = CatalogSet::clone(catalogs);
-            next.insert(index, catalog);
-            *catalogs = Arc::new(next);
+        self.epoch_gauges
+            .get_or_create(&labels)
+            .set(catalog.epoch as i64);
+        self.catalog_sender.send_modify(|catalogs| {
+            let mut updated = CatalogSet::clone(catalogs);
+            updated.insert(index, catalog);
+            *catalogs = Arc::new(updated);
         });
     }
 
-    fn take_value(&mut self, index: &IndexName, text: &Bytes, address: &WeakAddress<Self>) {
-        match self.spread.take_value(index, text) {
-            Ok(actions) => self.run(actions, address),
+    fn apply_catalog(&mut self, index: &IndexName, text: &Bytes, address: &WeakAddress<Self>) {
+        match self.spread.apply_catalog(index, text) {
+            Ok(actions) => self.run_actions(actions, address),
             Err(error) => log::error!("catalogue of {index}: {error}"),
         }
     }
@@ -252,8 +257,8 @@
 
     async fn handle(&mut self, _message: Tick, ctx: &mut Context<Self>) {
         while self.tasks.try_join_next().is_some() {}
-        let actions = self.spread.tick(self.started.elapsed());
-        self.run(actions, &ctx.mailbox().address());
+        let actions = self.spread.tick(self.started_at.elapsed());
+        self.run_actions(actions, &ctx.mailbox().address());
     }
 }
 
@@ -269,8 +274,8 @@
     type Return = ();
 
     async fn handle(&mut self, message: TopologyChanged, ctx: &mut Context<Self>) {
-        let actions = self.spread.take_topology(&message.0);
-        self.run(actions, &ctx.mailbox().address());
+        let actions = self.spread.apply_topology(&message.0);
+        self.run_actions(actions, &ctx.mailbox().address());
     }
 }
 
@@ -279,18 +284,18 @@
 
     async fn handle(&mut self, message: ConfigChanged, ctx: &mut Context<Self>) {
         let classes = message.0.classes.values();
-        let named = classes.map(|class| class.index.clone());
-        let actions = self.spread.take_indexes(named);
-        self.run(actions, &ctx.mailbox().address());
+        let named_indexes = classes.map(|class| class.index.clone());
+        let actions = self.spread.set_named_indexes(named_indexes);
+        self.run_actions(actions, &ctx.mailbox().address());
     }
 }
 
-impl Handler<ValueSeen> for CatalogActor {
+impl Handler<CatalogObserved> for CatalogActor {
     type Return = ();
 
-    async fn handle(&mut self, message: ValueSeen, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: CatalogObserved, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        self.take_value(&message.index, &message.text, &address);
+        self.apply_catalog(&message.index, &message.text, &address);
     }
 }
 
@@ -299,26 +304,26 @@
 
     async fn handle(&mut self, message: PeerInput, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        let PeerInput { from, message } = message;
-        let Some(peer) = from.peer() else {
+        let PeerInput { sender, message } = message;
+        let Some(peer) = sender.peer() else {
             return;
         };
-        let now = self.started.elapsed();
+        let now = self.started_at.elapsed();
         match message {
-            CatalogMessage::Held(shown) => {
-                let actions = self.spread.take_held(now, peer.vm, &shown);
-                self.run(actions, &address);
+            CatalogMessage::Held(epochs) => {
+                let actions = self.spread.apply_peer_epochs(now, peer.vm, &epochs);
+                self.run_actions(actions, &address);
             }
-            CatalogMessage::Ask(asked) => {
-                for reply in self.spread.answer(&asked) {
-                    if let Err(error) = from.send(PeerMessage::Catalog(reply)) {
+            CatalogMessage::Ask(epochs) => {
+                for reply in self.spread.newer_catalogs(&epochs) {
+                    if let Err(error) = sender.send(PeerMessage::Catalog(reply)) {
                         log::debug!("catalogue reply: {error}");
                     }
                 }
-                let actions = self.spread.take_held(now, peer.vm, &asked);
-                self.run(actions, &address);
+                let actions = self.spread.apply_peer_epochs(now, peer.vm, &epochs);
+                self.run_actions(actions, &address);
             }
-            CatalogMessage::Value { index, text } => self.take_value(&index, &text, &address),
+            CatalogMessage::Value { index, text } => self.apply_catalog(&index, &text, &address),
         }
     }
 }
--- a/crates/ebonyfork/src/catalog/message.rs
+++ b/crates/ebonyfork/src/catalog/message.rs
@@ -1,31 +1,32 @@
-//! What processes say to each other about index catalogues.
+//! Messages that VMs exchange about index catalogues.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use crate::ident::IndexName;
 
-/// The epoch of one index's catalogue; zero if none is held.
+/// An index and the epoch of its catalogue on the sender; zero if the sender holds none.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogEpoch {
-    /// The index.
+    /// Name of the index.
     pub index: IndexName,
-    /// The epoch.
+    /// Epoch of the index's catalogue.
     pub epoch: u64,
 }
 
-/// One message about catalogues. Variants are only ever appended: their order is their code on the wire.
+/// A message about index catalogues. New variants are only ever appended, because a variant's position is its code on
+/// the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CatalogMessage {
-    /// The sender holds these.
+    /// The sender holds catalogues with these epochs.
     Held(Vec<CatalogEpoch>),
-    /// Asks for whatever the receiver holds above these.
+    /// Asks for the catalogues of these indexes that the receiver holds with a higher epoch.
     Ask(Vec<CatalogEpoch>),
-    /// A catalogue as published.
+    /// A catalogue as it was published in the store.
     Value {
-        /// The index.
+        /// Name of the index.
         index: IndexName,
-        /// The published JSON text.
+        /// The published JSON text of the catalogue.
         text: Bytes,
     },
 }
--- a/crates/ebonyfork/src/catalog/mod.rs
+++ b/crates/ebonyfork/src/catalog/mod.rs
@@ -1,7 +1,7 @@
 //! The index catalogue: which versions an index has and which service holds each shard of a version.
 //!
-//! The users' indexers publish it in the store, one JSON value per index. The pinned version's shard list
-//! is the denominator of an answer's coverage, so it is kept as published and never merged with another version's.
+//! The users' indexers publish it in the store, as one JSON value per index. The shard list of the pinned version is
+//! the denominator of an answer's coverage, so it is kept as published and never merged with that of another version.
 
 mod feed;
 mod message;
@@ -18,9 +18,9 @@
 /// The shards of one index version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionShards {
-    /// The version.
+    /// The index version.
     pub version: SnapshotVersion,
-    /// The service that holds shard *i*, for every *i*.
+    /// The services that hold the shards, by shard number.
     pub shards: Vec<ServiceName>,
 }
 
@@ -45,19 +45,19 @@
 /// ```
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IndexCatalog {
-    /// Raised with every change; a lower one is stale.
+    /// Number that increases with every change of the catalogue; a catalogue with a lower epoch is outdated.
     pub epoch: u64,
-    /// The versions that may still be asked for, newest first.
+    /// The versions that can still be queried, newest first.
     pub versions: Vec<VersionShards>,
 }
 
 impl IndexCatalog {
-    /// Returns the newest version's shards.
+    /// Returns the shards of the newest version.
     pub fn newest(&self) -> Option<&VersionShards> {
         self.versions.first()
     }
 
-    /// Returns the shards of a version, if it is still listed.
+    /// Returns the shards of a version if the catalogue still lists it.
     pub fn version(&self, version: SnapshotVersion) -> Option<&VersionShards> {
         self.versions
             .iter()
--- a/crates/ebonyfork/src/catalog/spread.rs
+++ b/crates/ebonyfork/src/catalog/spread.rs
@@ -1,8 +1,8 @@
-//! How catalogues spread among VMs: plain code over epochs.
+//! Decides how index catalogues spread among VMs, as a state machine without I/O.
 //!
-//! For each index two VMs of a zone watch the store. Whoever takes a higher epoch tells a few peers of its zone; a peer
-//! that lacks it asks for it. Now and then a peer drawn at random is asked for everything that is newer. A lower epoch
-//! never replaces a higher one, wherever it comes from.
+//! For each index, two VMs of a zone watch the store. A VM that receives a higher epoch announces it to a few peers of
+//! its zone; a peer with a lower epoch asks for the catalogue. From time to time a VM also asks a random peer for
+//! everything newer. A lower epoch never replaces a higher one, whatever its source.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,23 +19,23 @@
 
 use super::message::{CatalogEpoch, CatalogMessage};
 
-/// How often a peer drawn at random is asked.
+/// Average interval at which a random peer is asked for newer catalogues.
 const ASK_PERIOD: Duration = Duration::from_secs(4);
-/// How often one is asked as long as a named index has no catalogue.
+/// Average interval at which a random peer is asked while some named index has no catalogue.
 const EMPTY_ASK_PERIOD: Duration = Duration::from_millis(250);
-/// How long an index that was asked for isn't asked for again.
+/// How long to wait for a requested catalogue before it may be requested again.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What is to be done.
+/// An action that the spread asks its driver to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CatalogAction {
-    /// Start to watch the store for an index.
+    /// Start to watch the catalogue of an index in the store.
     Watch(IndexName),
-    /// Stop to watch it.
+    /// Stop watching the catalogue of an index in the store.
     Unwatch(IndexName),
-    /// Send a message.
+    /// Send a message to a peer.
     Send(VmAddress, CatalogMessage),
-    /// Put a catalogue in force.
+    /// Put the catalogue of an index in force.
     PutInForce(IndexName, IndexCatalog),
 }
 
@@ -45,166 +45,178 @@
     text: Bytes,
 }
 
-/// What one VM knows about the catalogues of all indexes that its declarations name.
+/// What one VM knows about the catalogues of the indexes that the declarations name.
 #[derive(Debug, Clone)]
 pub struct CatalogSpread {
     peers: ZonePeers,
     rng: ChaCha8Rng,
-    named: BTreeSet<IndexName>,
-    watched: BTreeSet<IndexName>,
-    held: BTreeMap<IndexName, HeldCatalog>,
-    asked: BTreeMap<IndexName, Duration>,
-    next_ask: Duration,
+    named_indexes: BTreeSet<IndexName>,
+    watched_indexes: BTreeSet<IndexName>,
+    held_catalogs: BTreeMap<IndexName, HeldCatalog>,
+    requested_until: BTreeMap<IndexName, Duration>,
+    next_ask_at: Duration,
 }
 
 impl CatalogSpread {
-    /// Starts with nothing held.
+    /// Creates a state that holds no catalogues.
     pub fn new(peers: ZonePeers, seed: u64) -> Self {
         Self {
             peers,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            named: BTreeSet::new(),
-            watched: BTreeSet::new(),
-            held: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            next_ask: Duration::ZERO,
+            named_indexes: BTreeSet::new(),
+            watched_indexes: BTreeSet::new(),
+            held_catalogs: BTreeMap::new(),
+            requested_until: BTreeMap::new(),
+            next_ask_at: Duration::ZERO,
         }
     }
 
-    /// Takes the indexes that the declarations name now.
-    pub fn take_indexes(
+    /// Sets the indexes that the declarations name.
+    pub fn set_named_indexes(
         &mut self,
-        named: impl IntoIterator<Item = IndexName>,
+        named_indexes: impl IntoIterator<Item = IndexName>,
     ) -> Vec<CatalogAction> {
-        self.named = named.into_iter().collect();
-        self.next_ask = Duration::ZERO;
-        self.choose_watches()
+        self.named_indexes = named_indexes.into_iter().collect();
+        self.next_ask_at = Duration::ZERO;
+        self.update_watches()
     }
 
-    /// Takes a new view of the topology.
-    pub fn take_topology(&mut self, view: &TopologyView) -> Vec<CatalogAction> {
+    /// Applies a new topology view.
+    pub fn apply_topology(&mut self, view: &TopologyView) -> Vec<CatalogAction> {
         self.peers.update(view);
-        self.choose_watches()
+        self.update_watches()
     }
 
-    /// Takes a catalogue as published, from the store or from a peer.
-    pub fn take_value(
+    /// Applies a published catalogue, whether from the store or from a peer.
+    pub fn apply_catalog(
         &mut self,
         index: &IndexName,
         text: &Bytes,
     ) -> Result<Vec<CatalogAction>, serde_json::Error> {
         let mut actions = Vec::new();
-        if !self.named.contains(index) {
+        if !self.named_indexes.contains(index) {
             return Ok(actions);
         }
         let catalog: IndexCatalog = serde_json::from_slice(text)?;
         let epoch = catalog.epoch;
-        self.asked.remove(index);
-        if self.held.contains_key(index) && epoch <= self.epoch(index) {
+        self.requested_until.remove(index);
+        if self.held_catalogs.contains_key(index) && epoch <= self.held_epoch(index) {
             return Ok(actions);
         }
         let text = text.clone();
-        self.held.insert(index.clone(), HeldCatalog { epoch, text });
+        self.held_catalogs
+            .insert(index.clone(), HeldCatalog { epoch, text });
         actions.push(CatalogAction::PutInForce(index.clone(), catalog));
         let index = index.clone();
-        let told = CatalogMessage::Held(vec![CatalogEpoch { index, epoch }]);
-        for vm in self.peers.draw_told(&mut self.rng) {
-            actions.push(CatalogAction::Send(vm, told.clone()));
+        let announcement = CatalogMessage::Held(vec![CatalogEpoch { index, epoch }]);
+        for vm in self.peers.draw_announce_targets(&mut self.rng) {
+            actions.push(CatalogAction::Send(vm, announcement.clone()));
         }
         Ok(actions)
     }
 
-    /// Takes what a peer holds; whatever is newer is asked for.
-    pub fn take_held(
+    /// Applies the epochs that a peer holds, and asks it for the catalogues with a higher epoch.
+    pub fn apply_peer_epochs(
         &mut self,
         now: Duration,
         vm: VmAddress,
-        shown: &[CatalogEpoch],
+        peer_epochs: &[CatalogEpoch],
     ) -> Vec<CatalogAction> {
-        let mut wanted = Vec::new();
-        for entry in shown {
+        let mut requests = Vec::new();
+        for entry in peer_epochs {
             let index = &entry.index;
-            let waiting = self.asked.get(index).is_some_and(|until| now < *until);
-            if !self.named.contains(index) || entry.epoch <= self.epoch(index) || waiting {
+            let is_requested = self
+                .requested_until
+                .get(index)
+                .is_some_and(|deadline| now < *deadline);
+            if !self.named_indexes.contains(index)
+                || entry.epoch <= self.held_epoch(index)
+                || is_requested
+            {
                 continue;
             }
-            self.asked.insert(index.clone(), now + ANSWER_TIMEOUT);
-            wanted.push(self.entry(index));
+            self.requested_until
+                .insert(index.clone(), now + ANSWER_TIMEOUT);
+            requests.push(self.held_epoch_entry(index));
         }
-        if wanted.is_empty() {
+        if requests.is_empty() {
             return Vec::new();
         }
-        vec![CatalogAction::Send(vm, CatalogMessage::Ask(wanted))]
+        vec![CatalogAction::Send(vm, CatalogMessage::Ask(requests))]
     }
 
-    /// Answers a peer's question with everything that is newer here.
-    pub fn answer(&self, asked: &[CatalogEpoch]) -> Vec<CatalogMessage> {
-        let mut values = Vec::new();
-        for entry in asked {
-            let Some(held) = self.held.get(&entry.index) else {
+    /// Returns the catalogues that are newer here than the epochs of a peer's question.
+    pub fn newer_catalogs(&self, peer_epochs: &[CatalogEpoch]) -> Vec<CatalogMessage> {
+        let mut messages = Vec::new();
+        for entry in peer_epochs {
+            let Some(held) = self.held_catalogs.get(&entry.index) else {
                 continue;
             };
             if held.epoch > entry.epoch {
                 let (index, text) = (entry.index.clone(), held.text.clone());
-                values.push(CatalogMessage::Value { index, text });
+                messages.push(CatalogMessage::Value { index, text });
             }
         }
-        values
+        messages
     }
 
-    /// Lets time pass.
+    /// Asks a random peer for newer catalogues if the interval has passed.
     pub fn tick(&mut self, now: Duration) -> Vec<CatalogAction> {
-        if now < self.next_ask || self.named.is_empty() {
+        if now < self.next_ask_at || self.named_indexes.is_empty() {
             return Vec::new();
         }
-        let lacking = self
-            .named
+        let lacks_any = self
+            .named_indexes
             .iter()
-            .any(|index| !self.held.contains_key(index));
-        let period = if lacking {
+            .any(|index| !self.held_catalogs.contains_key(index));
+        let period = if lacks_any {
             EMPTY_ASK_PERIOD
         } else {
             ASK_PERIOD
         };
-        self.next_ask = now + period.mul_f64(self.rng.random_range(0.5..=1.5));
-        let Some(vm) = self.peers.draw_asked(&mut self.rng) else {
+        self.next_ask_at = now + period.mul_f64(self.rng.random_range(0.5..=1.5));
+        let Some(vm) = self.peers.draw_ask_target(&mut self.rng) else {
             return Vec::new();
         };
-        let known = self.named.iter().map(|index| self.entry(index)).collect();
-        vec![CatalogAction::Send(vm, CatalogMessage::Ask(known))]
+        let held_epochs = self
+            .named_indexes
+            .iter()
+            .map(|index| self.held_epoch_entry(index))
+            .collect();
+        vec![CatalogAction::Send(vm, CatalogMessage::Ask(held_epochs))]
     }
 
-    fn epoch(&self, index: &IndexName) -> u64 {
-        self.held.get(index).map_or(0, |held| held.epoch)
+    fn held_epoch(&self, index: &IndexName) -> u64 {
+        self.held_catalogs.get(index).map_or(0, |held| held.epoch)
     }
 
-    fn entry(&self, index: &IndexName) -> CatalogEpoch {
+    fn held_epoch_entry(&self, index: &IndexName) -> CatalogEpoch {
         CatalogEpoch {
             index: index.clone(),
-            epoch: self.epoch(index),
+            epoch: self.held_epoch(index),
         }
     }
 
-    fn choose_watches(&mut self) -> Vec<CatalogAction> {
-        let mut chosen = BTreeSet::new();
-        for index in &self.named {
+    fn update_watches(&mut self) -> Vec<CatalogAction> {
+        let mut indexes_to_watch = BTreeSet::new();
+        for index in &self.named_indexes {
             if self.peers.is_watcher(&catalog_key(index)) {
-                chosen.insert(index.clone());
+                indexes_to_watch.insert(index.clone());
             }
         }
         let mut actions = Vec::new();
-        for index in self.watched.difference(&chosen) {
+        for index in self.watched_indexes.difference(&indexes_to_watch) {
             actions.push(CatalogAction::Unwatch(index.clone()));
         }
-        for index in chosen.difference(&self.watched) {
+        for index in indexes_to_watch.difference(&self.watched_indexes) {
             actions.push(CatalogAction::Watch(index.clone()));
         }
-        self.watched = chosen;
+        self.watched_indexes = indexes_to_watch;
         actions
     }
 }
 
-/// Key of an index's catalogue in the store.
+/// Returns the store key of an index's catalogue.
 pub fn catalog_key(index: &IndexName) -> String {
     format!("index/{index}")
 }
--- a/crates/ebonyfork/src/revision/acceptance.rs
+++ b/crates/ebonyfork/src/revision/acceptance.rs
@@ -1,4 +1,4 @@
-//! Whether a published revision is accepted: evidence of every zone that has live VMs.
+//! Decides whether a published revision is accepted, from the evidence of every zone that has live VMs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,56 +15,57 @@
 /// How the change that a zone holds relates to the published one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeldRelation {
-    /// It is the published one.
+    /// The zone holds the published change.
     Same,
-    /// Operators published it on top of the published one.
+    /// The zone holds a change that operators published on top of the published one.
     Follows,
-    /// A watcher put an earlier revision in force again over the published one, which the store had taken without it.
+    /// A watcher restored an earlier revision over the published one, because the store had lost the earlier one when
+    /// the change was published.
     Overridden(HeadRecord),
-    /// It is an earlier one, or stands on another line.
-    Other,
+    /// The zone holds an earlier change, or one that doesn't descend from the published one.
+    Unrelated,
 }
 
-/// Why a zone doesn't show a revision yet.
+/// Why a zone doesn't yet show that it holds a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneGap {
-    /// The zone.
+    /// Name of the zone.
     pub zone: ZoneName,
-    /// The lowest revision in it; none if it has written no evidence.
+    /// The lowest revision held in the zone; `None` if the zone has written no evidence.
     pub lowest: Option<RevisionNumber>,
-    /// Seconds since its evidence was written.
+    /// Seconds since the zone's evidence was written; `None` if there is no evidence.
     pub age_s: Option<u64>,
-    /// VMs that lack the revision, as far as the evidence names them.
+    /// Live VMs that hold a lower revision, as far as the evidence names them.
     pub lagging: Vec<LaggingVm>,
 }
 
-/// The tier's live VMs of each zone that has any.
+/// The tier's live VMs by zone, without empty zones.
 pub type LiveZones = BTreeMap<ZoneName, BTreeSet<VmAddress>>;
 
 /// Whether a revision is accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum AcceptanceState {
-    /// Every zone has shown that its live VMs hold it, or one that follows it.
+    /// Every zone has shown that all of its live VMs hold the revision or a descendant of it.
     Accepted {
-        /// The zones.
+        /// All zones with live VMs.
         zones: Vec<ZoneName>,
     },
-    /// Some zones have not.
+    /// Some zones haven't shown yet that their VMs hold the revision.
     Waiting {
-        /// Those zones.
+        /// The zones that are awaited, each with the reason.
         gaps: Vec<ZoneGap>,
     },
-    /// An earlier revision was put in force again over it: publish again.
+    /// A watcher restored an earlier revision over this one, so the operator has to publish again.
     Overridden {
-        /// The change that did so.
+        /// The change that restored the earlier revision.
         by: HeadRecord,
     },
-    /// The VM list has none of the tier's VMs.
+    /// The VM list has no live VM of the tier.
     Nowhere,
 }
 
-/// Judges the evidence of all zones that have live VMs.
+/// Decides whether a revision is accepted, from the evidence of all zones that have live VMs.
 ///
 /// # Examples
 ///
@@ -72,18 +73,18 @@
 /// use std::collections::BTreeSet;
 ///
 /// use ebonyfork::ident::RevisionNumber;
-/// use ebonyfork::revision::{AcceptanceState, LiveZones, judge_acceptance};
+/// use ebonyfork::revision::{AcceptanceState, LiveZones, evaluate_acceptance};
 ///
 /// let live = BTreeSet::from(["127.0.0.1".parse()?]);
-/// let zones = LiveZones::from([("zone-a".parse()?, live)]);
-/// let state = judge_acceptance(RevisionNumber(7), &zones, &[], 0);
+/// let zones = LiveZones::from([("zone-zone_a".parse()?, live)]);
+/// let state = evaluate_acceptance(RevisionNumber(7), &zones, &[], 0);
 /// assert!(matches!(state, AcceptanceState::Waiting { gaps } if gaps.len() == 1));
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
 /// ```
 ///
-/// `zones` has the live VMs of each zone, as the VM list shows them. The list lags behind but never leaves out a VM that
-/// lives, so a VM that it doesn't show needs no evidence.
-pub fn judge_acceptance(
+/// `zones` has the live VMs of each zone according to the VM list. That list may be out of date, but it never omits a
+/// live VM, so no evidence is needed for a VM that isn't in it.
+pub fn evaluate_acceptance(
     revision: RevisionNumber,
     zones: &LiveZones,
     evidence: &[(HeldEvidence, HeldRelation)],
@@ -93,9 +94,9 @@
         return AcceptanceState::Nowhere;
     }
     let mut gaps = Vec::new();
-    for (zone, live) in zones {
-        let shown = evidence.iter().find(|(shown, _)| shown.zone == *zone);
-        let Some((shown, relation)) = shown else {
+    for (zone, live_vms) in zones {
+        let zone_evidence = evidence.iter().find(|(evidence, _)| evidence.zone == *zone);
+        let Some((zone_evidence, relation)) = zone_evidence else {
             gaps.push(ZoneGap {
                 zone: zone.clone(),
                 lowest: None,
@@ -107,17 +108,19 @@
         if let HeldRelation::Overridden(by) = *relation {
             return AcceptanceState::Overridden { by };
         }
-        let mut lagging = shown.lagging.clone();
-        lagging.retain(|entry| entry.revision < revision && live.contains(&entry.vm));
-        let related = matches!(relation, HeldRelation::Same | HeldRelation::Follows);
-        let named_all = (1..LAGGING_LIMIT).contains(&shown.lagging.len());
-        if related && (shown.lowest >= revision || named_all && lagging.is_empty()) {
+        let mut lagging = zone_evidence.lagging.clone();
+        lagging.retain(|entry| entry.revision < revision && live_vms.contains(&entry.vm));
+        let is_related = matches!(relation, HeldRelation::Same | HeldRelation::Follows);
+        let names_all_lagging = (1..LAGGING_LIMIT).contains(&zone_evidence.lagging.len());
+        if is_related
+            && (zone_evidence.lowest >= revision || names_all_lagging && lagging.is_empty())
+        {
             continue;
         }
         gaps.push(ZoneGap {
             zone: zone.clone(),
-            lowest: Some(shown.lowest),
-            age_s: Some(time_ms.saturating_sub(shown.time_ms) / 1_000),
+            lowest: Some(zone_evidence.lowest),
+            age_s: Some(time_ms.saturating_sub(zone_evidence.time_ms) / 1_000),
             lagging,
         });
     }
@@ -128,7 +131,7 @@
     AcceptanceState::Waiting { gaps }
 }
 
-/// Reads VM list and evidence and judges them.
+/// Reads the VM list and all evidence from the store and decides whether `head` is accepted.
 pub async fn read_acceptance(
     client: &StoreClient,
     head: HeadRecord,
@@ -136,57 +139,62 @@
 ) -> Result<AcceptanceState, StoreError> {
     let zones = live_zones(&read_vm_list(client).await?);
     let mut relations: BTreeMap<CompactString, HeldRelation> = BTreeMap::new();
-    let mut judged = Vec::new();
+    let mut related_evidence = Vec::new();
     for evidence in read_evidence(client).await? {
         let key = CompactString::from(evidence.held.change);
         let relation = match relations.get(&key) {
             Some(relation) => *relation,
-            None => relate(client, head, evidence.held).await?,
+            None => find_relation(client, head, evidence.held).await?,
         };
         relations.insert(key, relation);
-        judged.push((evidence, relation));
+        related_evidence.push((evidence, relation));
     }
-    Ok(judge_acceptance(head.revision, &zones, &judged, time_ms))
+    Ok(evaluate_acceptance(
+        head.revision,
+        &zones,
+        &related_evidence,
+        time_ms,
+    ))
 }
 
-/// Our VMs that live, by zone.
+/// Returns the live VMs of this tier by zone.
 fn live_zones(vms: &[VmRecord]) -> LiveZones {
     let mut zones = LiveZones::new();
     for record in vms {
         if record.group != OWN_GROUP || record.state != VmState::Live {
             continue;
         }
-        let live = zones.entry(record.zone.clone()).or_default();
-        live.insert(VmAddress(record.ip));
+        let live_vms = zones.entry(record.zone.clone()).or_default();
+        live_vms.insert(VmAddress(record.ip));
     }
     zones
 }
 
-/// Walks from what is held along the parents to the published change.
-async fn relate(
+/// Follows the ancestors of a held change back to the published one and returns how the two relate.
+async fn find_relation(
     client: &StoreClient,
     head: HeadRecord,
     held: HeadRecord,
 ) -> Result<HeldRelation, StoreError> {
-    let mut next = held.change;
-    let mut overridden = None;
+    let mut ancestor = held.change;
+    let mut overriding_head = None;
     loop {
-        if next == head.change {
-            return Ok(match overridden {
+        if ancestor == head.change {
+            return Ok(match overriding_head {
                 Some(by) => HeldRelation::Overridden(by),
                 None if held.change == head.change => HeldRelation::Same,
                 None => HeldRelation::Follows,
             });
         }
-        let Some(change) = read_change(client, next).await? else {
-            return Ok(HeldRelation::Other);
+        let Some(change) = read_change(client, ancestor).await? else {
+            return Ok(HeldRelation::Unrelated);
         };
         if change.restores.is_some() {
-            overridden = Some(change.head());
+            overriding_head = Some(change.head());
         }
         match change.parent() {
-            Some(parent) if change.revision > head.revision => next = parent,
-            _ => return Ok(HeldRelation::Other),
+            Some(parent) if change.revision > head.revision => ancestor = parent,
+            _ => return Ok(HeldRelation::Unrelated),
         }
     }
 }
--- a/crates/ebonyfork/src/revision/acceptance_tests.rs
+++ b/crates/ebonyfork/src/revision/acceptance_tests.rs
@@ -7,7 +7,7 @@
     name.parse().unwrap()
 }
 
-fn live(zones: &[&str]) -> LiveZones {
+fn zones_with_live_vm(zones: &[&str]) -> LiveZones {
     let vms = BTreeSet::from(["127.0.0.1".parse().unwrap()]);
     zones.iter().map(|name| (zone(name), vms.clone())).collect()
 }
@@ -31,8 +31,8 @@
     }
 }
 
-/// Evidence of zone-a and zone-b about revision 7, and the state that it comes to.
-type AcceptanceCase = (
+/// Evidence of zone-a and zone-b about revision 7 (held, lowest, relation), and the expected acceptance state.
+type ZoneEvidenceCase = (
     Option<(u64, u64, HeldRelation)>,
     Option<(u64, u64, HeldRelation)>,
     &'static str,
@@ -41,28 +41,36 @@
 #[gtest]
 fn a_revision_is_accepted_only_when_every_zone_shows_it() {
     let same = Some((7, 7, HeldRelation::Same));
-    let cases: [AcceptanceCase; 7] = [
+    let cases: [ZoneEvidenceCase; 7] = [
         (same, same, "accepted"),
         (same, Some((9, 8, HeldRelation::Follows)), "accepted"),
         (same, None, "waiting zone-b"),
         (same, Some((7, 6, HeldRelation::Same)), "waiting zone-b"),
-        (same, Some((6, 6, HeldRelation::Other)), "waiting zone-b"),
-        (same, Some((8, 8, HeldRelation::Other)), "waiting zone-b"),
+        (
+            same,
+            Some((6, 6, HeldRelation::Unrelated)),
+            "waiting zone-b",
+        ),
+        (
+            same,
+            Some((8, 8, HeldRelation::Unrelated)),
+            "waiting zone-b",
+        ),
         (
             same,
             Some((8, 8, HeldRelation::Overridden(head(8)))),
             "overridden",
         ),
     ];
-    let zones = live(&["zone-a", "zone-b"]);
-    for (a, b, expected) in cases {
-        let mut shown = Vec::new();
-        for (name, case) in [("zone-a", a), ("zone-b", b)] {
+    let zones = zones_with_live_vm(&["zone-a", "zone-b"]);
+    for (zone_a, zone_b, expected) in cases {
+        let mut zone_evidence = Vec::new();
+        for (name, case) in [("zone-a", zone_a), ("zone-b", zone_b)] {
             if let Some((held, lowest, relation)) = case {
-                shown.push((evidence(name, held, lowest), relation));
+                zone_evidence.push((evidence(name, held, lowest), relation));
             }
         }
-        let state = match judge_acceptance(RevisionNumber(7), &zones, &shown, 0) {
+        let state = match evaluate_acceptance(RevisionNumber(7), &zones, &zone_evidence, 0) {
             AcceptanceState::Accepted { .. } => "accepted".to_owned(),
             AcceptanceState::Waiting { gaps } => {
                 let names: Vec<&str> = gaps.iter().map(|gap| gap.zone.as_str()).collect();
@@ -71,21 +79,26 @@
             AcceptanceState::Overridden { .. } => "overridden".to_owned(),
             AcceptanceState::Nowhere => "nowhere".to_owned(),
         };
-        expect_that!(state.as_str(), eq(expected), "{b:?}");
+        expect_that!(state.as_str(), eq(expected), "{zone_b:?}");
     }
 }
 
 #[gtest]
-fn only_vms_that_the_list_shows_need_evidence() {
-    // The VM that lags, and whether the revision is accepted.
+fn only_vms_in_the_vm_list_need_evidence() {
+    // Each case: the VM that lags, and whether the revision is accepted.
     for (lagging, accepted) in [("127.0.0.1", false), ("127.0.0.9", true)] {
-        let mut shown = evidence("zone-a", 7, 6);
-        shown.lagging.push(LaggingVm {
+        let mut zone_evidence = evidence("zone-a", 7, 6);
+        zone_evidence.lagging.push(LaggingVm {
             vm: lagging.parse().unwrap(),
             revision: RevisionNumber(6),
         });
-        let judged = [(shown, HeldRelation::Same)];
-        let state = judge_acceptance(RevisionNumber(7), &live(&["zone-a"]), &judged, 0);
+        let related_evidence = [(zone_evidence, HeldRelation::Same)];
+        let state = evaluate_acceptance(
+            RevisionNumber(7),
+            &zones_with_live_vm(&["zone-a"]),
+            &related_evidence,
+            0,
+        );
         let is_accepted = matches!(state, AcceptanceState::Accepted { .. });
         expect_that!(is_accepted, eq(accepted), "{lagging}");
     }
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -1,4 +1,5 @@
-//! The actor of the revision feed: runs the decisions of [`FeedState`] and [`EvidenceState`] on links and store.
+//! The actor of the revision feed: carries out the decisions of [`FeedState`] and [`EvidenceState`] over peer links and
+//! the store.
 
 mod inbox;
 
@@ -22,8 +23,8 @@
 use crate::topology::TopologyView;
 use crate::wire::{LinkError, PeerMessage};
 
-use inbox::{EvidenceWritten, RestoreEnded, StoreLoaded, Tick, TopologyChanged};
-pub(super) use inbox::{HeadSeen, PeerInput, PeerNote, StopFeed};
+use inbox::{EvidenceWritten, RestoreFinished, StoreLoaded, Tick, TopologyChanged};
+pub(super) use inbox::{GossipedRevisions, HeadObserved, PeerInput, StopFeed};
 
 use super::assembly::{HeldRevision, RevisionAssembly};
 use super::evidence::EvidenceState;
@@ -37,72 +38,74 @@
 use super::store::write_evidence;
 use super::watcher::{load_revision, restore_head, watch_head};
 
-/// How often timers are looked at.
+/// Interval at which the actor checks its timers.
 const TICK_PERIOD: Duration = Duration::from_millis(200);
-/// How long the store has to show a lower revision before it counts as gone back: peers may simply be faster.
-const BEHIND_DELAY: Duration = Duration::from_secs(2);
+/// How long the store must show a lower revision than the held one before it counts as rolled back. A peer may simply
+/// have been faster than the store's watch.
+const ROLLBACK_GRACE_TIME: Duration = Duration::from_secs(2);
 
-/// First and longest wait after a failed reading of a revision from the store.
+/// First and longest wait after a failed attempt to load a revision from the store.
 const FIRST_LOAD_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_LOAD_WAIT: Duration = Duration::from_secs(5);
+const MAX_LOAD_WAIT: Duration = Duration::from_secs(5);
 
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 
-/// What the store has shown last.
+/// The last observation of the store's head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum StoreSight {
-    /// Nothing yet.
-    Unread,
-    /// That there is no head.
+enum ObservedHead {
+    /// The store hasn't been read yet.
+    NotRead,
+    /// The store has no head.
     Empty,
-    /// This head.
+    /// The store has this head.
     Head(HeadRecord),
 }
 
-/// Learns revisions and puts them in force.
+/// Learns of configuration revisions and puts them in force.
 #[derive(xtra::Actor)]
 pub struct RevisionActor {
-    own: VmAddress,
+    own_vm: VmAddress,
     client: StoreClient,
-    writer: watch::Sender<Arc<DeclaredConfig>>,
+    config_sender: watch::Sender<Arc<DeclaredConfig>>,
     send: Arc<SendFunction>,
     metrics: RevisionMetrics,
-    started: Instant,
+    started_at: Instant,
     feed: FeedState,
     evidence: EvidenceState,
-    served: ServeBudget,
+    serve_budget: ServeBudget,
     held: Option<HeldRevision>,
-    /// Until when the held revision is provisional.
+    /// End of the period during which the held revision is provisional, as time since the actor's start.
     provisional_until: Duration,
     assembly: Option<(VmAddress, RevisionAssembly)>,
-    sight: StoreSight,
-    /// What a settled peer holds, to replace a provisional revision.
-    adopting: Option<HeadRecord>,
-    /// A head that doesn't follow what is held.
-    refused: Option<HeadRecord>,
-    /// Since when the store has shown a head that lacks what is held.
-    behind_since: Option<Duration>,
-    restoring: bool,
-    loading: bool,
-    /// When a failed reading of a revision may be tried again.
-    next_load: Duration,
+    observed_head: ObservedHead,
+    /// A settled peer's revision that is being collected to replace the provisional one.
+    adopting_head: Option<HeadRecord>,
+    /// The last head that was refused, because its change doesn't descend from the held one or the store has lost its
+    /// files.
+    refused_head: Option<HeadRecord>,
+    /// Since when the store's head has lacked the held revision.
+    store_behind_since: Option<Duration>,
+    is_restoring: bool,
+    is_loading: bool,
+    /// Earliest time of the next attempt to load a revision from the store, after one has failed.
+    next_load_at: Duration,
     load_backoff: Backoff,
     rng: ChaCha8Rng,
-    writing: bool,
-    watch: Option<AbortHandle>,
+    is_writing_evidence: bool,
+    watch_task: Option<AbortHandle>,
     tasks: JoinSet<()>,
 }
 
 impl fmt::Debug for RevisionActor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("RevisionActor")
-            .field("own", &self.own)
+            .field("own", &self.own_vm)
             .field("held", &self.held.as_ref().map(HeldRevision::head))
             .finish_non_exhaustive()
     }
 }
 
-/// Starts the actor with its timer and its view of the topology.
+/// Spawns the actor together with its timer and the task that forwards the topology.
 pub(super) fn spawn_revision_actor(
     actor: RevisionActor,
     topology: watch::Receiver<Arc<TopologyView>>,
@@ -143,41 +146,41 @@
     pub(super) fn new(
         settings: &NodeSettings,
         client: StoreClient,
-        writer: watch::Sender<Arc<DeclaredConfig>>,
+        config_sender: watch::Sender<Arc<DeclaredConfig>>,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
         metrics: RevisionMetrics,
     ) -> Self {
-        let (own, zone) = (settings.vm, settings.zone.clone());
+        let (own_vm, zone) = (settings.vm, settings.zone.clone());
         Self {
-            own,
+            own_vm,
             client,
-            writer,
+            config_sender,
             send: Arc::new(send),
             metrics,
-            started: Instant::now(),
-            feed: FeedState::new(HEAD_KEY, own, zone.clone(), rand::random()),
-            evidence: EvidenceState::new(own, zone),
-            served: ServeBudget::default(),
+            started_at: Instant::now(),
+            feed: FeedState::new(HEAD_KEY, own_vm, zone.clone(), rand::random()),
+            evidence: EvidenceState::new(own_vm, zone),
+            serve_budget: ServeBudget::default(),
             held: None,
             provisional_until: Duration::ZERO,
             assembly: None,
-            sight: StoreSight::Unread,
-            adopting: None,
-            refused: None,
-            behind_since: None,
-            restoring: false,
-            loading: false,
-            next_load: Duration::ZERO,
-            load_backoff: Backoff::new(FIRST_LOAD_WAIT, LONGEST_LOAD_WAIT),
+            observed_head: ObservedHead::NotRead,
+            adopting_head: None,
+            refused_head: None,
+            store_behind_since: None,
+            is_restoring: false,
+            is_loading: false,
+            next_load_at: Duration::ZERO,
+            load_backoff: Backoff::new(FIRST_LOAD_WAIT, MAX_LOAD_WAIT),
             rng: ChaCha8Rng::from_rng(&mut rand::rng()),
-            writing: false,
-            watch: None,
+            is_writing_evidence: false,
+            watch_task: None,
             tasks: JoinSet::new(),
         }
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     fn is_provisional(&self) -> bool {
@@ -194,7 +197,7 @@
             .map_or(RevisionNumber(0), |held| held.change.revision)
     }
 
-    fn run(&mut self, actions: FeedActions, address: &WeakAddress<Self>) {
+    fn run_actions(&mut self, actions: FeedActions, address: &WeakAddress<Self>) {
         for action in actions {
             match action {
                 FeedAction::Watch => self.start_watch(address.clone()),
@@ -203,7 +206,7 @@
                     let above = self.held_revision();
                     self.send_to(vm, RevisionMessage::Ask { above });
                 }
-                FeedAction::Tell(vm) => {
+                FeedAction::Announce(vm) => {
                     if let Some(held) = &self.held {
                         let head = held.head();
                         self.send_to(vm, RevisionMessage::Held(head));
@@ -216,15 +219,15 @@
     fn start_watch(&mut self, address: WeakAddress<Self>) {
         self.stop_watch();
         self.metrics.watching.set(1);
-        let watching = watch_head(self.client.clone(), address);
-        self.watch = Some(self.tasks.spawn(watching));
+        let watch_future = watch_head(self.client.clone(), address);
+        self.watch_task = Some(self.tasks.spawn(watch_future));
         log::info!(target: "ebonyfork::decision", "watch {HEAD_KEY} for this zone");
     }
 
     fn stop_watch(&mut self) {
         self.metrics.watching.set(0);
-        if let Some(watch) = self.watch.take() {
-            watch.abort();
+        if let Some(watch_task) = self.watch_task.take() {
+            watch_task.abort();
         }
     }
 
@@ -234,65 +237,71 @@
         }
     }
 
-    fn note_highest(&self, revision: RevisionNumber) {
-        let highest = self.metrics.highest.get().max(revision.0 as i64);
-        self.metrics.highest.set(highest);
+    fn record_highest(&self, revision: RevisionNumber) {
+        let highest_revision = self.metrics.highest_revision.get().max(revision.0 as i64);
+        self.metrics.highest_revision.set(highest_revision);
     }
 
-    fn take_gossip(
+    fn handle_gossiped_revision(
         &mut self,
         vm: VmAddress,
         revision: RevisionNumber,
         address: &WeakAddress<Self>,
     ) {
-        self.note_highest(revision);
-        let actions = self.feed.note_peer(self.now(), vm, revision.0);
-        self.run(actions, address);
+        self.record_highest(revision);
+        let actions = self.feed.record_gossiped(self.now(), vm, revision.0);
+        self.run_actions(actions, address);
     }
 
-    fn take_told(&mut self, vm: VmAddress, revision: RevisionNumber, address: &WeakAddress<Self>) {
-        self.note_highest(revision);
-        let actions = self.feed.note_told(self.now(), vm, revision.0);
-        self.run(actions, address);
+    fn handle_received_revision(
+        &mut self,
+        vm: VmAddress,
+        revision: RevisionNumber,
+        address: &WeakAddress<Self>,
+    ) {
+        self.record_highest(revision);
+        let actions = self.feed.record_received(self.now(), vm, revision.0);
+        self.run_actions(actions, address);
     }
 
-    /// Looks whether a peer or the store shows another change under the number that is in force here.
-    fn check_divergence(&self, shown: HeadRecord, by: impl fmt::Display) {
+    /// Reports an error if a peer or the store shows another change under the revision number that is in force here.
+    fn check_divergence(&self, shown: HeadRecord, observer: impl fmt::Display) {
         let Some(held) = self.held.as_ref().map(HeldRevision::head) else {
             return;
         };
         if held.revision == shown.revision && held.change != shown.change {
             self.metrics.diverged.inc();
             log::error!(
-                "{by} shows {shown}, but {held} is in force here: see the operators' page on divergence"
+                "{observer} shows {shown}, but {held} is in force here: see the operators' page on divergence"
             );
         }
     }
 
-    /// Starts to collect a change that a peer has sent.
-    fn take_change(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
+    /// Starts to collect the parts of a change that a peer has sent.
+    fn handle_change(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         if !self.feed.is_wanted(change.revision.0) {
             return;
         }
-        let running = self.assembly.as_ref();
-        if running.is_some_and(|(_, running)| running.change().revision >= change.revision) {
+        let current_assembly = self.assembly.as_ref();
+        if current_assembly.is_some_and(|(_, current)| current.change().revision >= change.revision)
+        {
             return;
         }
-        self.collect(vm, change, address);
+        self.start_assembly(vm, change, address);
     }
 
-    fn collect(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
+    fn start_assembly(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         let now = self.now();
-        self.feed.note_progress(now);
+        self.feed.record_progress(now);
         let assembly = RevisionAssembly::new(change, self.held.as_ref());
-        for sha256 in assembly.missing() {
+        for sha256 in assembly.missing_parts() {
             self.send_to(vm, RevisionMessage::AskPart { sha256 });
         }
         self.assembly = Some((vm, assembly));
         self.finish_assembly(address);
     }
 
-    fn take_part(
+    fn handle_part(
         &mut self,
         vm: VmAddress,
         sha256: PartDigest,
@@ -300,19 +309,19 @@
         address: &WeakAddress<Self>,
     ) {
         let now = self.now();
-        let Some((from, assembly)) = &mut self.assembly else {
+        let Some((sender, assembly)) = &mut self.assembly else {
             return;
         };
-        let taken = text.is_some_and(|text| assembly.take_part(sha256, text));
-        if taken {
-            self.feed.note_progress(now);
+        let is_added = text.is_some_and(|text| assembly.add_part(sha256, text));
+        if is_added {
+            self.feed.record_progress(now);
             self.finish_assembly(address);
             return;
         }
-        if *from == vm {
+        if *sender == vm {
             self.assembly = None;
-            let actions = self.feed.note_failure(now, vm);
-            self.run(actions, address);
+            let actions = self.feed.record_failure(now, vm);
+            self.run_actions(actions, address);
         }
     }
 
@@ -321,84 +330,84 @@
             return;
         };
         match assembly.finish() {
-            Ok(whole) => self.put_in_force(whole, "peer", vm, address),
+            Ok(assembled) => self.put_in_force(assembled, "peer", vm, address),
             Err(unfinished) => self.assembly = Some((vm, *unfinished)),
         }
     }
 
-    /// Puts a whole revision in force if it may replace what is held.
+    /// Puts a complete revision in force if it may replace the held one.
     fn put_in_force(
         &mut self,
-        whole: HeldRevision,
+        assembled: HeldRevision,
         source: &'static str,
-        from: impl fmt::Display,
+        origin: impl fmt::Display,
         address: &WeakAddress<Self>,
     ) {
-        let head = whole.head();
+        let head = assembled.head();
         let adopted = self
-            .adopting
-            .take_if(|adopting| *adopting == head)
+            .adopting_head
+            .take_if(|adopting_head| *adopting_head == head)
             .is_some();
         if !adopted && !self.feed.is_wanted(head.revision.0) {
             return;
         }
-        if !adopted && !may_take(self.held_change(), self.is_provisional(), &whole.change) {
+        if !adopted && !may_take(self.held_change(), self.is_provisional(), &assembled.change) {
             self.metrics.diverged.inc();
-            log::error!("{head} was made without knowledge of what is in force here: refused");
-            self.feed.note_rejected(head.revision.0);
-            self.refused = Some(head);
+            log::error!("{head} doesn't descend from the change in force here: refused");
+            self.feed.record_rejected(head.revision.0);
+            self.refused_head = Some(head);
             return;
         }
-        let config = match whole.parse() {
+        let config = match assembled.parse() {
             Ok(config) => config,
             Err(findings) => {
                 self.metrics.rejected.inc();
                 log::error!("{head} can't be put in force:\n{findings}");
-                self.feed.note_rejected(head.revision.0);
+                self.feed.record_rejected(head.revision.0);
                 return;
             }
         };
         log::info!(
             target: "ebonyfork::decision",
-            "put {head} in force after {}, from {source} {from}",
+            "put {head} in force after {}, from {source} {origin}",
             self.held_revision(),
         );
-        self.writer.send_replace(Arc::new(config));
+        self.config_sender.send_replace(Arc::new(config));
         if self.held.is_none() {
             self.provisional_until = self.now() + PROVISIONAL_TIME;
         }
         if adopted {
             self.provisional_until = self.now();
         }
-        self.held = Some(whole);
-        self.metrics.held.set(head.revision.0 as i64);
+        self.held = Some(assembled);
+        self.metrics.held_revision.set(head.revision.0 as i64);
         self.metrics
-            .taken
+            .revisions_taken
             .get_or_create(&SourceLabels { source })
             .inc();
-        self.note_highest(head.revision);
+        self.record_highest(head.revision);
         let actions = if adopted {
-            self.feed.note_adopted(head.revision.0)
+            self.feed.record_adopted(head.revision.0)
         } else {
-            self.feed.note_held(head.revision.0)
+            self.feed.record_held(head.revision.0)
         };
-        self.run(actions, address);
+        self.run_actions(actions, address);
         self.write_due_evidence(address);
     }
 
-    /// Looks whether a peer stands on another line than a provisional revision.
-    fn check_line(&self, vm: VmAddress, shown: HeadRecord) {
+    /// Asks a peer for its settled change if the peer's revision isn't an ancestor of the provisional one held here.
+    fn check_ancestry(&self, vm: VmAddress, shown: HeadRecord) {
         let Some(held) = self.held_change() else {
             return;
         };
-        let differs = shown.revision <= held.revision && must_adopt(held, shown);
-        if differs && self.is_provisional() {
+        let is_unrelated = shown.revision <= held.revision && must_adopt(held, shown);
+        if is_unrelated && self.is_provisional() {
             self.send_to(vm, RevisionMessage::AskSettled);
         }
     }
 
-    /// Starts to collect what a settled peer holds if it must replace a provisional revision.
-    fn take_settled(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
+    /// Starts to collect a settled peer's change if it must replace the provisional one held here.
+    fn handle_settled(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         let provisional = self.is_provisional();
         let head = change.head();
         let held = self.held_change();
@@ -406,84 +415,92 @@
             return;
         }
         log::warn!(target: "ebonyfork::decision", "adopt {head} of the settled peer {vm}");
-        self.adopting = Some(head);
-        self.collect(vm, change, address);
+        self.adopting_head = Some(head);
+        self.start_assembly(vm, change, address);
     }
 
-    /// Reads the wanted revision from the store unless it is being read or held.
-    fn load_wanted(&mut self, address: &WeakAddress<Self>) {
-        let StoreSight::Head(head) = self.sight else {
+    /// Starts to load the store's head revision, unless a load is running, has to wait, or the revision isn't wanted.
+    fn load_wanted_revision(&mut self, address: &WeakAddress<Self>) {
+        let ObservedHead::Head(head) = self.observed_head else {
             return;
         };
-        if self.loading || self.now() < self.next_load || !self.feed.is_wanted(head.revision.0) {
+        if self.is_loading
+            || self.now() < self.next_load_at
+            || !self.feed.is_wanted(head.revision.0)
+        {
             return;
         }
-        self.loading = true;
+        self.is_loading = true;
         let (client, held, address) = (self.client.clone(), self.held.clone(), address.clone());
         self.tasks.spawn(async move {
             let loaded = load_revision(&client, head, held.as_ref()).await;
-            let _ended = address.send(StoreLoaded { head, loaded }).await;
+            let _send_result = address.send(StoreLoaded { head, loaded }).await;
         });
     }
 
-    /// Tells whether the store's head lacks what is held.
-    fn store_lacks_held(&self) -> bool {
+    /// Returns whether the store's head lacks the held revision.
+    fn store_lacks_held_revision(&self) -> bool {
         let Some(held) = self.held.as_ref().map(HeldRevision::head) else {
             return false;
         };
-        match self.sight {
-            StoreSight::Unread => false,
-            StoreSight::Empty => true,
-            StoreSight::Head(head) if head == held => false,
-            StoreSight::Head(head) => head.revision <= held.revision || self.refused == Some(head),
+        match self.observed_head {
+            ObservedHead::NotRead => false,
+            ObservedHead::Empty => true,
+            ObservedHead::Head(head) if head == held => false,
+            ObservedHead::Head(head) => {
+                head.revision <= held.revision || self.refused_head == Some(head)
+            }
         }
     }
 
-    /// Moves the store's head forward again if it has lost what is held.
-    fn restore_lost(&mut self, address: &WeakAddress<Self>) {
+    /// Moves the store's head forward again if the store has lost the held revision.
+    fn restore_lost_head(&mut self, address: &WeakAddress<Self>) {
         let now = self.now();
-        if self.is_provisional() || !self.store_lacks_held() {
-            self.behind_since = None;
+        if self.is_provisional() || !self.store_lacks_held_revision() {
+            self.store_behind_since = None;
             return;
         }
-        let since = *self.behind_since.get_or_insert(now);
-        if self.restoring || now < since + BEHIND_DELAY {
+        let store_behind_since = *self.store_behind_since.get_or_insert(now);
+        if self.is_restoring || now < store_behind_since + ROLLBACK_GRACE_TIME {
             return;
         }
         let Some(held) = self.held.clone() else {
             return;
         };
-        self.behind_since = Some(now);
-        self.restoring = true;
+        self.store_behind_since = Some(now);
+        self.is_restoring = true;
         let (client, address) = (self.client.clone(), address.clone());
         self.tasks.spawn(async move {
             let restored = restore_head(&client, &held).await;
             let restored = restored.map_err(|error| error.to_compact_string());
-            let _ended = address.send(RestoreEnded { restored }).await;
+            let _send_result = address.send(RestoreFinished { restored }).await;
         });
     }
 
     fn write_due_evidence(&mut self, address: &WeakAddress<Self>) {
         let now = self.now();
-        if self.writing || !self.feed.is_watching() {
+        if self.is_writing_evidence || !self.feed.is_watching() {
             return;
         }
         let Some(held) = self.held.as_ref().map(HeldRevision::head) else {
             return;
         };
-        let Some(evidence) = self.evidence.due(now, unix_millis(), held, &self.feed) else {
+        let Some(evidence) = self
+            .evidence
+            .due_evidence(now, unix_millis(), held, &self.feed)
+        else {
             return;
         };
-        self.metrics.lagging.set(evidence.lagging.len() as i64);
-        self.writing = true;
+        self.metrics.lagging_vms.set(evidence.lagging.len() as i64);
+        self.is_writing_evidence = true;
         let (client, address) = (self.client.clone(), address.clone());
         self.tasks.spawn(async move {
-            let written = write_evidence(&client, &evidence).await;
-            if let Err(error) = &written {
+            let write_result = write_evidence(&client, &evidence).await;
+            if let Err(error) = &write_result {
                 log::debug!("evidence of zone {}: {error}", evidence.zone);
             }
-            let failed = written.is_err();
-            let _ended = address.send(EvidenceWritten { failed }).await;
+            let failed = write_result.is_err();
+            let _send_result = address.send(EvidenceWritten { failed }).await;
         });
     }
 }
--- a/crates/ebonyfork/src/revision/actor/inbox.rs
+++ b/crates/ebonyfork/src/revision/actor/inbox.rs
@@ -1,4 +1,4 @@
-//! The messages of the revision actor and what it does with each.
+//! Messages of the revision actor and their handlers.
 
 use std::sync::Arc;
 
@@ -12,45 +12,45 @@
 use super::super::assembly::HeldRevision;
 use super::super::message::RevisionMessage;
 use super::super::record::{HeadRecord, PartDigest};
-use super::super::watcher::LoadFault;
-use super::{RevisionActor, StoreSight};
+use super::super::watcher::LoadError;
+use super::{ObservedHead, RevisionActor};
 
-/// Ends the feed.
+/// Stops the feed.
 pub(in crate::revision) struct StopFeed;
 
-/// Revisions that peers have shown.
-pub(in crate::revision) struct PeerNote {
-    pub(in crate::revision) shown: Vec<(VmAddress, RevisionNumber)>,
+/// Revisions that peers have revisions by gossip.
+pub(in crate::revision) struct GossipedRevisions {
+    pub(in crate::revision) revisions: Vec<(VmAddress, RevisionNumber)>,
 }
 
-/// A message of a peer.
+/// A revision message from a peer.
 pub(in crate::revision) struct PeerInput {
-    pub(in crate::revision) from: LinkSender,
+    pub(in crate::revision) sender: LinkSender,
     pub(in crate::revision) message: RevisionMessage,
 }
 
-/// The head as the store shows it; no head if it is absent.
-pub(in crate::revision) struct HeadSeen {
+/// The head that the store shows; `None` if it has none.
+pub(in crate::revision) struct HeadObserved {
     pub(in crate::revision) head: Option<HeadRecord>,
 }
 
-/// How the restoring of a head that went back ended: whether it was moved.
-pub(in crate::revision) struct RestoreEnded {
+/// Result of an attempt to restore a head that went back: whether the head was moved.
+pub(in crate::revision) struct RestoreFinished {
     pub(in crate::revision) restored: Result<bool, CompactString>,
 }
 
-/// A revision read from the store, or why not.
+/// Result of loading a revision from the store.
 pub(in crate::revision) struct StoreLoaded {
     pub(in crate::revision) head: HeadRecord,
-    pub(in crate::revision) loaded: Result<HeldRevision, LoadFault>,
+    pub(in crate::revision) loaded: Result<HeldRevision, LoadError>,
 }
 
-/// How the writing of evidence ended.
+/// Result of writing the zone's evidence.
 pub(in crate::revision) struct EvidenceWritten {
     pub(in crate::revision) failed: bool,
 }
 
-/// Time has passed.
+/// One interval of the actor's timer has passed.
 pub(in crate::revision) struct Tick;
 
 /// The topology view has changed.
@@ -64,10 +64,10 @@
         while self.tasks.try_join_next().is_some() {}
         let now = self.now();
         let actions = self.feed.tick(now);
-        self.run(actions, &address);
+        self.run_actions(actions, &address);
         if self.feed.is_watching() {
-            self.load_wanted(&address);
-            self.restore_lost(&address);
+            self.load_wanted_revision(&address);
+            self.restore_lost_head(&address);
             self.write_due_evidence(&address);
         }
     }
@@ -87,19 +87,19 @@
     async fn handle(&mut self, message: TopologyChanged, ctx: &mut Context<Self>) {
         let TopologyChanged(view) = message;
         let now = self.now();
-        self.evidence.take_topology(now, &view, &self.feed);
-        let actions = self.feed.take_topology(&view);
-        self.run(actions, &ctx.mailbox().address());
+        self.evidence.apply_topology(now, &view, &self.feed);
+        let actions = self.feed.apply_topology(&view);
+        self.run_actions(actions, &ctx.mailbox().address());
     }
 }
 
-impl Handler<PeerNote> for RevisionActor {
+impl Handler<GossipedRevisions> for RevisionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: PeerNote, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: GossipedRevisions, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        for (vm, revision) in message.shown {
-            self.take_gossip(vm, revision, &address);
+        for (vm, revision) in message.revisions {
+            self.handle_gossiped_revision(vm, revision, &address);
         }
     }
 }
@@ -109,39 +109,39 @@
 
     async fn handle(&mut self, message: PeerInput, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        let PeerInput { from, message } = message;
-        let Some(peer) = from.peer() else {
+        let PeerInput { sender, message } = message;
+        let Some(peer) = sender.peer() else {
             return;
         };
         let vm = peer.vm;
         match message {
             RevisionMessage::Held(head) => {
                 self.check_divergence(head, vm);
-                self.check_line(vm, head);
-                self.take_told(vm, head.revision, &address);
+                self.check_ancestry(vm, head);
+                self.handle_received_revision(vm, head.revision, &address);
             }
             RevisionMessage::Ask { above } => {
-                let reply = self.answer_ask(above);
-                reply_by(&from, reply);
-                self.take_told(vm, above, &address);
+                let reply = self.reply_to_ask(above);
+                send_reply(&sender, reply);
+                self.handle_received_revision(vm, above, &address);
             }
-            RevisionMessage::Change(change) => self.take_change(vm, change, &address),
+            RevisionMessage::Change(change) => self.handle_change(vm, change, &address),
             RevisionMessage::AskPart { sha256 } => {
-                let text = self.answer_part(sha256);
-                reply_by(&from, Some(RevisionMessage::Part { sha256, text }));
+                let text = self.part_text(sha256);
+                send_reply(&sender, Some(RevisionMessage::Part { sha256, text }));
             }
-            RevisionMessage::Part { sha256, text } => self.take_part(vm, sha256, text, &address),
+            RevisionMessage::Part { sha256, text } => self.handle_part(vm, sha256, text, &address),
             RevisionMessage::AskSettled => {
                 let settled = self.held_change().filter(|_| !self.is_provisional());
-                reply_by(&from, settled.cloned().map(RevisionMessage::Settled));
+                send_reply(&sender, settled.cloned().map(RevisionMessage::Settled));
             }
-            RevisionMessage::Settled(change) => self.take_settled(vm, change, &address),
+            RevisionMessage::Settled(change) => self.handle_settled(vm, change, &address),
         }
     }
 }
 
 impl RevisionActor {
-    fn answer_ask(&self, above: RevisionNumber) -> Option<RevisionMessage> {
+    fn reply_to_ask(&self, above: RevisionNumber) -> Option<RevisionMessage> {
         let held = self.held.as_ref()?;
         if held.change.revision > above {
             return Some(RevisionMessage::Change(held.change.clone()));
@@ -149,10 +149,10 @@
         Some(RevisionMessage::Held(held.head()))
     }
 
-    fn answer_part(&mut self, sha256: PartDigest) -> Option<bytes::Bytes> {
+    fn part_text(&mut self, sha256: PartDigest) -> Option<bytes::Bytes> {
         let now = self.now();
         let text = self.held.as_ref()?.texts.get(&sha256)?.clone();
-        if !self.served.take(now, text.len()) {
+        if !self.serve_budget.try_take(now, text.len()) {
             self.metrics.refused_parts.inc();
             return None;
         }
@@ -160,34 +160,34 @@
     }
 }
 
-fn reply_by(from: &LinkSender, reply: Option<RevisionMessage>) {
+fn send_reply(sender: &LinkSender, reply: Option<RevisionMessage>) {
     let Some(reply) = reply else {
         return;
     };
-    if let Err(error) = from.send(PeerMessage::Revision(reply)) {
+    if let Err(error) = sender.send(PeerMessage::Revision(reply)) {
         log::debug!("revision reply: {error}");
     }
 }
 
-impl Handler<HeadSeen> for RevisionActor {
+impl Handler<HeadObserved> for RevisionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: HeadSeen, ctx: &mut Context<Self>) {
-        let HeadSeen { head } = message;
+    async fn handle(&mut self, message: HeadObserved, ctx: &mut Context<Self>) {
+        let HeadObserved { head } = message;
         if let Some(head) = head {
-            self.note_highest(head.revision);
+            self.record_highest(head.revision);
             self.check_divergence(head, "the store");
         }
-        self.sight = head.map_or(StoreSight::Empty, StoreSight::Head);
-        self.load_wanted(&ctx.mailbox().address());
+        self.observed_head = head.map_or(ObservedHead::Empty, ObservedHead::Head);
+        self.load_wanted_revision(&ctx.mailbox().address());
     }
 }
 
-impl Handler<RestoreEnded> for RevisionActor {
+impl Handler<RestoreFinished> for RevisionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: RestoreEnded, _ctx: &mut Context<Self>) {
-        self.restoring = false;
+    async fn handle(&mut self, message: RestoreFinished, _ctx: &mut Context<Self>) {
+        self.is_restoring = false;
         match message.restored {
             Ok(true) => self.metrics.restored.inc(),
             Ok(false) => 0,
@@ -204,20 +204,21 @@
 
     async fn handle(&mut self, message: StoreLoaded, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        self.loading = false;
+        self.is_loading = false;
         match message.loaded {
-            Ok(whole) => {
+            Ok(assembled) => {
                 self.load_backoff.reset();
-                self.put_in_force(whole, "store", "", &address);
-                self.load_wanted(&address);
+                self.put_in_force(assembled, "store", "", &address);
+                self.load_wanted_revision(&address);
             }
-            Err(fault) => {
-                log::info!("{} from the store: {fault}", message.head);
+            Err(error) => {
+                log::info!("loading {} from the store: {error}", message.head);
                 let wait = self.load_backoff.next_wait(&mut self.rng);
-                self.next_load = self.now() + wait;
-                // A head without its record or parts was lost by the store; what is held is put in its place.
-                if matches!(fault, LoadFault::Lost { .. }) && self.held.is_some() {
-                    self.refused = Some(message.head);
+                self.next_load_at = self.now() + wait;
+                // The record and the parts are written before the head is moved, so the store has lost them: treat its
+                // head as refused, so that the held revision is restored.
+                if matches!(error, LoadError::Lost { .. }) && self.held.is_some() {
+                    self.refused_head = Some(message.head);
                 }
             }
         }
@@ -228,9 +229,9 @@
     type Return = ();
 
     async fn handle(&mut self, message: EvidenceWritten, _ctx: &mut Context<Self>) {
-        self.writing = false;
+        self.is_writing_evidence = false;
         if message.failed {
-            self.evidence.note_failure();
+            self.evidence.record_failure();
         }
     }
 }
--- a/crates/ebonyfork/src/revision/assembly.rs
+++ b/crates/ebonyfork/src/revision/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts a revision together from its parts, wherever they come from.
+//! Assembles a revision from parts that come from the store or from peers.
 
 use std::collections::BTreeMap;
 
@@ -12,17 +12,17 @@
 /// Texts of parts by digest.
 pub type PartTexts = BTreeMap<PartDigest, Bytes>;
 
-/// A revision that is held whole.
+/// A revision with the texts of all its parts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeldRevision {
-    /// Its change.
+    /// The change that made the revision.
     pub change: ChangeRecord,
-    /// All of its parts.
+    /// Texts of all parts of the revision.
     pub texts: PartTexts,
 }
 
 impl HeldRevision {
-    /// Reads the declarations.
+    /// Parses the revision's declaration files.
     pub fn parse(&self) -> Result<DeclaredConfig, FindingList> {
         let mut files = Vec::new();
         for part in &self.change.parts {
@@ -33,13 +33,13 @@
         DeclaredConfig::parse(&files, self.change.revision)
     }
 
-    /// The head that names it.
+    /// Returns the head record that names the revision.
     pub fn head(&self) -> HeadRecord {
         self.change.head()
     }
 }
 
-/// A revision whose parts are being collected. Nothing of it is used before it is whole.
+/// A revision whose parts are being collected. It isn't used before it is complete.
 #[derive(Debug, Clone)]
 pub struct RevisionAssembly {
     change: ChangeRecord,
@@ -47,47 +47,47 @@
 }
 
 impl RevisionAssembly {
-    /// Starts with the parts that the held revision shares.
+    /// Creates an assembly that already has the parts shared with the held revision.
     pub fn new(change: ChangeRecord, held: Option<&HeldRevision>) -> Self {
         let mut texts = PartTexts::new();
         for part in &change.parts {
-            let known = held.and_then(|held| held.texts.get(&part.sha256));
-            if let Some(text) = known {
+            let held_text = held.and_then(|held| held.texts.get(&part.sha256));
+            if let Some(text) = held_text {
                 texts.insert(part.sha256, text.clone());
             }
         }
         Self { change, texts }
     }
 
-    /// The change whose parts are collected.
+    /// Returns the change whose parts are being collected.
     pub fn change(&self) -> &ChangeRecord {
         &self.change
     }
 
-    /// The digests of the parts that are still missing, each once.
-    pub fn missing(&self) -> Vec<PartDigest> {
-        let mut missing = Vec::new();
+    /// Returns the digests of the parts that are still missing, each once.
+    pub fn missing_parts(&self) -> Vec<PartDigest> {
+        let mut missing_parts = Vec::new();
         for part in &self.change.parts {
-            if !self.texts.contains_key(&part.sha256) && !missing.contains(&part.sha256) {
-                missing.push(part.sha256);
+            if !self.texts.contains_key(&part.sha256) && !missing_parts.contains(&part.sha256) {
+                missing_parts.push(part.sha256);
             }
         }
-        missing
+        missing_parts
     }
 
-    /// Takes a part in if it is wanted and matches its digest; tells whether it did.
-    pub fn take_part(&mut self, sha256: PartDigest, text: Bytes) -> bool {
-        let wanted = self.change.parts.iter().any(|part| part.sha256 == sha256);
-        if !wanted || PartDigest::new(&text) != sha256 {
+    /// Adds a part if the change lists it and the text matches its digest. Returns whether the part was added.
+    pub fn add_part(&mut self, sha256: PartDigest, text: Bytes) -> bool {
+        let is_listed = self.change.parts.iter().any(|part| part.sha256 == sha256);
+        if !is_listed || PartDigest::new(&text) != sha256 {
             return false;
         }
         self.texts.insert(sha256, text);
         true
     }
 
-    /// Returns the revision if it is whole, else the assembly as it was.
+    /// Returns the revision if it is complete, or the unchanged assembly if parts are missing.
     pub fn finish(self) -> Result<HeldRevision, Box<Self>> {
-        if !self.missing().is_empty() {
+        if !self.missing_parts().is_empty() {
             return Err(Box::new(self));
         }
         let Self { change, texts } = self;
--- a/crates/ebonyfork/src/revision/assembly_tests.rs
+++ b/crates/ebonyfork/src/revision/assembly_tests.rs
@@ -25,32 +25,32 @@
 }
 
 #[gtest]
-fn a_revision_is_whole_only_with_every_part_and_no_other() {
+fn a_revision_is_complete_only_with_every_part_and_no_other() {
     let (change, texts) = change(1, &["; a\n", "; b\n"]);
-    let digests = RevisionAssembly::new(change.clone(), None).missing();
+    let digests = RevisionAssembly::new(change.clone(), None).missing_parts();
     let mut assembly = RevisionAssembly::new(change, None);
-    expect_true!(assembly.take_part(digests[0], texts[0].clone()));
-    expect_false!(assembly.take_part(digests[1], texts[0].clone()));
-    expect_false!(assembly.take_part(PartDigest::new("; c\n"), Bytes::from("; c\n")));
+    expect_true!(assembly.add_part(digests[0], texts[0].clone()));
+    expect_false!(assembly.add_part(digests[1], texts[0].clone()));
+    expect_false!(assembly.add_part(PartDigest::new("; c\n"), Bytes::from("; c\n")));
     let unfinished = assembly.finish().expect_err("a part is missing");
-    expect_that!(unfinished.missing(), elements_are![eq(&digests[1])]);
+    expect_that!(unfinished.missing_parts(), elements_are![eq(&digests[1])]);
     let mut assembly = *unfinished;
-    expect_true!(assembly.take_part(digests[1], texts[1].clone()));
+    expect_true!(assembly.add_part(digests[1], texts[1].clone()));
     expect_that!(assembly.finish(), ok(anything()));
 }
 
 #[gtest]
-fn parts_of_the_held_revision_are_kept() {
+fn parts_shared_with_the_held_revision_are_reused() {
     let (first, texts) = change(1, &["; a\n", "; b\n"]);
     let mut assembly = RevisionAssembly::new(first, None);
     for text in texts {
-        assembly.take_part(PartDigest::new(&text), text);
+        assembly.add_part(PartDigest::new(&text), text);
     }
     let held = assembly.finish().expect("whole");
     let (second, _) = change(2, &["; a\n", "; c\n"]);
     let assembly = RevisionAssembly::new(second, Some(&held));
     expect_that!(
-        assembly.missing(),
+        assembly.missing_parts(),
         elements_are![eq(&PartDigest::new("; c\n"))]
     );
 }
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -1,8 +1,9 @@
-//! What a zone's VMs hold, and when a watcher writes it to the store.
+//! Decides what a watcher writes to the store about the revisions that its zone's VMs hold, and when it does so.
 //!
-//! Evidence must never claim more than is so. A VM counts with the number it has shown last, zero if it has shown
-//! none or has just started. One that vanishes from the view counts on for [`FENCE_DELAY`]: by then it has found that it reaches neither
-//! store nor peers and refuses new work, or it has caught up.
+//! Evidence must never overstate what the VMs hold. A VM counts with the revision that it has shown last, and with zero
+//! if it has shown none or its process has just started. A VM that vanishes from the view still counts for
+//! [`FENCE_DELAY`]. By then it has either caught up, or found that it reaches neither the store nor peers and refuses
+//! new work.
 
 use std::time::Duration;
 
@@ -15,67 +16,69 @@
 use super::record::{HeadRecord, HeldEvidence, LAGGING_LIMIT, LaggingVm};
 use super::restore::PROVISIONAL_TIME;
 
-/// How long a VM that vanished without announcing it still counts as a member of its zone.
+/// How long a VM that vanished without announcing its stop still counts as a member of its zone.
 pub const FENCE_DELAY: Duration = Duration::from_secs(10);
-/// How long VMs that vanished together still count: cut off with each other they aren't fenced and may go on working
-/// with what they hold. Who reads the evidence leaves out those that the VM list no longer shows.
-pub const GROUP_DELAY: Duration = Duration::from_mins(10);
-/// How often evidence is written although nothing has changed.
+/// How long VMs that vanished together still count. If they are cut off together, they still reach each other, so they
+/// don't fence themselves and may go on using the revision they hold. Readers of the evidence leave out VMs that are no
+/// longer in the VM list.
+pub const GROUP_FENCE_DELAY: Duration = Duration::from_mins(10);
+/// Interval at which evidence is written even if nothing has changed.
 pub const REFRESH_PERIOD: Duration = Duration::from_secs(10);
-/// How long a process has to run before what it holds counts: its first revision may still give way to a peer's.
-const SETTLE_MS: u64 = PROVISIONAL_TIME.as_millis() as u64 + 2_000;
-/// Shortest time between two writings.
-const WRITE_PERIOD: Duration = Duration::from_millis(500);
+/// How long a process must have run before its revision counts: its first revision may still be replaced by a peer's.
+const SETTLE_TIME_MS: u64 = PROVISIONAL_TIME.as_millis() as u64 + 2_000;
+/// Minimum time between two writes of evidence.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct ZoneMember {
     leaving: bool,
-    /// When its process started, in milliseconds since the Unix epoch, as far as membership has learned.
+    /// Start time of the member's process in milliseconds since the Unix epoch, if membership has reported it.
     started_ms: Option<u64>,
-    departed: Option<MemberDeparture>,
+    departure: Option<MemberDeparture>,
 }
 
-/// A member that the view no longer shows.
+/// State of a member that is no longer in the topology view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct MemberDeparture {
-    since: Duration,
-    /// What it had shown last.
-    shown: u64,
-    /// Whether others vanished with it.
-    grouped: bool,
+    departed_at: Duration,
+    /// The revision that the member had shown last.
+    last_shown: u64,
+    /// Whether other members vanished at about the same time.
+    in_group: bool,
 }
 
 impl ZoneMember {
     fn has_just_started(&self, time_ms: u64) -> bool {
         self.started_ms
-            .is_some_and(|started| started + SETTLE_MS > time_ms)
+            .is_some_and(|started| started + SETTLE_TIME_MS > time_ms)
     }
 }
 
-/// Decides what evidence says and when it is written.
+/// Decides what the evidence of a zone says and when it is written.
 #[derive(Debug, Clone)]
 pub struct EvidenceState {
-    own: VmAddress,
+    own_vm: VmAddress,
     zone: ZoneName,
     members: FxHashMap<VmAddress, ZoneMember>,
-    written: Option<HeldEvidence>,
-    written_at: Option<Duration>,
+    last_written: Option<HeldEvidence>,
+    last_written_at: Option<Duration>,
 }
 
 impl EvidenceState {
-    /// Starts without members.
-    pub fn new(own: VmAddress, zone: ZoneName) -> Self {
+    /// Creates a state without members.
+    pub fn new(own_vm: VmAddress, zone: ZoneName) -> Self {
         Self {
-            own,
+            own_vm,
             zone,
             members: FxHashMap::default(),
-            written: None,
-            written_at: None,
+            last_written: None,
+            last_written_at: None,
         }
     }
 
-    /// Takes a new view of the topology, before the feed does.
-    pub fn take_topology(&mut self, now: Duration, view: &TopologyView, feed: &FeedState) {
+    /// Applies a new topology view. Must run before the feed applies it, because the feed then forgets the revisions of
+    /// vanished VMs.
+    pub fn apply_topology(&mut self, now: Duration, view: &TopologyView, feed: &FeedState) {
         for entry in view.vms.values() {
             if entry.zone != self.zone {
                 continue;
@@ -83,98 +86,103 @@
             let member = ZoneMember {
                 leaving: entry.leaving,
                 started_ms: entry.incarnation.map(|incarnation| incarnation.0),
-                departed: None,
+                departure: None,
             };
             self.members.insert(entry.vm, member);
         }
         for (vm, member) in &mut self.members {
-            if !view.vms.contains_key(vm) && member.departed.is_none() {
-                member.departed = Some(MemberDeparture {
-                    since: now,
-                    shown: feed.shown(*vm),
-                    grouped: false,
+            if !view.vms.contains_key(vm) && member.departure.is_none() {
+                member.departure = Some(MemberDeparture {
+                    departed_at: now,
+                    last_shown: feed.shown_number(*vm),
+                    in_group: false,
                 });
             }
         }
-        self.mark_groups(now);
+        self.mark_group_departures(now);
     }
 
-    /// Marks VMs that vanished without notice within one fence delay of each other.
-    fn mark_groups(&mut self, now: Duration) {
-        let mut recent = Vec::new();
+    /// Marks members that vanished without announcing their stop, if several did so within one [`FENCE_DELAY`].
+    fn mark_group_departures(&mut self, now: Duration) {
+        let mut recently_departed = Vec::new();
         for (vm, member) in &self.members {
-            let departed = member.departed.filter(|_| !member.leaving);
-            if departed.is_some_and(|departed| now < departed.since + FENCE_DELAY) {
-                recent.push(*vm);
+            let departure = member.departure.filter(|_| !member.leaving);
+            if departure.is_some_and(|departure| now < departure.departed_at + FENCE_DELAY) {
+                recently_departed.push(*vm);
             }
         }
-        if recent.len() < 2 {
+        if recently_departed.len() < 2 {
             return;
         }
-        for vm in recent {
+        for vm in recently_departed {
             let member = self.members.get_mut(&vm);
-            if let Some(departed) = member.and_then(|member| member.departed.as_mut()) {
-                departed.grouped = true;
+            if let Some(departure) = member.and_then(|member| member.departure.as_mut()) {
+                departure.in_group = true;
             }
         }
     }
 
-    /// Returns evidence that is due to be written.
-    pub fn due(
+    /// Returns the evidence to write if it has changed or must be refreshed.
+    pub fn due_evidence(
         &mut self,
         now: Duration,
         time_ms: u64,
         held: HeadRecord,
         feed: &FeedState,
     ) -> Option<HeldEvidence> {
-        if self.written_at.is_some_and(|at| now < at + WRITE_PERIOD) {
+        if self
+            .last_written_at
+            .is_some_and(|at| now < at + MIN_WRITE_INTERVAL)
+        {
             return None;
         }
-        self.forget_departed(now);
-        let evidence = self.evidence(time_ms, held, feed);
-        let refresh = self.written_at.is_none_or(|at| now >= at + REFRESH_PERIOD);
-        let same = |written: &HeldEvidence| {
+        self.remove_departed(now);
+        let evidence = self.build_evidence(time_ms, held, feed);
+        let needs_refresh = self
+            .last_written_at
+            .is_none_or(|at| now >= at + REFRESH_PERIOD);
+        let is_unchanged = |written: &HeldEvidence| {
             (written.held, written.vms) == (evidence.held, evidence.vms)
                 && written.lagging == evidence.lagging
         };
-        if !refresh && self.written.as_ref().is_some_and(same) {
+        if !needs_refresh && self.last_written.as_ref().is_some_and(is_unchanged) {
             return None;
         }
-        self.written = Some(evidence.clone());
-        self.written_at = Some(now);
+        self.last_written = Some(evidence.clone());
+        self.last_written_at = Some(now);
         Some(evidence)
     }
 
-    /// Notes that the last evidence may not have arrived.
-    pub fn note_failure(&mut self) {
-        self.written = None;
+    /// Records that the last write of evidence may have failed, so that it is repeated.
+    pub fn record_failure(&mut self) {
+        self.last_written = None;
     }
 
-    fn forget_departed(&mut self, now: Duration) {
+    fn remove_departed(&mut self, now: Duration) {
         self.members.retain(|_, member| {
-            let Some(departed) = member.departed else {
+            let Some(departure) = member.departure else {
                 return true;
             };
-            let delay = if departed.grouped {
-                GROUP_DELAY
+            let delay = if departure.in_group {
+                GROUP_FENCE_DELAY
             } else {
                 FENCE_DELAY
             };
-            !member.leaving && now < departed.since + delay
+            !member.leaving && now < departure.departed_at + delay
         });
     }
 
-    fn evidence(&self, time_ms: u64, held: HeadRecord, feed: &FeedState) -> HeldEvidence {
+    fn build_evidence(&self, time_ms: u64, held: HeadRecord, feed: &FeedState) -> HeldEvidence {
         let mut lowest = held.revision;
         let mut lagging = Vec::new();
-        let mut vms = u32::from(!self.members.contains_key(&self.own));
+        let mut vms = u32::from(!self.members.contains_key(&self.own_vm));
         for (vm, member) in &self.members {
             vms += 1;
-            let revision = match member.departed {
+            let revision = match member.departure {
                 _ if member.has_just_started(time_ms) => RevisionNumber(0),
-                _ if *vm == self.own => held.revision,
-                Some(departed) => RevisionNumber(departed.shown),
-                None => RevisionNumber(feed.shown(*vm)),
+                _ if *vm == self.own_vm => held.revision,
+                Some(departure) => RevisionNumber(departure.last_shown),
+                None => RevisionNumber(feed.shown_number(*vm)),
             };
             if revision < held.revision {
                 lagging.push(LaggingVm { vm: *vm, revision });
@@ -185,7 +193,7 @@
         lagging.truncate(LAGGING_LIMIT);
         HeldEvidence {
             zone: self.zone.clone(),
-            writer: self.own,
+            writer: self.own_vm,
             held,
             lowest,
             vms,
--- a/crates/ebonyfork/src/revision/evidence_tests.rs
+++ b/crates/ebonyfork/src/revision/evidence_tests.rs
@@ -22,7 +22,7 @@
     TopologyView::new(vms, [])
 }
 
-fn held(revision: u64) -> HeadRecord {
+fn head(revision: u64) -> HeadRecord {
     HeadRecord {
         revision: RevisionNumber(revision),
         change: ChangeId([1; 16]),
@@ -31,81 +31,85 @@
 
 const START: Duration = Duration::ZERO;
 
-struct Zone {
+struct ZoneFixture {
     feed: FeedState,
     evidence: EvidenceState,
 }
 
-impl Zone {
+impl ZoneFixture {
     fn new(numbers: &[u8]) -> Self {
         let mut zone = Self {
             feed: FeedState::new("config/head", vm(0), zone(), 1),
             evidence: EvidenceState::new(vm(0), zone()),
         };
-        zone.show(START, numbers, &[]);
-        zone.feed.note_held(7);
+        zone.apply_view(START, numbers, &[]);
+        zone.feed.record_held(7);
         zone
     }
 
-    fn show(&mut self, now: Duration, numbers: &[u8], leaving: &[u8]) {
+    fn apply_view(&mut self, now: Duration, numbers: &[u8], leaving: &[u8]) {
         let view = view(numbers, leaving);
-        self.evidence.take_topology(now, &view, &self.feed);
-        self.feed.take_topology(&view);
+        self.evidence.apply_topology(now, &view, &self.feed);
+        self.feed.apply_topology(&view);
     }
 
     fn lowest(&mut self, now: Duration) -> u64 {
-        let evidence = self.evidence.due(now, 0, held(7), &self.feed);
+        let evidence = self.evidence.due_evidence(now, 0, head(7), &self.feed);
         evidence.expect("due").lowest.0
     }
 }
 
 #[gtest]
-fn a_vm_counts_with_what_it_has_shown_and_zero_before() {
-    let mut zone = Zone::new(&[0, 1, 2]);
-    zone.feed.note_peer(START, vm(1), 7);
+fn a_vm_counts_with_the_revision_it_has_shown_and_zero_before() {
+    let mut zone = ZoneFixture::new(&[0, 1, 2]);
+    zone.feed.record_gossiped(START, vm(1), 7);
     expect_that!(zone.lowest(START), eq(0));
-    zone.feed.note_peer(START, vm(2), 7);
+    zone.feed.record_gossiped(START, vm(2), 7);
     expect_that!(zone.lowest(Duration::from_secs(1)), eq(7));
-    zone.feed.note_peer(START, vm(2), 0);
+    zone.feed.record_gossiped(START, vm(2), 0);
     expect_that!(zone.lowest(Duration::from_secs(2)), eq(0));
 }
 
 #[gtest]
 fn a_vanished_vm_counts_until_it_must_have_fenced_itself() {
-    let second = Duration::from_secs(1);
-    let mut zone = Zone::new(&[0, 1]);
-    zone.feed.note_peer(START, vm(1), 6);
-    zone.show(second, &[0], &[]);
-    expect_that!(zone.lowest(second), eq(6));
-    expect_that!(zone.lowest(second + FENCE_DELAY), eq(7));
+    let one_second = Duration::from_secs(1);
+    let mut zone = ZoneFixture::new(&[0, 1]);
+    zone.feed.record_gossiped(START, vm(1), 6);
+    zone.apply_view(one_second, &[0], &[]);
+    expect_that!(zone.lowest(one_second), eq(6));
+    expect_that!(zone.lowest(one_second + FENCE_DELAY), eq(7));
 }
 
 #[gtest]
-fn a_vm_that_announced_its_stop_doesnt_count_once_it_is_gone() {
-    let second = Duration::from_secs(1);
-    let mut zone = Zone::new(&[0, 1]);
-    zone.show(START, &[0, 1], &[1]);
+fn a_vm_that_announced_its_stop_no_longer_counts_once_it_vanishes() {
+    let one_second = Duration::from_secs(1);
+    let mut zone = ZoneFixture::new(&[0, 1]);
+    zone.apply_view(START, &[0, 1], &[1]);
     expect_that!(zone.lowest(START), eq(0));
-    zone.show(second, &[0], &[]);
-    expect_that!(zone.lowest(second), eq(7));
+    zone.apply_view(one_second, &[0], &[]);
+    expect_that!(zone.lowest(one_second), eq(7));
 }
 
 #[gtest]
-fn evidence_is_written_on_change_and_now_and_then() {
-    let mut zone = Zone::new(&[0, 1]);
-    zone.feed.note_peer(START, vm(1), 7);
+fn evidence_is_written_on_change_and_periodically() {
+    let mut zone = ZoneFixture::new(&[0, 1]);
+    zone.feed.record_gossiped(START, vm(1), 7);
     let mut written = Vec::new();
     for tick in 0..101 {
         let now = Duration::from_millis(200) * tick;
-        if zone.evidence.due(now, 0, held(7), &zone.feed).is_some() {
+        if zone
+            .evidence
+            .due_evidence(now, 0, head(7), &zone.feed)
+            .is_some()
+        {
             written.push(now.as_secs());
         }
     }
     expect_that!(written, elements_are![eq(&0), eq(&10), eq(&20)]);
-    zone.evidence.note_failure();
-    let soon = Duration::from_secs(21);
+    zone.evidence.record_failure();
+    let later = Duration::from_secs(21);
     expect_that!(
-        zone.evidence.due(soon, 0, held(7), &zone.feed),
+        zone.evidence.due_evidence(later, 0, head(7), &zone.feed),
         some(anything())
     );
 }
@@ -119,33 +123,33 @@
         incarnation: (number == 1).then_some(crate::ident::IncarnationNumber(started)),
         leaving: false,
     });
-    let mut zone = Zone::new(&[0]);
+    let mut zone = ZoneFixture::new(&[0]);
     let view = TopologyView::new(vms, []);
-    zone.evidence.take_topology(START, &view, &zone.feed);
-    zone.feed.take_topology(&view);
-    zone.feed.note_peer(START, vm(1), 7);
-    for (age_ms, lowest) in [(0, 0), (SETTLE_MS - 1_000, 0), (SETTLE_MS, 7)] {
+    zone.evidence.apply_topology(START, &view, &zone.feed);
+    zone.feed.apply_topology(&view);
+    zone.feed.record_gossiped(START, vm(1), 7);
+    for (age_ms, lowest) in [(0, 0), (SETTLE_TIME_MS - 1_000, 0), (SETTLE_TIME_MS, 7)] {
         let now = Duration::from_millis(age_ms + 1_000);
         let evidence = zone
             .evidence
-            .due(now, started + age_ms, held(7), &zone.feed);
+            .due_evidence(now, started + age_ms, head(7), &zone.feed);
         expect_that!(
             evidence.map(|evidence| evidence.lowest.0),
             some(eq(lowest)),
             "{age_ms}"
         );
-        zone.evidence.note_failure();
+        zone.evidence.record_failure();
     }
 }
 
 #[gtest]
-fn vms_that_vanish_together_count_on_because_they_may_hear_each_other() {
-    let second = Duration::from_secs(1);
-    let mut zone = Zone::new(&[0, 1, 2]);
-    zone.feed.note_peer(START, vm(1), 6);
-    zone.feed.note_peer(START, vm(2), 7);
-    zone.show(second, &[0, 2], &[]);
-    zone.show(2 * second, &[0], &[]);
-    expect_that!(zone.lowest(2 * second + FENCE_DELAY), eq(6));
-    expect_that!(zone.lowest(second + GROUP_DELAY), eq(7));
+fn vms_that_vanish_together_still_count_because_they_may_reach_each_other() {
+    let one_second = Duration::from_secs(1);
+    let mut zone = ZoneFixture::new(&[0, 1, 2]);
+    zone.feed.record_gossiped(START, vm(1), 6);
+    zone.feed.record_gossiped(START, vm(2), 7);
+    zone.apply_view(one_second, &[0, 2], &[]);
+    zone.apply_view(2 * one_second, &[0], &[]);
+    expect_that!(zone.lowest(2 * one_second + FENCE_DELAY), eq(6));
+    expect_that!(zone.lowest(one_second + GROUP_FENCE_DELAY), eq(7));
 }
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -1,9 +1,9 @@
-//! How a VM learns that there is something newer, and from whom it gets it: plain code over numbers.
+//! Decides how a VM learns of a newer revision and which peer it fetches it from, as a state machine without I/O.
 //!
-//! The feed knows the number it holds and those that its peers have shown. Whatever shows a higher number starts a
-//! pull from that peer; a pull that brings nothing in time is tried with another one. What has become held is told to
-//! a few peers of the zone, which spreads it in a few rounds; now and then a peer drawn at random is asked, which
-//! mends whatever the telling has missed and brings a fresh VM up while the store is down.
+//! The feed knows the number that this VM holds and those that its peers have shown. A higher number from a peer starts
+//! a pull from that peer; a pull without progress is repeated with another peer. A VM announces each newly held number
+//! to a few peers of its zone, so that it reaches the zone in a few rounds. From time to time it also asks a random
+//! peer, which makes up for lost announcements and lets a new VM catch up while the store is down.
 
 use std::time::Duration;
 
@@ -20,39 +20,39 @@
 
 /// How long a pull may go without progress.
 pub const PULL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often what is newly held is told again to other peers, one tick apart: with four peers told once, one VM in
+/// How often a newly held number is announced again, one tick apart. With four peers and a single round, one VM in
 /// fifty hears nothing; with three rounds, one in 160,000.
-const TELL_AGAIN: u32 = 2;
-/// How long partners have to show a number that another VM has shown, before that VM itself is asked.
-const PARTNER_TIME: Duration = Duration::from_millis(500);
-/// How often a peer drawn at random is asked.
+const EXTRA_ANNOUNCE_ROUNDS: u32 = 2;
+/// How long to wait for a partner to show a number that a more distant VM has shown, before asking that VM itself.
+const PARTNER_WAIT: Duration = Duration::from_millis(500);
+/// Average interval at which a random peer is asked for a newer number.
 pub const ASK_PERIOD: Duration = Duration::from_secs(4);
-/// How often one is asked as long as nothing is held.
+/// Average interval at which a random peer is asked while this VM holds no number.
 const EMPTY_ASK_PERIOD: Duration = Duration::from_millis(250);
 
-/// What a feed wants done.
+/// An action that the feed asks its driver to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedAction {
-    /// Start to watch the store.
+    /// Start to watch the key in the store.
     Watch,
-    /// Stop to watch the store.
+    /// Stop watching the key in the store.
     Unwatch,
-    /// Ask this VM for what is above the held number.
+    /// Ask this VM for a number above the held one.
     Ask(VmAddress),
-    /// Tell this VM the held number.
-    Tell(VmAddress),
+    /// Announce the held number to this VM.
+    Announce(VmAddress),
 }
 
-/// Actions of one decision.
+/// The actions that follow from one event.
 pub type FeedActions = SmallVec<[FeedAction; 8]>;
 
 #[derive(Debug, Clone, Copy)]
 struct PendingPull {
     vm: VmAddress,
-    until: Duration,
+    deadline: Duration,
 }
 
-/// What one VM knows about one thing that spreads.
+/// What one VM knows about the spread of one numbered value, such as the configuration revision.
 ///
 /// # Examples
 ///
@@ -62,80 +62,80 @@
 /// use ebonyfork::ident::VmAddress;
 /// use ebonyfork::revision::{FeedAction, FeedState};
 ///
-/// let own: VmAddress = "127.0.0.1".parse()?;
+/// let own_vm: VmAddress = "127.0.0.1".parse()?;
 /// let peer: VmAddress = "127.0.0.2".parse()?;
 /// let mut feed = FeedState::new("config/head", own, "zone-a".parse()?, 7);
-/// // Partners have half a second to show the number first; this VM knows none.
-/// assert!(feed.note_peer(Duration::ZERO, peer, 3).is_empty());
-/// let actions = feed.note_peer(Duration::from_millis(500), peer, 3);
+/// // Partners have half a one_second to apply_view the number first; this VM knows none.
+/// assert!(feed.record_gossiped(Duration::ZERO, peer, 3).is_empty());
+/// let actions = feed.record_gossiped(Duration::from_millis(500), peer, 3);
 /// assert_eq!(actions.as_slice(), [FeedAction::Ask(peer)]);
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
 /// ```
 #[derive(Debug, Clone)]
 pub struct FeedState {
     key: &'static str,
-    own: VmAddress,
+    own_vm: VmAddress,
     peers: ZonePeers,
     rng: ChaCha8Rng,
-    held: u64,
+    held_number: u64,
     /// The highest number that was fetched and found unusable.
-    rejected: u64,
-    shown: FxHashMap<VmAddress, u64>,
-    watching: bool,
-    /// Rounds of telling that are left.
-    tell_again: u32,
-    /// Since when a number that is wanted has been known.
+    rejected_number: u64,
+    shown_numbers: FxHashMap<VmAddress, u64>,
+    is_watcher: bool,
+    /// Number of announcement rounds left for the held number.
+    announce_rounds_left: u32,
+    /// When this VM first heard of a number that it wants.
     wanted_since: Option<Duration>,
-    pull: Option<PendingPull>,
-    next_ask: Duration,
+    pending_pull: Option<PendingPull>,
+    next_ask_at: Duration,
 }
 
 impl FeedState {
-    /// Starts with nothing held, and with the own VM alone.
-    pub fn new(key: &'static str, own: VmAddress, zone: ZoneName, seed: u64) -> Self {
+    /// Creates a feed that holds no number and knows no other VM.
+    pub fn new(key: &'static str, own_vm: VmAddress, zone: ZoneName, seed: u64) -> Self {
         Self {
             key,
-            own,
-            peers: ZonePeers::new(own, zone),
+            own_vm,
+            peers: ZonePeers::new(own_vm, zone),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            held: 0,
-            rejected: 0,
-            shown: FxHashMap::default(),
-            watching: false,
-            tell_again: 0,
+            held_number: 0,
+            rejected_number: 0,
+            shown_numbers: FxHashMap::default(),
+            is_watcher: false,
+            announce_rounds_left: 0,
             wanted_since: None,
-            pull: None,
-            next_ask: Duration::ZERO,
+            pending_pull: None,
+            next_ask_at: Duration::ZERO,
         }
     }
 
-    /// The VMs around.
+    /// Returns the VMs that this VM exchanges messages with.
     pub fn peers(&self) -> &ZonePeers {
         &self.peers
     }
 
-    /// The number a VM has shown last; zero if none.
-    pub fn shown(&self, vm: VmAddress) -> u64 {
-        if vm == self.own {
-            return self.held;
+    /// Returns the number that a VM has shown last; zero if it has shown none.
+    pub fn shown_number(&self, vm: VmAddress) -> u64 {
+        if vm == self.own_vm {
+            return self.held_number;
         }
-        self.shown.get(&vm).copied().unwrap_or(0)
+        self.shown_numbers.get(&vm).copied().unwrap_or(0)
     }
 
-    /// Tells whether this VM watches the store.
+    /// Returns whether this VM watches the key in the store.
     pub fn is_watching(&self) -> bool {
-        self.watching
+        self.is_watcher
     }
 
-    /// Takes a new view of the topology.
-    pub fn take_topology(&mut self, view: &TopologyView) -> FeedActions {
+    /// Applies a new topology view. Starts or stops the watch if this VM's role as a watcher has changed.
+    pub fn apply_topology(&mut self, view: &TopologyView) -> FeedActions {
         self.peers.update(view);
-        self.shown.retain(|vm, _| view.vms.contains_key(vm));
-        let watching = self.peers.is_watcher(self.key);
+        self.shown_numbers.retain(|vm, _| view.vms.contains_key(vm));
+        let is_watcher = self.peers.is_watcher(self.key);
         let mut actions = FeedActions::new();
-        if watching != self.watching {
-            self.watching = watching;
-            actions.push(if watching {
+        if is_watcher != self.is_watcher {
+            self.is_watcher = is_watcher;
+            actions.push(if is_watcher {
                 FeedAction::Watch
             } else {
                 FeedAction::Unwatch
@@ -144,113 +144,120 @@
         actions
     }
 
-    /// Notes the number that a peer has shown by gossip. It may be lower than before: the process may be a new one.
-    pub fn note_peer(&mut self, now: Duration, vm: VmAddress, number: u64) -> FeedActions {
-        self.note_shown(now, vm, number, false)
+    /// Records the number that a peer has shown by gossip. It may be lower than before if the peer's process was
+    /// restarted.
+    pub fn record_gossiped(&mut self, now: Duration, vm: VmAddress, number: u64) -> FeedActions {
+        self.record_shown(now, vm, number, false)
     }
 
-    /// Notes the number that a peer has told this VM itself: there is a link already, so it is asked at once.
-    pub fn note_told(&mut self, now: Duration, vm: VmAddress, number: u64) -> FeedActions {
-        self.note_shown(now, vm, number, true)
+    /// Records the number that a peer has sent in a message. The link to the peer exists already, so the peer may be
+    /// asked at once.
+    pub fn record_received(&mut self, now: Duration, vm: VmAddress, number: u64) -> FeedActions {
+        self.record_shown(now, vm, number, true)
     }
 
-    fn note_shown(
+    fn record_shown(
         &mut self,
         now: Duration,
         vm: VmAddress,
         number: u64,
-        linked: bool,
+        is_linked: bool,
     ) -> FeedActions {
-        if vm != self.own {
-            self.shown.insert(vm, number);
+        if vm != self.own_vm {
+            self.shown_numbers.insert(vm, number);
         }
         let mut actions = FeedActions::new();
         if !self.is_wanted(number) {
             return actions;
         }
-        let since = *self.wanted_since.get_or_insert(now);
-        let near_enough = linked || self.peers.is_partner(vm) || now >= since + PARTNER_TIME;
-        if near_enough && self.pull.is_none() {
+        let wanted_since = *self.wanted_since.get_or_insert(now);
+        let may_ask = is_linked || self.peers.is_partner(vm) || now >= wanted_since + PARTNER_WAIT;
+        if may_ask && self.pending_pull.is_none() {
             self.pull_from(now, vm, &mut actions);
         }
         actions
     }
 
-    /// Notes that the running pull goes on.
-    pub fn note_progress(&mut self, now: Duration) {
-        if let Some(pull) = &mut self.pull {
-            pull.until = now + PULL_TIMEOUT;
+    /// Extends the deadline of the running pull.
+    pub fn record_progress(&mut self, now: Duration) {
+        if let Some(pull) = &mut self.pending_pull {
+            pull.deadline = now + PULL_TIMEOUT;
         }
     }
 
-    /// Notes that a number is held now; lower ones change nothing.
-    pub fn note_held(&mut self, number: u64) -> FeedActions {
+    /// Records a newly held number and announces it; a number that isn't higher than the held one is ignored.
+    pub fn record_held(&mut self, number: u64) -> FeedActions {
         let mut actions = FeedActions::new();
-        if number <= self.held {
+        if number <= self.held_number {
             return actions;
         }
-        self.held = number;
-        self.pull = None;
+        self.held_number = number;
+        self.pending_pull = None;
         self.wanted_since = None;
-        self.tell_again = TELL_AGAIN;
-        self.tell(&mut actions);
+        self.announce_rounds_left = EXTRA_ANNOUNCE_ROUNDS;
+        self.announce(&mut actions);
         actions
     }
 
-    /// Tells the held number to a few peers that haven't shown it.
-    fn tell(&mut self, actions: &mut FeedActions) {
-        for vm in self.peers.draw_told(&mut self.rng) {
-            if self.shown(vm) < self.held {
-                actions.push(FeedAction::Tell(vm));
+    /// Announces the held number to a few random partners that haven't shown it.
+    fn announce(&mut self, actions: &mut FeedActions) {
+        for vm in self.peers.draw_announce_targets(&mut self.rng) {
+            if self.shown_number(vm) < self.held_number {
+                actions.push(FeedAction::Announce(vm));
             }
         }
     }
 
-    /// Notes that a settled peer's revision has replaced a provisional one; it may have a lower number.
-    pub fn note_adopted(&mut self, number: u64) -> FeedActions {
-        self.held = self.held.min(number.saturating_sub(1));
-        self.rejected = 0;
-        self.note_held(number)
+    /// Records that a settled peer's revision has replaced a provisional one; its number may be lower.
+    pub fn record_adopted(&mut self, number: u64) -> FeedActions {
+        self.held_number = self.held_number.min(number.saturating_sub(1));
+        self.rejected_number = 0;
+        self.record_held(number)
     }
 
-    /// Notes that a number was fetched but can't be used, so that it isn't fetched again and again.
-    pub fn note_rejected(&mut self, number: u64) {
-        self.rejected = self.rejected.max(number);
-        self.pull = None;
+    /// Records that a number was fetched and can't be used, so that it isn't fetched again.
+    pub fn record_rejected(&mut self, number: u64) {
+        self.rejected_number = self.rejected_number.max(number);
+        self.pending_pull = None;
         self.wanted_since = None;
     }
 
-    /// Tells whether a number is worth a pull.
+    /// Returns whether a number is higher than the held one and any rejected one.
     pub fn is_wanted(&self, number: u64) -> bool {
-        number > self.held.max(self.rejected)
+        number > self.held_number.max(self.rejected_number)
     }
 
-    /// Notes that a peer couldn't serve the running pull.
-    pub fn note_failure(&mut self, now: Duration, vm: VmAddress) -> FeedActions {
+    /// Records that a peer couldn't serve the running pull, and pulls from another peer.
+    pub fn record_failure(&mut self, now: Duration, vm: VmAddress) -> FeedActions {
         let mut actions = FeedActions::new();
-        if self.pull.is_some_and(|pull| pull.vm == vm) {
-            self.give_up_pull(now, &mut actions);
+        if self.pending_pull.is_some_and(|pull| pull.vm == vm) {
+            self.abandon_pull(now, &mut actions);
         }
         actions
     }
 
-    /// Lets time pass.
+    /// Runs the timers: repeats announcements, replaces a stalled pull and asks a random peer.
     pub fn tick(&mut self, now: Duration) -> FeedActions {
         let mut actions = FeedActions::new();
-        if self.tell_again > 0 {
-            self.tell_again -= 1;
-            self.tell(&mut actions);
+        if self.announce_rounds_left > 0 {
+            self.announce_rounds_left -= 1;
+            self.announce(&mut actions);
         }
-        if self.pull.is_some_and(|pull| pull.until <= now) {
-            self.give_up_pull(now, &mut actions);
+        if self.pending_pull.is_some_and(|pull| pull.deadline <= now) {
+            self.abandon_pull(now, &mut actions);
         }
-        if self.pull.is_none() && self.shown.values().any(|shown| self.is_wanted(*shown)) {
+        if self.pending_pull.is_none()
+            && self
+                .shown_numbers
+                .values()
+                .any(|number| self.is_wanted(*number))
+        {
             self.pull_from_any(now, &mut actions);
         }
-        if now >= self.next_ask {
-            self.next_ask = now + self.ask_period();
-            if self.pull.is_none()
-                && let Some(vm) = self.peers.draw_asked(&mut self.rng)
+        if now >= self.next_ask_at {
+            self.next_ask_at = now + self.draw_ask_interval();
+            if self.pending_pull.is_none()
+                && let Some(vm) = self.peers.draw_ask_target(&mut self.rng)
             {
                 actions.push(FeedAction::Ask(vm));
             }
@@ -258,9 +265,9 @@
         actions
     }
 
-    /// The time to the next question, spread so that VMs don't ask in step.
-    fn ask_period(&mut self) -> Duration {
-        let period = if self.held == 0 {
+    /// Returns the time until the next question to a random peer, with jitter so that VMs don't ask at the same moment.
+    fn draw_ask_interval(&mut self) -> Duration {
+        let period = if self.held_number == 0 {
             EMPTY_ASK_PERIOD
         } else {
             ASK_PERIOD
@@ -268,41 +275,42 @@
         period.mul_f64(self.rng.random_range(0.5..=1.5))
     }
 
-    /// Ends a pull; the peer counts as having shown nothing until it shows something again.
-    fn give_up_pull(&mut self, now: Duration, actions: &mut FeedActions) {
-        if let Some(pull) = self.pull.take() {
-            self.shown.remove(&pull.vm);
+    /// Ends the running pull and starts another one. The peer counts as having shown nothing until it shows a number
+    /// again.
+    fn abandon_pull(&mut self, now: Duration, actions: &mut FeedActions) {
+        if let Some(pull) = self.pending_pull.take() {
+            self.shown_numbers.remove(&pull.vm);
             self.pull_from_any(now, actions);
         }
     }
 
-    /// Pulls from a partner that is ahead, or from any VM that is once the partners have had their time.
+    /// Pulls from a random partner that has a wanted number, or after [`PARTNER_WAIT`] from any VM that has one.
     fn pull_from_any(&mut self, now: Duration, actions: &mut FeedActions) {
-        let mut ahead: SmallVec<[VmAddress; 16]> = SmallVec::new();
-        for (vm, shown) in &self.shown {
-            if self.is_wanted(*shown) {
-                ahead.push(*vm);
+        let mut candidates: SmallVec<[VmAddress; 16]> = SmallVec::new();
+        for (vm, number) in &self.shown_numbers {
+            if self.is_wanted(*number) {
+                candidates.push(*vm);
             }
         }
-        if ahead.is_empty() {
+        if candidates.is_empty() {
             return;
         }
-        let since = *self.wanted_since.get_or_insert(now);
-        let partner = |vm: &VmAddress| self.peers.is_partner(*vm);
-        if ahead.iter().any(partner) {
-            ahead.retain(|vm| partner(vm));
-        } else if now < since + PARTNER_TIME {
+        let wanted_since = *self.wanted_since.get_or_insert(now);
+        let is_partner = |vm: &VmAddress| self.peers.is_partner(*vm);
+        if candidates.iter().any(is_partner) {
+            candidates.retain(|vm| is_partner(vm));
+        } else if now < wanted_since + PARTNER_WAIT {
             return;
         }
-        // The order of the map is not part of the decision.
-        ahead.sort_unstable();
-        let vm = ahead[self.rng.random_range(0..ahead.len())];
+        // Sorted because the order of a hash map must not affect the random choice.
+        candidates.sort_unstable();
+        let vm = candidates[self.rng.random_range(0..candidates.len())];
         self.pull_from(now, vm, actions);
     }
 
     fn pull_from(&mut self, now: Duration, vm: VmAddress, actions: &mut FeedActions) {
-        let until = now + PULL_TIMEOUT;
-        self.pull = Some(PendingPull { vm, until });
+        let deadline = now + PULL_TIMEOUT;
+        self.pending_pull = Some(PendingPull { vm, deadline });
         actions.push(FeedAction::Ask(vm));
     }
 }
--- a/crates/ebonyfork/src/revision/feed_tests.rs
+++ b/crates/ebonyfork/src/revision/feed_tests.rs
@@ -19,18 +19,18 @@
 
 fn feed(size: u8) -> FeedState {
     let mut feed = FeedState::new("config/head", vm(0), "zone-a".parse().unwrap(), 1);
-    feed.take_topology(&view(0..size));
+    feed.apply_topology(&view(0..size));
     feed
 }
 
 const START: Duration = Duration::ZERO;
 
 #[gtest]
-fn only_a_higher_number_starts_a_pull_and_only_one_runs() {
+fn only_a_higher_number_starts_a_pull_and_only_one_pull_runs() {
     let mut feed = feed(9);
-    feed.note_held(5);
+    feed.record_held(5);
     for (number, expected) in [(4, false), (5, false), (6, true), (7, false)] {
-        let actions = feed.note_peer(START, vm(1), number);
+        let actions = feed.record_gossiped(START, vm(1), number);
         expect_that!(!actions.is_empty(), eq(expected), "{number}");
     }
 }
@@ -38,17 +38,17 @@
 #[gtest]
 fn a_lower_number_is_never_held() {
     let mut feed = feed(9);
-    feed.note_held(5);
-    expect_that!(feed.note_held(4).is_empty(), eq(true));
-    expect_that!(feed.shown(vm(0)), eq(5));
+    feed.record_held(5);
+    expect_that!(feed.record_held(4).is_empty(), eq(true));
+    expect_that!(feed.shown_number(vm(0)), eq(5));
 }
 
 #[gtest]
-fn a_pull_without_progress_goes_to_another_peer() {
+fn a_pull_without_progress_is_repeated_with_another_peer() {
     let mut feed = feed(9);
-    feed.note_peer(START, vm(1), 6);
-    feed.note_peer(START, vm(2), 6);
-    feed.note_progress(START + PULL_TIMEOUT / 2);
+    feed.record_gossiped(START, vm(1), 6);
+    feed.record_gossiped(START, vm(2), 6);
+    feed.record_progress(START + PULL_TIMEOUT / 2);
     let early: FeedActions = feed.tick(START + PULL_TIMEOUT);
     expect_that!(early.contains(&FeedAction::Ask(vm(2))), eq(false));
     let late = feed.tick(START + 2 * PULL_TIMEOUT);
@@ -58,9 +58,9 @@
 #[gtest]
 fn a_peer_that_fails_is_replaced_at_once() {
     let mut feed = feed(9);
-    feed.note_peer(START, vm(1), 6);
-    feed.note_peer(START, vm(2), 6);
-    let actions = feed.note_failure(START, vm(1));
+    feed.record_gossiped(START, vm(1), 6);
+    feed.record_gossiped(START, vm(2), 6);
+    let actions = feed.record_failure(START, vm(1));
     expect_that!(
         actions.as_slice(),
         elements_are![eq(&FeedAction::Ask(vm(2)))]
@@ -70,27 +70,27 @@
 #[gtest]
 fn an_unusable_number_is_not_fetched_again() {
     let mut feed = feed(9);
-    feed.note_peer(START, vm(1), 6);
-    feed.note_rejected(6);
-    expect_that!(feed.note_peer(START, vm(2), 6).is_empty(), eq(true));
-    expect_that!(feed.note_peer(START, vm(2), 7).is_empty(), eq(false));
+    feed.record_gossiped(START, vm(1), 6);
+    feed.record_rejected(6);
+    expect_that!(feed.record_gossiped(START, vm(2), 6).is_empty(), eq(true));
+    expect_that!(feed.record_gossiped(START, vm(2), 7).is_empty(), eq(false));
 }
 
 #[gtest]
-fn what_is_held_newly_is_told_to_peers_that_lack_it() {
+fn a_newly_held_number_is_announced_to_peers_that_lack_it() {
     let mut feed = feed(4);
-    feed.note_peer(START, vm(1), 6);
-    let told = feed.note_held(6);
-    expect_that!(told.contains(&FeedAction::Tell(vm(1))), eq(false));
-    expect_that!(told.contains(&FeedAction::Tell(vm(2))), eq(true));
-    expect_that!(told.contains(&FeedAction::Tell(vm(3))), eq(true));
+    feed.record_gossiped(START, vm(1), 6);
+    let announced = feed.record_held(6);
+    expect_that!(announced.contains(&FeedAction::Announce(vm(1))), eq(false));
+    expect_that!(announced.contains(&FeedAction::Announce(vm(2))), eq(true));
+    expect_that!(announced.contains(&FeedAction::Announce(vm(3))), eq(true));
 }
 
 #[gtest]
-fn an_empty_vm_asks_often() {
+fn a_vm_that_holds_nothing_asks_more_often() {
     let asked = |held| {
         let mut feed = feed(9);
-        feed.note_held(held);
+        feed.record_held(held);
         let mut asked = 0;
         for tick in 0..100 {
             let actions = feed.tick(Duration::from_millis(200) * tick);
@@ -106,18 +106,21 @@
 }
 
 #[gtest]
-fn gossip_of_a_distant_vm_waits_for_partners_but_a_telling_vm_is_asked_at_once() {
-    let stranger = vm(99);
+fn a_distant_vm_seen_by_gossip_is_asked_after_partners_but_a_sender_at_once() {
+    let distant_vm = vm(99);
     let mut feed = feed(9);
-    expect_that!(feed.note_peer(START, stranger, 6).is_empty(), eq(true));
-    let told = feed.note_told(START, stranger, 6);
     expect_that!(
-        told.as_slice(),
-        elements_are![eq(&FeedAction::Ask(stranger))]
+        feed.record_gossiped(START, distant_vm, 6).is_empty(),
+        eq(true)
+    );
+    let announced = feed.record_received(START, distant_vm, 6);
+    expect_that!(
+        announced.as_slice(),
+        elements_are![eq(&FeedAction::Ask(distant_vm))]
     );
     let mut feed = self::feed(9);
-    feed.note_peer(START, stranger, 6);
-    let asks = |actions: &FeedActions| actions.contains(&FeedAction::Ask(stranger));
-    expect_that!(asks(&feed.tick(PARTNER_TIME / 2)), eq(false));
-    expect_that!(asks(&feed.tick(PARTNER_TIME)), eq(true));
+    feed.record_gossiped(START, distant_vm, 6);
+    let asks = |actions: &FeedActions| actions.contains(&FeedAction::Ask(distant_vm));
+    expect_that!(asks(&feed.tick(PARTNER_WAIT / 2)), eq(false));
+    expect_that!(asks(&feed.tick(PARTNER_WAIT)), eq(true));
 }
--- a/crates/ebonyfork/src/revision/handle.rs
+++ b/crates/ebonyfork/src/revision/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of a process sees of the revision feed.
+//! The handle through which the rest of the process uses the revision feed.
 
 use std::sync::Arc;
 
@@ -14,11 +14,11 @@
 use crate::views::NodeViews;
 use crate::wire::{LinkError, LinkSender, PeerMessage};
 
-use super::actor::{PeerInput, PeerNote, RevisionActor, StopFeed, spawn_revision_actor};
+use super::actor::{GossipedRevisions, PeerInput, RevisionActor, StopFeed, spawn_revision_actor};
 use super::message::RevisionMessage;
 use super::metrics::RevisionMetrics;
 
-/// Talks to the process's revision feed. Cheap to clone; the feed ends when the last handle is dropped.
+/// Handle to the process's revision feed. Cheap to clone; the feed ends when the last handle is dropped.
 #[derive(Debug, Clone)]
 pub struct RevisionHandle {
     address: Address<RevisionActor>,
@@ -26,47 +26,48 @@
 }
 
 impl RevisionHandle {
-    /// Starts to learn revisions and puts each in force through `writer`. Peers are reached by `send`.
+    /// Starts the revision feed, which puts each revision in force through `config_sender` and sends messages to peers
+    /// through `send`.
     pub fn start(
         settings: &NodeSettings,
         client: StoreClient,
         views: NodeViews,
-        writer: watch::Sender<Arc<DeclaredConfig>>,
+        config_sender: watch::Sender<Arc<DeclaredConfig>>,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
     ) -> Self {
         let metrics = RevisionMetrics::default();
-        let actor = RevisionActor::new(settings, client, writer, send, metrics.clone());
+        let actor = RevisionActor::new(settings, client, config_sender, send, metrics.clone());
         let address = spawn_revision_actor(actor, views.topology);
         Self { address, metrics }
     }
 
-    /// Takes a message of a peer; replies go back by `from`.
-    pub async fn take_message(&self, from: LinkSender, message: RevisionMessage) {
-        // A feed that has ended takes no messages; the process is stopping.
-        let _ended = self.address.send(PeerInput { from, message }).await;
+    /// Handles a message from a peer; replies go back over `sender`.
+    pub async fn take_message(&self, sender: LinkSender, message: RevisionMessage) {
+        // A stopped feed accepts no messages, which happens only while the process is stopping.
+        let _send_result = self.address.send(PeerInput { sender, message }).await;
     }
 
-    /// Notes the revision that a peer's membership digest shows.
+    /// Records the revision that a peer's membership digest shows.
     pub fn note_peer_revision(&self, vm: VmAddress, revision: RevisionNumber) {
         self.note_members([(vm, revision)]);
     }
 
-    /// Notes the revisions of many members at once.
-    pub fn note_members(&self, held: impl IntoIterator<Item = (VmAddress, RevisionNumber)>) {
-        let shown = held.into_iter().collect();
-        let _ended = self
+    /// Records the revisions that several members have shown by gossip.
+    pub fn note_members(&self, revisions: impl IntoIterator<Item = (VmAddress, RevisionNumber)>) {
+        let revisions = revisions.into_iter().collect();
+        let _send_result = self
             .address
-            .send(PeerNote { shown })
+            .send(GossipedRevisions { revisions })
             .detach()
             .now_or_never();
     }
 
-    /// Ends the feed, although handles may still be around.
+    /// Stops the feed even if other handles to it still exist.
     pub fn stop(&self) {
-        let _ended = self.address.send(StopFeed).detach().now_or_never();
+        let _send_result = self.address.send(StopFeed).detach().now_or_never();
     }
 
-    /// Registers the feed's metrics.
+    /// Registers the metrics of the revision feed.
     pub fn register(&self, registry: &mut Registry) {
         self.metrics.register(registry);
     }
--- a/crates/ebonyfork/src/revision/message.rs
+++ b/crates/ebonyfork/src/revision/message.rs
@@ -1,4 +1,4 @@
-//! What processes say to each other about revisions.
+//! Messages that VMs exchange about configuration revisions.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -7,32 +7,35 @@
 
 use super::record::{ChangeRecord, HeadRecord, PartDigest};
 
-/// One message about revisions. Variants are only ever appended: their order is their code on the wire.
+/// A message about configuration revisions. New variants are only ever appended, because a variant's position is its
+/// code on the wire.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RevisionMessage {
-    /// The sender holds this revision whole.
+    /// The sender holds all parts of this revision.
     Held(HeadRecord),
-    /// Asks for the newest change that the receiver holds, if it is above this revision; else for `Held`.
+    /// Asks for the newest change that the receiver holds. The receiver sends `Change` if that is above `above`,
+    /// otherwise `Held`.
     Ask {
-        /// What the sender holds.
+        /// The revision that the sender of the question holds.
         above: RevisionNumber,
     },
     /// The record of the newest change that the sender holds.
     Change(ChangeRecord),
-    /// Asks for one part.
+    /// Asks the receiver for the text of one part.
     AskPart {
-        /// Its digest.
+        /// Digest of the requested part.
         sha256: PartDigest,
     },
-    /// One part; none if the sender doesn't hold it.
+    /// The text of one part, or `None` if the sender doesn't hold the part or has used up its byte budget.
     Part {
-        /// Its digest.
+        /// Digest of the part.
         sha256: PartDigest,
-        /// Its text.
+        /// Text of the part.
         text: Option<Bytes>,
     },
-    /// A VM that has just started asks for the change that the receiver holds, whatever its number.
+    /// Asks for the change that the receiver holds, whatever its number. Sent by a VM whose own revision is
+    /// provisional.
     AskSettled,
-    /// The record of the change that the sender holds and doesn't doubt.
+    /// The record of the change that the sender holds, sent only while the sender's revision isn't provisional.
     Settled(ChangeRecord),
 }
--- a/crates/ebonyfork/src/revision/metrics.rs
+++ b/crates/ebonyfork/src/revision/metrics.rs
@@ -6,20 +6,20 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Where a revision came from.
+/// Labels of the `revision_taken` counter: whether a revision came from a peer or the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct SourceLabels {
     pub(super) source: &'static str,
 }
 
-/// What a process shows about its revisions.
+/// Metrics about the revisions that a process holds and has seen.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RevisionMetrics {
-    pub(super) held: Gauge,
-    pub(super) highest: Gauge,
+    pub(super) held_revision: Gauge,
+    pub(super) highest_revision: Gauge,
     pub(super) watching: Gauge,
-    pub(super) lagging: Gauge,
-    pub(super) taken: Family<SourceLabels, Counter>,
+    pub(super) lagging_vms: Gauge,
+    pub(super) revisions_taken: Family<SourceLabels, Counter>,
     pub(super) rejected: Counter,
     pub(super) diverged: Counter,
     pub(super) restored: Counter,
@@ -31,12 +31,12 @@
         registry.register(
             "revision_held",
             "Revision of the configuration that is in force on this VM",
-            self.held.clone(),
+            self.held_revision.clone(),
         );
         registry.register(
             "revision_highest",
             "Highest revision of the configuration that any peer or the store has shown",
-            self.highest.clone(),
+            self.highest_revision.clone(),
         );
         registry.register(
             "revision_watching",
@@ -46,12 +46,12 @@
         registry.register(
             "revision_lagging_vms",
             "VMs of the zone below this VM's revision, on the zone's watchers",
-            self.lagging.clone(),
+            self.lagging_vms.clone(),
         );
         registry.register(
             "revision_taken",
             "Revisions put in force, by where they came from",
-            self.taken.clone(),
+            self.revisions_taken.clone(),
         );
         registry.register(
             "revision_rejected",
--- a/crates/ebonyfork/src/revision/mod.rs
+++ b/crates/ebonyfork/src/revision/mod.rs
@@ -1,11 +1,12 @@
-//! Revisions of the operators' configuration: published, learnt by every VM, accepted with evidence.
+//! Revisions of the operators' configuration: how they are published, distributed to every VM and accepted.
 //!
-//! A revision is a whole set of declaration files. Its files are *parts*, stored once under their digest; a *change*
-//! record lists them and names its parent; the *head* names the newest change and is moved by compare-and-swap, so
-//! that of two operators exactly one wins. A VM puts a revision in force once it holds all parts, and never goes back
-//! to a lower one, nor to one that was made without knowledge of it. A few watchers per zone ask the store; the others learn of a revision from their peers and pull
-//! the parts from them. The watchers write what their zone's VMs hold: a revision counts as accepted when that
-//! evidence shows it for every zone.
+//! A revision is a complete set of declaration files. Each file is a *part*, stored once under its digest; a *change*
+//! record lists the parts and names its parent change. The *head* names the newest change and is moved by
+//! compare-and-swap, so of two concurrent publishers exactly one succeeds. A VM puts a revision in force once it holds
+//! all of its parts. It never goes back to a lower revision and refuses one whose change doesn't descend from the one
+//! in force. A few watchers per zone watch the store; the other VMs learn of a revision from their peers and fetch the
+//! parts from them. The watchers write to the store which revisions the VMs of their zone hold: a revision is accepted
+//! once this evidence shows it in every zone.
 
 mod acceptance;
 mod actor;
@@ -25,10 +26,10 @@
 mod watcher;
 
 pub use acceptance::{
-    AcceptanceState, HeldRelation, LiveZones, ZoneGap, judge_acceptance, read_acceptance,
+    AcceptanceState, HeldRelation, LiveZones, ZoneGap, evaluate_acceptance, read_acceptance,
 };
 pub use assembly::{HeldRevision, PartTexts, RevisionAssembly};
-pub use evidence::{EvidenceState, FENCE_DELAY, GROUP_DELAY, REFRESH_PERIOD};
+pub use evidence::{EvidenceState, FENCE_DELAY, GROUP_FENCE_DELAY, REFRESH_PERIOD};
 pub use feed::{ASK_PERIOD, FeedAction, FeedActions, FeedState, PULL_TIMEOUT};
 pub use handle::RevisionHandle;
 pub use message::RevisionMessage;
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -1,11 +1,13 @@
-//! The VMs that a feed talks to: who of a zone watches the store, whom to tell and whom to ask.
+//! Selects the VMs of a feed: which VMs of a zone watch the store, and which peers a VM sends announcements and
+//! questions to.
 //!
-//! Every VM ranks the staying VMs of its zone for each watched key by rendezvous hashing; the first
-//! [`WATCHERS_PER_ZONE`] watch it. Two VMs with different views may for a while both think that they watch, or that
-//! neither does; the first costs a few calls, the second is bridged by asking peers.
+//! Every VM ranks the VMs of its zone that aren't leaving, for each watched key, by rendezvous hashing; the first
+//! [`WATCHERS_PER_ZONE`] watch the key. While two VMs have different views, both may watch, or neither. The first costs
+//! a few extra calls; in the second case VMs still learn of changes by asking peers.
 //!
-//! A VM tells and asks only its *partners*, a few VMs that it ranks highest by rendezvous hashing with its own address.
-//! They stay the same as long as they live, so that a VM of a large fleet has links to a few VMs and not to all.
+//! A VM sends announcements and questions only to its *partners*, the few VMs that rank highest by rendezvous hashing
+//! with the VM's own address. A partner stays the same as long as it is live, so a VM of a large fleet needs links to a
+//! few VMs only.
 
 use rand::RngExt;
 use smallvec::SmallVec;
@@ -14,133 +16,136 @@
 use crate::ident::{VmAddress, ZoneName};
 use crate::topology::TopologyView;
 
-/// How many VMs of a zone watch a key of the store.
+/// Number of VMs per zone that watch a key of the store.
 pub const WATCHERS_PER_ZONE: usize = 2;
-/// How many peers of the own zone are told at once about something new.
+/// Number of peers in the own zone that receive each announcement.
 pub const FAN_OUT: usize = 4;
-/// How many partners a VM has in its own zone: among 490 VMs one in 3,000 is nobody's partner, and that one asks.
+/// Number of partners in the own zone. Among 490 VMs, one in 3,000 is nobody's partner; it learns of changes by asking.
 pub const NEAR_PARTNERS: usize = 8;
-/// How many partners a VM has in other zones.
+/// Number of partners in other zones.
 pub const FAR_PARTNERS: usize = 3;
 /// One question in this many goes to a VM of another zone.
-const FAR_SHARE: u32 = 4;
+const FAR_ASK_RATIO: u32 = 4;
 
-/// The VMs around one VM, as its topology view shows them.
+/// The peers that one VM exchanges messages with, according to its topology view.
 #[derive(Debug, Clone)]
 pub struct ZonePeers {
-    own: VmAddress,
+    own_vm: VmAddress,
     zone: ZoneName,
-    /// Partners of the own zone.
-    near: Vec<VmAddress>,
-    /// Partners of other zones.
-    far: Vec<VmAddress>,
-    /// VMs of the own zone that stay, with the own one unless it leaves.
-    staying: Vec<VmAddress>,
+    /// Partners in the own zone.
+    near_partners: Vec<VmAddress>,
+    /// Partners in other zones.
+    far_partners: Vec<VmAddress>,
+    /// VMs of the own zone that aren't leaving, including this one unless it is leaving.
+    active_vms: Vec<VmAddress>,
 }
 
 impl ZonePeers {
-    /// Starts with the own VM alone.
-    pub fn new(own: VmAddress, zone: ZoneName) -> Self {
+    /// Creates a set that knows only this VM.
+    pub fn new(own_vm: VmAddress, zone: ZoneName) -> Self {
         Self {
-            own,
+            own_vm,
             zone,
-            near: Vec::new(),
-            far: Vec::new(),
-            staying: vec![own],
+            near_partners: Vec::new(),
+            far_partners: Vec::new(),
+            active_vms: vec![own_vm],
         }
     }
 
-    /// Takes a new view of the topology.
+    /// Applies a new topology view.
     pub fn update(&mut self, view: &TopologyView) {
-        self.near.clear();
-        self.far.clear();
-        self.staying.clear();
-        let mut own_leaves = false;
+        self.near_partners.clear();
+        self.far_partners.clear();
+        self.active_vms.clear();
+        let mut own_is_leaving = false;
         for entry in view.vms.values() {
-            if entry.vm == self.own {
-                own_leaves = entry.leaving;
+            if entry.vm == self.own_vm {
+                own_is_leaving = entry.leaving;
                 continue;
             }
             if entry.zone != self.zone {
-                self.far.push(entry.vm);
+                self.far_partners.push(entry.vm);
                 continue;
             }
-            self.near.push(entry.vm);
+            self.near_partners.push(entry.vm);
             if !entry.leaving {
-                self.staying.push(entry.vm);
+                self.active_vms.push(entry.vm);
             }
         }
-        if !own_leaves {
-            self.staying.push(self.own);
+        if !own_is_leaving {
+            self.active_vms.push(self.own_vm);
         }
-        let key = self.own.to_string();
-        keep_highest(&mut self.near, &key, NEAR_PARTNERS);
-        keep_highest(&mut self.far, &key, FAR_PARTNERS);
+        let key = self.own_vm.to_string();
+        keep_highest_ranked(&mut self.near_partners, &key, NEAR_PARTNERS);
+        keep_highest_ranked(&mut self.far_partners, &key, FAR_PARTNERS);
     }
 
-    /// Tells whether a VM is a partner.
+    /// Returns whether a VM is a partner of this VM.
     pub fn is_partner(&self, vm: VmAddress) -> bool {
-        self.near.contains(&vm) || self.far.contains(&vm)
+        self.near_partners.contains(&vm) || self.far_partners.contains(&vm)
     }
 
-    /// Tells whether the own VM watches this key of the store.
+    /// Returns whether this VM watches a key of the store.
     pub fn is_watcher(&self, key: &str) -> bool {
-        if !self.staying.contains(&self.own) {
+        if !self.active_vms.contains(&self.own_vm) {
             return false;
         }
-        let own = score(self.own, key);
-        let mut higher = 0;
-        for vm in &self.staying {
-            if (score(*vm, key), *vm) > (own, self.own) {
-                higher += 1;
+        let own_score = rendezvous_score(self.own_vm, key);
+        let mut higher_ranked = 0;
+        for vm in &self.active_vms {
+            if (rendezvous_score(*vm, key), *vm) > (own_score, self.own_vm) {
+                higher_ranked += 1;
             }
         }
-        higher < WATCHERS_PER_ZONE
+        higher_ranked < WATCHERS_PER_ZONE
     }
 
-    /// Draws the peers of the own zone that are told about something new.
-    pub fn draw_told(&self, rng: &mut impl rand::Rng) -> SmallVec<[VmAddress; FAN_OUT]> {
-        let mut told = SmallVec::new();
-        if self.near.len() <= FAN_OUT {
-            told.extend_from_slice(&self.near);
-            return told;
+    /// Draws the random partners in the own zone that receive an announcement.
+    pub fn draw_announce_targets(
+        &self,
+        rng: &mut impl rand::Rng,
+    ) -> SmallVec<[VmAddress; FAN_OUT]> {
+        let mut targets = SmallVec::new();
+        if self.near_partners.len() <= FAN_OUT {
+            targets.extend_from_slice(&self.near_partners);
+            return targets;
         }
-        while told.len() < FAN_OUT {
-            let vm = self.near[rng.random_range(0..self.near.len())];
-            if !told.contains(&vm) {
-                told.push(vm);
+        while targets.len() < FAN_OUT {
+            let vm = self.near_partners[rng.random_range(0..self.near_partners.len())];
+            if !targets.contains(&vm) {
+                targets.push(vm);
             }
         }
-        told
+        targets
     }
 
-    /// Draws a peer to ask: mostly of the own zone.
-    pub fn draw_asked(&self, rng: &mut impl rand::Rng) -> Option<VmAddress> {
-        let far = self.near.is_empty() || rng.random_ratio(1, FAR_SHARE);
-        let from = if far && !self.far.is_empty() {
-            &self.far
+    /// Draws a random partner to ask, mostly from the own zone.
+    pub fn draw_ask_target(&self, rng: &mut impl rand::Rng) -> Option<VmAddress> {
+        let pick_far = self.near_partners.is_empty() || rng.random_ratio(1, FAR_ASK_RATIO);
+        let candidates = if pick_far && !self.far_partners.is_empty() {
+            &self.far_partners
         } else {
-            &self.near
+            &self.near_partners
         };
-        if from.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
-        Some(from[rng.random_range(0..from.len())])
+        Some(candidates[rng.random_range(0..candidates.len())])
     }
 }
 
-/// Keeps the VMs that score highest with a key.
-fn keep_highest(vms: &mut Vec<VmAddress>, key: &str, count: usize) {
+/// Keeps the `count` VMs with the highest hash for a key.
+fn keep_highest_ranked(vms: &mut Vec<VmAddress>, key: &str, count: usize) {
     if vms.len() <= count {
         return;
     }
-    let rank = |vm: &VmAddress| std::cmp::Reverse((score(*vm, key), *vm));
+    let rank = |vm: &VmAddress| std::cmp::Reverse((rendezvous_score(*vm, key), *vm));
     vms.select_nth_unstable_by_key(count, rank);
     vms.truncate(count);
     vms.sort_unstable();
 }
 
-fn score(vm: VmAddress, key: &str) -> u64 {
+fn rendezvous_score(vm: VmAddress, key: &str) -> u64 {
     let mut hasher = Xxh3Default::new();
     match vm.0 {
         std::net::IpAddr::V4(ip) => hasher.update(&ip.octets()),
--- a/crates/ebonyfork/src/revision/peers_tests.rs
+++ b/crates/ebonyfork/src/revision/peers_tests.rs
@@ -45,37 +45,37 @@
 }
 
 #[gtest]
-fn a_leaving_vm_hands_its_watch_over() {
-    let staying: Vec<_> = (0..10).map(|number| (number, "zone-a", false)).collect();
-    let before = watchers(&view(&staying), "config/head");
-    let leaver = before[0];
+fn a_leaving_vm_stops_watching_and_another_takes_over() {
+    let active_vms: Vec<_> = (0..10).map(|number| (number, "zone-a", false)).collect();
+    let before = watchers(&view(&active_vms), "config/head");
+    let leaving_vm = before[0];
     let leaving: Vec<_> = (0..10)
-        .map(|number| (number, "zone-a", vm(number) == leaver))
+        .map(|number| (number, "zone-a", vm(number) == leaving_vm))
         .collect();
     let after = watchers(&view(&leaving), "config/head");
     expect_that!(after.len(), eq(2));
-    expect_that!(after, not(contains(eq(&leaver))));
+    expect_that!(after, not(contains(eq(&leaving_vm))));
     expect_that!(after, contains(eq(&before[1])));
 }
 
 #[gtest]
-fn told_peers_differ_and_asked_ones_are_mostly_near() {
+fn announce_targets_are_distinct_and_ask_targets_are_mostly_near() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
     let mut zones: Vec<_> = (0..20).map(|number| (number, "zone-a", false)).collect();
     zones.push((99, "zone-b", false));
     let mut peers = ZonePeers::new(vm(0), "zone-a".parse().unwrap());
-    expect_that!(peers.draw_asked(&mut rng), none());
+    expect_that!(peers.draw_ask_target(&mut rng), none());
     peers.update(&view(&zones));
-    let mut told = peers.draw_told(&mut rng).to_vec();
-    told.sort_unstable();
-    told.dedup();
-    expect_that!(told.len(), eq(FAN_OUT));
-    let far = (0..400).filter(|_| peers.draw_asked(&mut rng) == Some(vm(99)));
-    expect_that!(far.count(), all!(ge(50), le(150)));
+    let mut targets = peers.draw_announce_targets(&mut rng).to_vec();
+    targets.sort_unstable();
+    targets.dedup();
+    expect_that!(targets.len(), eq(FAN_OUT));
+    let far_asks = (0..400).filter(|_| peers.draw_ask_target(&mut rng) == Some(vm(99)));
+    expect_that!(far_asks.count(), all!(ge(50), le(150)));
 }
 
 #[gtest]
-fn partners_are_few_and_stay_when_others_go() {
+fn partners_are_few_and_stay_when_another_vm_leaves() {
     let mut zones: Vec<_> = (0..100).map(|number| (number, "zone-a", false)).collect();
     zones.extend((100..200).map(|number| (number, "zone-b", false)));
     let partners = |zones: &[(u8, &str, bool)]| {
@@ -86,8 +86,8 @@
     };
     let before = partners(&zones);
     expect_that!(before.len(), eq(NEAR_PARTNERS + FAR_PARTNERS));
-    let gone = before[0];
-    zones.retain(|(number, _, _)| vm(*number) != gone);
+    let removed_vm = before[0];
+    zones.retain(|(number, _, _)| vm(*number) != removed_vm);
     let after = partners(&zones);
     let kept = before.iter().filter(|vm| after.contains(vm)).count();
     expect_that!(kept, eq(before.len() - 1));
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -1,10 +1,10 @@
-//! The steps of publishing a revision, as plain code over the store's answers.
+//! The steps of publishing a revision, as a state machine without I/O that is driven by the store's answers.
 //!
-//! Parts and the change's record are written first; they mean nothing until the head names them, so an attempt that
-//! stops half-way leaves nothing in force. Then the head is moved by compare-and-swap. If that answer is lost, the run
-//! reads: a head that is the own change, or has it among its parents, took effect; a head moved by somebody else did
-//! not. Only while the head still has the expected version is the same swap sent again, and of two such swaps the
-//! store carries out at most one.
+//! Parts and the change record are written first. They have no effect until the head names them, so an attempt that
+//! stops half-way leaves nothing in force. Then the head is moved by compare-and-swap. If the answer to the swap is
+//! lost, the run reads the head: the swap took effect if the head is the run's own change or descends from it, and
+//! failed if somebody else has moved the head. The swap is sent again only while the head still has the expected
+//! version, and the store carries out at most one of two such swaps.
 
 use bytes::Bytes;
 use compact_str::{CompactString, ToCompactString, format_compact};
@@ -16,118 +16,118 @@
 use super::record::{ChangeId, ChangeRecord, HeadRecord, HeldEvidence, PartDigest, PartSet};
 use super::store::StoredHead;
 
-/// How often one call is tried before the run gives up.
-const TRY_LIMIT: u32 = 6;
+/// Maximum number of attempts at one store call before the run gives up.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// The head that a change is made for.
+/// The head on which a change may be published.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ExpectedBase {
-    /// Whatever head there is.
+    /// Whatever the head is.
     #[default]
     Any,
-    /// The head that the author has seen, or none; another one is a conflict.
+    /// The head that the author has seen, or none; any other head is a conflict.
     Exactly(Option<HeadRecord>),
 }
 
-/// What is to be published.
+/// A set of files to publish as a new change.
 #[derive(Debug, Clone)]
 pub struct PublishRequest {
-    /// The files.
+    /// The files to publish.
     pub parts: PartSet,
-    /// Identity of the change.
+    /// Identity of the new change.
     pub change: ChangeId,
-    /// Who publishes.
+    /// Who publishes the change.
     pub author: CompactString,
-    /// Why.
+    /// The author's reason for the change.
     pub note: CompactString,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of publishing, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The head that this change is made for.
+    /// The head on which the change may be published.
     pub base: ExpectedBase,
 }
 
-/// How a publishing ended.
+/// Result of a publish run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishOutcome {
-    /// The declarations have findings; nothing was sent.
+    /// The declarations have findings, so nothing was sent to the store.
     Invalid {
-        /// All of them.
+        /// All findings of the declarations.
         findings: FindingList,
     },
     /// The head was moved to the change.
     Published {
-        /// The new head.
+        /// The head that names the change.
         head: HeadRecord,
-        /// A later change that has followed since, if any.
+        /// A later head that descends from the change, if there already is one.
         followed_by: Option<HeadRecord>,
     },
-    /// The head already has exactly these files; nothing was written.
+    /// The head already has exactly these files, so nothing was written.
     Unchanged {
-        /// The head.
+        /// The head that has these files.
         head: HeadRecord,
     },
     /// Somebody else moved the head; this change is not in force and never will be.
     Conflict {
         /// The head that this change was made for.
         base: Option<HeadRecord>,
-        /// The change that is the head now, if it could be read.
+        /// The record of the change that is the head now, if it could be read.
         theirs: Option<ChangeRecord>,
     },
     /// The change is not in force and never will be.
     NotPublished {
-        /// Why.
+        /// Why the change was not published.
         reason: CompactString,
     },
-    /// The change may or may not take effect; look for its id later.
+    /// The change may or may not take effect; its id can be looked up later.
     Unknown {
-        /// The head if it did.
+        /// The head if the change did take effect.
         head: HeadRecord,
-        /// Why it can't be told.
+        /// Why the result is unknown.
         reason: CompactString,
     },
 }
 
-/// What the driver of a run does next.
+/// What the driver of a publish run does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PublishAction {
-    /// Read the head.
+    /// Read the head from the store.
     ReadHead,
     /// Read the evidence of all zones.
     ReadEvidence,
-    /// Read a change's record.
+    /// Read the record of this change.
     ReadChange(ChangeId),
-    /// Write the part of this number unless it is there.
+    /// Write the part with this index if the store lacks it.
     PutPart(usize),
-    /// Write the change's record unless it is there.
+    /// Write the change record if the store lacks it.
     PutChange(ChangeRecord),
-    /// Move the head if it has this version.
+    /// Move the head to this record if the head's key has this version.
     MoveHead(StoreRevision, HeadRecord),
-    /// Wait a little, because the call before failed.
+    /// Wait before the next call, because the last one failed.
     Pause,
-    /// The run is over.
+    /// End the run with this outcome.
     Finish(PublishOutcome),
 }
 
-/// The answer to an action.
+/// The result of a [`PublishAction`].
 #[derive(Debug, Clone)]
 pub enum PublishReply {
-    /// To [`PublishAction::ReadHead`].
+    /// Result of [`PublishAction::ReadHead`].
     Head(Result<StoredHead, StoreError>),
-    /// To [`PublishAction::ReadEvidence`].
+    /// Result of [`PublishAction::ReadEvidence`].
     Evidence(Result<Vec<HeldEvidence>, StoreError>),
-    /// To [`PublishAction::ReadChange`].
+    /// Result of [`PublishAction::ReadChange`].
     Change(Result<Option<ChangeRecord>, StoreError>),
-    /// To [`PublishAction::PutPart`] and [`PublishAction::PutChange`].
+    /// Result of [`PublishAction::PutPart`] and [`PublishAction::PutChange`].
     Written(Result<(), StoreError>),
-    /// To [`PublishAction::MoveHead`].
+    /// Result of [`PublishAction::MoveHead`].
     Moved(Result<StoreRevision, StoreError>),
-    /// To [`PublishAction::Pause`].
+    /// The wait of [`PublishAction::Pause`] is over.
     Paused,
 }
 
 impl PublishReply {
-    /// Tells whether the store has answered.
-    pub fn is_answered(&self) -> bool {
+    /// Returns whether the store call succeeded.
+    pub fn is_success(&self) -> bool {
         match self {
             Self::Head(reply) => reply.is_ok(),
             Self::Evidence(reply) => reply.is_ok(),
@@ -141,28 +141,29 @@
 
 #[derive(Debug, Clone)]
 enum PublishStep {
-    Base,
-    Evidence,
-    BaseChange,
-    Parts(usize),
-    Record,
-    Move,
-    /// Reading the head after a lost or conflicting answer.
-    Resolve,
-    /// Looking for the own change along the parents of another head; `tip` is that head's record once read.
-    Walk {
+    ReadBase,
+    ReadEvidence,
+    ReadBaseChange,
+    PutPart(usize),
+    PutRecord,
+    MoveHead,
+    /// Reads the head, because the answer to a swap was lost or was a conflict.
+    ResolveSwap,
+    /// Looks for the run's own change among the ancestors of another head; `tip` is that head's record once it was
+    /// read.
+    SearchAncestors {
         tip: Option<ChangeRecord>,
         next: ChangeId,
     },
-    /// Reading whose change stands where another base was expected.
-    Theirs(ChangeId),
-    /// Reading the own record back once the head has moved; `followed_by` is a later head, if any.
-    Verify {
+    /// Reads the change record of a head that isn't the expected base.
+    ReadOtherChange(ChangeId),
+    /// Reads the run's own change record back after the head has moved; `followed_by` is a later head, if there is one.
+    VerifyRecord {
         followed_by: Option<HeadRecord>,
     },
 }
 
-/// One attempt to publish.
+/// One attempt to publish a change.
 #[derive(Debug, Clone)]
 pub struct PublishRun {
     request: PublishRequest,
@@ -170,57 +171,57 @@
     base: StoredHead,
     base_change: Option<ChangeRecord>,
     revision: RevisionNumber,
-    /// Failed tries of the current step.
-    failures: u32,
-    /// Swaps sent so far.
-    swaps: u32,
-    /// Whether the answer to a swap was lost.
-    swap_lost: bool,
-    /// The outcome, while the record is written once more because the store has lost it.
-    rewriting: Option<PublishOutcome>,
+    /// Number of failed attempts at the current step.
+    step_failures: u32,
+    /// Number of swaps sent so far.
+    swaps_sent: u32,
+    /// Whether the answer to any swap was lost.
+    swap_answer_lost: bool,
+    /// The outcome to end with once the parts and the record, which the store has lost, are written again.
+    outcome_after_rewrite: Option<PublishOutcome>,
 }
 
 impl PublishRun {
-    /// Starts a run.
+    /// Creates a run that has sent nothing yet.
     pub fn new(request: PublishRequest) -> Self {
         Self {
             request,
-            step: PublishStep::Base,
+            step: PublishStep::ReadBase,
             base: None,
             base_change: None,
             revision: RevisionNumber(0),
-            failures: 0,
-            swaps: 0,
-            swap_lost: false,
-            rewriting: None,
+            step_failures: 0,
+            swaps_sent: 0,
+            swap_answer_lost: false,
+            outcome_after_rewrite: None,
         }
     }
 
-    /// The digest and the text of a part.
-    pub fn part(&self, number: usize) -> (PartDigest, Bytes) {
+    /// Returns the digest and the text of the part with this index.
+    pub fn part(&self, index: usize) -> (PartDigest, Bytes) {
         let parts = &self.request.parts;
-        (parts.entries[number].sha256, parts.texts[number].clone())
+        (parts.entries[index].sha256, parts.texts[index].clone())
     }
 
-    /// Tells what to do first.
+    /// Returns the first action.
     pub fn start(&mut self) -> PublishAction {
-        self.action()
+        self.current_action()
     }
 
-    /// Takes the answer to the last action and tells what to do next.
+    /// Applies the result of the last action and returns the next one.
     pub fn take(&mut self, reply: PublishReply) -> PublishAction {
         match reply {
-            PublishReply::Paused => self.action(),
-            PublishReply::Head(Ok(head)) => self.take_head(head),
-            PublishReply::Evidence(Ok(evidence)) => self.take_evidence(&evidence),
-            PublishReply::Change(Ok(change)) => self.take_change(change),
-            PublishReply::Written(Ok(())) => self.take_written(),
-            PublishReply::Moved(Ok(_)) => self.published(None),
-            PublishReply::Moved(Err(error)) => self.take_unmoved(&error),
+            PublishReply::Paused => self.current_action(),
+            PublishReply::Head(Ok(head)) => self.handle_head(head),
+            PublishReply::Evidence(Ok(evidence)) => self.check_evidence(&evidence),
+            PublishReply::Change(Ok(change)) => self.handle_change(change),
+            PublishReply::Written(Ok(())) => self.handle_written(),
+            PublishReply::Moved(Ok(_)) => self.verify_published(None),
+            PublishReply::Moved(Err(error)) => self.handle_move_error(&error),
             PublishReply::Head(Err(error))
             | PublishReply::Evidence(Err(error))
             | PublishReply::Change(Err(error))
-            | PublishReply::Written(Err(error)) => self.take_failure(&error),
+            | PublishReply::Written(Err(error)) => self.handle_failure(&error),
         }
     }
 
@@ -245,30 +246,30 @@
             .map_or(RevisionNumber(0), |head| head.revision)
     }
 
-    fn go(&mut self, step: PublishStep) -> PublishAction {
+    fn enter_step(&mut self, step: PublishStep) -> PublishAction {
         self.step = step;
-        self.failures = 0;
-        self.action()
+        self.step_failures = 0;
+        self.current_action()
     }
 
-    /// The action of the current step.
-    fn action(&mut self) -> PublishAction {
+    /// Returns the action of the current step.
+    fn current_action(&mut self) -> PublishAction {
         match &self.step {
-            PublishStep::Base | PublishStep::Resolve => PublishAction::ReadHead,
-            PublishStep::Evidence => PublishAction::ReadEvidence,
-            PublishStep::BaseChange => match self.base_head() {
+            PublishStep::ReadBase | PublishStep::ResolveSwap => PublishAction::ReadHead,
+            PublishStep::ReadEvidence => PublishAction::ReadEvidence,
+            PublishStep::ReadBaseChange => match self.base_head() {
                 Some(head) => PublishAction::ReadChange(head.change),
                 None => PublishAction::ReadHead,
             },
-            PublishStep::Parts(number) => PublishAction::PutPart(*number),
-            PublishStep::Record => PublishAction::PutChange(self.record()),
-            PublishStep::Move => {
-                self.swaps += 1;
+            PublishStep::PutPart(index) => PublishAction::PutPart(*index),
+            PublishStep::PutRecord => PublishAction::PutChange(self.record()),
+            PublishStep::MoveHead => {
+                self.swaps_sent += 1;
                 PublishAction::MoveHead(self.base_version(), self.own_head())
             }
-            PublishStep::Walk { next, .. } => PublishAction::ReadChange(*next),
-            PublishStep::Theirs(change) => PublishAction::ReadChange(*change),
-            PublishStep::Verify { .. } => PublishAction::ReadChange(self.request.change),
+            PublishStep::SearchAncestors { next, .. } => PublishAction::ReadChange(*next),
+            PublishStep::ReadOtherChange(change) => PublishAction::ReadChange(*change),
+            PublishStep::VerifyRecord { .. } => PublishAction::ReadChange(self.request.change),
         }
     }
 
@@ -290,67 +291,69 @@
         base.map_or_else(Vec::new, ChangeRecord::child_lineage)
     }
 
-    fn take_head(&mut self, head: StoredHead) -> PublishAction {
+    fn handle_head(&mut self, head: StoredHead) -> PublishAction {
         match self.step {
-            PublishStep::Resolve => self.resolve(head),
-            _ => self.take_base(head),
+            PublishStep::ResolveSwap => self.resolve_swap(head),
+            _ => self.handle_base(head),
         }
     }
 
-    fn take_base(&mut self, head: StoredHead) -> PublishAction {
-        let seen = head.map(|(_, head)| head);
+    fn handle_base(&mut self, head: StoredHead) -> PublishAction {
+        let current_head = head.map(|(_, head)| head);
         if let ExpectedBase::Exactly(expected) = self.request.base
-            && expected != seen
+            && expected != current_head
         {
             self.base = expected.map(|expected| (StoreRevision::ABSENT, expected));
-            return match seen {
-                Some(theirs) => self.go(PublishStep::Theirs(theirs.change)),
-                None => not_published("the store has lost the head this change was made for"),
+            return match current_head {
+                Some(theirs) => self.enter_step(PublishStep::ReadOtherChange(theirs.change)),
+                None => {
+                    finish_not_published("the store has lost the head this change was made for")
+                }
             };
         }
         self.base = head;
-        self.go(PublishStep::Evidence)
+        self.enter_step(PublishStep::ReadEvidence)
     }
 
-    /// Refuses to publish onto a head that some zone is already beyond.
-    fn take_evidence(&mut self, evidence: &[HeldEvidence]) -> PublishAction {
+    /// Refuses to publish if some zone already holds a higher revision than the head.
+    fn check_evidence(&mut self, evidence: &[HeldEvidence]) -> PublishAction {
         let head = self.base_revision();
         for zone in evidence {
             if zone.held.revision <= head {
                 continue;
             }
             let (name, held) = (&zone.zone, zone.held);
-            return not_published(format_compact!(
+            return finish_not_published(format_compact!(
                 "the store has gone back to revision {head}, but zone {name} holds {held}; its watchers restore the \
                  head within seconds, then try again"
             ));
         }
         self.revision = RevisionNumber(head.0 + 1);
         match self.base {
-            Some(_) => self.go(PublishStep::BaseChange),
+            Some(_) => self.enter_step(PublishStep::ReadBaseChange),
             None => self.next_part(0),
         }
     }
 
-    fn take_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
+    fn handle_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
         match self.step.clone() {
-            PublishStep::Theirs(_) => self.conflict(change),
-            PublishStep::Walk { tip, next } => self.walk(tip, next, change),
-            PublishStep::Verify { followed_by } => self.verify(followed_by, change),
-            _ => self.take_base_change(change),
+            PublishStep::ReadOtherChange(_) => self.finish_conflict(change),
+            PublishStep::SearchAncestors { tip, next } => self.search_ancestors(tip, next, change),
+            PublishStep::VerifyRecord { followed_by } => self.verify_record(followed_by, change),
+            _ => self.handle_base_change(change),
         }
     }
 
-    fn take_base_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
+    fn handle_base_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
         let parts = &self.request.parts.entries;
-        let same = change.as_ref().is_some_and(|change| change.parts == *parts);
+        let is_unchanged = change.as_ref().is_some_and(|change| change.parts == *parts);
         if let Some(head) = self.base_head()
-            && same
+            && is_unchanged
         {
             return PublishAction::Finish(PublishOutcome::Unchanged { head });
         }
         if change.is_none() {
-            return not_published(
+            return finish_not_published(
                 "the store has lost the record of its head; a watcher restores it within seconds, then try again",
             );
         }
@@ -358,64 +361,64 @@
         self.next_part(0)
     }
 
-    /// Goes to the next part that the base doesn't have already.
-    fn next_part(&mut self, from: usize) -> PublishAction {
-        for number in from..self.request.parts.entries.len() {
-            let digest = self.request.parts.entries[number].sha256;
+    /// Returns the action that writes the next part the base doesn't have, or the record once there is none.
+    fn next_part(&mut self, first_index: usize) -> PublishAction {
+        for index in first_index..self.request.parts.entries.len() {
+            let digest = self.request.parts.entries[index].sha256;
             let base = self.base_change.iter().flat_map(|change| &change.parts);
             if !base.into_iter().any(|part| part.sha256 == digest) {
-                return self.go(PublishStep::Parts(number));
+                return self.enter_step(PublishStep::PutPart(index));
             }
         }
-        self.go(PublishStep::Record)
+        self.enter_step(PublishStep::PutRecord)
     }
 
-    fn take_written(&mut self) -> PublishAction {
+    fn handle_written(&mut self) -> PublishAction {
         match self.step {
-            PublishStep::Parts(number) => self.next_part(number + 1),
-            _ => match self.rewriting.take() {
+            PublishStep::PutPart(index) => self.next_part(index + 1),
+            _ => match self.outcome_after_rewrite.take() {
                 Some(outcome) => PublishAction::Finish(outcome),
-                None => self.go(PublishStep::Move),
+                None => self.enter_step(PublishStep::MoveHead),
             },
         }
     }
 
-    fn take_unmoved(&mut self, error: &StoreError) -> PublishAction {
+    fn handle_move_error(&mut self, error: &StoreError) -> PublishAction {
         if error.is_refusal() {
-            return self.take_failure(error);
+            return self.handle_failure(error);
         }
-        self.swap_lost |= error.is_ambiguous();
-        self.go(PublishStep::Resolve)
+        self.swap_answer_lost |= error.is_ambiguous();
+        self.enter_step(PublishStep::ResolveSwap)
     }
 
-    /// Tells from the head whether the own swap took effect.
-    fn resolve(&mut self, head: StoredHead) -> PublishAction {
+    /// Decides from the head whether the run's own swap took effect.
+    fn resolve_swap(&mut self, head: StoredHead) -> PublishAction {
         let version = head.map_or(StoreRevision::ABSENT, |(version, _)| version);
         if version == self.base_version() {
-            if self.swaps >= TRY_LIMIT {
+            if self.swaps_sent >= MAX_ATTEMPTS {
                 return self.give_up("the head has not moved, but a lost swap may still arrive");
             }
-            self.step = PublishStep::Move;
+            self.step = PublishStep::MoveHead;
             return PublishAction::Pause;
         }
         match head {
             Some((_, head)) if head.revision >= self.base_revision() => {
                 let (tip, next) = (None, head.change);
-                self.go(PublishStep::Walk { tip, next })
+                self.enter_step(PublishStep::SearchAncestors { tip, next })
             }
             _ => self.give_up("the store has gone back to an older head"),
         }
     }
 
-    /// Follows the parents of another head, looking for the own change.
-    fn walk(
+    /// Follows the ancestors of another head until the run's own change is found or passed.
+    fn search_ancestors(
         &mut self,
         tip: Option<ChangeRecord>,
         next: ChangeId,
         change: Option<ChangeRecord>,
     ) -> PublishAction {
         if next == self.request.change {
-            return self.published(tip.map(|tip| tip.head()));
+            return self.verify_published(tip.map(|tip| tip.head()));
         }
         let Some(change) = change else {
             return self.give_up("a parent of the head is missing from the store");
@@ -424,22 +427,22 @@
         match change.parent() {
             Some(next) if change.revision > self.revision => {
                 let tip = Some(tip);
-                self.go(PublishStep::Walk { tip, next })
+                self.enter_step(PublishStep::SearchAncestors { tip, next })
             }
-            _ => self.conflict(Some(tip)),
+            _ => self.finish_conflict(Some(tip)),
         }
     }
 
-    fn take_failure(&mut self, error: &StoreError) -> PublishAction {
-        self.failures += 1;
-        if self.failures < TRY_LIMIT {
+    fn handle_failure(&mut self, error: &StoreError) -> PublishAction {
+        self.step_failures += 1;
+        if self.step_failures < MAX_ATTEMPTS {
             return PublishAction::Pause;
         }
         let head = self.own_head();
-        match (&self.step, self.rewriting.take()) {
-            (PublishStep::Theirs(_), _) => self.conflict(None),
+        match (&self.step, self.outcome_after_rewrite.take()) {
+            (PublishStep::ReadOtherChange(_), _) => self.finish_conflict(None),
             (_, Some(outcome)) => PublishAction::Finish(outcome),
-            (PublishStep::Verify { followed_by }, None) => {
+            (PublishStep::VerifyRecord { followed_by }, None) => {
                 let followed_by = *followed_by;
                 PublishAction::Finish(PublishOutcome::Published { head, followed_by })
             }
@@ -447,22 +450,22 @@
         }
     }
 
-    /// Ends without a reading that would settle it: unknown only if a swap's answer was lost.
+    /// Ends the run without knowing the head. The outcome is unknown only if the answer to a swap was lost.
     fn give_up(&self, reason: impl ToCompactString) -> PublishAction {
-        if !self.swap_lost {
-            return not_published(reason);
+        if !self.swap_answer_lost {
+            return finish_not_published(reason);
         }
         let (head, reason) = (self.own_head(), reason.to_compact_string());
         PublishAction::Finish(PublishOutcome::Unknown { head, reason })
     }
 
-    /// The head has moved. What it names must be there: a store that went back after the record was written, and
-    /// before the swap, has the one without the other.
-    fn published(&mut self, followed_by: Option<HeadRecord>) -> PublishAction {
-        self.go(PublishStep::Verify { followed_by })
+    /// Checks that the store still holds the own change record after the head has moved. A store that went back between
+    /// the write of the record and the swap has the head without the record.
+    fn verify_published(&mut self, followed_by: Option<HeadRecord>) -> PublishAction {
+        self.enter_step(PublishStep::VerifyRecord { followed_by })
     }
 
-    fn verify(
+    fn verify_record(
         &mut self,
         followed_by: Option<HeadRecord>,
         change: Option<ChangeRecord>,
@@ -472,17 +475,17 @@
         if change.is_some() {
             return PublishAction::Finish(outcome);
         }
-        self.rewriting = Some(outcome);
-        self.go(PublishStep::Parts(0))
+        self.outcome_after_rewrite = Some(outcome);
+        self.enter_step(PublishStep::PutPart(0))
     }
 
-    fn conflict(&self, theirs: Option<ChangeRecord>) -> PublishAction {
+    fn finish_conflict(&self, theirs: Option<ChangeRecord>) -> PublishAction {
         let base = self.base_head();
         PublishAction::Finish(PublishOutcome::Conflict { base, theirs })
     }
 }
 
-fn not_published(reason: impl ToCompactString) -> PublishAction {
+fn finish_not_published(reason: impl ToCompactString) -> PublishAction {
     let reason = reason.to_compact_string();
     PublishAction::Finish(PublishOutcome::NotPublished { reason })
 }
--- a/crates/ebonyfork/src/revision/publish_tests.rs
+++ b/crates/ebonyfork/src/revision/publish_tests.rs
@@ -4,9 +4,9 @@
 use crate::declaration::DeclaredFile;
 use crate::revision::LaggingVm;
 
-const OWN: ChangeId = ChangeId([9; 16]);
-const THEIRS: ChangeId = ChangeId([7; 16]);
-const BASE: ChangeId = ChangeId([1; 16]);
+const OWN_CHANGE: ChangeId = ChangeId([9; 16]);
+const OTHER_CHANGE: ChangeId = ChangeId([7; 16]);
+const BASE_CHANGE: ChangeId = ChangeId([1; 16]);
 
 fn head(revision: u64, change: ChangeId) -> HeadRecord {
     HeadRecord {
@@ -22,11 +22,11 @@
     }
 }
 
-fn run() -> PublishRun {
+fn new_run() -> PublishRun {
     let text = "[service s]\nconnections = 25\n";
     PublishRun::new(PublishRequest {
         parts: PartSet::new(&[DeclaredFile::new("a.ini", text)]).expect("no findings"),
-        change: OWN,
+        change: OWN_CHANGE,
         author: "kim".into(),
         note: "".into(),
         time_ms: 0,
@@ -34,43 +34,45 @@
     })
 }
 
-/// A store that holds one base change and answers the swap and what comes after as a case says.
+/// A store that holds one base change and answers swaps and later reads as a test case specifies.
 struct ScriptedStore {
     /// Answers to the swaps, in order; the last one is repeated.
-    swaps: Vec<std::result::Result<StoreRevision, StoreError>>,
-    /// The head after the first swap.
-    after: StoredHead,
+    swap_answers: Vec<std::result::Result<StoreRevision, StoreError>>,
+    /// The head that reads return after the first swap.
+    head_after_swap: StoredHead,
     records: Vec<ChangeRecord>,
     evidence: Vec<HeldEvidence>,
-    sent: usize,
-    written: usize,
+    swaps_received: usize,
+    records_written: usize,
 }
 
 impl ScriptedStore {
     fn answer(&mut self, action: PublishAction) -> PublishReply {
         match action {
-            PublishAction::ReadHead => PublishReply::Head(Ok(if self.sent == 0 {
-                Some((StoreRevision::new(1), head(1, BASE)))
+            PublishAction::ReadHead => PublishReply::Head(Ok(if self.swaps_received == 0 {
+                Some((StoreRevision::new(1), head(1, BASE_CHANGE)))
             } else {
-                self.after
+                self.head_after_swap
             })),
             PublishAction::ReadEvidence => PublishReply::Evidence(Ok(self.evidence.clone())),
             PublishAction::ReadChange(change) => {
                 let mut records = self.records.iter();
-                PublishReply::Change(Ok(records.find(|one| one.change == change).cloned()))
+                PublishReply::Change(Ok(records
+                    .find(|record_entry| record_entry.change == change)
+                    .cloned()))
             }
             PublishAction::PutPart(_) => PublishReply::Written(Ok(())),
             PublishAction::PutChange(change) => {
-                self.written += 1;
-                if self.written == 1 {
+                self.records_written += 1;
+                if self.records_written == 1 {
                     self.records.push(change);
                 }
                 PublishReply::Written(Ok(()))
             }
             PublishAction::MoveHead(_, _) => {
-                let last = self.swaps.len() - 1;
-                let answer = self.swaps[self.sent.min(last)].clone();
-                self.sent += 1;
+                let last_answer = self.swap_answers.len() - 1;
+                let answer = self.swap_answers[self.swaps_received.min(last_answer)].clone();
+                self.swaps_received += 1;
                 PublishReply::Moved(answer)
             }
             PublishAction::Pause | PublishAction::Finish(_) => PublishReply::Paused,
@@ -78,8 +80,8 @@
     }
 }
 
-fn outcome(store: &mut ScriptedStore) -> PublishOutcome {
-    let mut run = run();
+fn run_to_outcome(store: &mut ScriptedStore) -> PublishOutcome {
+    let mut run = new_run();
     let mut action = run.start();
     loop {
         if let PublishAction::Finish(outcome) = action {
@@ -90,7 +92,7 @@
     }
 }
 
-fn word(outcome: &PublishOutcome) -> &'static str {
+fn outcome_name(outcome: &PublishOutcome) -> &'static str {
     match outcome {
         PublishOutcome::Published {
             followed_by: None, ..
@@ -104,90 +106,142 @@
     }
 }
 
-fn lost() -> std::result::Result<StoreRevision, StoreError> {
+fn lost_answer() -> std::result::Result<StoreRevision, StoreError> {
     Err(StoreError::Lost { reason: "".into() })
 }
 
-fn refused() -> std::result::Result<StoreRevision, StoreError> {
+fn refused_answer() -> std::result::Result<StoreRevision, StoreError> {
     Err(StoreError::Refused { reason: "".into() })
 }
 
-fn conflict() -> std::result::Result<StoreRevision, StoreError> {
+fn conflict_answer() -> std::result::Result<StoreRevision, StoreError> {
     let current = StoreRevision::new(2);
     Err(StoreError::Conflict { current })
 }
 
 #[gtest]
-fn each_answer_to_the_swap_comes_to_its_outcome() {
-    let unmoved = Some((StoreRevision::new(1), head(1, BASE)));
-    let own = Some((StoreRevision::new(2), head(2, OWN)));
-    let theirs = Some((StoreRevision::new(2), head(2, THEIRS)));
-    let later = Some((StoreRevision::new(3), head(3, THEIRS)));
-    let older = Some((StoreRevision::new(7), head(0, THEIRS)));
-    let on_base = record(2, THEIRS, Some(BASE));
-    let on_own = record(3, THEIRS, Some(OWN));
-    // Answers to the swaps, the head afterwards, their record, the outcome, swaps sent.
+fn each_answer_to_the_swap_leads_to_the_expected_outcome() {
+    let unmoved_head = Some((StoreRevision::new(1), head(1, BASE_CHANGE)));
+    let own_change_head = Some((StoreRevision::new(2), head(2, OWN_CHANGE)));
+    let other_change_head = Some((StoreRevision::new(2), head(2, OTHER_CHANGE)));
+    let later_head = Some((StoreRevision::new(3), head(3, OTHER_CHANGE)));
+    let older_head = Some((StoreRevision::new(7), head(0, OTHER_CHANGE)));
+    let other_on_base = record(2, OTHER_CHANGE, Some(BASE_CHANGE));
+    let other_on_own = record(3, OTHER_CHANGE, Some(OWN_CHANGE));
+    // Each case: answers to the swaps, the head afterwards, the record of the other change, the expected outcome, and
+    // the number of swaps sent.
     let cases = [
-        (vec![Ok(StoreRevision::new(2))], own, None, "published", 1),
-        (vec![lost()], own, None, "published", 1),
-        (vec![lost()], later, Some(on_own), "published, followed", 1),
-        (vec![lost()], theirs, Some(on_base.clone()), "conflict", 1),
-        (vec![conflict()], theirs, Some(on_base), "conflict", 1),
         (
-            vec![lost(), Ok(StoreRevision::new(2))],
-            unmoved,
+            vec![Ok(StoreRevision::new(2))],
+            own_change_head,
+            None,
+            "published",
+            1,
+        ),
+        (vec![lost_answer()], own_change_head, None, "published", 1),
+        (
+            vec![lost_answer()],
+            later_head,
+            Some(other_on_own),
+            "published, followed",
+            1,
+        ),
+        (
+            vec![lost_answer()],
+            other_change_head,
+            Some(other_on_base.clone()),
+            "conflict",
+            1,
+        ),
+        (
+            vec![conflict_answer()],
+            other_change_head,
+            Some(other_on_base),
+            "conflict",
+            1,
+        ),
+        (
+            vec![lost_answer(), Ok(StoreRevision::new(2))],
+            unmoved_head,
             None,
             "published",
             2,
         ),
-        (vec![lost(), conflict()], own, None, "published", 1),
-        (vec![lost()], unmoved, None, "unknown", 6),
-        (vec![lost()], older, None, "unknown", 1),
-        (vec![lost()], theirs, None, "unknown", 1),
-        (vec![refused()], unmoved, None, "not published", 6),
-        (vec![conflict()], older, None, "not published", 1),
+        (
+            vec![lost_answer(), conflict_answer()],
+            own_change_head,
+            None,
+            "published",
+            1,
+        ),
+        (vec![lost_answer()], unmoved_head, None, "unknown", 6),
+        (vec![lost_answer()], older_head, None, "unknown", 1),
+        (vec![lost_answer()], other_change_head, None, "unknown", 1),
+        (
+            vec![refused_answer()],
+            unmoved_head,
+            None,
+            "not published",
+            6,
+        ),
+        (
+            vec![conflict_answer()],
+            older_head,
+            None,
+            "not published",
+            1,
+        ),
     ];
-    for (number, (swaps, after, their, expected, sent)) in cases.into_iter().enumerate() {
+    for (index, (swap_answers, head_after_swap, other_record, expected, swaps_received)) in
+        cases.into_iter().enumerate()
+    {
         let mut store = ScriptedStore {
-            swaps,
-            after,
-            records: vec![record(1, BASE, None)],
+            swap_answers,
+            head_after_swap,
+            records: vec![record(1, BASE_CHANGE, None)],
             evidence: Vec::new(),
-            sent: 0,
-            written: 0,
+            swaps_received: 0,
+            records_written: 0,
         };
-        store.records.extend(their);
-        let outcome = outcome(&mut store);
-        expect_that!(word(&outcome), eq(expected), "case {number}: {outcome:?}");
-        expect_that!(store.sent, eq(sent), "case {number}");
+        store.records.extend(other_record);
+        let outcome = run_to_outcome(&mut store);
+        expect_that!(
+            outcome_name(&outcome),
+            eq(expected),
+            "case {index}: {outcome:?}"
+        );
+        expect_that!(store.swaps_received, eq(swaps_received), "case {index}");
     }
 }
 
 #[gtest]
-fn a_store_that_lost_something_is_not_published_to() {
+fn nothing_is_published_to_a_store_that_has_lost_data() {
     let evidence = HeldEvidence {
         zone: "zone-a".parse().unwrap(),
         writer: "127.0.0.1".parse().unwrap(),
-        held: head(2, THEIRS),
+        held: head(2, OTHER_CHANGE),
         lowest: RevisionNumber(0),
         vms: 1,
         lagging: Vec::<LaggingVm>::new(),
         time_ms: 0,
     };
-    // What the store has lost: a head that a zone holds, or the record of its head.
+    // The store has lost either a head that a zone holds, or the record of its head.
     for (records, evidence) in [
-        (vec![record(1, BASE, None)], vec![evidence]),
+        (vec![record(1, BASE_CHANGE, None)], vec![evidence]),
         (Vec::new(), Vec::new()),
     ] {
         let mut store = ScriptedStore {
-            swaps: vec![Ok(StoreRevision::new(2))],
-            after: None,
+            swap_answers: vec![Ok(StoreRevision::new(2))],
+            head_after_swap: None,
             records,
             evidence,
-            sent: 0,
-            written: 0,
+            swaps_received: 0,
+            records_written: 0,
         };
-        expect_that!(word(&outcome(&mut store)), eq("not published"));
-        expect_that!(store.sent, eq(0));
+        expect_that!(
+            outcome_name(&run_to_outcome(&mut store)),
+            eq("not published")
+        );
+        expect_that!(store.swaps_received, eq(0));
     }
 }
--- a/crates/ebonyfork/src/revision/publisher.rs
+++ b/crates/ebonyfork/src/revision/publisher.rs
@@ -1,4 +1,4 @@
-//! Runs a publishing against the store.
+//! Runs a [`PublishRun`] against the store.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -14,19 +14,19 @@
     ExpectedBase, PublishAction, PublishOutcome, PublishReply, PublishRequest, PublishRun,
 };
 use super::record::{ChangeId, HeadRecord, PartSet};
-use super::store::{move_head, put_once, read_change, read_evidence, read_head, to_json};
+use super::store::{move_head, put_if_absent, read_change, read_evidence, read_head, to_json};
 
-/// First and longest wait after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// First and longest wait after a failed store call.
+const FIRST_RETRY_WAIT: Duration = Duration::from_millis(100);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 
-/// Milliseconds since the Unix epoch by this machine's clock.
+/// Returns the milliseconds since the Unix epoch by this machine's clock.
 pub fn unix_millis() -> u64 {
-    let passed = SystemTime::now().duration_since(UNIX_EPOCH);
-    passed.map_or(0, |passed| passed.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// Publishes declarations onto whatever head there is.
+/// Publishes declarations on top of whatever the current head is.
 ///
 /// # Examples
 ///
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks declarations and prepares their publishing as a new change.
+/// Checks declarations and prepares a request that publishes them as a new change.
 pub fn publish_request(
     files: &[DeclaredFile],
     author: impl ToCompactString,
@@ -72,7 +72,7 @@
 }
 
 impl PublishRequest {
-    /// Publishes only onto the head that the author has seen.
+    /// Makes the request fail with a conflict unless the head is the one that the author has seen.
     #[must_use]
     pub fn with_base(mut self, base: Option<HeadRecord>) -> Self {
         self.base = ExpectedBase::Exactly(base);
@@ -80,10 +80,10 @@
     }
 }
 
-/// Publishes a prepared change.
+/// Publishes a prepared request.
 pub async fn publish_prepared(client: &StoreClient, request: PublishRequest) -> PublishOutcome {
     let mut rng = ChaCha8Rng::from_rng(&mut rand::rng());
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(FIRST_RETRY_WAIT, MAX_RETRY_WAIT);
     let mut run = PublishRun::new(request);
     let mut action = run.start();
     loop {
@@ -100,17 +100,17 @@
             }
             PublishAction::PutPart(number) => {
                 let (digest, text) = run.part(number);
-                PublishReply::Written(put_once(client, digest.key(), text).await)
+                PublishReply::Written(put_if_absent(client, digest.key(), text).await)
             }
             PublishAction::PutChange(change) => {
                 let key = change.change.key();
-                PublishReply::Written(put_once(client, key, to_json(&change)).await)
+                PublishReply::Written(put_if_absent(client, key, to_json(&change)).await)
             }
             PublishAction::MoveHead(version, head) => {
                 PublishReply::Moved(move_head(client, version, head).await)
             }
         };
-        if reply.is_answered() {
+        if reply.is_success() {
             backoff.reset();
         }
         action = run.take(reply);
