--- a/crates/ebonyfork/src/revision/record.rs
+++ b/crates/ebonyfork/src/revision/record.rs
@@ -1,4 +1,4 @@
-//! What is kept in the store: the head, change records, parts, and the evidence of each zone.
+//! Records kept in the store: the head, change records, parts, and the evidence of each zone.
 //!
 //! | key | value |
 //! | --- | --- |
@@ -20,11 +20,11 @@
 use crate::ident::{IdentError, RevisionNumber, VmAddress, ZoneName};
 use crate::store::VALUE_LIMIT;
 
-/// Key of the head.
+/// Store key of the [`HeadRecord`].
 pub const HEAD_KEY: &str = "config/head";
-/// Prefix of the keys of the zones' evidence.
+/// Prefix of the store keys of each zone's [`HeldEvidence`].
 pub const HELD_PREFIX: &str = "config/held";
-/// The most files that one revision may have.
+/// Maximum number of files in one revision.
 pub const FILE_LIMIT: usize = 1_000;
 
 macro_rules! hex_type {
@@ -52,8 +52,8 @@
                     return Err(error());
                 }
                 let mut bytes = [0; $bytes];
-                for (number, byte) in bytes.iter_mut().enumerate() {
-                    let digits = &text[2 * number..2 * number + 2];
+                for (index, byte) in bytes.iter_mut().enumerate() {
+                    let digits = &text[2 * index..2 * index + 2];
                     *byte = u8::from_str_radix(digits, 16).map_err(|_error| error())?;
                 }
                 Ok(Self(bytes))
@@ -77,30 +77,30 @@
 }
 
 hex_type!(
-    /// Identity of one change: drawn at random by the tool that publishes it.
+    /// Identity of a change, drawn at random by the tool that publishes it.
     ChangeId(16), "change id", "32 hex digits"
 );
 hex_type!(
-    /// SHA-256 of a part.
+    /// SHA-256 digest of the text of a part.
     PartDigest(32), "part digest", "64 hex digits"
 );
 
 impl ChangeId {
-    /// Draws a new identity.
+    /// Draws a random change identity.
     pub fn random(rng: &mut impl rand::Rng) -> Self {
         let mut bytes = [0; 16];
         rng.fill_bytes(&mut bytes);
         Self(bytes)
     }
 
-    /// Key of the change's record.
+    /// Returns the store key of the change's record.
     pub fn key(self) -> String {
         format!("config/changes/{self}")
     }
 }
 
 impl PartDigest {
-    /// Computes the digest of a text.
+    /// Computes the SHA-256 digest of a text.
     ///
     /// # Examples
     ///
@@ -115,18 +115,18 @@
         Self(Sha256::digest(text.as_ref()).into())
     }
 
-    /// Key of the part.
+    /// Returns the store key of the part with this digest.
     pub fn key(self) -> String {
         format!("config/parts/{self}")
     }
 }
 
-/// The newest revision.
+/// Names the newest published revision and the change that made it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeadRecord {
-    /// Its number.
+    /// Number of the revision.
     pub revision: RevisionNumber,
-    /// The change that made it.
+    /// The change that made the revision.
     pub change: ChangeId,
 }
 
@@ -136,45 +136,45 @@
     }
 }
 
-/// One file of a revision.
+/// Name, digest and size of one file of a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartEntry {
     /// Name of the file, relative to the directory of declarations.
     pub name: CompactString,
-    /// Digest of its text.
+    /// Digest of the file's text.
     pub sha256: PartDigest,
-    /// Its length in bytes.
+    /// Length of the file's text in bytes.
     pub size: u32,
 }
 
-/// One published change: the whole set of files and where it came from.
+/// A published change: the complete set of files of its revision, its ancestors and its author.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeRecord {
-    /// The revision it makes.
+    /// Number of the revision that the change makes.
     pub revision: RevisionNumber,
-    /// Its identity.
+    /// Identity of the change.
     pub change: ChangeId,
-    /// The changes that this one follows, newest first: its parent, the parent's parent and so on, at most
-    /// [`LINEAGE_LIMIT`] of them.
+    /// Ancestors of the change, newest first: its parent, the parent's parent and so on, at most [`LINEAGE_LIMIT`] of
+    /// them.
     pub lineage: Vec<ChangeId>,
-    /// The revision whose files a watcher put in force again after the store had lost it; none for an operator's
+    /// The revision whose files a watcher put in force again after the store had lost it; `None` for an operator's
     /// change.
     pub restores: Option<HeadRecord>,
-    /// Its files.
+    /// The files of the revision.
     pub parts: Vec<PartEntry>,
-    /// Who published it.
+    /// Who published the change.
     pub author: CompactString,
-    /// Why, in the author's words.
+    /// The author's reason for the change.
     pub note: CompactString,
-    /// When, in milliseconds since the Unix epoch by the author's clock.
+    /// When the change was published, in milliseconds since the Unix epoch by the author's clock.
     pub time_ms: u64,
 }
 
-/// The most earlier changes that a record names.
+/// Maximum number of ancestors that a change record names.
 pub const LINEAGE_LIMIT: usize = 128;
 
 impl ChangeRecord {
-    /// Stands for a change whose record the store has lost.
+    /// Returns a placeholder for a change whose record the store has lost.
     pub fn lost(head: HeadRecord) -> Self {
         Self {
             revision: head.revision,
@@ -188,38 +188,39 @@
         }
     }
 
-    /// The change that was the head before; none for the first.
+    /// Returns the change that was the head before this one; `None` for the first change.
     pub fn parent(&self) -> Option<ChangeId> {
         self.lineage.first().copied()
     }
 
-    /// The lineage of a change that is made onto this one.
+    /// Returns the lineage of a change that has this one as its parent.
     pub fn child_lineage(&self) -> Vec<ChangeId> {
         let mut lineage = vec![self.change];
         lineage.extend(self.lineage.iter().take(LINEAGE_LIMIT - 1));
         lineage
     }
 
-    /// Tells whether this change was made in knowledge of another: only then may it replace it.
+    /// Returns whether this change descends from `held` and so may replace it.
     ///
-    /// A store that loses its last writes and is published to again shows a change that wasn't. Against a revision so
-    /// old that the lineage doesn't reach back to it, the higher number decides.
+    /// If a store loses its last writes and is then published to again, its new change doesn't descend from the lost
+    /// one. If `held` is too old for the lineage to reach back to it, the higher revision number decides.
     pub fn follows(&self, held: HeadRecord) -> bool {
         if self.revision <= held.revision {
             return false;
         }
-        let beyond = self.lineage.len() >= LINEAGE_LIMIT
+        let exceeds_lineage = self.lineage.len() >= LINEAGE_LIMIT
             && self.revision.0 - held.revision.0 >= LINEAGE_LIMIT as u64;
-        beyond || self.lineage.contains(&held.change)
+        exceeds_lineage || self.lineage.contains(&held.change)
     }
 
-    /// A change that puts this one's files in force again, onto a head that doesn't follow it.
+    /// Returns a change that puts the files of this one in force again, as a child of a `head` that doesn't descend
+    /// from it.
     #[must_use]
     pub fn restored_onto(&self, head: &ChangeRecord, change: ChangeId, time_ms: u64) -> Self {
         let mut lineage = vec![head.change, self.change];
-        for earlier in self.lineage.iter().chain(&head.lineage) {
-            if lineage.len() < LINEAGE_LIMIT && !lineage.contains(earlier) {
-                lineage.push(*earlier);
+        for ancestor in self.lineage.iter().chain(&head.lineage) {
+            if lineage.len() < LINEAGE_LIMIT && !lineage.contains(ancestor) {
+                lineage.push(*ancestor);
             }
         }
         Self {
@@ -237,7 +238,7 @@
             time_ms,
         }
     }
-    /// The head that names this change.
+    /// Returns the head record that names this change.
     pub fn head(&self) -> HeadRecord {
         HeadRecord {
             revision: self.revision,
@@ -249,52 +250,52 @@
 /// A VM that doesn't hold the newest revision yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LaggingVm {
-    /// The VM.
+    /// Address of the VM.
     pub vm: VmAddress,
-    /// What it holds as far as is known; zero if nothing is known of it.
+    /// The revision that the VM is known to hold; zero if none is known.
     pub revision: RevisionNumber,
 }
 
-/// What one zone's VMs hold, written by a watcher of the zone.
+/// Which revisions the VMs of one zone hold, written by a watcher of the zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldEvidence {
-    /// The zone.
+    /// Name of the zone.
     pub zone: ZoneName,
-    /// The watcher that wrote it.
+    /// The watcher that wrote the evidence.
     pub writer: VmAddress,
-    /// What the writer itself holds.
+    /// The revision that the writer itself holds.
     pub held: HeadRecord,
-    /// The lowest revision held by any of the zone's live VMs.
+    /// The lowest revision held by any live VM of the zone.
     pub lowest: RevisionNumber,
-    /// How many VMs the zone has, as the writer sees it.
+    /// Number of VMs in the zone according to the writer.
     pub vms: u32,
-    /// VMs below the writer's revision, at most [`LAGGING_LIMIT`] of them.
+    /// VMs that hold a lower revision than the writer, at most [`LAGGING_LIMIT`] of them.
     pub lagging: Vec<LaggingVm>,
-    /// When, in milliseconds since the Unix epoch by the writer's clock.
+    /// When the evidence was written, in milliseconds since the Unix epoch by the writer's clock.
     pub time_ms: u64,
 }
 
-/// The most lagging VMs that evidence names.
+/// Maximum number of lagging VMs that evidence names.
 pub const LAGGING_LIMIT: usize = 100;
 
 impl HeldEvidence {
-    /// Key of a zone's evidence.
+    /// Returns the store key of a zone's evidence.
     pub fn key(zone: &ZoneName) -> String {
         format!("{HELD_PREFIX}/{zone}")
     }
 }
 
-/// The files of a revision as the parts that are published.
+/// The files of a revision as the parts to publish.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PartSet {
-    /// Entries in order of their names.
+    /// Entries of the parts, sorted by file name.
     pub entries: Vec<PartEntry>,
-    /// Their texts, in the same order.
+    /// Texts of the parts, in the same order as `entries`.
     pub texts: Vec<Bytes>,
 }
 
 impl PartSet {
-    /// Checks files and makes parts of them.
+    /// Checks declaration files and turns each into a part. Returns all findings if there are any.
     pub fn new(files: &[DeclaredFile]) -> Result<Self, FindingList> {
         let mut findings = FindingList::new();
         if files.is_empty() {
@@ -308,8 +309,8 @@
                 format!("{count} files, expected at most {FILE_LIMIT}"),
             );
         }
-        if let Err(more) = DeclaredConfig::parse(files, RevisionNumber(0)) {
-            findings.extend(more);
+        if let Err(parse_findings) = DeclaredConfig::parse(files, RevisionNumber(0)) {
+            findings.extend(parse_findings);
         }
         let mut sorted: Vec<&DeclaredFile> = files.iter().collect();
         sorted.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/ebonyfork/src/revision/record_tests.rs
+++ b/crates/ebonyfork/src/revision/record_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn hex_identities_read_back_and_reject_other_texts() {
+fn hex_identities_round_trip_and_other_texts_are_rejected() {
     let change = ChangeId([0xab; 16]);
     expect_that!(change.to_string().parse::<ChangeId>(), ok(eq(&change)));
     for text in ["", "ab", &"g".repeat(32), &"é".repeat(16), &"ab".repeat(17)] {
@@ -12,12 +12,12 @@
 }
 
 #[gtest]
-fn a_file_above_the_value_limit_is_a_finding() {
+fn a_file_above_the_value_limit_is_reported_as_a_finding() {
     let text = format!("; {}\n", "x".repeat(VALUE_LIMIT));
     let findings = PartSet::new(&[DeclaredFile::new("big.ini", text)]).unwrap_err();
     expect_that!(findings.to_string(), contains_substring("split the file"));
-    let fits = format!("; {}\n", "x".repeat(VALUE_LIMIT - 3));
-    let set = PartSet::new(&[DeclaredFile::new("big.ini", fits)]);
+    let fitting_text = format!("; {}\n", "x".repeat(VALUE_LIMIT - 3));
+    let set = PartSet::new(&[DeclaredFile::new("big.ini", fitting_text)]);
     expect_that!(set.map(|set| set.texts[0].len()), ok(eq(&VALUE_LIMIT)));
 }
 
@@ -35,8 +35,8 @@
 }
 
 #[gtest]
-fn a_change_replaces_only_what_it_was_made_in_knowledge_of() {
-    // What is held, what comes, whether it may replace it.
+fn a_change_follows_only_its_ancestors() {
+    // Each case: the held change, the offered change, and whether the offered one may replace the held one.
     let cases = [
         (change(7, 7, &[6, 5]), change(8, 8, &[7, 6]), true),
         (change(7, 7, &[6, 5]), change(9, 9, &[8, 7]), true),
@@ -50,22 +50,22 @@
 }
 
 #[gtest]
-fn a_restoring_change_follows_both_sides_and_so_do_its_children() {
-    let (held, lost_to) = (change(7, 7, &[6, 5]), change(8, 80, &[70, 6]));
-    let restored = held.restored_onto(&lost_to, ChangeId([9; 16]), 0);
+fn a_restoring_change_and_its_children_follow_both_histories() {
+    let (held, unrelated) = (change(7, 7, &[6, 5]), change(8, 80, &[70, 6]));
+    let restored = held.restored_onto(&unrelated, ChangeId([9; 16]), 0);
     expect_that!(restored.revision, eq(RevisionNumber(9)));
-    expect_true!(restored.follows(held.head()) && restored.follows(lost_to.head()));
+    expect_true!(restored.follows(held.head()) && restored.follows(unrelated.head()));
     let mut child = change(10, 10, &[]);
     child.lineage = restored.child_lineage();
-    expect_true!(child.follows(held.head()) && child.follows(lost_to.head()));
+    expect_true!(child.follows(held.head()) && child.follows(unrelated.head()));
 }
 
 #[gtest]
-fn a_revision_beyond_the_lineage_gives_way_to_a_higher_number() {
-    let mut far = change(1_000, 1, &[]);
-    far.lineage = (0..LINEAGE_LIMIT)
+fn a_revision_older_than_the_lineage_is_replaced_by_a_higher_number() {
+    let mut distant = change(1_000, 1, &[]);
+    distant.lineage = (0..LINEAGE_LIMIT)
         .map(|id| ChangeId([id as u8; 16]))
         .collect();
-    expect_true!(far.follows(change(3, 200, &[]).head()));
-    expect_false!(far.follows(change(990, 200, &[]).head()));
+    expect_true!(distant.follows(change(3, 200, &[]).head()));
+    expect_false!(distant.follows(change(990, 200, &[]).head()));
 }
--- a/crates/ebonyfork/src/revision/restore.rs
+++ b/crates/ebonyfork/src/revision/restore.rs
@@ -1,26 +1,26 @@
-//! Which change may replace which, and what becomes of a head that lacks what is held: plain code over records.
+//! Decides which change may replace another, and how to restore a head that lacks the held revision.
 //!
-//! A VM takes only a change that follows what it holds. The one exception is a VM that has just started: what it took
-//! first may come from a store that had lost its last writes. For a while its revision is *provisional*: it gives way
-//! to whatever a settled peer holds on another line, and is never used to restore the store.
+//! A VM accepts only a change that descends from the one it holds. The exception is a VM that has just started, because
+//! its first revision may come from a store that had lost its last writes. For a while that revision is *provisional*:
+//! it is replaced by a settled peer's revision that isn't among its ancestors, and is never used to restore the store.
 
 use std::time::Duration;
 
 use super::record::{ChangeId, ChangeRecord, HeadRecord};
 
-/// How long the first revision after a start stays provisional: long enough to have heard of all peers.
+/// How long the first revision after a start stays provisional. By then the VM has heard from all peers.
 pub const PROVISIONAL_TIME: Duration = Duration::from_secs(10);
 
 /// What a watcher does about the store's head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RestorePlan {
-    /// The head is what is held, or follows it.
+    /// The head is the held change or descends from it, so nothing has to be done.
     Nothing,
     /// Move the head to this change.
     Move(ChangeRecord),
 }
 
-/// Tells whether a change may replace what is held, whoever showed it.
+/// Returns whether a change may replace the held one, no matter whether a peer or the store showed it.
 pub fn may_take(held: Option<&ChangeRecord>, provisional: bool, change: &ChangeRecord) -> bool {
     let Some(held) = held else {
         return true;
@@ -28,19 +28,19 @@
     change.follows(held.head()) || provisional && change.revision > held.revision
 }
 
-/// Tells whether what a settled peer holds must replace a provisional revision: it stands on another line.
+/// Returns whether a settled peer's change must replace a provisional one, because it isn't among its ancestors.
 pub fn must_adopt(held: &ChangeRecord, settled: HeadRecord) -> bool {
     held.change != settled.change && !held.lineage.contains(&settled.change)
 }
 
-/// Plans what to do when the store shows the change `head`, or none, and `held` is in force.
+/// Plans the repair of the store's head while `held` is in force; `head` is the change that the store shows, if any.
 ///
-/// A head that went back along the held revision's own lineage is moved straight to it again. If the lost number has
-/// been published anew in the meantime, the held files are published once more on top of that, as the change `id`.
+/// A head that is an ancestor of the held change is moved back to the held change. If other changes were published
+/// after the store had lost the held one, the held files are published again on top of them, as the change `change_id`.
 pub fn plan_restore(
     head: Option<&ChangeRecord>,
     held: &ChangeRecord,
-    id: ChangeId,
+    change_id: ChangeId,
     time_ms: u64,
 ) -> RestorePlan {
     let Some(head) = head else {
@@ -52,5 +52,5 @@
     if held.follows(head.head()) {
         return RestorePlan::Move(held.clone());
     }
-    RestorePlan::Move(held.restored_onto(head, id, time_ms))
+    RestorePlan::Move(held.restored_onto(head, change_id, time_ms))
 }
--- a/crates/ebonyfork/src/revision/store.rs
+++ b/crates/ebonyfork/src/revision/store.rs
@@ -11,22 +11,22 @@
     ChangeId, ChangeRecord, HEAD_KEY, HELD_PREFIX, HeadRecord, HeldEvidence, PartDigest,
 };
 
-/// The head with its key's revision in the store; none before the first publishing.
+/// The head with the store revision of its key; `None` before the first change is published.
 pub type StoredHead = Option<(StoreRevision, HeadRecord)>;
 
-/// Reads the head.
+/// Reads the head from the store.
 pub async fn read_head(client: &StoreClient) -> Result<StoredHead, StoreError> {
     let stored = client.get(HEAD_KEY).await?;
     stored.map(parse_head).transpose()
 }
 
-/// Reads a stored head.
+/// Parses the head from its store item.
 pub(super) fn parse_head(stored: StoreItem) -> Result<(StoreRevision, HeadRecord), StoreError> {
     let head = parse_json(HEAD_KEY, &stored.value)?;
     Ok((stored.revision, head))
 }
 
-/// Reads the record of a change; none if it isn't there.
+/// Reads the record of a change; returns `None` if the store doesn't have it.
 pub async fn read_change(
     client: &StoreClient,
     change: ChangeId,
@@ -38,7 +38,7 @@
     parse_json(&key, &stored.value).map(Some)
 }
 
-/// Reads a part and checks its digest; none if it isn't there.
+/// Reads a part and checks its digest; returns `None` if the store doesn't have it.
 pub async fn read_part(
     client: &StoreClient,
     sha256: PartDigest,
@@ -66,12 +66,12 @@
 }
 
 fn is_zone_key(key: &str) -> bool {
-    let rest = key.strip_prefix(HELD_PREFIX);
-    let zone = rest.and_then(|rest| rest.strip_prefix('/'));
+    let suffix = key.strip_prefix(HELD_PREFIX);
+    let zone = suffix.and_then(|suffix| suffix.strip_prefix('/'));
     zone.is_some_and(|zone| zone.parse::<ZoneName>().is_ok())
 }
 
-/// Writes a zone's evidence over whatever is there.
+/// Writes a zone's evidence, replacing the previous one.
 pub(super) async fn write_evidence(
     client: &StoreClient,
     evidence: &HeldEvidence,
@@ -81,8 +81,9 @@
     Ok(())
 }
 
-/// Writes a value that is named by its content or by a random identity, so that a second writing is harmless.
-pub(super) async fn put_once(
+/// Writes a value if its key doesn't exist yet. The key is a digest of the value or a random identity, so an existing
+/// value is the same one.
+pub(super) async fn put_if_absent(
     client: &StoreClient,
     key: String,
     value: Bytes,
@@ -102,7 +103,8 @@
     client.put(HEAD_KEY, to_json(&head), Some(expected)).await
 }
 
-/// Encodes a record; records have no map keys or floats that JSON can't hold, so this can't fail.
+/// Encodes a record as JSON. This can't fail, because records have neither map keys nor floats that JSON can't
+/// represent.
 pub(super) fn to_json(record: &impl serde::Serialize) -> Bytes {
     serde_json::to_vec(record).unwrap_or_default().into()
 }
