--- a/crates/ebonyfork/src/declaration/mod.rs
+++ b/crates/ebonyfork/src/declaration/mod.rs
@@ -1,8 +1,8 @@
-//! What operators declare: services, classes of work with their targets, organisations.
+//! The operators' declarations: services, classes of work with their targets, and organisations.
 //!
-//! Declarations are INI files under version control. They state facts and targets, never weights, servers or
-//! addresses. A reader collects all findings with their place; what passes is frozen into a [`DeclaredConfig`] that is
-//! passed along by reference and never changes. A new revision is a new value.
+//! Declarations are INI files under version control. They state facts and targets, never weights, servers or addresses.
+//! Reading them collects all findings with file and line. Declarations without findings become a [`DeclaredConfig`],
+//! which is shared by reference and never changes; each new revision is a new value.
 
 mod model;
 mod parse;
@@ -10,4 +10,4 @@
 pub use model::{
     ClassScope, ClassTarget, DeclaredConfig, OrganisationEntry, ServiceEntry, TargetPriority,
 };
-pub use parse::{BOUND_FACTOR, DRAIN, DeclaredFile, PERCENTILE};
+pub use parse::{DEFAULT_BOUND_FACTOR, DEFAULT_DRAIN, DEFAULT_PERCENTILE, DeclaredFile};
--- a/crates/ebonyfork/src/declaration/model.rs
+++ b/crates/ebonyfork/src/declaration/model.rs
@@ -1,11 +1,11 @@
-//! The frozen form of the declarations.
+//! The checked, immutable form of the declarations.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::ident::{ClassName, IndexName, OrganisationName, RevisionNumber, ServiceName};
 
-/// Which shards a query of a class goes to.
+/// Which shards of the index a query of a class goes to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ClassScope {
     /// Every shard of the index.
@@ -14,36 +14,36 @@
     One,
 }
 
-/// Which part of the target gives way when both can't be met.
+/// Which of the two targets, latency or coverage, is kept if both can't be met.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum TargetPriority {
-    /// Coverage gives way: answer in time with what is there, truthfully thin.
+    /// Latency is kept: answer in time with the shards that have answered, and state the lower coverage.
     LatencyFirst,
-    /// Latency gives way: wait for the missing shards up to the class's bound, then prefer a clear failure to an
-    /// answer below the coverage target.
+    /// Coverage is kept: wait for the missing shards up to the class's bound, then fail rather than answer below the
+    /// coverage target.
     CoverageFirst,
 }
 
-/// A class of work and its target.
+/// A class of work and its targets.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassTarget {
     /// Name of the class.
     pub name: ClassName,
-    /// The index that its queries search.
+    /// The index that queries of the class search.
     pub index: IndexName,
-    /// The shards that a query needs.
+    /// Which shards of the index a query needs.
     pub scope: ClassScope,
-    /// Target latency, seen by the caller at `percentile`.
+    /// Target latency as seen by the caller, at `percentile`.
     pub latency: Duration,
-    /// The percentile that the latency is stated at, in per cent (0 to 100, exclusive).
+    /// The percentile at which `latency` is stated, in per cent (0 to 100, exclusive).
     pub percentile: f64,
-    /// Target share of shards answered, 0 to 1.
+    /// Target share of the needed shards that answer, 0 to 1.
     pub coverage: f64,
-    /// What is kept when both can't be.
+    /// Which target is kept if latency and coverage can't both be met.
     pub priority: TargetPriority,
-    /// The longest a query may take, whatever the caller's deadline.
+    /// Maximum duration of a query, whatever the caller's deadline.
     pub bound: Duration,
-    /// Whether a shard request may run more than once.
+    /// Whether a shard request may be executed more than once.
     pub idempotent: bool,
 }
 
@@ -52,9 +52,9 @@
 pub struct ServiceEntry {
     /// Name of the service.
     pub name: ServiceName,
-    /// Connections that one upstream of it accepts, from all VMs together.
+    /// Number of connections that one upstream accepts from all VMs together.
     pub connections: u32,
-    /// The longest an upstream may take to leave once it drains.
+    /// Maximum time that an upstream takes to leave once it has begun to drain.
     pub drain: Duration,
 }
 
@@ -63,19 +63,19 @@
 pub struct OrganisationEntry {
     /// Name of the organisation.
     pub name: OrganisationName,
-    /// The classes its callers may use.
+    /// The classes that the organisation's callers may use.
     pub classes: Vec<ClassName>,
 }
 
-/// One revision of the declarations, checked and frozen.
+/// One revision of the declarations, checked and immutable.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DeclaredConfig {
-    /// The revision; zero before any was published.
+    /// Number of the revision; zero before any was published.
     pub revision: RevisionNumber,
-    /// Classes by name.
+    /// Declared classes by name.
     pub classes: BTreeMap<ClassName, ClassTarget>,
-    /// Services by name.
+    /// Declared services by name.
     pub services: BTreeMap<ServiceName, ServiceEntry>,
-    /// Organisations by name.
+    /// Declared organisations by name.
     pub organisations: BTreeMap<OrganisationName, OrganisationEntry>,
 }
--- a/crates/ebonyfork/src/declaration/parse.rs
+++ b/crates/ebonyfork/src/declaration/parse.rs
@@ -1,4 +1,4 @@
-//! Reads declarations and collects everything that is wrong with them.
+//! Reads declaration files and collects all findings.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -16,20 +16,20 @@
     ClassScope, ClassTarget, DeclaredConfig, OrganisationEntry, ServiceEntry, TargetPriority,
 };
 
-/// The bound of a class that states none, as a multiple of its latency.
-pub const BOUND_FACTOR: u32 = 4;
-/// The percentile of a class that states none.
-pub const PERCENTILE: f64 = 99.0;
-/// The time to drain of a service that states none.
-pub const DRAIN: Duration = Duration::from_secs(10);
-/// The longest time that a target or a bound may name.
-const LONGEST_SPAN: Duration = Duration::from_hours(1);
-/// The most connections that one upstream may be said to accept.
-const MOST_CONNECTIONS: u32 = 100_000;
+/// Factor by which the target latency is multiplied to get the default bound of a class.
+pub const DEFAULT_BOUND_FACTOR: u32 = 4;
+/// Default percentile of a class's target latency, in per cent.
+pub const DEFAULT_PERCENTILE: f64 = 99.0;
+/// Default drain time of a service.
+pub const DEFAULT_DRAIN: Duration = Duration::from_secs(10);
+/// Maximum duration that a declaration may state.
+const MAX_SPAN: Duration = Duration::from_hours(1);
+/// Maximum number of connections per upstream that a service may state.
+const MAX_CONNECTIONS: u32 = 100_000;
 
-const SECTIONS: [&str; 3] = ["service", "class", "organisation"];
-/// Keys that would steer work instead of stating a target.
-const STEERING_KEYS: [&str; 20] = [
+const SECTION_KINDS: [&str; 3] = ["service", "class", "organisation"];
+/// Keys that are rejected because they would control routing instead of stating a target.
+const ROUTING_KEYS: [&str; 20] = [
     "weight",
     "weights",
     "server",
@@ -51,8 +51,8 @@
     "zone",
     "zones",
 ];
-/// Sections that would steer work instead of stating a target.
-const STEERING_SECTIONS: [&str; 9] = [
+/// Sections that are rejected because they would control routing instead of stating a target.
+const ROUTING_SECTIONS: [&str; 9] = [
     "server",
     "servers",
     "upstream",
@@ -64,17 +64,17 @@
     "addresses",
 ];
 
-/// One file of declarations.
+/// A declaration file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DeclaredFile {
     /// Name of the file, relative to the directory of declarations.
     pub name: CompactString,
-    /// Its text.
+    /// Content of the file.
     pub text: String,
 }
 
 impl DeclaredFile {
-    /// Makes a file.
+    /// Creates a file from its name and content.
     pub fn new(name: impl AsRef<str>, text: impl Into<String>) -> Self {
         Self {
             name: CompactString::new(name),
@@ -84,7 +84,7 @@
 }
 
 impl DeclaredConfig {
-    /// Reads all files of one revision and reports every finding at once.
+    /// Parses all files of one revision and returns all findings together if there are any.
     ///
     /// # Examples
     ///
@@ -98,8 +98,8 @@
     /// let config = DeclaredConfig::parse(&files, RevisionNumber(1))?;
     /// assert_eq!(config.classes.len(), 1);
     ///
-    /// let steering = [DeclaredFile::new("main.ini", "[service tender-00]\nweight = 3\n")];
-    /// let findings = DeclaredConfig::parse(&steering, RevisionNumber(1)).unwrap_err();
+    /// let with_weight = [DeclaredFile::new("main.ini", "[service tender-00]\nweight = 3\n")];
+    /// let findings = DeclaredConfig::parse(&with_weight, RevisionNumber(1)).unwrap_err();
     /// assert!(findings.to_string().contains("operators state targets only"));
     /// # Ok::<(), ebonyfork::finding::FindingList>(())
     /// ```
@@ -113,9 +113,9 @@
     }
 }
 
-/// Where an entry was declared first.
+/// File and line of a declared entry.
 #[derive(Debug, Clone)]
-struct EntryPlace {
+struct EntryLocation {
     file: CompactString,
     line: u32,
 }
@@ -125,12 +125,12 @@
 struct ConfigDraft {
     config: DeclaredConfig,
     findings: FindingList,
-    places: BTreeMap<(CompactString, CompactString), EntryPlace>,
-    /// Every class that a file declares, also those with findings: an organisation may name it without a second
+    entry_locations: BTreeMap<(CompactString, CompactString), EntryLocation>,
+    /// Every declared class, including those with findings, so that an organisation naming one doesn't cause a second
     /// finding.
     class_names: Vec<CompactString>,
-    /// Places of the organisations' class lists, for the check across files.
-    class_uses: Vec<(EntryPlace, ClassName)>,
+    /// The classes that organisations name, with file and line, to be checked once all files are read.
+    class_references: Vec<(EntryLocation, ClassName)>,
 }
 
 impl ConfigDraft {
@@ -141,16 +141,16 @@
                 ..DeclaredConfig::default()
             },
             findings: FindingList::new(),
-            places: BTreeMap::new(),
+            entry_locations: BTreeMap::new(),
             class_names: Vec::new(),
-            class_uses: Vec::new(),
+            class_references: Vec::new(),
         }
     }
 
     fn read_file(&mut self, file: &DeclaredFile) {
         let document = IniDocument::parse(&file.name, &file.text, &mut self.findings);
         for section in &document.sections {
-            if !self.claim(&file.name, section) {
+            if !self.register_entry(&file.name, section) {
                 continue;
             }
             match section.kind.as_str() {
@@ -162,18 +162,18 @@
         }
     }
 
-    /// Notes where an entry stands; tells whether it is the first of its name.
-    fn claim(&mut self, file: &str, section: &IniSection) -> bool {
+    /// Records where an entry is declared. Returns `false` if the same kind and name was declared before.
+    fn register_entry(&mut self, file: &str, section: &IniSection) -> bool {
         let key = (section.kind.clone(), section.name.clone());
-        let Some(first) = self.places.get(&key) else {
-            let place = EntryPlace {
+        let Some(first) = self.entry_locations.get(&key) else {
+            let location = EntryLocation {
                 file: CompactString::new(file),
                 line: section.line,
             };
-            self.places.insert(key, place);
+            self.entry_locations.insert(key, location);
             return true;
         };
-        // Within one file the INI reader has reported it already.
+        // The INI reader already reports duplicates within one file.
         if first.file != file {
             let (kind, name) = key;
             let message = format!(
@@ -186,10 +186,10 @@
     }
 
     fn reject_section(&mut self, file: &str, line: u32, kind: &str) {
-        let message = if STEERING_SECTIONS.contains(&kind) {
-            format!("section `{kind}`: {}", steering_message())
+        let message = if ROUTING_SECTIONS.contains(&kind) {
+            format!("section `{kind}`: {}", routing_message())
         } else {
-            unknown_message("section", kind, &SECTIONS)
+            unknown_message("section", kind, &SECTION_KINDS)
         };
         self.findings.push(file, line, message);
     }
@@ -197,15 +197,15 @@
     fn read_service(&mut self, file: &str, section: &IniSection) {
         let name = self.read_name::<ServiceName>(file, section);
         let mut reader = SectionReader::new(file, section, &mut self.findings);
-        reject_steering(&mut reader, section);
+        reject_routing_keys(&mut reader, section);
         let connections = reader.required("connections");
         if let Some(connections) = connections
-            && !(1..=MOST_CONNECTIONS).contains(&connections)
+            && !(1..=MAX_CONNECTIONS).contains(&connections)
         {
-            let message = format!("`{connections}` is not between 1 and {MOST_CONNECTIONS}");
+            let message = format!("`{connections}` is not between 1 and {MAX_CONNECTIONS}");
             reader.report("connections", message);
         }
-        let drain = read_span(&mut reader, "drain", false).unwrap_or(DRAIN);
+        let drain = read_span(&mut reader, "drain", false).unwrap_or(DEFAULT_DRAIN);
         reader.finish();
         let (Some(name), Some(connections)) = (name, connections) else {
             return;
@@ -222,7 +222,7 @@
         self.class_names.push(section.name.clone());
         let name = self.read_name::<ClassName>(file, section);
         let mut reader = SectionReader::new(file, section, &mut self.findings);
-        reject_steering(&mut reader, section);
+        reject_routing_keys(&mut reader, section);
         let target = read_target(&mut reader, name);
         reader.finish();
         if let Some(target) = target {
@@ -233,25 +233,25 @@
     fn read_organisation(&mut self, file: &str, section: &IniSection) {
         let name = self.read_name::<OrganisationName>(file, section);
         let mut reader = SectionReader::new(file, section, &mut self.findings);
-        reject_steering(&mut reader, section);
-        let stated = reader.required::<CompactString>("classes").is_some();
-        let listed = if stated {
+        reject_routing_keys(&mut reader, section);
+        let is_stated = reader.required::<CompactString>("classes").is_some();
+        let listed_classes = if is_stated {
             reader.list::<ClassName>("classes")
         } else {
             Vec::new()
         };
         let line = line_of(section, "classes");
         let mut classes: Vec<ClassName> = Vec::new();
-        for class in listed {
+        for class in listed_classes {
             if classes.contains(&class) {
                 reader.report("classes", format!("`{class}` stands twice"));
                 continue;
             }
-            let place = EntryPlace {
+            let location = EntryLocation {
                 file: CompactString::new(file),
                 line,
             };
-            self.class_uses.push((place, class.clone()));
+            self.class_references.push((location, class.clone()));
             classes.push(class);
         }
         reader.finish();
@@ -284,22 +284,22 @@
         }
     }
 
-    /// Checks what organisations name against the classes of all files.
+    /// Checks that the classes named by organisations are declared in any of the files.
     fn check_organisations(&mut self) {
-        let known: Vec<&str> = self.class_names.iter().map(CompactString::as_str).collect();
-        for (place, class) in &self.class_uses {
-            if known.contains(&class.as_str()) {
+        let declared: Vec<&str> = self.class_names.iter().map(CompactString::as_str).collect();
+        for (location, class) in &self.class_references {
+            if declared.contains(&class.as_str()) {
                 continue;
             }
-            let message = if known.is_empty() {
+            let message = if declared.is_empty() {
                 format!("classes: unknown class `{class}`, no class is declared")
             } else {
                 format!(
                     "classes: {}",
-                    unknown_message("class", class.as_str(), &known)
+                    unknown_message("class", class.as_str(), &declared)
                 )
             };
-            self.findings.push(&place.file, place.line, message);
+            self.findings.push(&location.file, location.line, message);
         }
     }
 }
@@ -309,20 +309,20 @@
     let scopes = [("all", ClassScope::All), ("one", ClassScope::One)];
     let scope = reader.choice("scope", &scopes).unwrap_or(ClassScope::All);
     let latency = read_span(reader, "latency", true);
-    let percentile = read_share(reader, "percentile", 100.0, false).unwrap_or(PERCENTILE);
-    let coverage = required(reader, "coverage")
+    let percentile = read_share(reader, "percentile", 100.0, false).unwrap_or(DEFAULT_PERCENTILE);
+    let coverage = has_required(reader, "coverage")
         .then(|| read_share(reader, "coverage", 1.0, true))
         .flatten();
     let priorities = [
         ("latency", TargetPriority::CoverageFirst),
         ("coverage", TargetPriority::LatencyFirst),
     ];
-    let priority = required(reader, "gives-way")
+    let priority = has_required(reader, "gives-way")
         .then(|| reader.choice("gives-way", &priorities))
         .flatten();
-    let answers = [("yes", true), ("no", false)];
-    let idempotent = required(reader, "idempotent")
-        .then(|| reader.choice("idempotent", &answers))
+    let yes_no = [("yes", true), ("no", false)];
+    let idempotent = has_required(reader, "idempotent")
+        .then(|| reader.choice("idempotent", &yes_no))
         .flatten();
     if scope == ClassScope::All && idempotent == Some(false) {
         let message = "a class with `scope = all` must be idempotent, because its shard requests are hedged; \
@@ -349,44 +349,51 @@
         percentile,
         coverage: coverage?,
         priority: priority?,
-        bound: bound.unwrap_or(latency * BOUND_FACTOR),
+        bound: bound.unwrap_or(latency * DEFAULT_BOUND_FACTOR),
         idempotent: idempotent?,
     })
 }
 
-/// Tells whether a key that has no default is there, and records a finding if not.
-fn required(reader: &mut SectionReader<'_>, key: &'static str) -> bool {
+/// Returns whether a key without a default is present, and records a finding if it isn't.
+fn has_required(reader: &mut SectionReader<'_>, key: &'static str) -> bool {
     reader.required::<CompactString>(key).is_some()
 }
 
-fn read_span(reader: &mut SectionReader<'_>, key: &'static str, needed: bool) -> Option<Duration> {
-    let span = if needed {
+fn read_span(
+    reader: &mut SectionReader<'_>,
+    key: &'static str,
+    is_required: bool,
+) -> Option<Duration> {
+    let span = if is_required {
         reader.required::<TimeSpan>(key)?
     } else {
         reader.optional::<TimeSpan>(key)?
     };
-    if span.0.is_zero() || span.0 > LONGEST_SPAN {
-        let longest = TimeSpan(LONGEST_SPAN);
-        reader.report(key, format!("`{span}` is not above 0 and up to {longest}"));
+    if span.0.is_zero() || span.0 > MAX_SPAN {
+        let max = TimeSpan(MAX_SPAN);
+        reader.report(key, format!("`{span}` is not above 0 and up to {max}"));
         return None;
     }
     Some(span.0)
 }
 
-/// Reads a number above zero and up to (`inclusive`) or below `most`.
+/// Reads a number above zero and below `max`, or up to `max` if `is_inclusive`.
 fn read_share(
     reader: &mut SectionReader<'_>,
     key: &'static str,
-    most: f64,
-    inclusive: bool,
+    max: f64,
+    is_inclusive: bool,
 ) -> Option<f64> {
     let share = reader.optional::<f64>(key)?;
-    let fits = share > 0.0 && (share < most || inclusive && share <= most);
-    if fits {
+    let in_range = share > 0.0 && (share < max || is_inclusive && share <= max);
+    if in_range {
         return Some(share);
     }
-    let edge = if inclusive { "up to" } else { "below" };
-    reader.report(key, format!("`{share}` is not above 0 and {edge} {most}"));
+    let limit_word = if is_inclusive { "up to" } else { "below" };
+    reader.report(
+        key,
+        format!("`{share}` is not above 0 and {limit_word} {max}"),
+    );
     None
 }
 
@@ -397,20 +404,20 @@
         .map_or(section.line, |property| property.line)
 }
 
-/// Records a finding for each key that would steer work.
-fn reject_steering(reader: &mut SectionReader<'_>, section: &IniSection) {
-    for key in STEERING_KEYS {
-        let stated = section
+/// Records a finding for each key that would control routing.
+fn reject_routing_keys(reader: &mut SectionReader<'_>, section: &IniSection) {
+    for key in ROUTING_KEYS {
+        let is_present = section
             .properties
             .iter()
             .any(|property| property.key == key);
-        if stated {
-            reader.report(key, steering_message());
+        if is_present {
+            reader.report(key, routing_message());
         }
     }
 }
 
-fn steering_message() -> &'static str {
+fn routing_message() -> &'static str {
     "operators state targets only; expected no weights, servers or addresses"
 }
 
--- a/crates/ebonyfork/src/declaration/parse_tests.rs
+++ b/crates/ebonyfork/src/declaration/parse_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const WHOLE: &str = "\
+const COMPLETE_DECLARATION: &str = "\
 [service tender-00]
 connections = 25
 drain = 10s
@@ -20,8 +20,8 @@
 ";
 
 #[gtest]
-fn a_whole_declaration_is_read() {
-    let files = [DeclaredFile::new("a.ini", WHOLE)];
+fn a_complete_declaration_is_parsed() {
+    let files = [DeclaredFile::new("a.ini", COMPLETE_DECLARATION)];
     let config = DeclaredConfig::parse(&files, RevisionNumber(3)).expect("no findings");
     expect_that!(config.revision, eq(RevisionNumber(3)));
     let class = &config.classes[&"tender-search".parse().unwrap()];
