--- a/crates/ebonyfork/src/catalog/feed.rs
+++ b/crates/ebonyfork/src/catalog/feed.rs
@@ -81,7 +81,7 @@
     /// Handles a message from a peer; replies go back over `sender`.
     pub async fn take_message(&self, sender: LinkSender, message: CatalogMessage) {
         // A stopped feed accepts no messages, which happens only while the process is stopping.
-        let _send_result = self.address.send(PeerInput { sender, message }).await;
+        let _send_result = self.address.send(ReceivedMessage { sender, message }).await;
     }
 
     /// Stops the feed even if other handles to it still exist.
@@ -94,7 +94,7 @@
 struct Tick;
 struct TopologyChanged(Arc<TopologyView>);
 struct ConfigChanged(Arc<DeclaredConfig>);
-struct PeerInput {
+struct ReceivedMessage {
     sender: LinkSender,
     message: CatalogMessage,
 }
@@ -128,10 +128,10 @@
     topology: watch::Receiver<Arc<TopologyView>>,
 ) -> Address<CatalogActor> {
     let address = xtra::spawn_tokio(actor, Mailbox::unbounded());
-    let weak = address.downgrade();
-    tokio::spawn(run_timer(weak.clone()));
-    tokio::spawn(follow_view(weak.clone(), config, ConfigChanged));
-    tokio::spawn(follow_view(weak, topology, TopologyChanged));
+    let weak_address = address.downgrade();
+    tokio::spawn(run_timer(weak_address.clone()));
+    tokio::spawn(follow_view(weak_address.clone(), config, ConfigChanged));
+    tokio::spawn(follow_view(weak_address, topology, TopologyChanged));
     address
 }
 
@@ -225,10 +225,10 @@
     }
 
     fn put_in_force(&self, index: IndexName, catalog: IndexCatalog) {
-        let newest = catalog.newest().map(|shards| shards.version);
+        let newest_version = catalog.newest().map(|shards| shards.version);
         log::info!(
             target: "ebonyfork::decision",
-            "put catalogue epoch {} of {index} in force, newest version {newest:?}",
+            "put catalogue epoch {} of {index} in force, newest version {newest_version:?}",
             catalog.epoch,
         );
         let labels = IndexLabels {
@@ -299,12 +299,12 @@
     }
 }
 
-impl Handler<PeerInput> for CatalogActor {
+impl Handler<ReceivedMessage> for CatalogActor {
     type Return = ();
 
-    async fn handle(&mut self, message: PeerInput, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceivedMessage, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        let PeerInput { sender, message } = message;
+        let ReceivedMessage { sender, message } = message;
         let Some(peer) = sender.peer() else {
             return;
         };
--- a/crates/ebonyfork/src/catalog/spread.rs
+++ b/crates/ebonyfork/src/catalog/spread.rs
@@ -165,11 +165,11 @@
         if now < self.next_ask_at || self.named_indexes.is_empty() {
             return Vec::new();
         }
-        let lacks_any = self
+        let lacks_catalog = self
             .named_indexes
             .iter()
             .any(|index| !self.held_catalogs.contains_key(index));
-        let period = if lacks_any {
+        let period = if lacks_catalog {
             EMPTY_ASK_PERIOD
         } else {
             ASK_PERIOD
--- a/crates/ebonyfork/src/catalog/spread_tests.rs
+++ b/crates/ebonyfork/src/catalog/spread_tests.rs
@@ -18,16 +18,16 @@
     format!(r#"{{"epoch":{epoch},"versions":[]}}"#).into()
 }
 
-fn spread(own: u8, size: u8) -> CatalogSpread {
+fn spread(own_number: u8, vm_count: u8) -> CatalogSpread {
     let zone: ZoneName = "zone-a".parse().unwrap();
-    let vms = (0..size).map(|number| VmEntry {
+    let vms = (0..vm_count).map(|number| VmEntry {
         vm: vm(number),
         zone: zone.clone(),
         incarnation: None,
         leaving: false,
     });
     let view = TopologyView::new(vms, []);
-    let mut spread = CatalogSpread::new(ZonePeers::new(vm(own), zone.clone()), 5);
+    let mut spread = CatalogSpread::new(ZonePeers::new(vm(own_number), zone.clone()), 5);
     spread.apply_topology(&view);
     spread
 }
@@ -55,10 +55,10 @@
 fn catalogues_of_unnamed_indexes_and_malformed_catalogues_are_ignored() {
     let mut spread = spread(0, 3);
     spread.set_named_indexes([index("tenders")]);
-    let unnamed = spread.apply_catalog(&index("awards"), &catalog_text(5));
-    expect_that!(unnamed.unwrap(), is_empty());
-    let malformed = spread.apply_catalog(&index("tenders"), &Bytes::from("{"));
-    expect_that!(malformed, err(anything()));
+    let unnamed_result = spread.apply_catalog(&index("awards"), &catalog_text(5));
+    expect_that!(unnamed_result.unwrap(), is_empty());
+    let malformed_result = spread.apply_catalog(&index("tenders"), &Bytes::from("{"));
+    expect_that!(malformed_result, err(anything()));
     expect_that!(spread.newer_catalogs(&epochs("tenders", 0)), is_empty());
 }
 
@@ -94,13 +94,14 @@
 
 #[gtest]
 fn each_index_has_two_watchers_per_zone() {
-    for size in [1_u8, 2, 9, 40] {
+    for vm_count in [1_u8, 2, 9, 40] {
         let mut watcher_count = 0;
-        for own in 0..size {
-            let actions = spread(own, size).set_named_indexes([index("tenders"), index("awards")]);
+        for own_number in 0..vm_count {
+            let actions =
+                spread(own_number, vm_count).set_named_indexes([index("tenders"), index("awards")]);
             watcher_count += actions.len();
         }
-        expect_that!(watcher_count, eq(2 * usize::from(size.min(2))));
+        expect_that!(watcher_count, eq(2 * usize::from(vm_count.min(2))));
     }
 }
 
--- a/crates/ebonyfork/src/declaration/mod.rs
+++ b/crates/ebonyfork/src/declaration/mod.rs
@@ -10,4 +10,4 @@
 pub use model::{
     ClassScope, ClassTarget, DeclaredConfig, OrganisationEntry, ServiceEntry, TargetPriority,
 };
-pub use parse::{DEFAULT_BOUND_FACTOR, DEFAULT_DRAIN, DEFAULT_PERCENTILE, DeclaredFile};
+pub use parse::{DEFAULT_BOUND_FACTOR, DEFAULT_DRAIN_TIME, DEFAULT_PERCENTILE, DeclaredFile};
--- a/crates/ebonyfork/src/declaration/parse.rs
+++ b/crates/ebonyfork/src/declaration/parse.rs
@@ -21,9 +21,9 @@
 /// Default percentile of a class's target latency, in per cent.
 pub const DEFAULT_PERCENTILE: f64 = 99.0;
 /// Default drain time of a service.
-pub const DEFAULT_DRAIN: Duration = Duration::from_secs(10);
+pub const DEFAULT_DRAIN_TIME: Duration = Duration::from_secs(10);
 /// Maximum duration that a declaration may state.
-const MAX_SPAN: Duration = Duration::from_hours(1);
+const MAX_DURATION: Duration = Duration::from_hours(1);
 /// Maximum number of connections per upstream that a service may state.
 const MAX_CONNECTIONS: u32 = 100_000;
 
@@ -165,7 +165,7 @@
     /// Records where an entry is declared. Returns `false` if the same kind and name was declared before.
     fn register_entry(&mut self, file: &str, section: &IniSection) -> bool {
         let key = (section.kind.clone(), section.name.clone());
-        let Some(first) = self.entry_locations.get(&key) else {
+        let Some(first_location) = self.entry_locations.get(&key) else {
             let location = EntryLocation {
                 file: CompactString::new(file),
                 line: section.line,
@@ -174,11 +174,11 @@
             return true;
         };
         // The INI reader already reports duplicates within one file.
-        if first.file != file {
+        if first_location.file != file {
             let (kind, name) = key;
             let message = format!(
                 "[{kind} {name}] already stands at {}:{}",
-                first.file, first.line
+                first_location.file, first_location.line
             );
             self.findings.push(file, section.line, message);
         }
@@ -205,7 +205,7 @@
             let message = format!("`{connections}` is not between 1 and {MAX_CONNECTIONS}");
             reader.report("connections", message);
         }
-        let drain = read_span(&mut reader, "drain", false).unwrap_or(DEFAULT_DRAIN);
+        let drain = read_span(&mut reader, "drain", false).unwrap_or(DEFAULT_DRAIN_TIME);
         reader.finish();
         let (Some(name), Some(connections)) = (name, connections) else {
             return;
@@ -320,9 +320,9 @@
     let priority = has_required(reader, "gives-way")
         .then(|| reader.choice("gives-way", &priorities))
         .flatten();
-    let yes_no = [("yes", true), ("no", false)];
+    let yes_no_values = [("yes", true), ("no", false)];
     let idempotent = has_required(reader, "idempotent")
-        .then(|| reader.choice("idempotent", &yes_no))
+        .then(|| reader.choice("idempotent", &yes_no_values))
         .flatten();
     if scope == ClassScope::All && idempotent == Some(false) {
         let message = "a class with `scope = all` must be idempotent, because its shard requests are hedged; \
@@ -369,8 +369,8 @@
     } else {
         reader.optional::<TimeSpan>(key)?
     };
-    if span.0.is_zero() || span.0 > MAX_SPAN {
-        let max = TimeSpan(MAX_SPAN);
+    if span.0.is_zero() || span.0 > MAX_DURATION {
+        let max = TimeSpan(MAX_DURATION);
         reader.report(key, format!("`{span}` is not above 0 and up to {max}"));
         return None;
     }
--- a/crates/ebonyfork/src/revision/acceptance_tests.rs
+++ b/crates/ebonyfork/src/revision/acceptance_tests.rs
@@ -40,24 +40,32 @@
 
 #[gtest]
 fn a_revision_is_accepted_only_when_every_zone_shows_it() {
-    let same = Some((7, 7, HeldRelation::Same));
+    let same_revision = Some((7, 7, HeldRelation::Same));
     let cases: [ZoneEvidenceCase; 7] = [
-        (same, same, "accepted"),
-        (same, Some((9, 8, HeldRelation::Follows)), "accepted"),
-        (same, None, "waiting zone-b"),
-        (same, Some((7, 6, HeldRelation::Same)), "waiting zone-b"),
+        (same_revision, same_revision, "accepted"),
         (
-            same,
+            same_revision,
+            Some((9, 8, HeldRelation::Follows)),
+            "accepted",
+        ),
+        (same_revision, None, "waiting zone-b"),
+        (
+            same_revision,
+            Some((7, 6, HeldRelation::Same)),
+            "waiting zone-b",
+        ),
+        (
+            same_revision,
             Some((6, 6, HeldRelation::Unrelated)),
             "waiting zone-b",
         ),
         (
-            same,
+            same_revision,
             Some((8, 8, HeldRelation::Unrelated)),
             "waiting zone-b",
         ),
         (
-            same,
+            same_revision,
             Some((8, 8, HeldRelation::Overridden(head(8)))),
             "overridden",
         ),
@@ -65,8 +73,8 @@
     let zones = zones_with_live_vm(&["zone-a", "zone-b"]);
     for (zone_a, zone_b, expected) in cases {
         let mut zone_evidence = Vec::new();
-        for (name, case) in [("zone-a", zone_a), ("zone-b", zone_b)] {
-            if let Some((held, lowest, relation)) = case {
+        for (name, zone_case) in [("zone-a", zone_a), ("zone-b", zone_b)] {
+            if let Some((held, lowest, relation)) = zone_case {
                 zone_evidence.push((evidence(name, held, lowest), relation));
             }
         }
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -23,8 +23,8 @@
 use crate::topology::TopologyView;
 use crate::wire::{LinkError, PeerMessage};
 
-use inbox::{EvidenceWritten, RestoreFinished, StoreLoaded, Tick, TopologyChanged};
-pub(super) use inbox::{GossipedRevisions, HeadObserved, PeerInput, StopFeed};
+use inbox::{EvidenceWritten, RestoreFinished, RevisionLoaded, Tick, TopologyChanged};
+pub(super) use inbox::{GossipedRevisions, HeadObserved, ReceivedMessage, StopFeed};
 
 use super::assembly::{HeldRevision, RevisionAssembly};
 use super::evidence::EvidenceState;
@@ -56,9 +56,9 @@
     /// The store hasn't been read yet.
     NotRead,
     /// The store has no head.
-    Empty,
+    Absent,
     /// The store has this head.
-    Head(HeadRecord),
+    Present(HeadRecord),
 }
 
 /// Learns of configuration revisions and puts them in force.
@@ -191,7 +191,7 @@
         self.held.as_ref().map(|held| &held.change)
     }
 
-    fn held_revision(&self) -> RevisionNumber {
+    fn held_revision_number(&self) -> RevisionNumber {
         self.held
             .as_ref()
             .map_or(RevisionNumber(0), |held| held.change.revision)
@@ -203,7 +203,7 @@
                 FeedAction::Watch => self.start_watch(address.clone()),
                 FeedAction::Unwatch => self.stop_watch(),
                 FeedAction::Ask(vm) => {
-                    let above = self.held_revision();
+                    let above = self.held_revision_number();
                     self.send_to(vm, RevisionMessage::Ask { above });
                 }
                 FeedAction::Announce(vm) => {
@@ -237,7 +237,7 @@
         }
     }
 
-    fn record_highest(&self, revision: RevisionNumber) {
+    fn record_highest_revision(&self, revision: RevisionNumber) {
         let highest_revision = self.metrics.highest_revision.get().max(revision.0 as i64);
         self.metrics.highest_revision.set(highest_revision);
     }
@@ -248,8 +248,8 @@
         revision: RevisionNumber,
         address: &WeakAddress<Self>,
     ) {
-        self.record_highest(revision);
-        let actions = self.feed.record_gossiped(self.now(), vm, revision.0);
+        self.record_highest_revision(revision);
+        let actions = self.feed.record_gossiped_number(self.now(), vm, revision.0);
         self.run_actions(actions, address);
     }
 
@@ -259,20 +259,20 @@
         revision: RevisionNumber,
         address: &WeakAddress<Self>,
     ) {
-        self.record_highest(revision);
-        let actions = self.feed.record_received(self.now(), vm, revision.0);
+        self.record_highest_revision(revision);
+        let actions = self.feed.record_received_number(self.now(), vm, revision.0);
         self.run_actions(actions, address);
     }
 
     /// Reports an error if a peer or the store shows another change under the revision number that is in force here.
-    fn check_divergence(&self, shown: HeadRecord, observer: impl fmt::Display) {
-        let Some(held) = self.held.as_ref().map(HeldRevision::head) else {
+    fn check_divergence(&self, shown_head: HeadRecord, observer: impl fmt::Display) {
+        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
             return;
         };
-        if held.revision == shown.revision && held.change != shown.change {
+        if held_head.revision == shown_head.revision && held_head.change != shown_head.change {
             self.metrics.diverged.inc();
             log::error!(
-                "{observer} shows {shown}, but {held} is in force here: see the operators' page on divergence"
+                "{observer} shows {shown_head}, but {held_head} is in force here: see the operators' page on divergence"
             );
         }
     }
@@ -292,7 +292,7 @@
 
     fn start_assembly(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         let now = self.now();
-        self.feed.record_progress(now);
+        self.feed.record_pull_progress(now);
         let assembly = RevisionAssembly::new(change, self.held.as_ref());
         for sha256 in assembly.missing_parts() {
             self.send_to(vm, RevisionMessage::AskPart { sha256 });
@@ -314,13 +314,13 @@
         };
         let is_added = text.is_some_and(|text| assembly.add_part(sha256, text));
         if is_added {
-            self.feed.record_progress(now);
+            self.feed.record_pull_progress(now);
             self.finish_assembly(address);
             return;
         }
         if *sender == vm {
             self.assembly = None;
-            let actions = self.feed.record_failure(now, vm);
+            let actions = self.feed.record_pull_failure(now, vm);
             self.run_actions(actions, address);
         }
     }
@@ -344,17 +344,17 @@
         address: &WeakAddress<Self>,
     ) {
         let head = assembled.head();
-        let adopted = self
+        let is_adopted = self
             .adopting_head
             .take_if(|adopting_head| *adopting_head == head)
             .is_some();
-        if !adopted && !self.feed.is_wanted(head.revision.0) {
+        if !is_adopted && !self.feed.is_wanted(head.revision.0) {
             return;
         }
-        if !adopted && !may_take(self.held_change(), self.is_provisional(), &assembled.change) {
+        if !is_adopted && !may_take(self.held_change(), self.is_provisional(), &assembled.change) {
             self.metrics.diverged.inc();
             log::error!("{head} doesn't descend from the change in force here: refused");
-            self.feed.record_rejected(head.revision.0);
+            self.feed.record_rejected_number(head.revision.0);
             self.refused_head = Some(head);
             return;
         }
@@ -363,20 +363,20 @@
             Err(findings) => {
                 self.metrics.rejected.inc();
                 log::error!("{head} can't be put in force:\n{findings}");
-                self.feed.record_rejected(head.revision.0);
+                self.feed.record_rejected_number(head.revision.0);
                 return;
             }
         };
         log::info!(
             target: "ebonyfork::decision",
             "put {head} in force after {}, from {source} {origin}",
-            self.held_revision(),
+            self.held_revision_number(),
         );
         self.config_sender.send_replace(Arc::new(config));
         if self.held.is_none() {
             self.provisional_until = self.now() + PROVISIONAL_TIME;
         }
-        if adopted {
+        if is_adopted {
             self.provisional_until = self.now();
         }
         self.held = Some(assembled);
@@ -385,22 +385,22 @@
             .revisions_taken
             .get_or_create(&SourceLabels { source })
             .inc();
-        self.record_highest(head.revision);
-        let actions = if adopted {
-            self.feed.record_adopted(head.revision.0)
+        self.record_highest_revision(head.revision);
+        let actions = if is_adopted {
+            self.feed.record_adopted_number(head.revision.0)
         } else {
-            self.feed.record_held(head.revision.0)
+            self.feed.record_held_number(head.revision.0)
         };
         self.run_actions(actions, address);
         self.write_due_evidence(address);
     }
 
     /// Asks a peer for its settled change if the peer's revision isn't an ancestor of the provisional one held here.
-    fn check_ancestry(&self, vm: VmAddress, shown: HeadRecord) {
+    fn check_ancestry(&self, vm: VmAddress, shown_head: HeadRecord) {
         let Some(held) = self.held_change() else {
             return;
         };
-        let is_unrelated = shown.revision <= held.revision && must_adopt(held, shown);
+        let is_unrelated = shown_head.revision <= held.revision && must_adopt(held, shown_head);
         if is_unrelated && self.is_provisional() {
             self.send_to(vm, RevisionMessage::AskSettled);
         }
@@ -408,10 +408,10 @@
 
     /// Starts to collect a settled peer's change if it must replace the provisional one held here.
     fn handle_settled(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
-        let provisional = self.is_provisional();
+        let is_provisional = self.is_provisional();
         let head = change.head();
-        let held = self.held_change();
-        if !provisional || !held.is_some_and(|held| must_adopt(held, head)) {
+        let held_change = self.held_change();
+        if !is_provisional || !held_change.is_some_and(|held| must_adopt(held, head)) {
             return;
         }
         log::warn!(target: "ebonyfork::decision", "adopt {head} of the settled peer {vm}");
@@ -421,7 +421,7 @@
 
     /// Starts to load the store's head revision, unless a load is running, has to wait, or the revision isn't wanted.
     fn load_wanted_revision(&mut self, address: &WeakAddress<Self>) {
-        let ObservedHead::Head(head) = self.observed_head else {
+        let ObservedHead::Present(head) = self.observed_head else {
             return;
         };
         if self.is_loading
@@ -433,22 +433,22 @@
         self.is_loading = true;
         let (client, held, address) = (self.client.clone(), self.held.clone(), address.clone());
         self.tasks.spawn(async move {
-            let loaded = load_revision(&client, head, held.as_ref()).await;
-            let _send_result = address.send(StoreLoaded { head, loaded }).await;
+            let load_result = load_revision(&client, head, held.as_ref()).await;
+            let _send_result = address.send(RevisionLoaded { head, load_result }).await;
         });
     }
 
     /// Returns whether the store's head lacks the held revision.
     fn store_lacks_held_revision(&self) -> bool {
-        let Some(held) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
             return false;
         };
         match self.observed_head {
             ObservedHead::NotRead => false,
-            ObservedHead::Empty => true,
-            ObservedHead::Head(head) if head == held => false,
-            ObservedHead::Head(head) => {
-                head.revision <= held.revision || self.refused_head == Some(head)
+            ObservedHead::Absent => true,
+            ObservedHead::Present(head) if head == held_head => false,
+            ObservedHead::Present(head) => {
+                head.revision <= held_head.revision || self.refused_head == Some(head)
             }
         }
     }
@@ -471,9 +471,9 @@
         self.is_restoring = true;
         let (client, address) = (self.client.clone(), address.clone());
         self.tasks.spawn(async move {
-            let restored = restore_head(&client, &held).await;
-            let restored = restored.map_err(|error| error.to_compact_string());
-            let _send_result = address.send(RestoreFinished { restored }).await;
+            let restore_result = restore_head(&client, &held).await;
+            let restore_result = restore_result.map_err(|error| error.to_compact_string());
+            let _send_result = address.send(RestoreFinished { restore_result }).await;
         });
     }
 
@@ -482,12 +482,12 @@
         if self.is_writing_evidence || !self.feed.is_watching() {
             return;
         }
-        let Some(held) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
             return;
         };
         let Some(evidence) = self
             .evidence
-            .due_evidence(now, unix_millis(), held, &self.feed)
+            .due_evidence(now, unix_millis(), held_head, &self.feed)
         else {
             return;
         };
--- a/crates/ebonyfork/src/revision/actor/inbox.rs
+++ b/crates/ebonyfork/src/revision/actor/inbox.rs
@@ -24,7 +24,7 @@
 }
 
 /// A revision message from a peer.
-pub(in crate::revision) struct PeerInput {
+pub(in crate::revision) struct ReceivedMessage {
     pub(in crate::revision) sender: LinkSender,
     pub(in crate::revision) message: RevisionMessage,
 }
@@ -36,13 +36,13 @@
 
 /// Result of an attempt to restore a head that went back: whether the head was moved.
 pub(in crate::revision) struct RestoreFinished {
-    pub(in crate::revision) restored: Result<bool, CompactString>,
+    pub(in crate::revision) restore_result: Result<bool, CompactString>,
 }
 
 /// Result of loading a revision from the store.
-pub(in crate::revision) struct StoreLoaded {
+pub(in crate::revision) struct RevisionLoaded {
     pub(in crate::revision) head: HeadRecord,
-    pub(in crate::revision) loaded: Result<HeldRevision, LoadError>,
+    pub(in crate::revision) load_result: Result<HeldRevision, LoadError>,
 }
 
 /// Result of writing the zone's evidence.
@@ -104,12 +104,12 @@
     }
 }
 
-impl Handler<PeerInput> for RevisionActor {
+impl Handler<ReceivedMessage> for RevisionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: PeerInput, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: ReceivedMessage, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
-        let PeerInput { sender, message } = message;
+        let ReceivedMessage { sender, message } = message;
         let Some(peer) = sender.peer() else {
             return;
         };
@@ -132,8 +132,11 @@
             }
             RevisionMessage::Part { sha256, text } => self.handle_part(vm, sha256, text, &address),
             RevisionMessage::AskSettled => {
-                let settled = self.held_change().filter(|_| !self.is_provisional());
-                send_reply(&sender, settled.cloned().map(RevisionMessage::Settled));
+                let settled_change = self.held_change().filter(|_| !self.is_provisional());
+                send_reply(
+                    &sender,
+                    settled_change.cloned().map(RevisionMessage::Settled),
+                );
             }
             RevisionMessage::Settled(change) => self.handle_settled(vm, change, &address),
         }
@@ -175,10 +178,10 @@
     async fn handle(&mut self, message: HeadObserved, ctx: &mut Context<Self>) {
         let HeadObserved { head } = message;
         if let Some(head) = head {
-            self.record_highest(head.revision);
+            self.record_highest_revision(head.revision);
             self.check_divergence(head, "the store");
         }
-        self.observed_head = head.map_or(ObservedHead::Empty, ObservedHead::Head);
+        self.observed_head = head.map_or(ObservedHead::Absent, ObservedHead::Present);
         self.load_wanted_revision(&ctx.mailbox().address());
     }
 }
@@ -188,7 +191,7 @@
 
     async fn handle(&mut self, message: RestoreFinished, _ctx: &mut Context<Self>) {
         self.is_restoring = false;
-        match message.restored {
+        match message.restore_result {
             Ok(true) => self.metrics.restored.inc(),
             Ok(false) => 0,
             Err(error) => {
@@ -199,13 +202,13 @@
     }
 }
 
-impl Handler<StoreLoaded> for RevisionActor {
+impl Handler<RevisionLoaded> for RevisionActor {
     type Return = ();
 
-    async fn handle(&mut self, message: StoreLoaded, ctx: &mut Context<Self>) {
+    async fn handle(&mut self, message: RevisionLoaded, ctx: &mut Context<Self>) {
         let address = ctx.mailbox().address();
         self.is_loading = false;
-        match message.loaded {
+        match message.load_result {
             Ok(assembled) => {
                 self.load_backoff.reset();
                 self.put_in_force(assembled, "store", "", &address);
@@ -231,7 +234,7 @@
     async fn handle(&mut self, message: EvidenceWritten, _ctx: &mut Context<Self>) {
         self.is_writing_evidence = false;
         if message.failed {
-            self.evidence.record_failure();
+            self.evidence.record_write_failure();
         }
     }
 }
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -33,7 +33,7 @@
 struct ZoneMember {
     leaving: bool,
     /// Start time of the member's process in milliseconds since the Unix epoch, if membership has reported it.
-    started_ms: Option<u64>,
+    started_at_ms: Option<u64>,
     departure: Option<MemberDeparture>,
 }
 
@@ -49,7 +49,7 @@
 
 impl ZoneMember {
     fn has_just_started(&self, time_ms: u64) -> bool {
-        self.started_ms
+        self.started_at_ms
             .is_some_and(|started| started + SETTLE_TIME_MS > time_ms)
     }
 }
@@ -85,7 +85,7 @@
             }
             let member = ZoneMember {
                 leaving: entry.leaving,
-                started_ms: entry.incarnation.map(|incarnation| incarnation.0),
+                started_at_ms: entry.incarnation.map(|incarnation| incarnation.0),
                 departure: None,
             };
             self.members.insert(entry.vm, member);
@@ -154,7 +154,7 @@
     }
 
     /// Records that the last write of evidence may have failed, so that it is repeated.
-    pub fn record_failure(&mut self) {
+    pub fn record_write_failure(&mut self) {
         self.last_written = None;
     }
 
@@ -163,12 +163,12 @@
             let Some(departure) = member.departure else {
                 return true;
             };
-            let delay = if departure.in_group {
+            let departure_delay = if departure.in_group {
                 GROUP_FENCE_DELAY
             } else {
                 FENCE_DELAY
             };
-            !member.leaving && now < departure.departed_at + delay
+            !member.leaving && now < departure.departed_at + departure_delay
         });
     }
 
--- a/crates/ebonyfork/src/revision/evidence_tests.rs
+++ b/crates/ebonyfork/src/revision/evidence_tests.rs
@@ -43,7 +43,7 @@
             evidence: EvidenceState::new(vm(0), zone()),
         };
         zone.apply_view(START, numbers, &[]);
-        zone.feed.record_held(7);
+        zone.feed.record_held_number(7);
         zone
     }
 
@@ -62,11 +62,11 @@
 #[gtest]
 fn a_vm_counts_with_the_revision_it_has_shown_and_zero_before() {
     let mut zone = ZoneFixture::new(&[0, 1, 2]);
-    zone.feed.record_gossiped(START, vm(1), 7);
+    zone.feed.record_gossiped_number(START, vm(1), 7);
     expect_that!(zone.lowest(START), eq(0));
-    zone.feed.record_gossiped(START, vm(2), 7);
+    zone.feed.record_gossiped_number(START, vm(2), 7);
     expect_that!(zone.lowest(Duration::from_secs(1)), eq(7));
-    zone.feed.record_gossiped(START, vm(2), 0);
+    zone.feed.record_gossiped_number(START, vm(2), 0);
     expect_that!(zone.lowest(Duration::from_secs(2)), eq(0));
 }
 
@@ -74,7 +74,7 @@
 fn a_vanished_vm_counts_until_it_must_have_fenced_itself() {
     let one_second = Duration::from_secs(1);
     let mut zone = ZoneFixture::new(&[0, 1]);
-    zone.feed.record_gossiped(START, vm(1), 6);
+    zone.feed.record_gossiped_number(START, vm(1), 6);
     zone.apply_view(one_second, &[0], &[]);
     expect_that!(zone.lowest(one_second), eq(6));
     expect_that!(zone.lowest(one_second + FENCE_DELAY), eq(7));
@@ -93,8 +93,8 @@
 #[gtest]
 fn evidence_is_written_on_change_and_periodically() {
     let mut zone = ZoneFixture::new(&[0, 1]);
-    zone.feed.record_gossiped(START, vm(1), 7);
-    let mut written = Vec::new();
+    zone.feed.record_gossiped_number(START, vm(1), 7);
+    let mut write_times_s = Vec::new();
     for tick in 0..101 {
         let now = Duration::from_millis(200) * tick;
         if zone
@@ -102,11 +102,11 @@
             .due_evidence(now, 0, head(7), &zone.feed)
             .is_some()
         {
-            written.push(now.as_secs());
+            write_times_s.push(now.as_secs());
         }
     }
-    expect_that!(written, elements_are![eq(&0), eq(&10), eq(&20)]);
-    zone.evidence.record_failure();
+    expect_that!(write_times_s, elements_are![eq(&0), eq(&10), eq(&20)]);
+    zone.evidence.record_write_failure();
     let later = Duration::from_secs(21);
     expect_that!(
         zone.evidence.due_evidence(later, 0, head(7), &zone.feed),
@@ -116,29 +116,29 @@
 
 #[gtest]
 fn a_process_that_has_just_started_counts_as_holding_nothing() {
-    let started = 1_000_000;
+    let started_at_ms = 1_000_000;
     let vms = [0, 1].map(|number| VmEntry {
         vm: vm(number),
         zone: zone(),
-        incarnation: (number == 1).then_some(crate::ident::IncarnationNumber(started)),
+        incarnation: (number == 1).then_some(crate::ident::IncarnationNumber(started_at_ms)),
         leaving: false,
     });
     let mut zone = ZoneFixture::new(&[0]);
     let view = TopologyView::new(vms, []);
     zone.evidence.apply_topology(START, &view, &zone.feed);
     zone.feed.apply_topology(&view);
-    zone.feed.record_gossiped(START, vm(1), 7);
+    zone.feed.record_gossiped_number(START, vm(1), 7);
     for (age_ms, lowest) in [(0, 0), (SETTLE_TIME_MS - 1_000, 0), (SETTLE_TIME_MS, 7)] {
         let now = Duration::from_millis(age_ms + 1_000);
         let evidence = zone
             .evidence
-            .due_evidence(now, started + age_ms, head(7), &zone.feed);
+            .due_evidence(now, started_at_ms + age_ms, head(7), &zone.feed);
         expect_that!(
             evidence.map(|evidence| evidence.lowest.0),
             some(eq(lowest)),
             "{age_ms}"
         );
-        zone.evidence.record_failure();
+        zone.evidence.record_write_failure();
     }
 }
 
@@ -146,8 +146,8 @@
 fn vms_that_vanish_together_still_count_because_they_may_reach_each_other() {
     let one_second = Duration::from_secs(1);
     let mut zone = ZoneFixture::new(&[0, 1, 2]);
-    zone.feed.record_gossiped(START, vm(1), 6);
-    zone.feed.record_gossiped(START, vm(2), 7);
+    zone.feed.record_gossiped_number(START, vm(1), 6);
+    zone.feed.record_gossiped_number(START, vm(2), 7);
     zone.apply_view(one_second, &[0, 2], &[]);
     zone.apply_view(2 * one_second, &[0], &[]);
     expect_that!(zone.lowest(2 * one_second + FENCE_DELAY), eq(6));
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -66,8 +66,8 @@
 /// let peer: VmAddress = "127.0.0.2".parse()?;
 /// let mut feed = FeedState::new("config/head", own, "zone-a".parse()?, 7);
 /// // Partners have half a one_second to apply_view the number first; this VM knows none.
-/// assert!(feed.record_gossiped(Duration::ZERO, peer, 3).is_empty());
-/// let actions = feed.record_gossiped(Duration::from_millis(500), peer, 3);
+/// assert!(feed.record_gossiped_number(Duration::ZERO, peer, 3).is_empty());
+/// let actions = feed.record_gossiped_number(Duration::from_millis(500), peer, 3);
 /// assert_eq!(actions.as_slice(), [FeedAction::Ask(peer)]);
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
 /// ```
@@ -146,17 +146,27 @@
 
     /// Records the number that a peer has shown by gossip. It may be lower than before if the peer's process was
     /// restarted.
-    pub fn record_gossiped(&mut self, now: Duration, vm: VmAddress, number: u64) -> FeedActions {
-        self.record_shown(now, vm, number, false)
+    pub fn record_gossiped_number(
+        &mut self,
+        now: Duration,
+        vm: VmAddress,
+        number: u64,
+    ) -> FeedActions {
+        self.record_shown_number(now, vm, number, false)
     }
 
     /// Records the number that a peer has sent in a message. The link to the peer exists already, so the peer may be
     /// asked at once.
-    pub fn record_received(&mut self, now: Duration, vm: VmAddress, number: u64) -> FeedActions {
-        self.record_shown(now, vm, number, true)
+    pub fn record_received_number(
+        &mut self,
+        now: Duration,
+        vm: VmAddress,
+        number: u64,
+    ) -> FeedActions {
+        self.record_shown_number(now, vm, number, true)
     }
 
-    fn record_shown(
+    fn record_shown_number(
         &mut self,
         now: Duration,
         vm: VmAddress,
@@ -179,14 +189,14 @@
     }
 
     /// Extends the deadline of the running pull.
-    pub fn record_progress(&mut self, now: Duration) {
+    pub fn record_pull_progress(&mut self, now: Duration) {
         if let Some(pull) = &mut self.pending_pull {
             pull.deadline = now + PULL_TIMEOUT;
         }
     }
 
     /// Records a newly held number and announces it; a number that isn't higher than the held one is ignored.
-    pub fn record_held(&mut self, number: u64) -> FeedActions {
+    pub fn record_held_number(&mut self, number: u64) -> FeedActions {
         let mut actions = FeedActions::new();
         if number <= self.held_number {
             return actions;
@@ -209,14 +219,14 @@
     }
 
     /// Records that a settled peer's revision has replaced a provisional one; its number may be lower.
-    pub fn record_adopted(&mut self, number: u64) -> FeedActions {
+    pub fn record_adopted_number(&mut self, number: u64) -> FeedActions {
         self.held_number = self.held_number.min(number.saturating_sub(1));
         self.rejected_number = 0;
-        self.record_held(number)
+        self.record_held_number(number)
     }
 
     /// Records that a number was fetched and can't be used, so that it isn't fetched again.
-    pub fn record_rejected(&mut self, number: u64) {
+    pub fn record_rejected_number(&mut self, number: u64) {
         self.rejected_number = self.rejected_number.max(number);
         self.pending_pull = None;
         self.wanted_since = None;
@@ -228,7 +238,7 @@
     }
 
     /// Records that a peer couldn't serve the running pull, and pulls from another peer.
-    pub fn record_failure(&mut self, now: Duration, vm: VmAddress) -> FeedActions {
+    pub fn record_pull_failure(&mut self, now: Duration, vm: VmAddress) -> FeedActions {
         let mut actions = FeedActions::new();
         if self.pending_pull.is_some_and(|pull| pull.vm == vm) {
             self.abandon_pull(now, &mut actions);
--- a/crates/ebonyfork/src/revision/feed_tests.rs
+++ b/crates/ebonyfork/src/revision/feed_tests.rs
@@ -28,9 +28,9 @@
 #[gtest]
 fn only_a_higher_number_starts_a_pull_and_only_one_pull_runs() {
     let mut feed = feed(9);
-    feed.record_held(5);
+    feed.record_held_number(5);
     for (number, expected) in [(4, false), (5, false), (6, true), (7, false)] {
-        let actions = feed.record_gossiped(START, vm(1), number);
+        let actions = feed.record_gossiped_number(START, vm(1), number);
         expect_that!(!actions.is_empty(), eq(expected), "{number}");
     }
 }
@@ -38,29 +38,29 @@
 #[gtest]
 fn a_lower_number_is_never_held() {
     let mut feed = feed(9);
-    feed.record_held(5);
-    expect_that!(feed.record_held(4).is_empty(), eq(true));
+    feed.record_held_number(5);
+    expect_that!(feed.record_held_number(4).is_empty(), eq(true));
     expect_that!(feed.shown_number(vm(0)), eq(5));
 }
 
 #[gtest]
 fn a_pull_without_progress_is_repeated_with_another_peer() {
     let mut feed = feed(9);
-    feed.record_gossiped(START, vm(1), 6);
-    feed.record_gossiped(START, vm(2), 6);
-    feed.record_progress(START + PULL_TIMEOUT / 2);
-    let early: FeedActions = feed.tick(START + PULL_TIMEOUT);
-    expect_that!(early.contains(&FeedAction::Ask(vm(2))), eq(false));
-    let late = feed.tick(START + 2 * PULL_TIMEOUT);
-    expect_that!(late.contains(&FeedAction::Ask(vm(2))), eq(true));
+    feed.record_gossiped_number(START, vm(1), 6);
+    feed.record_gossiped_number(START, vm(2), 6);
+    feed.record_pull_progress(START + PULL_TIMEOUT / 2);
+    let early_actions: FeedActions = feed.tick(START + PULL_TIMEOUT);
+    expect_that!(early_actions.contains(&FeedAction::Ask(vm(2))), eq(false));
+    let late_actions = feed.tick(START + 2 * PULL_TIMEOUT);
+    expect_that!(late_actions.contains(&FeedAction::Ask(vm(2))), eq(true));
 }
 
 #[gtest]
 fn a_peer_that_fails_is_replaced_at_once() {
     let mut feed = feed(9);
-    feed.record_gossiped(START, vm(1), 6);
-    feed.record_gossiped(START, vm(2), 6);
-    let actions = feed.record_failure(START, vm(1));
+    feed.record_gossiped_number(START, vm(1), 6);
+    feed.record_gossiped_number(START, vm(2), 6);
+    let actions = feed.record_pull_failure(START, vm(1));
     expect_that!(
         actions.as_slice(),
         elements_are![eq(&FeedAction::Ask(vm(2)))]
@@ -70,39 +70,45 @@
 #[gtest]
 fn an_unusable_number_is_not_fetched_again() {
     let mut feed = feed(9);
-    feed.record_gossiped(START, vm(1), 6);
-    feed.record_rejected(6);
-    expect_that!(feed.record_gossiped(START, vm(2), 6).is_empty(), eq(true));
-    expect_that!(feed.record_gossiped(START, vm(2), 7).is_empty(), eq(false));
+    feed.record_gossiped_number(START, vm(1), 6);
+    feed.record_rejected_number(6);
+    expect_that!(
+        feed.record_gossiped_number(START, vm(2), 6).is_empty(),
+        eq(true)
+    );
+    expect_that!(
+        feed.record_gossiped_number(START, vm(2), 7).is_empty(),
+        eq(false)
+    );
 }
 
 #[gtest]
 fn a_newly_held_number_is_announced_to_peers_that_lack_it() {
     let mut feed = feed(4);
-    feed.record_gossiped(START, vm(1), 6);
-    let announced = feed.record_held(6);
-    expect_that!(announced.contains(&FeedAction::Announce(vm(1))), eq(false));
-    expect_that!(announced.contains(&FeedAction::Announce(vm(2))), eq(true));
-    expect_that!(announced.contains(&FeedAction::Announce(vm(3))), eq(true));
+    feed.record_gossiped_number(START, vm(1), 6);
+    let actions = feed.record_held_number(6);
+    expect_that!(actions.contains(&FeedAction::Announce(vm(1))), eq(false));
+    expect_that!(actions.contains(&FeedAction::Announce(vm(2))), eq(true));
+    expect_that!(actions.contains(&FeedAction::Announce(vm(3))), eq(true));
 }
 
 #[gtest]
 fn a_vm_that_holds_nothing_asks_more_often() {
-    let asked = |held| {
+    let count_asks = |held_number| {
         let mut feed = feed(9);
-        feed.record_held(held);
-        let mut asked = 0;
+        feed.record_held_number(held_number);
+        let mut ask_count = 0;
         for tick in 0..100 {
             let actions = feed.tick(Duration::from_millis(200) * tick);
-            asked += actions
+            ask_count += actions
                 .iter()
                 .filter(|action| matches!(action, FeedAction::Ask(_)))
                 .count();
         }
-        asked
+        ask_count
     };
-    expect_that!(asked(0), ge(40));
-    expect_that!(asked(1), all!(ge(3), le(10)));
+    expect_that!(count_asks(0), ge(40));
+    expect_that!(count_asks(1), all!(ge(3), le(10)));
 }
 
 #[gtest]
@@ -110,16 +116,16 @@
     let distant_vm = vm(99);
     let mut feed = feed(9);
     expect_that!(
-        feed.record_gossiped(START, distant_vm, 6).is_empty(),
+        feed.record_gossiped_number(START, distant_vm, 6).is_empty(),
         eq(true)
     );
-    let announced = feed.record_received(START, distant_vm, 6);
+    let actions = feed.record_received_number(START, distant_vm, 6);
     expect_that!(
-        announced.as_slice(),
+        actions.as_slice(),
         elements_are![eq(&FeedAction::Ask(distant_vm))]
     );
     let mut feed = self::feed(9);
-    feed.record_gossiped(START, distant_vm, 6);
+    feed.record_gossiped_number(START, distant_vm, 6);
     let asks = |actions: &FeedActions| actions.contains(&FeedAction::Ask(distant_vm));
     expect_that!(asks(&feed.tick(PARTNER_WAIT / 2)), eq(false));
     expect_that!(asks(&feed.tick(PARTNER_WAIT)), eq(true));
--- a/crates/ebonyfork/src/revision/handle.rs
+++ b/crates/ebonyfork/src/revision/handle.rs
@@ -14,7 +14,9 @@
 use crate::views::NodeViews;
 use crate::wire::{LinkError, LinkSender, PeerMessage};
 
-use super::actor::{GossipedRevisions, PeerInput, RevisionActor, StopFeed, spawn_revision_actor};
+use super::actor::{
+    GossipedRevisions, ReceivedMessage, RevisionActor, StopFeed, spawn_revision_actor,
+};
 use super::message::RevisionMessage;
 use super::metrics::RevisionMetrics;
 
@@ -44,7 +46,7 @@
     /// Handles a message from a peer; replies go back over `sender`.
     pub async fn take_message(&self, sender: LinkSender, message: RevisionMessage) {
         // A stopped feed accepts no messages, which happens only while the process is stopping.
-        let _send_result = self.address.send(PeerInput { sender, message }).await;
+        let _send_result = self.address.send(ReceivedMessage { sender, message }).await;
     }
 
     /// Records the revision that a peer's membership digest shows.
--- a/crates/ebonyfork/src/revision/mod.rs
+++ b/crates/ebonyfork/src/revision/mod.rs
@@ -33,7 +33,9 @@
 pub use feed::{ASK_PERIOD, FeedAction, FeedActions, FeedState, PULL_TIMEOUT};
 pub use handle::RevisionHandle;
 pub use message::RevisionMessage;
-pub use peers::{FAN_OUT, FAR_PARTNERS, NEAR_PARTNERS, WATCHERS_PER_ZONE, ZonePeers};
+pub use peers::{
+    ANNOUNCE_FAN_OUT, FAR_PARTNER_COUNT, NEAR_PARTNER_COUNT, WATCHERS_PER_ZONE, ZonePeers,
+};
 pub use publish::{
     ExpectedBase, PublishAction, PublishOutcome, PublishReply, PublishRequest, PublishRun,
 };
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -19,11 +19,11 @@
 /// Number of VMs per zone that watch a key of the store.
 pub const WATCHERS_PER_ZONE: usize = 2;
 /// Number of peers in the own zone that receive each announcement.
-pub const FAN_OUT: usize = 4;
+pub const ANNOUNCE_FAN_OUT: usize = 4;
 /// Number of partners in the own zone. Among 490 VMs, one in 3,000 is nobody's partner; it learns of changes by asking.
-pub const NEAR_PARTNERS: usize = 8;
+pub const NEAR_PARTNER_COUNT: usize = 8;
 /// Number of partners in other zones.
-pub const FAR_PARTNERS: usize = 3;
+pub const FAR_PARTNER_COUNT: usize = 3;
 /// One question in this many goes to a VM of another zone.
 const FAR_ASK_RATIO: u32 = 4;
 
@@ -76,8 +76,8 @@
             self.active_vms.push(self.own_vm);
         }
         let key = self.own_vm.to_string();
-        keep_highest_ranked(&mut self.near_partners, &key, NEAR_PARTNERS);
-        keep_highest_ranked(&mut self.far_partners, &key, FAR_PARTNERS);
+        keep_highest_ranked(&mut self.near_partners, &key, NEAR_PARTNER_COUNT);
+        keep_highest_ranked(&mut self.far_partners, &key, FAR_PARTNER_COUNT);
     }
 
     /// Returns whether a VM is a partner of this VM.
@@ -104,13 +104,13 @@
     pub fn draw_announce_targets(
         &self,
         rng: &mut impl rand::Rng,
-    ) -> SmallVec<[VmAddress; FAN_OUT]> {
+    ) -> SmallVec<[VmAddress; ANNOUNCE_FAN_OUT]> {
         let mut targets = SmallVec::new();
-        if self.near_partners.len() <= FAN_OUT {
+        if self.near_partners.len() <= ANNOUNCE_FAN_OUT {
             targets.extend_from_slice(&self.near_partners);
             return targets;
         }
-        while targets.len() < FAN_OUT {
+        while targets.len() < ANNOUNCE_FAN_OUT {
             let vm = self.near_partners[rng.random_range(0..self.near_partners.len())];
             if !targets.contains(&vm) {
                 targets.push(vm);
--- a/crates/ebonyfork/src/revision/peers_tests.rs
+++ b/crates/ebonyfork/src/revision/peers_tests.rs
@@ -9,8 +9,8 @@
     VmAddress([127, 0, 1, number].into())
 }
 
-fn view(zones: &[(u8, &str, bool)]) -> TopologyView {
-    let vms = zones.iter().map(|(number, zone, leaving)| VmEntry {
+fn view(members: &[(u8, &str, bool)]) -> TopologyView {
+    let vms = members.iter().map(|(number, zone, leaving)| VmEntry {
         vm: vm(*number),
         zone: zone.parse().unwrap(),
         incarnation: None,
@@ -34,61 +34,69 @@
 #[gtest]
 fn each_zone_has_two_watchers_whatever_its_size() {
     for size in [1, 2, 3, 30, 100] {
-        let mut zones = Vec::new();
+        let mut members = Vec::new();
         for number in 0..size {
-            zones.push((number, "zone-a", false));
-            zones.push((number + 100, "zone-b", false));
+            members.push((number, "zone-a", false));
+            members.push((number + 100, "zone-b", false));
         }
         let expected = 2 * usize::from(size.min(2));
-        expect_that!(watchers(&view(&zones), "config/head").len(), eq(expected));
+        expect_that!(watchers(&view(&members), "config/head").len(), eq(expected));
     }
 }
 
 #[gtest]
 fn a_leaving_vm_stops_watching_and_another_takes_over() {
-    let active_vms: Vec<_> = (0..10).map(|number| (number, "zone-a", false)).collect();
-    let before = watchers(&view(&active_vms), "config/head");
-    let leaving_vm = before[0];
-    let leaving: Vec<_> = (0..10)
+    let active_members: Vec<_> = (0..10).map(|number| (number, "zone-a", false)).collect();
+    let watchers_before = watchers(&view(&active_members), "config/head");
+    let leaving_vm = watchers_before[0];
+    let members_with_leaving: Vec<_> = (0..10)
         .map(|number| (number, "zone-a", vm(number) == leaving_vm))
         .collect();
-    let after = watchers(&view(&leaving), "config/head");
-    expect_that!(after.len(), eq(2));
-    expect_that!(after, not(contains(eq(&leaving_vm))));
-    expect_that!(after, contains(eq(&before[1])));
+    let watchers_after = watchers(&view(&members_with_leaving), "config/head");
+    expect_that!(watchers_after.len(), eq(2));
+    expect_that!(watchers_after, not(contains(eq(&leaving_vm))));
+    expect_that!(watchers_after, contains(eq(&watchers_before[1])));
 }
 
 #[gtest]
 fn announce_targets_are_distinct_and_ask_targets_are_mostly_near() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut zones: Vec<_> = (0..20).map(|number| (number, "zone-a", false)).collect();
-    zones.push((99, "zone-b", false));
+    let mut members: Vec<_> = (0..20).map(|number| (number, "zone-a", false)).collect();
+    members.push((99, "zone-b", false));
     let mut peers = ZonePeers::new(vm(0), "zone-a".parse().unwrap());
     expect_that!(peers.draw_ask_target(&mut rng), none());
-    peers.update(&view(&zones));
+    peers.update(&view(&members));
     let mut targets = peers.draw_announce_targets(&mut rng).to_vec();
     targets.sort_unstable();
     targets.dedup();
-    expect_that!(targets.len(), eq(FAN_OUT));
+    expect_that!(targets.len(), eq(ANNOUNCE_FAN_OUT));
     let far_asks = (0..400).filter(|_| peers.draw_ask_target(&mut rng) == Some(vm(99)));
     expect_that!(far_asks.count(), all!(ge(50), le(150)));
 }
 
 #[gtest]
 fn partners_are_few_and_stay_when_another_vm_leaves() {
-    let mut zones: Vec<_> = (0..100).map(|number| (number, "zone-a", false)).collect();
-    zones.extend((100..200).map(|number| (number, "zone-b", false)));
-    let partners = |zones: &[(u8, &str, bool)]| {
+    let mut members: Vec<_> = (0..100).map(|number| (number, "zone-a", false)).collect();
+    members.extend((100..200).map(|number| (number, "zone-b", false)));
+    let partners = |members: &[(u8, &str, bool)]| {
         let mut peers = ZonePeers::new(vm(0), "zone-a".parse().unwrap());
-        peers.update(&view(zones));
-        let all = (0..200).map(vm);
-        all.filter(|vm| peers.is_partner(*vm)).collect::<Vec<_>>()
+        peers.update(&view(members));
+        let all_vms = (0..200).map(vm);
+        all_vms
+            .filter(|vm| peers.is_partner(*vm))
+            .collect::<Vec<_>>()
     };
-    let before = partners(&zones);
-    expect_that!(before.len(), eq(NEAR_PARTNERS + FAR_PARTNERS));
-    let removed_vm = before[0];
-    zones.retain(|(number, _, _)| vm(*number) != removed_vm);
-    let after = partners(&zones);
-    let kept = before.iter().filter(|vm| after.contains(vm)).count();
-    expect_that!(kept, eq(before.len() - 1));
+    let partners_before = partners(&members);
+    expect_that!(
+        partners_before.len(),
+        eq(NEAR_PARTNER_COUNT + FAR_PARTNER_COUNT)
+    );
+    let removed_vm = partners_before[0];
+    members.retain(|(number, _, _)| vm(*number) != removed_vm);
+    let partners_after = partners(&members);
+    let kept_count = partners_before
+        .iter()
+        .filter(|vm| partners_after.contains(vm))
+        .count();
+    expect_that!(kept_count, eq(partners_before.len() - 1));
 }
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -153,7 +153,7 @@
     /// read.
     SearchAncestors {
         tip: Option<ChangeRecord>,
-        next: ChangeId,
+        next_ancestor: ChangeId,
     },
     /// Reads the change record of a head that isn't the expected base.
     ReadOtherChange(ChangeId),
@@ -262,18 +262,20 @@
                 None => PublishAction::ReadHead,
             },
             PublishStep::PutPart(index) => PublishAction::PutPart(*index),
-            PublishStep::PutRecord => PublishAction::PutChange(self.record()),
+            PublishStep::PutRecord => PublishAction::PutChange(self.build_record()),
             PublishStep::MoveHead => {
                 self.swaps_sent += 1;
                 PublishAction::MoveHead(self.base_version(), self.own_head())
             }
-            PublishStep::SearchAncestors { next, .. } => PublishAction::ReadChange(*next),
+            PublishStep::SearchAncestors { next_ancestor, .. } => {
+                PublishAction::ReadChange(*next_ancestor)
+            }
             PublishStep::ReadOtherChange(change) => PublishAction::ReadChange(*change),
             PublishStep::VerifyRecord { .. } => PublishAction::ReadChange(self.request.change),
         }
     }
 
-    fn record(&self) -> ChangeRecord {
+    fn build_record(&self) -> ChangeRecord {
         ChangeRecord {
             revision: self.revision,
             change: self.request.change,
@@ -287,8 +289,8 @@
     }
 
     fn lineage(&self) -> Vec<ChangeId> {
-        let base = self.base_change.as_ref();
-        base.map_or_else(Vec::new, ChangeRecord::child_lineage)
+        let base_change = self.base_change.as_ref();
+        base_change.map_or_else(Vec::new, ChangeRecord::child_lineage)
     }
 
     fn handle_head(&mut self, head: StoredHead) -> PublishAction {
@@ -305,7 +307,9 @@
         {
             self.base = expected.map(|expected| (StoreRevision::ABSENT, expected));
             return match current_head {
-                Some(theirs) => self.enter_step(PublishStep::ReadOtherChange(theirs.change)),
+                Some(other_head) => {
+                    self.enter_step(PublishStep::ReadOtherChange(other_head.change))
+                }
                 None => {
                     finish_not_published("the store has lost the head this change was made for")
                 }
@@ -317,18 +321,18 @@
 
     /// Refuses to publish if some zone already holds a higher revision than the head.
     fn check_evidence(&mut self, evidence: &[HeldEvidence]) -> PublishAction {
-        let head = self.base_revision();
-        for zone in evidence {
-            if zone.held.revision <= head {
+        let base_revision = self.base_revision();
+        for zone_evidence in evidence {
+            if zone_evidence.held.revision <= base_revision {
                 continue;
             }
-            let (name, held) = (&zone.zone, zone.held);
+            let (name, held) = (&zone_evidence.zone, zone_evidence.held);
             return finish_not_published(format_compact!(
-                "the store has gone back to revision {head}, but zone {name} holds {held}; its watchers restore the \
+                "the store has gone back to revision {base_revision}, but zone {name} holds {held}; its watchers restore the \
                  head within seconds, then try again"
             ));
         }
-        self.revision = RevisionNumber(head.0 + 1);
+        self.revision = RevisionNumber(base_revision.0 + 1);
         match self.base {
             Some(_) => self.enter_step(PublishStep::ReadBaseChange),
             None => self.next_part(0),
@@ -338,7 +342,9 @@
     fn handle_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
         match self.step.clone() {
             PublishStep::ReadOtherChange(_) => self.finish_conflict(change),
-            PublishStep::SearchAncestors { tip, next } => self.search_ancestors(tip, next, change),
+            PublishStep::SearchAncestors { tip, next_ancestor } => {
+                self.search_ancestors(tip, next_ancestor, change)
+            }
             PublishStep::VerifyRecord { followed_by } => self.verify_record(followed_by, change),
             _ => self.handle_base_change(change),
         }
@@ -365,8 +371,8 @@
     fn next_part(&mut self, first_index: usize) -> PublishAction {
         for index in first_index..self.request.parts.entries.len() {
             let digest = self.request.parts.entries[index].sha256;
-            let base = self.base_change.iter().flat_map(|change| &change.parts);
-            if !base.into_iter().any(|part| part.sha256 == digest) {
+            let base_parts = self.base_change.iter().flat_map(|change| &change.parts);
+            if !base_parts.into_iter().any(|part| part.sha256 == digest) {
                 return self.enter_step(PublishStep::PutPart(index));
             }
         }
@@ -403,8 +409,8 @@
         }
         match head {
             Some((_, head)) if head.revision >= self.base_revision() => {
-                let (tip, next) = (None, head.change);
-                self.enter_step(PublishStep::SearchAncestors { tip, next })
+                let (tip, next_ancestor) = (None, head.change);
+                self.enter_step(PublishStep::SearchAncestors { tip, next_ancestor })
             }
             _ => self.give_up("the store has gone back to an older head"),
         }
@@ -414,10 +420,10 @@
     fn search_ancestors(
         &mut self,
         tip: Option<ChangeRecord>,
-        next: ChangeId,
+        next_ancestor: ChangeId,
         change: Option<ChangeRecord>,
     ) -> PublishAction {
-        if next == self.request.change {
+        if next_ancestor == self.request.change {
             return self.verify_published(tip.map(|tip| tip.head()));
         }
         let Some(change) = change else {
@@ -425,9 +431,9 @@
         };
         let tip = tip.unwrap_or_else(|| change.clone());
         match change.parent() {
-            Some(next) if change.revision > self.revision => {
+            Some(next_ancestor) if change.revision > self.revision => {
                 let tip = Some(tip);
-                self.enter_step(PublishStep::SearchAncestors { tip, next })
+                self.enter_step(PublishStep::SearchAncestors { tip, next_ancestor })
             }
             _ => self.finish_conflict(Some(tip)),
         }
--- a/crates/ebonyfork/src/revision/publish_tests.rs
+++ b/crates/ebonyfork/src/revision/publish_tests.rs
@@ -47,7 +47,7 @@
 }
 
 impl ScriptedStore {
-    fn answer(&mut self, action: PublishAction) -> PublishReply {
+    fn reply_to(&mut self, action: PublishAction) -> PublishReply {
         match action {
             PublishAction::ReadHead => PublishReply::Head(Ok(if self.swaps_received == 0 {
                 Some((StoreRevision::new(1), head(1, BASE_CHANGE)))
@@ -57,9 +57,7 @@
             PublishAction::ReadEvidence => PublishReply::Evidence(Ok(self.evidence.clone())),
             PublishAction::ReadChange(change) => {
                 let mut records = self.records.iter();
-                PublishReply::Change(Ok(records
-                    .find(|record_entry| record_entry.change == change)
-                    .cloned()))
+                PublishReply::Change(Ok(records.find(|record| record.change == change).cloned()))
             }
             PublishAction::PutPart(_) => PublishReply::Written(Ok(())),
             PublishAction::PutChange(change) => {
@@ -70,10 +68,10 @@
                 PublishReply::Written(Ok(()))
             }
             PublishAction::MoveHead(_, _) => {
-                let last_answer = self.swap_answers.len() - 1;
-                let answer = self.swap_answers[self.swaps_received.min(last_answer)].clone();
+                let last_index = self.swap_answers.len() - 1;
+                let swap_answer = self.swap_answers[self.swaps_received.min(last_index)].clone();
                 self.swaps_received += 1;
-                PublishReply::Moved(answer)
+                PublishReply::Moved(swap_answer)
             }
             PublishAction::Pause | PublishAction::Finish(_) => PublishReply::Paused,
         }
@@ -87,7 +85,7 @@
         if let PublishAction::Finish(outcome) = action {
             return outcome;
         }
-        let reply = store.answer(action);
+        let reply = store.reply_to(action);
         action = run.take(reply);
     }
 }
@@ -192,7 +190,7 @@
             1,
         ),
     ];
-    for (index, (swap_answers, head_after_swap, other_record, expected, swaps_received)) in
+    for (case, (swap_answers, head_after_swap, other_record, expected, swaps_received)) in
         cases.into_iter().enumerate()
     {
         let mut store = ScriptedStore {
@@ -208,9 +206,9 @@
         expect_that!(
             outcome_name(&outcome),
             eq(expected),
-            "case {index}: {outcome:?}"
+            "case {case}: {outcome:?}"
         );
-        expect_that!(store.swaps_received, eq(swaps_received), "case {index}");
+        expect_that!(store.swaps_received, eq(swaps_received), "case {case}");
     }
 }
 
--- a/crates/ebonyfork/src/revision/record_tests.rs
+++ b/crates/ebonyfork/src/revision/record_tests.rs
@@ -44,8 +44,8 @@
         (change(7, 7, &[6, 5]), change(8, 80, &[70, 6]), false),
         (change(7, 7, &[6, 5]), change(6, 6, &[5]), false),
     ];
-    for (held, next, expected) in cases {
-        expect_that!(next.follows(held.head()), eq(expected), "{next:?}");
+    for (held, offered, expected) in cases {
+        expect_that!(offered.follows(held.head()), eq(expected), "{offered:?}");
     }
 }
 
--- a/crates/ebonyfork/src/revision/serve.rs
+++ b/crates/ebonyfork/src/revision/serve.rs
@@ -28,10 +28,10 @@
 impl ServeBudget {
     /// Takes the bytes of one part from the budget. Returns `false` if too few are left.
     pub fn try_take(&mut self, now: Duration, size: usize) -> bool {
-        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now.max(self.updated_at);
-        self.available_bytes =
-            (self.available_bytes + elapsed * SERVE_BYTES_PER_SECOND).min(SERVE_BURST_BYTES);
+        self.available_bytes = (self.available_bytes + elapsed_seconds * SERVE_BYTES_PER_SECOND)
+            .min(SERVE_BURST_BYTES);
         let size = size as f64;
         if self.available_bytes < size {
             return false;
--- a/crates/ebonyfork/src/revision/store.rs
+++ b/crates/ebonyfork/src/revision/store.rs
@@ -16,14 +16,16 @@
 
 /// Reads the head from the store.
 pub async fn read_head(client: &StoreClient) -> Result<StoredHead, StoreError> {
-    let stored = client.get(HEAD_KEY).await?;
-    stored.map(parse_head).transpose()
+    let stored_item = client.get(HEAD_KEY).await?;
+    stored_item.map(parse_head).transpose()
 }
 
 /// Parses the head from its store item.
-pub(super) fn parse_head(stored: StoreItem) -> Result<(StoreRevision, HeadRecord), StoreError> {
-    let head = parse_json(HEAD_KEY, &stored.value)?;
-    Ok((stored.revision, head))
+pub(super) fn parse_head(
+    stored_item: StoreItem,
+) -> Result<(StoreRevision, HeadRecord), StoreError> {
+    let head = parse_json(HEAD_KEY, &stored_item.value)?;
+    Ok((stored_item.revision, head))
 }
 
 /// Reads the record of a change; returns `None` if the store doesn't have it.
@@ -32,10 +34,10 @@
     change: ChangeId,
 ) -> Result<Option<ChangeRecord>, StoreError> {
     let key = change.key();
-    let Some(stored) = client.get(&key).await? else {
+    let Some(stored_item) = client.get(&key).await? else {
         return Ok(None);
     };
-    parse_json(&key, &stored.value).map(Some)
+    parse_json(&key, &stored_item.value).map(Some)
 }
 
 /// Reads a part and checks its digest; returns `None` if the store doesn't have it.
@@ -44,14 +46,14 @@
     sha256: PartDigest,
 ) -> Result<Option<Bytes>, StoreError> {
     let key = sha256.key();
-    let Some(stored) = client.get(&key).await? else {
+    let Some(stored_item) = client.get(&key).await? else {
         return Ok(None);
     };
-    if PartDigest::new(&stored.value) != sha256 {
+    if PartDigest::new(&stored_item.value) != sha256 {
         let reason = format_compact!("{key} doesn't match its digest");
         return Err(StoreError::Malformed { reason });
     }
-    Ok(Some(stored.value))
+    Ok(Some(stored_item.value))
 }
 
 /// Reads the evidence of all zones that have written any.
--- a/crates/ebonyfork/src/revision/watcher.rs
+++ b/crates/ebonyfork/src/revision/watcher.rs
@@ -20,7 +20,7 @@
     let mut watch = KeyWatch::new(client, HEAD_KEY);
     while address.is_connected() {
         let head = match watch.next().await.map(parse_head).transpose() {
-            Ok(stored) => stored.map(|(_revision, head)| head),
+            Ok(stored_item) => stored_item.map(|(_revision, head)| head),
             Err(error) => {
                 log::warn!("{HEAD_KEY} can't be read, the revision in force stays: {error}");
                 continue;
--- a/crates/ebonyfork/src/store/call_budget.rs
+++ b/crates/ebonyfork/src/store/call_budget.rs
@@ -16,8 +16,8 @@
 ///
 /// let mut budget = CallBudget::new(10.0, 2.0);
 /// let start = Duration::ZERO;
-/// assert!(budget.take(start) && budget.take(start) && !budget.take(start));
-/// assert!(budget.take(start + Duration::from_millis(100)));
+/// assert!(budget.try_take(start) && budget.try_take(start) && !budget.try_take(start));
+/// assert!(budget.try_take(start + Duration::from_millis(100)));
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct CallBudget {
@@ -39,7 +39,7 @@
     }
 
     /// Takes one call from the budget. Returns `false` if none is left.
-    pub fn take(&mut self, now: Duration) -> bool {
+    pub fn try_take(&mut self, now: Duration) -> bool {
         let elapsed_seconds = now.saturating_sub(self.updated_at).as_secs_f64();
         self.updated_at = now.max(self.updated_at);
         self.tokens = (self.tokens + elapsed_seconds * self.calls_per_second).min(self.burst);
--- a/crates/ebonyfork/src/store/client.rs
+++ b/crates/ebonyfork/src/store/client.rs
@@ -202,11 +202,11 @@
         &self,
         call: &'static str,
         wait: Duration,
-        answer: AnswerFuture<'_, T>,
+        answer_future: AnswerFuture<'_, T>,
     ) -> Result<T, StoreError> {
         let call_result = if self.try_take_budget() {
             self.shared.calls_sent.fetch_add(1, Ordering::Relaxed);
-            answer_within(self.shared.timeout + wait, answer).await
+            answer_within(self.shared.timeout + wait, answer_future).await
         } else {
             Err(StoreError::Refused {
                 reason: CompactString::const_new("this process has used up its budget of calls"),
@@ -228,19 +228,19 @@
         let budget_guard = self.shared.budget.lock();
         budget_guard
             .unwrap_or_else(PoisonError::into_inner)
-            .take(now)
+            .try_take(now)
     }
 }
 
 impl StorePort for StoreClient {
     async fn read_item(&self, key: &str) -> Result<Option<StoreItem>, StoreError> {
-        let answer = self.shared.port.read_item(key);
-        self.call("read-item", Duration::ZERO, answer).await
+        let answer_future = self.shared.port.read_item(key);
+        self.call("read-item", Duration::ZERO, answer_future).await
     }
 
     async fn read_page(&self, prefix: &str, after: Option<&str>) -> Result<StorePage, StoreError> {
-        let answer = self.shared.port.read_page(prefix, after);
-        self.call("read-page", Duration::ZERO, answer).await
+        let answer_future = self.shared.port.read_page(prefix, after);
+        self.call("read-page", Duration::ZERO, answer_future).await
     }
 
     async fn watch(
@@ -249,8 +249,8 @@
         after: StoreRevision,
         wait: Duration,
     ) -> Result<StoreWatch, StoreError> {
-        let answer = self.shared.port.watch(prefix, after, wait);
-        self.call("watch", wait, answer).await
+        let answer_future = self.shared.port.watch(prefix, after, wait);
+        self.call("watch", wait, answer_future).await
     }
 
     async fn write(&self, write: StoreWrite) -> Result<StoreRevision, StoreError> {
@@ -259,22 +259,23 @@
             let reason = format_compact!("{size} bytes exceed the limit of {VALUE_LIMIT}");
             return Err(StoreError::Refused { reason });
         }
-        let answer = self.shared.port.write(write);
-        self.call("write", Duration::ZERO, answer).await
+        let answer_future = self.shared.port.write(write);
+        self.call("write", Duration::ZERO, answer_future).await
     }
 
     async fn open_lease(&self, ttl: Duration) -> Result<LeaseGrant, StoreError> {
-        let answer = self.shared.port.open_lease(ttl);
-        self.call("open-lease", Duration::ZERO, answer).await
+        let answer_future = self.shared.port.open_lease(ttl);
+        self.call("open-lease", Duration::ZERO, answer_future).await
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let answer = self.shared.port.renew_lease(lease);
-        self.call("renew-lease", Duration::ZERO, answer).await
+        let answer_future = self.shared.port.renew_lease(lease);
+        self.call("renew-lease", Duration::ZERO, answer_future)
+            .await
     }
 
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError> {
-        let answer = self.shared.port.end_lease(lease);
-        self.call("end-lease", Duration::ZERO, answer).await
+        let answer_future = self.shared.port.end_lease(lease);
+        self.call("end-lease", Duration::ZERO, answer_future).await
     }
 }
--- a/crates/ebonyfork/src/store/feed.rs
+++ b/crates/ebonyfork/src/store/feed.rs
@@ -42,7 +42,7 @@
 
     /// Reads the range again after every failed call, for stores that may come back with older data.
     #[must_use]
-    pub fn with_rereading(mut self) -> Self {
+    pub fn with_reread_after_failure(mut self) -> Self {
         self.rereads_after_failure = true;
         self
     }
@@ -172,8 +172,12 @@
                 watch.map(|watch| {
                     // A watch that returned changes may have read the store as early as its start. One that waited the
                     // full time without changes shows the store as of the end of the wait.
-                    let idle = watch.events.is_empty() && waited_fully;
-                    let proof = if idle { called_at + wait } else { called_at };
+                    let was_idle = watch.events.is_empty() && waited_fully;
+                    let proof = if was_idle {
+                        called_at + wait
+                    } else {
+                        called_at
+                    };
                     let stated = watch.revision;
                     let change = self.state.take_watch(watch);
                     // Changes that don't continue the known range prove nothing.
--- a/crates/ebonyfork/src/store/key_watch.rs
+++ b/crates/ebonyfork/src/store/key_watch.rs
@@ -20,7 +20,7 @@
     /// Creates a watch that has read nothing yet.
     pub fn new(port: P, key: impl Into<String>) -> Self {
         let key = key.into();
-        let settings = MirrorSettings::new(&key).with_rereading();
+        let settings = MirrorSettings::new(&key).with_reread_after_failure();
         Self {
             feed: MirrorFeed::new(port, settings),
             key,
--- a/crates/ebonyfork/src/store/key_watch_tests.rs
+++ b/crates/ebonyfork/src/store/key_watch_tests.rs
@@ -67,7 +67,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_item_older_than_the_returned_one_is_skipped() {
-    let watch = |revision: u64| StoreWatch {
+    let watch_result = |revision: u64| StoreWatch {
         events: vec![StoreEvent::Written(item(revision))],
         revision: StoreRevision::new(revision + 1),
     };
@@ -78,7 +78,7 @@
             revision: StoreRevision::new(15),
         },
         // Watch results are popped from the end, so the last one is returned first.
-        watch_results: Arc::new(Mutex::new(vec![watch(21), watch(17)])),
+        watch_results: Arc::new(Mutex::new(vec![watch_result(21), watch_result(17)])),
     };
     let mut watch = KeyWatch::new(port, KEY);
     expect_that!(watch.next().await, some(eq(&item(20))));
--- a/crates/ebonyfork/src/store/mirror_tests.rs
+++ b/crates/ebonyfork/src/store/mirror_tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn following(items: Vec<StoreItem>, revision: u64) -> MirrorState {
+fn following_mirror(items: Vec<StoreItem>, revision: u64) -> MirrorState {
     let mut mirror = MirrorState::new();
     let change = mirror.take_page(page(items, false, revision));
     expect_that!(change.is_some(), eq(true));
@@ -65,7 +65,7 @@
 
 #[gtest]
 fn only_the_last_of_several_changes_of_a_key_is_returned() {
-    let mut mirror = following(vec![item("a", 1)], 1);
+    let mut mirror = following_mirror(vec![item("a", 1)], 1);
     let events = vec![
         StoreEvent::Written(item("b", 2)),
         removed("a", 3),
@@ -86,9 +86,12 @@
 /// answers as if the history had continued.
 #[gtest]
 fn changes_of_a_later_era_cause_a_full_read() {
-    let mut mirror = following(vec![item("a", 1)], 5);
-    let changes = watch(vec![StoreEvent::Written(item("b", 8))], 8);
-    expect_that!(mirror.take_watch(changes.with_era(StoreEra(1))), none());
+    let mut mirror = following_mirror(vec![item("a", 1)], 5);
+    let watch_result = watch(vec![StoreEvent::Written(item("b", 8))], 8);
+    expect_that!(
+        mirror.take_watch(watch_result.with_era(StoreEra(1))),
+        none()
+    );
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
     let full_range = page(vec![item("a", 1)], false, 9).with_era(StoreEra(1));
     expect_that!(mirror.take_page(full_range), some(anything()));
@@ -99,17 +102,17 @@
 #[gtest]
 fn pages_of_two_eras_are_not_combined() {
     let mut mirror = MirrorState::new();
-    let first = page(vec![item("a", 3)], true, 10).with_era(StoreEra(1));
-    let second = page(vec![item("b", 4)], false, 10).with_era(StoreEra(2));
-    expect_that!(mirror.take_page(first), none());
-    expect_that!(mirror.take_page(second.clone()), none());
+    let first_page = page(vec![item("a", 3)], true, 10).with_era(StoreEra(1));
+    let second_page = page(vec![item("b", 4)], false, 10).with_era(StoreEra(2));
+    expect_that!(mirror.take_page(first_page), none());
+    expect_that!(mirror.take_page(second_page.clone()), none());
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
-    expect_that!(mirror.take_page(second), some(anything()));
+    expect_that!(mirror.take_page(second_page), some(anything()));
 }
 
 #[gtest]
 fn a_mirror_does_not_resume_at_a_revision_of_an_ended_history() {
-    let mut mirror = following(vec![item("a", 1)], 5);
+    let mut mirror = following_mirror(vec![item("a", 1)], 5);
     mirror.take_watch(watch(vec![], 4).with_era(StoreEra(2)));
     mirror.resume_at(in_era(90, 1));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
@@ -122,9 +125,9 @@
 fn answers_of_a_lower_era_count_as_answers_of_the_highest_era() {
     let mut mirror = MirrorState::new();
     mirror.take_page(page(vec![], false, 5).with_era(StoreEra(2)));
-    for stated in [0, 1] {
-        let changes = watch(vec![StoreEvent::Written(item("a", 6))], 6);
-        let change = mirror.take_watch(changes.with_era(StoreEra(stated)));
+    for stated_era in [0, 1] {
+        let watch_result = watch(vec![StoreEvent::Written(item("a", 6))], 6);
+        let change = mirror.take_watch(watch_result.with_era(StoreEra(stated_era)));
         let expected = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
         expect_that!(change, some(eq(&MirrorChange::Changed(vec![expected]))));
         let after = in_era(6, 2);
@@ -134,7 +137,7 @@
 
 #[gtest]
 fn a_lost_history_causes_an_immediate_full_read() {
-    let mut mirror = following(vec![item("a", 1)], 1);
+    let mut mirror = following_mirror(vec![item("a", 1)], 1);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     mirror.take_failure(&StoreError::HistoryGone, &mut rng);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
@@ -143,14 +146,14 @@
 
 #[gtest]
 fn a_failed_watch_resumes_at_its_revision_after_a_pause() {
-    let mut mirror = following(vec![item("a", 1)], 7);
+    let mut mirror = following_mirror(vec![item("a", 1)], 7);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let lost = StoreError::Lost {
+    let lost_error = StoreError::Lost {
         reason: "silent".into(),
     };
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        mirror.take_failure(&lost, &mut rng);
+        mirror.take_failure(&lost_error, &mut rng);
         let MirrorStep::Pause(pause) = mirror.next_step() else {
             panic!("expected a pause");
         };
@@ -167,10 +170,10 @@
     let mut mirror = MirrorState::new();
     mirror.take_page(page(vec![item("a", 1)], true, 1));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let refused = StoreError::Refused {
+    let refused_error = StoreError::Refused {
         reason: "503".into(),
     };
-    mirror.take_failure(&refused, &mut rng);
+    mirror.take_failure(&refused_error, &mut rng);
     expect_that!(matches!(mirror.next_step(), MirrorStep::Pause(_)), eq(true));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
 }
