--- a/crates/ebonyfork-lab/src/publish_model/mod.rs
+++ b/crates/ebonyfork-lab/src/publish_model/mod.rs
@@ -13,7 +13,7 @@
 use ebonyfork::ident::RevisionNumber;
 use ebonyfork::revision::{
     ChangeId, ChangeRecord, ExpectedBase, HeadRecord, HeldEvidence, PartSet, PublishAction,
-    PublishOutcome, PublishReply, PublishRequest, PublishRun, RestorePlan, may_take, must_adopt,
+    PublishOutcome, PublishReply, PublishRequest, PublishRun, RestorePlan, may_replace, must_adopt,
     plan_restore,
 };
 use ebonyfork::store::{StoreError, StoreRevision};
@@ -265,7 +265,7 @@
             self.provisional[vm] = true;
             return Ok(());
         };
-        if !may_take(Some(held), self.provisional[vm], &change) {
+        if !may_replace(Some(held), self.provisional[vm], &change) {
             return Ok(());
         }
         if let Some(restored) = change.restores {
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -33,7 +33,7 @@
 use super::metrics::{RevisionMetrics, SourceLabels};
 use super::publisher::unix_millis;
 use super::record::{ChangeRecord, HEAD_KEY, HeadRecord, PartDigest};
-use super::restore::{PROVISIONAL_TIME, may_take, must_adopt};
+use super::restore::{PROVISIONAL_TIME, may_replace, must_adopt};
 use super::serve::ServeBudget;
 use super::store::write_evidence;
 use super::watcher::{load_revision, restore_head, watch_head};
@@ -351,7 +351,8 @@
         if !is_adopted && !self.feed.is_wanted(head.revision.0) {
             return;
         }
-        if !is_adopted && !may_take(self.held_change(), self.is_provisional(), &assembled.change) {
+        if !is_adopted && !may_replace(self.held_change(), self.is_provisional(), &assembled.change)
+        {
             self.metrics.diverged.inc();
             log::error!("{head} doesn't descend from the change in force here: refused");
             self.feed.record_rejected_number(head.revision.0);
--- a/crates/ebonyfork/src/revision/mod.rs
+++ b/crates/ebonyfork/src/revision/mod.rs
@@ -44,5 +44,5 @@
     ChangeId, ChangeRecord, FILE_LIMIT, HEAD_KEY, HELD_PREFIX, HeadRecord, HeldEvidence,
     LAGGING_LIMIT, LINEAGE_LIMIT, LaggingVm, PartDigest, PartEntry, PartSet,
 };
-pub use restore::{PROVISIONAL_TIME, RestorePlan, may_take, must_adopt, plan_restore};
+pub use restore::{PROVISIONAL_TIME, RestorePlan, may_replace, must_adopt, plan_restore};
 pub use store::{StoredHead, read_change, read_evidence, read_head, read_part};
--- a/crates/ebonyfork/src/revision/restore.rs
+++ b/crates/ebonyfork/src/revision/restore.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns whether a change may replace the held one, no matter whether a peer or the store showed it.
-pub fn may_take(held: Option<&ChangeRecord>, provisional: bool, change: &ChangeRecord) -> bool {
+pub fn may_replace(held: Option<&ChangeRecord>, provisional: bool, change: &ChangeRecord) -> bool {
     let Some(held) = held else {
         return true;
     };
