--- a/crates/ebonyfork-lab/src/publish_model/mod.rs
+++ b/crates/ebonyfork-lab/src/publish_model/mod.rs
@@ -299,7 +299,7 @@
         };
         let id = ChangeId::random(&mut self.rng);
         let plan = plan_restore(self.store.head_or_lost().as_ref(), &held, id, 0);
-        if let RestorePlan::Move(change) = plan {
+        if let RestorePlan::MoveHead(change) = plan {
             let head = change.head();
             self.write_change(change);
             let version = self.store.version();
--- a/crates/ebonyfork/src/revision/restore.rs
+++ b/crates/ebonyfork/src/revision/restore.rs
@@ -17,7 +17,7 @@
     /// The head is the held change or descends from it, so nothing has to be done.
     Nothing,
     /// Move the head to this change.
-    Move(ChangeRecord),
+    MoveHead(ChangeRecord),
 }
 
 /// Returns whether a change may replace the held one, no matter whether a peer or the store showed it.
@@ -44,13 +44,13 @@
     time_ms: u64,
 ) -> RestorePlan {
     let Some(head) = head else {
-        return RestorePlan::Move(held.clone());
+        return RestorePlan::MoveHead(held.clone());
     };
     if head.change == held.change || head.follows(held.head()) {
         return RestorePlan::Nothing;
     }
     if held.follows(head.head()) {
-        return RestorePlan::Move(held.clone());
+        return RestorePlan::MoveHead(held.clone());
     }
-    RestorePlan::Move(held.restored_onto(head, change_id, time_ms))
+    RestorePlan::MoveHead(held.restored_onto(head, change_id, time_ms))
 }
--- a/crates/ebonyfork/src/revision/watcher.rs
+++ b/crates/ebonyfork/src/revision/watcher.rs
@@ -82,7 +82,7 @@
     let change_id = ChangeId::random(&mut rand::rng());
     match plan_restore(change.as_ref(), &held.change, change_id, unix_millis()) {
         RestorePlan::Nothing => Ok(false),
-        RestorePlan::Move(change) => {
+        RestorePlan::MoveHead(change) => {
             let texts = held.texts.clone();
             move_head_forward(client, version, HeldRevision { change, texts }).await
         }
