--- a/crates/ebonyfork-lab/src/publish_model/mod.rs
+++ b/crates/ebonyfork-lab/src/publish_model/mod.rs
@@ -334,7 +334,7 @@
         }
         let reply = self.answer(action);
         let operator = &mut self.operators[number];
-        operator.action = operator.run.take(reply);
+        operator.action = operator.run.apply_reply(reply);
         Ok(())
     }
 
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -209,7 +209,7 @@
     }
 
     /// Applies the result of the last action and returns the next one.
-    pub fn take(&mut self, reply: PublishReply) -> PublishAction {
+    pub fn apply_reply(&mut self, reply: PublishReply) -> PublishAction {
         match reply {
             PublishReply::Paused => self.current_action(),
             PublishReply::Head(Ok(head)) => self.handle_head(head),
--- a/crates/ebonyfork/src/revision/publish_tests.rs
+++ b/crates/ebonyfork/src/revision/publish_tests.rs
@@ -86,7 +86,7 @@
             return outcome;
         }
         let reply = store.reply_to(action);
-        action = run.take(reply);
+        action = run.apply_reply(reply);
     }
 }
 
--- a/crates/ebonyfork/src/revision/publisher.rs
+++ b/crates/ebonyfork/src/revision/publisher.rs
@@ -113,6 +113,6 @@
         if reply.is_success() {
             backoff.reset();
         }
-        action = run.take(reply);
+        action = run.apply_reply(reply);
     }
 }
