--- a/crates/ebonyfork-lab/src/config_fleet.rs
+++ b/crates/ebonyfork-lab/src/config_fleet.rs
@@ -233,8 +233,8 @@
 async fn dispatch(feeds: (RevisionHandle, CatalogHandle), from: LinkSender, message: PeerMessage) {
     let (revision, catalog) = feeds;
     match message {
-        PeerMessage::Revision(message) => revision.take_message(from, message).await,
-        PeerMessage::Catalog(message) => catalog.take_message(from, message).await,
+        PeerMessage::Revision(message) => revision.handle_message(from, message).await,
+        PeerMessage::Catalog(message) => catalog.handle_message(from, message).await,
         _ => {}
     }
 }
--- a/crates/ebonyfork/src/catalog/feed.rs
+++ b/crates/ebonyfork/src/catalog/feed.rs
@@ -79,7 +79,7 @@
     }
 
     /// Handles a message from a peer; replies go back over `sender`.
-    pub async fn take_message(&self, sender: LinkSender, message: CatalogMessage) {
+    pub async fn handle_message(&self, sender: LinkSender, message: CatalogMessage) {
         // A stopped feed accepts no messages, which happens only while the process is stopping.
         let _send_result = self.address.send(ReceivedMessage { sender, message }).await;
     }
--- a/crates/ebonyfork/src/node/dispatch.rs
+++ b/crates/ebonyfork/src/node/dispatch.rs
@@ -44,8 +44,8 @@
                 let Some(peer) = from.peer() else { return };
                 self.entry.take_outcomes(peer, batch).await;
             }
-            PeerMessage::Revision(message) => self.revision.take_message(from, message).await,
-            PeerMessage::Catalog(message) => self.catalog.take_message(from, message).await,
+            PeerMessage::Revision(message) => self.revision.handle_message(from, message).await,
+            PeerMessage::Catalog(message) => self.catalog.handle_message(from, message).await,
             PeerMessage::Once(message) => self.once.take_message(from, message).await,
             PeerMessage::Partial(_)
             | PeerMessage::Mirror(_)
