--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -224,7 +224,7 @@
 
     /// Applies the result of a call to the store.
     fn handle_step(&mut self, step: FeedStep) {
-        if !step.answers {
+        if !step.store_answers {
             self.store_failing_since.get_or_insert_with(now);
             return;
         }
@@ -232,10 +232,10 @@
             self.core.registry.record_store_return(now());
         }
         // Of a read in pages, only the last page shows that the copy is complete.
-        let Some(up_to_date_at) = step.proof else {
+        let Some(up_to_date_at) = step.up_to_date_at else {
             return;
         };
-        let (base_revision, revision) = (step.since, step.revision);
+        let (base_revision, revision) = (step.previous_revision, step.revision);
         self.log_behind(&step);
         let change = match step.change {
             Some(MirrorChange::Replaced(items)) => CopyChange::Full { items, revision },
@@ -264,14 +264,17 @@
     /// Logs if the store states a lower revision than the copy's, with the number of changes in the response.
     fn log_behind(&self, step: &FeedStep) {
         let known_revision = self.complete_revision();
-        let Some(stated_revision) = step.stated.filter(|stated| *stated < known_revision) else {
+        let Some(stated_revision) = step
+            .stated_revision
+            .filter(|stated| *stated < known_revision)
+        else {
             return;
         };
         let change_count = step.change.as_ref().map_or(0, MirrorChange::len);
         log::warn!(
             target: "ebonyfork::decision",
             "store behind stated={stated_revision} known={known_revision} watched_after={} brought={change_count}",
-            step.since
+            step.previous_revision
         );
     }
 
--- a/crates/ebonyfork/src/store/feed.rs
+++ b/crates/ebonyfork/src/store/feed.rs
@@ -54,15 +54,15 @@
     /// The changes that the call returned, if any.
     pub change: Option<MirrorChange>,
     /// Whether the store answered the last call.
-    pub answers: bool,
+    pub store_answers: bool,
     /// The store revision up to which the range was known before the call.
-    pub since: StoreRevision,
+    pub previous_revision: StoreRevision,
     /// The store revision up to which the range is known after the call.
     pub revision: StoreRevision,
     /// The revision in the store's answer, with the era as the store stated it; `None` if there was no answer.
-    pub stated: Option<StoreRevision>,
+    pub stated_revision: Option<StoreRevision>,
     /// A moment at which the store is known to have held no newer changes; `None` if this call doesn't show one.
-    pub proof: Option<Instant>,
+    pub up_to_date_at: Option<Instant>,
 }
 
 /// Mirrors a key range of the store, one call per step.
@@ -135,7 +135,7 @@
     /// Makes one call, or waits before the next one. Dropping the future cancels the call; the next step continues from
     /// the same revision.
     pub async fn step(&mut self) -> FeedStep {
-        let since = self.state.revision();
+        let previous_revision = self.state.revision();
         let step = self.state.next_step();
         if let MirrorStep::Watch { .. } = step {
             tokio::time::sleep_until(self.next_watch_at).await;
@@ -155,10 +155,10 @@
                     .await_answer(self.settings.answer_timeout, page_read)
                     .await;
                 page.map(|page| {
-                    let stated = page.revision;
+                    let stated_revision = page.revision;
                     let change = self.state.take_page(page);
-                    let proof = change.is_some().then(|| self.reading_since.take());
-                    (stated, change, proof.flatten())
+                    let up_to_date_at = change.is_some().then(|| self.reading_since.take());
+                    (stated_revision, change, up_to_date_at.flatten())
                 })
             }
             MirrorStep::Watch { after } => {
@@ -173,30 +173,34 @@
                     // A watch that returned changes may have read the store as early as its start. One that waited the
                     // full time without changes shows the store as of the end of the wait.
                     let was_idle = watch.events.is_empty() && waited_fully;
-                    let proof = if was_idle {
+                    let up_to_date_at = if was_idle {
                         called_at + wait
                     } else {
                         called_at
                     };
-                    let stated = watch.revision;
+                    let stated_revision = watch.revision;
                     let change = self.state.take_watch(watch);
                     // Changes that don't continue the known range prove nothing.
                     let is_continuous = self.state.is_following();
-                    (stated, change, is_continuous.then_some(proof))
+                    (
+                        stated_revision,
+                        change,
+                        is_continuous.then_some(up_to_date_at),
+                    )
                 })
             }
         };
         match step_result {
-            Ok((stated, change, proof)) => {
+            Ok((stated_revision, change, up_to_date_at)) => {
                 self.record_success();
-                self.check_era(stated);
+                self.check_era(stated_revision);
                 FeedStep {
                     change,
-                    answers: true,
-                    since,
+                    store_answers: true,
+                    previous_revision,
                     revision: self.state.revision(),
-                    stated: Some(stated),
-                    proof,
+                    stated_revision: Some(stated_revision),
+                    up_to_date_at,
                 }
             }
             Err(error) => {
@@ -218,11 +222,11 @@
     fn failed_step(&self) -> FeedStep {
         FeedStep {
             change: None,
-            answers: self.store_answers,
-            since: self.state.revision(),
+            store_answers: self.store_answers,
+            previous_revision: self.state.revision(),
             revision: self.state.revision(),
-            stated: None,
-            proof: None,
+            stated_revision: None,
+            up_to_date_at: None,
         }
     }
 
@@ -238,13 +242,13 @@
     }
 
     /// Logs once that the store states a lower era than before.
-    fn check_era(&mut self, stated: StoreRevision) {
-        let has_fallen = stated.era() < self.state.era();
+    fn check_era(&mut self, stated_revision: StoreRevision) {
+        let has_fallen = stated_revision.era() < self.state.era();
         if has_fallen && !self.era_fallen {
             log::warn!(
                 "store era fell prefix=`{}` stated={} known={}: its answers count as answers of the known era",
                 self.settings.prefix,
-                stated.era(),
+                stated_revision.era(),
                 self.state.era()
             );
         }
