--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -195,9 +195,9 @@
             let mut received_bytes = traffic.received();
             let age = self.core.relay.copy_age().unwrap_or(self.timings.max_age);
             if age > self.timings.full_read_age {
-                feed.read_anew();
+                feed.reread();
             }
-            feed.set_wait(self.timings.watch_time(age + feed.until_next_watch()));
+            feed.set_watch_wait(self.timings.watch_time(age + feed.time_until_next_watch()));
             // The call to the store stays open over many checks of the source, because cancelling it would cost another
             // call.
             let step = feed.step();
--- a/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
@@ -326,7 +326,7 @@
                 });
             }
             if rng.random_bool(0.1) {
-                mirror.read_anew();
+                mirror.reread();
             }
             let base_revision = mirror.revision();
             let change = make_call(&mut mirror, &log);
@@ -366,13 +366,13 @@
                 items.filter(|item| after.as_ref().is_none_or(|after| item.key > *after));
             let items: Vec<_> = remaining_items.by_ref().take(1).collect();
             let more = remaining_items.next().is_some();
-            mirror.take_page(StorePage {
+            mirror.apply_page(StorePage {
                 items,
                 more,
                 revision,
             })
         }
-        MirrorStep::Watch { after } => mirror.take_watch(StoreWatch {
+        MirrorStep::Watch { after } => mirror.apply_watch(StoreWatch {
             events: log[after.number() as usize..].to_vec(),
             revision,
         }),
--- a/crates/ebonyfork/src/store/feed.rs
+++ b/crates/ebonyfork/src/store/feed.rs
@@ -108,12 +108,12 @@
     }
 
     /// Sets how long the next watches wait for changes.
-    pub fn set_wait(&mut self, wait: Duration) {
+    pub fn set_watch_wait(&mut self, wait: Duration) {
         self.settings.watch_wait = wait;
     }
 
     /// Returns the time until the next watch may begin.
-    pub fn until_next_watch(&self) -> Duration {
+    pub fn time_until_next_watch(&self) -> Duration {
         self.next_watch_at.saturating_duration_since(Instant::now())
     }
 
@@ -126,9 +126,9 @@
     }
 
     /// Reads the whole range again instead of the changes since the last call, unless that has already begun.
-    pub fn read_anew(&mut self) {
+    pub fn reread(&mut self) {
         if self.state.is_following() {
-            self.state.read_anew();
+            self.state.reread();
         }
     }
 
@@ -156,7 +156,7 @@
                     .await;
                 page.map(|page| {
                     let stated_revision = page.revision;
-                    let change = self.state.take_page(page);
+                    let change = self.state.apply_page(page);
                     let up_to_date_at = change.is_some().then(|| self.reading_since.take());
                     (stated_revision, change, up_to_date_at.flatten())
                 })
@@ -179,7 +179,7 @@
                         called_at
                     };
                     let stated_revision = watch.revision;
-                    let change = self.state.take_watch(watch);
+                    let change = self.state.apply_watch(watch);
                     // Changes that don't continue the known range prove nothing.
                     let is_continuous = self.state.is_following();
                     (
@@ -256,9 +256,9 @@
     }
 
     fn record_failure(&mut self, error: &StoreError, called_at: Instant) {
-        self.state.take_failure(error, &mut rand::rng());
+        self.state.apply_failure(error, &mut rand::rng());
         if self.settings.rereads_after_failure {
-            self.state.read_anew();
+            self.state.reread();
         }
         self.store_answers = matches!(error, StoreError::HistoryGone);
         if self.store_answers {
--- a/crates/ebonyfork/src/store/mirror.rs
+++ b/crates/ebonyfork/src/store/mirror.rs
@@ -146,7 +146,7 @@
     }
 
     /// Applies a page; the last page of the range returns all items.
-    pub fn take_page(&mut self, page: StorePage) -> Option<MirrorChange> {
+    pub fn apply_page(&mut self, page: StorePage) -> Option<MirrorChange> {
         self.backoff.reset();
         let era = self.raise_era(page.revision.era());
         let page = page.with_era(era);
@@ -173,7 +173,7 @@
     }
 
     /// Applies the result of a watch.
-    pub fn take_watch(&mut self, watch: StoreWatch) -> Option<MirrorChange> {
+    pub fn apply_watch(&mut self, watch: StoreWatch) -> Option<MirrorChange> {
         self.backoff.reset();
         let era = self.raise_era(watch.revision.era());
         let watch = watch.with_era(era);
@@ -196,7 +196,7 @@
     }
 
     /// Applies the failure of a call.
-    pub fn take_failure(&mut self, error: &StoreError, rng: &mut impl rand::Rng) {
+    pub fn apply_failure(&mut self, error: &StoreError, rng: &mut impl rand::Rng) {
         if matches!(
             error,
             StoreError::HistoryGone | StoreError::Malformed { .. }
@@ -214,7 +214,7 @@
     }
 
     /// Discards the known revision, so that the next step reads the range from its first page.
-    pub fn read_anew(&mut self) {
+    pub fn reread(&mut self) {
         self.phase = MirrorPhase::reading_first_page();
     }
 
--- a/crates/ebonyfork/src/store/mirror_tests.rs
+++ b/crates/ebonyfork/src/store/mirror_tests.rs
@@ -37,7 +37,7 @@
 
 fn following_mirror(items: Vec<StoreItem>, revision: u64) -> MirrorState {
     let mut mirror = MirrorState::new();
-    let change = mirror.take_page(page(items, false, revision));
+    let change = mirror.apply_page(page(items, false, revision));
     expect_that!(change.is_some(), eq(true));
     mirror
 }
@@ -45,10 +45,13 @@
 #[gtest]
 fn pages_are_combined_and_watched_from_the_first_page_revision() {
     let mut mirror = MirrorState::new();
-    expect_that!(mirror.take_page(page(vec![item("a", 3)], true, 10)), none());
+    expect_that!(
+        mirror.apply_page(page(vec![item("a", 3)], true, 10)),
+        none()
+    );
     let after = Some(CompactString::new("a"));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after }));
-    let change = mirror.take_page(page(vec![item("b", 12)], false, 13));
+    let change = mirror.apply_page(page(vec![item("b", 12)], false, 13));
     let full_range = MirrorChange::Replaced(vec![item("a", 3), item("b", 12)]);
     expect_that!(change, some(eq(&full_range)));
     let after = StoreRevision::new(10);
@@ -56,7 +59,7 @@
     // The watch returns this change although the second page already contained it: it comes after the first page's
     // revision, and someone who gets the changes from the reader may lack it.
     let repeated_event = StoreEvent::Written(item("b", 12));
-    let change = mirror.take_watch(watch(vec![repeated_event.clone()], 13));
+    let change = mirror.apply_watch(watch(vec![repeated_event.clone()], 13));
     expect_that!(
         change,
         some(eq(&MirrorChange::Changed(vec![repeated_event])))
@@ -72,7 +75,7 @@
         removed("b", 4),
         StoreEvent::Written(item("a", 5)),
     ];
-    let change = mirror.take_watch(watch(events, 5));
+    let change = mirror.apply_watch(watch(events, 5));
     // The removal of `b` is returned although the mirror never saw `b`: the reader may know the key from another VM.
     let expected = vec![removed("b", 4), StoreEvent::Written(item("a", 5))];
     expect_that!(change, some(eq(&MirrorChange::Changed(expected))));
@@ -89,12 +92,12 @@
     let mut mirror = following_mirror(vec![item("a", 1)], 5);
     let watch_result = watch(vec![StoreEvent::Written(item("b", 8))], 8);
     expect_that!(
-        mirror.take_watch(watch_result.with_era(StoreEra(1))),
+        mirror.apply_watch(watch_result.with_era(StoreEra(1))),
         none()
     );
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
     let full_range = page(vec![item("a", 1)], false, 9).with_era(StoreEra(1));
-    expect_that!(mirror.take_page(full_range), some(anything()));
+    expect_that!(mirror.apply_page(full_range), some(anything()));
     let after = in_era(9, 1);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
 }
@@ -104,16 +107,16 @@
     let mut mirror = MirrorState::new();
     let first_page = page(vec![item("a", 3)], true, 10).with_era(StoreEra(1));
     let second_page = page(vec![item("b", 4)], false, 10).with_era(StoreEra(2));
-    expect_that!(mirror.take_page(first_page), none());
-    expect_that!(mirror.take_page(second_page.clone()), none());
+    expect_that!(mirror.apply_page(first_page), none());
+    expect_that!(mirror.apply_page(second_page.clone()), none());
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
-    expect_that!(mirror.take_page(second_page), some(anything()));
+    expect_that!(mirror.apply_page(second_page), some(anything()));
 }
 
 #[gtest]
 fn a_mirror_does_not_resume_at_a_revision_of_an_ended_history() {
     let mut mirror = following_mirror(vec![item("a", 1)], 5);
-    mirror.take_watch(watch(vec![], 4).with_era(StoreEra(2)));
+    mirror.apply_watch(watch(vec![], 4).with_era(StoreEra(2)));
     mirror.resume_at(in_era(90, 1));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
     let after = in_era(3, 3);
@@ -124,10 +127,10 @@
 #[gtest]
 fn answers_of_a_lower_era_count_as_answers_of_the_highest_era() {
     let mut mirror = MirrorState::new();
-    mirror.take_page(page(vec![], false, 5).with_era(StoreEra(2)));
+    mirror.apply_page(page(vec![], false, 5).with_era(StoreEra(2)));
     for stated_era in [0, 1] {
         let watch_result = watch(vec![StoreEvent::Written(item("a", 6))], 6);
-        let change = mirror.take_watch(watch_result.with_era(StoreEra(stated_era)));
+        let change = mirror.apply_watch(watch_result.with_era(StoreEra(stated_era)));
         let expected = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
         expect_that!(change, some(eq(&MirrorChange::Changed(vec![expected]))));
         let after = in_era(6, 2);
@@ -139,7 +142,7 @@
 fn a_lost_history_causes_an_immediate_full_read() {
     let mut mirror = following_mirror(vec![item("a", 1)], 1);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    mirror.take_failure(&StoreError::HistoryGone, &mut rng);
+    mirror.apply_failure(&StoreError::HistoryGone, &mut rng);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
     expect_that!(mirror.is_following(), eq(false));
 }
@@ -153,7 +156,7 @@
     };
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        mirror.take_failure(&lost_error, &mut rng);
+        mirror.apply_failure(&lost_error, &mut rng);
         let MirrorStep::Pause(pause) = mirror.next_step() else {
             panic!("expected a pause");
         };
@@ -168,12 +171,12 @@
 #[gtest]
 fn an_interrupted_read_restarts_at_the_first_page() {
     let mut mirror = MirrorState::new();
-    mirror.take_page(page(vec![item("a", 1)], true, 1));
+    mirror.apply_page(page(vec![item("a", 1)], true, 1));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let refused_error = StoreError::Refused {
         reason: "503".into(),
     };
-    mirror.take_failure(&refused_error, &mut rng);
+    mirror.apply_failure(&refused_error, &mut rng);
     expect_that!(matches!(mirror.next_step(), MirrorStep::Pause(_)), eq(true));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
 }
