--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -302,11 +302,11 @@
                 .values()
                 .filter(|item| is_on_page(&item.key))
                 .collect();
-            let more = items.len() > PAGE_ITEMS;
+            let has_more = items.len() > PAGE_ITEMS;
             items.truncate(PAGE_ITEMS);
             let page = StorePage {
                 items: items.into_iter().cloned().collect(),
-                more,
+                has_more,
                 revision: state.content.revision,
             };
             page.with_era(state.era)
--- a/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
@@ -365,10 +365,10 @@
             let mut remaining_items =
                 items.filter(|item| after.as_ref().is_none_or(|after| item.key > *after));
             let items: Vec<_> = remaining_items.by_ref().take(1).collect();
-            let more = remaining_items.next().is_some();
+            let has_more = remaining_items.next().is_some();
             mirror.apply_page(StorePage {
                 items,
-                more,
+                has_more,
                 revision,
             })
         }
--- a/crates/ebonyfork/src/store/client.rs
+++ b/crates/ebonyfork/src/store/client.rs
@@ -189,7 +189,7 @@
         loop {
             let after = items.last().map(|item| item.key.clone());
             let page = StorePort::read_page(self, prefix, after.as_deref()).await?;
-            let is_last_page = page.items.is_empty() || !page.more;
+            let is_last_page = page.items.is_empty() || !page.has_more;
             items.extend(page.items);
             if is_last_page {
                 return Ok(items);
--- a/crates/ebonyfork/src/store/key_watch_tests.rs
+++ b/crates/ebonyfork/src/store/key_watch_tests.rs
@@ -74,7 +74,7 @@
     let port = ScriptedPort {
         page: StorePage {
             items: vec![item(20)],
-            more: false,
+            has_more: false,
             revision: StoreRevision::new(15),
         },
         // Watch results are popped from the end, so the last one is returned first.
--- a/crates/ebonyfork/src/store/mirror.rs
+++ b/crates/ebonyfork/src/store/mirror.rs
@@ -162,7 +162,7 @@
             self.phase = MirrorPhase::reading_first_page();
             return None;
         }
-        let is_last = page.items.is_empty() || !page.more;
+        let is_last = page.items.is_empty() || !page.has_more;
         items.extend(page.items);
         if !is_last {
             return None;
--- a/crates/ebonyfork/src/store/mirror_tests.rs
+++ b/crates/ebonyfork/src/store/mirror_tests.rs
@@ -13,10 +13,10 @@
     }
 }
 
-fn page(items: Vec<StoreItem>, more: bool, revision: u64) -> StorePage {
+fn page(items: Vec<StoreItem>, has_more: bool, revision: u64) -> StorePage {
     StorePage {
         items,
-        more,
+        has_more,
         revision: StoreRevision::new(revision),
     }
 }
--- a/crates/ebonyfork/src/store/mod.rs
+++ b/crates/ebonyfork/src/store/mod.rs
@@ -112,7 +112,7 @@
     /// Items of the page, in key order.
     pub items: Vec<StoreItem>,
     /// Whether there are further keys after the last item.
-    pub more: bool,
+    pub has_more: bool,
     /// The store revision at which the page was read.
     pub revision: StoreRevision,
 }
