--- a/crates/ebonyfork/src/catalog/feed.rs
+++ b/crates/ebonyfork/src/catalog/feed.rs
@@ -238,9 +238,9 @@
             .get_or_create(&labels)
             .set(catalog.epoch as i64);
         self.catalog_sender.send_modify(|catalogs| {
-            let mut updated = CatalogSet::clone(catalogs);
-            updated.insert(index, catalog);
-            *catalogs = Arc::new(updated);
+            let mut updated_catalogs = CatalogSet::clone(catalogs);
+            updated_catalogs.insert(index, catalog);
+            *catalogs = Arc::new(updated_catalogs);
         });
     }
 
--- a/crates/ebonyfork/src/catalog/spread_tests.rs
+++ b/crates/ebonyfork/src/catalog/spread_tests.rs
@@ -6,8 +6,8 @@
 
 const START: Duration = Duration::ZERO;
 
-fn vm(number: u8) -> VmAddress {
-    VmAddress([127, 0, 1, number].into())
+fn vm(last_octet: u8) -> VmAddress {
+    VmAddress([127, 0, 1, last_octet].into())
 }
 
 fn index(name: &str) -> IndexName {
@@ -18,21 +18,21 @@
     format!(r#"{{"epoch":{epoch},"versions":[]}}"#).into()
 }
 
-fn spread(own_number: u8, vm_count: u8) -> CatalogSpread {
+fn spread(own_octet: u8, vm_count: u8) -> CatalogSpread {
     let zone: ZoneName = "zone-a".parse().unwrap();
-    let vms = (0..vm_count).map(|number| VmEntry {
-        vm: vm(number),
+    let vms = (0..vm_count).map(|last_octet| VmEntry {
+        vm: vm(last_octet),
         zone: zone.clone(),
         incarnation: None,
         leaving: false,
     });
     let view = TopologyView::new(vms, []);
-    let mut spread = CatalogSpread::new(ZonePeers::new(vm(own_number), zone.clone()), 5);
+    let mut spread = CatalogSpread::new(ZonePeers::new(vm(own_octet), zone.clone()), 5);
     spread.apply_topology(&view);
     spread
 }
 
-fn epochs(name: &str, epoch: u64) -> Vec<CatalogEpoch> {
+fn epoch_entries(name: &str, epoch: u64) -> Vec<CatalogEpoch> {
     let index = index(name);
     vec![CatalogEpoch { index, epoch }]
 }
@@ -59,7 +59,10 @@
     expect_that!(unnamed_result.unwrap(), is_empty());
     let malformed_result = spread.apply_catalog(&index("tenders"), &Bytes::from("{"));
     expect_that!(malformed_result, err(anything()));
-    expect_that!(spread.newer_catalogs(&epochs("tenders", 0)), is_empty());
+    expect_that!(
+        spread.newer_catalogs(&epoch_entries("tenders", 0)),
+        is_empty()
+    );
 }
 
 #[gtest]
@@ -70,23 +73,23 @@
         .apply_catalog(&index("tenders"), &catalog_text(5))
         .unwrap();
     expect_that!(
-        spread.apply_peer_epochs(START, vm(1), &epochs("tenders", 5)),
+        spread.apply_peer_epochs(START, vm(1), &epoch_entries("tenders", 5)),
         is_empty()
     );
-    let actions = spread.apply_peer_epochs(START, vm(1), &epochs("tenders", 6));
-    let request = CatalogMessage::Ask(epochs("tenders", 5));
+    let actions = spread.apply_peer_epochs(START, vm(1), &epoch_entries("tenders", 6));
+    let request = CatalogMessage::Ask(epoch_entries("tenders", 5));
     expect_that!(
         actions,
         elements_are![eq(&CatalogAction::Send(vm(1), request))]
     );
     expect_that!(
-        spread.apply_peer_epochs(START, vm(2), &epochs("tenders", 6)),
+        spread.apply_peer_epochs(START, vm(2), &epoch_entries("tenders", 6)),
         is_empty()
     );
     let later = START + ANSWER_TIMEOUT;
     expect_that!(
         spread
-            .apply_peer_epochs(later, vm(2), &epochs("tenders", 6))
+            .apply_peer_epochs(later, vm(2), &epoch_entries("tenders", 6))
             .len(),
         eq(1)
     );
@@ -96,9 +99,9 @@
 fn each_index_has_two_watchers_per_zone() {
     for vm_count in [1_u8, 2, 9, 40] {
         let mut watcher_count = 0;
-        for own_number in 0..vm_count {
+        for own_octet in 0..vm_count {
             let actions =
-                spread(own_number, vm_count).set_named_indexes([index("tenders"), index("awards")]);
+                spread(own_octet, vm_count).set_named_indexes([index("tenders"), index("awards")]);
             watcher_count += actions.len();
         }
         expect_that!(watcher_count, eq(2 * usize::from(vm_count.min(2))));
--- a/crates/ebonyfork/src/declaration/parse.rs
+++ b/crates/ebonyfork/src/declaration/parse.rs
@@ -286,17 +286,18 @@
 
     /// Checks that the classes named by organisations are declared in any of the files.
     fn check_organisations(&mut self) {
-        let declared: Vec<&str> = self.class_names.iter().map(CompactString::as_str).collect();
+        let declared_classes: Vec<&str> =
+            self.class_names.iter().map(CompactString::as_str).collect();
         for (location, class) in &self.class_references {
-            if declared.contains(&class.as_str()) {
+            if declared_classes.contains(&class.as_str()) {
                 continue;
             }
-            let message = if declared.is_empty() {
+            let message = if declared_classes.is_empty() {
                 format!("classes: unknown class `{class}`, no class is declared")
             } else {
                 format!(
                     "classes: {}",
-                    unknown_message("class", class.as_str(), &declared)
+                    unknown_message("class", class.as_str(), &declared_classes)
                 )
             };
             self.findings.push(&location.file, location.line, message);
--- a/crates/ebonyfork/src/revision/acceptance.rs
+++ b/crates/ebonyfork/src/revision/acceptance.rs
@@ -76,7 +76,7 @@
 /// use ebonyfork::revision::{AcceptanceState, LiveZones, evaluate_acceptance};
 ///
 /// let live = BTreeSet::from(["127.0.0.1".parse()?]);
-/// let zones = LiveZones::from([("zone-zone_a".parse()?, live)]);
+/// let zones = LiveZones::from([("zone-a".parse()?, live)]);
 /// let state = evaluate_acceptance(RevisionNumber(7), &zones, &[], 0);
 /// assert!(matches!(state, AcceptanceState::Waiting { gaps } if gaps.len() == 1));
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
@@ -174,15 +174,15 @@
 async fn find_relation(
     client: &StoreClient,
     head: HeadRecord,
-    held: HeadRecord,
+    held_head: HeadRecord,
 ) -> Result<HeldRelation, StoreError> {
-    let mut ancestor = held.change;
+    let mut ancestor = held_head.change;
     let mut overriding_head = None;
     loop {
         if ancestor == head.change {
             return Ok(match overriding_head {
                 Some(by) => HeldRelation::Overridden(by),
-                None if held.change == head.change => HeldRelation::Same,
+                None if held_head.change == head.change => HeldRelation::Same,
                 None => HeldRelation::Follows,
             });
         }
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -218,14 +218,14 @@
 
     fn start_watch(&mut self, address: WeakAddress<Self>) {
         self.stop_watch();
-        self.metrics.watching.set(1);
+        self.metrics.is_watching.set(1);
         let watch_future = watch_head(self.client.clone(), address);
         self.watch_task = Some(self.tasks.spawn(watch_future));
         log::info!(target: "ebonyfork::decision", "watch {HEAD_KEY} for this zone");
     }
 
     fn stop_watch(&mut self) {
-        self.metrics.watching.set(0);
+        self.metrics.is_watching.set(0);
         if let Some(watch_task) = self.watch_task.take() {
             watch_task.abort();
         }
@@ -249,7 +249,9 @@
         address: &WeakAddress<Self>,
     ) {
         self.record_highest_revision(revision);
-        let actions = self.feed.record_gossiped_number(self.now(), vm, revision.0);
+        let actions = self
+            .feed
+            .record_gossiped_revision(self.now(), vm, revision.0);
         self.run_actions(actions, address);
     }
 
@@ -260,7 +262,9 @@
         address: &WeakAddress<Self>,
     ) {
         self.record_highest_revision(revision);
-        let actions = self.feed.record_received_number(self.now(), vm, revision.0);
+        let actions = self
+            .feed
+            .record_received_revision(self.now(), vm, revision.0);
         self.run_actions(actions, address);
     }
 
@@ -270,7 +274,7 @@
             return;
         };
         if held_head.revision == shown_head.revision && held_head.change != shown_head.change {
-            self.metrics.diverged.inc();
+            self.metrics.divergences.inc();
             log::error!(
                 "{observer} shows {shown_head}, but {held_head} is in force here: see the operators' page on divergence"
             );
@@ -330,7 +334,7 @@
             return;
         };
         match assembly.finish() {
-            Ok(assembled) => self.put_in_force(assembled, "peer", vm, address),
+            Ok(assembled_revision) => self.put_in_force(assembled_revision, "peer", vm, address),
             Err(unfinished) => self.assembly = Some((vm, *unfinished)),
         }
     }
@@ -338,12 +342,12 @@
     /// Puts a complete revision in force if it may replace the held one.
     fn put_in_force(
         &mut self,
-        assembled: HeldRevision,
+        assembled_revision: HeldRevision,
         source: &'static str,
         origin: impl fmt::Display,
         address: &WeakAddress<Self>,
     ) {
-        let head = assembled.head();
+        let head = assembled_revision.head();
         let is_adopted = self
             .adopting_head
             .take_if(|adopting_head| *adopting_head == head)
@@ -351,20 +355,25 @@
         if !is_adopted && !self.feed.is_wanted(head.revision.0) {
             return;
         }
-        if !is_adopted && !may_replace(self.held_change(), self.is_provisional(), &assembled.change)
+        if !is_adopted
+            && !may_replace(
+                self.held_change(),
+                self.is_provisional(),
+                &assembled_revision.change,
+            )
         {
-            self.metrics.diverged.inc();
+            self.metrics.divergences.inc();
             log::error!("{head} doesn't descend from the change in force here: refused");
-            self.feed.record_rejected_number(head.revision.0);
+            self.feed.record_rejected_revision(head.revision.0);
             self.refused_head = Some(head);
             return;
         }
-        let config = match assembled.parse() {
+        let config = match assembled_revision.parse() {
             Ok(config) => config,
             Err(findings) => {
-                self.metrics.rejected.inc();
+                self.metrics.rejected_revisions.inc();
                 log::error!("{head} can't be put in force:\n{findings}");
-                self.feed.record_rejected_number(head.revision.0);
+                self.feed.record_rejected_revision(head.revision.0);
                 return;
             }
         };
@@ -380,7 +389,7 @@
         if is_adopted {
             self.provisional_until = self.now();
         }
-        self.held = Some(assembled);
+        self.held = Some(assembled_revision);
         self.metrics.held_revision.set(head.revision.0 as i64);
         self.metrics
             .revisions_taken
@@ -388,9 +397,9 @@
             .inc();
         self.record_highest_revision(head.revision);
         let actions = if is_adopted {
-            self.feed.record_adopted_number(head.revision.0)
+            self.feed.record_adopted_revision(head.revision.0)
         } else {
-            self.feed.record_held_number(head.revision.0)
+            self.feed.record_held_revision(head.revision.0)
         };
         self.run_actions(actions, address);
         self.write_due_evidence(address);
@@ -500,8 +509,8 @@
             if let Err(error) = &write_result {
                 log::debug!("evidence of zone {}: {error}", evidence.zone);
             }
-            let failed = write_result.is_err();
-            let _send_result = address.send(EvidenceWritten { failed }).await;
+            let has_failed = write_result.is_err();
+            let _send_result = address.send(EvidenceWritten { has_failed }).await;
         });
     }
 }
--- a/crates/ebonyfork/src/revision/actor/inbox.rs
+++ b/crates/ebonyfork/src/revision/actor/inbox.rs
@@ -47,7 +47,7 @@
 
 /// Result of writing the zone's evidence.
 pub(in crate::revision) struct EvidenceWritten {
-    pub(in crate::revision) failed: bool,
+    pub(in crate::revision) has_failed: bool,
 }
 
 /// One interval of the actor's timer has passed.
@@ -192,7 +192,7 @@
     async fn handle(&mut self, message: RestoreFinished, _ctx: &mut Context<Self>) {
         self.is_restoring = false;
         match message.restore_result {
-            Ok(true) => self.metrics.restored.inc(),
+            Ok(true) => self.metrics.restored_heads.inc(),
             Ok(false) => 0,
             Err(error) => {
                 log::info!("restoring the head: {error}");
@@ -209,15 +209,15 @@
         let address = ctx.mailbox().address();
         self.is_loading = false;
         match message.load_result {
-            Ok(assembled) => {
+            Ok(assembled_revision) => {
                 self.load_backoff.reset();
-                self.put_in_force(assembled, "store", "", &address);
+                self.put_in_force(assembled_revision, "store", "", &address);
                 self.load_wanted_revision(&address);
             }
             Err(error) => {
                 log::info!("loading {} from the store: {error}", message.head);
-                let wait = self.load_backoff.next_wait(&mut self.rng);
-                self.next_load_at = self.now() + wait;
+                let retry_wait = self.load_backoff.next_wait(&mut self.rng);
+                self.next_load_at = self.now() + retry_wait;
                 // The record and the parts are written before the head is moved, so the store has lost them: treat its
                 // head as refused, so that the held revision is restored.
                 if matches!(error, LoadError::Lost { .. }) && self.held.is_some() {
@@ -233,7 +233,7 @@
 
     async fn handle(&mut self, message: EvidenceWritten, _ctx: &mut Context<Self>) {
         self.is_writing_evidence = false;
-        if message.failed {
+        if message.has_failed {
             self.evidence.record_write_failure();
         }
     }
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -94,7 +94,7 @@
             if !view.vms.contains_key(vm) && member.departure.is_none() {
                 member.departure = Some(MemberDeparture {
                     departed_at: now,
-                    last_shown: feed.shown_number(*vm),
+                    last_shown: feed.shown_revision(*vm),
                     in_group: false,
                 });
             }
@@ -104,17 +104,17 @@
 
     /// Marks members that vanished without announcing their stop, if several did so within one [`FENCE_DELAY`].
     fn mark_group_departures(&mut self, now: Duration) {
-        let mut recently_departed = Vec::new();
+        let mut recently_departed_vms = Vec::new();
         for (vm, member) in &self.members {
             let departure = member.departure.filter(|_| !member.leaving);
             if departure.is_some_and(|departure| now < departure.departed_at + FENCE_DELAY) {
-                recently_departed.push(*vm);
+                recently_departed_vms.push(*vm);
             }
         }
-        if recently_departed.len() < 2 {
+        if recently_departed_vms.len() < 2 {
             return;
         }
-        for vm in recently_departed {
+        for vm in recently_departed_vms {
             let member = self.members.get_mut(&vm);
             if let Some(departure) = member.and_then(|member| member.departure.as_mut()) {
                 departure.in_group = true;
@@ -127,7 +127,7 @@
         &mut self,
         now: Duration,
         time_ms: u64,
-        held: HeadRecord,
+        held_head: HeadRecord,
         feed: &FeedState,
     ) -> Option<HeldEvidence> {
         if self
@@ -136,8 +136,8 @@
         {
             return None;
         }
-        self.remove_departed(now);
-        let evidence = self.build_evidence(time_ms, held, feed);
+        self.remove_departed_members(now);
+        let evidence = self.build_evidence(time_ms, held_head, feed);
         let needs_refresh = self
             .last_written_at
             .is_none_or(|at| now >= at + REFRESH_PERIOD);
@@ -158,7 +158,7 @@
         self.last_written = None;
     }
 
-    fn remove_departed(&mut self, now: Duration) {
+    fn remove_departed_members(&mut self, now: Duration) {
         self.members.retain(|_, member| {
             let Some(departure) = member.departure else {
                 return true;
@@ -182,7 +182,7 @@
                 _ if member.has_just_started(time_ms) => RevisionNumber(0),
                 _ if *vm == self.own_vm => held.revision,
                 Some(departure) => RevisionNumber(departure.last_shown),
-                None => RevisionNumber(feed.shown_number(*vm)),
+                None => RevisionNumber(feed.shown_revision(*vm)),
             };
             if revision < held.revision {
                 lagging.push(LaggingVm { vm: *vm, revision });
--- a/crates/ebonyfork/src/revision/evidence_tests.rs
+++ b/crates/ebonyfork/src/revision/evidence_tests.rs
@@ -4,20 +4,20 @@
 use crate::revision::ChangeId;
 use crate::topology::VmEntry;
 
-fn vm(number: u8) -> VmAddress {
-    VmAddress([127, 0, 1, number].into())
+fn vm(last_octet: u8) -> VmAddress {
+    VmAddress([127, 0, 1, last_octet].into())
 }
 
 fn zone() -> ZoneName {
     "zone-a".parse().unwrap()
 }
 
-fn view(numbers: &[u8], leaving: &[u8]) -> TopologyView {
-    let vms = numbers.iter().map(|number| VmEntry {
-        vm: vm(*number),
+fn view(last_octets: &[u8], leaving_octets: &[u8]) -> TopologyView {
+    let vms = last_octets.iter().map(|last_octet| VmEntry {
+        vm: vm(*last_octet),
         zone: zone(),
         incarnation: None,
-        leaving: leaving.contains(number),
+        leaving: leaving_octets.contains(last_octet),
     });
     TopologyView::new(vms, [])
 }
@@ -37,18 +37,18 @@
 }
 
 impl ZoneFixture {
-    fn new(numbers: &[u8]) -> Self {
+    fn new(last_octets: &[u8]) -> Self {
         let mut zone = Self {
             feed: FeedState::new("config/head", vm(0), zone(), 1),
             evidence: EvidenceState::new(vm(0), zone()),
         };
-        zone.apply_view(START, numbers, &[]);
-        zone.feed.record_held_number(7);
+        zone.apply_view(START, last_octets, &[]);
+        zone.feed.record_held_revision(7);
         zone
     }
 
-    fn apply_view(&mut self, now: Duration, numbers: &[u8], leaving: &[u8]) {
-        let view = view(numbers, leaving);
+    fn apply_view(&mut self, now: Duration, last_octets: &[u8], leaving_octets: &[u8]) {
+        let view = view(last_octets, leaving_octets);
         self.evidence.apply_topology(now, &view, &self.feed);
         self.feed.apply_topology(&view);
     }
@@ -62,11 +62,11 @@
 #[gtest]
 fn a_vm_counts_with_the_revision_it_has_shown_and_zero_before() {
     let mut zone = ZoneFixture::new(&[0, 1, 2]);
-    zone.feed.record_gossiped_number(START, vm(1), 7);
+    zone.feed.record_gossiped_revision(START, vm(1), 7);
     expect_that!(zone.lowest(START), eq(0));
-    zone.feed.record_gossiped_number(START, vm(2), 7);
+    zone.feed.record_gossiped_revision(START, vm(2), 7);
     expect_that!(zone.lowest(Duration::from_secs(1)), eq(7));
-    zone.feed.record_gossiped_number(START, vm(2), 0);
+    zone.feed.record_gossiped_revision(START, vm(2), 0);
     expect_that!(zone.lowest(Duration::from_secs(2)), eq(0));
 }
 
@@ -74,7 +74,7 @@
 fn a_vanished_vm_counts_until_it_must_have_fenced_itself() {
     let one_second = Duration::from_secs(1);
     let mut zone = ZoneFixture::new(&[0, 1]);
-    zone.feed.record_gossiped_number(START, vm(1), 6);
+    zone.feed.record_gossiped_revision(START, vm(1), 6);
     zone.apply_view(one_second, &[0], &[]);
     expect_that!(zone.lowest(one_second), eq(6));
     expect_that!(zone.lowest(one_second + FENCE_DELAY), eq(7));
@@ -93,7 +93,7 @@
 #[gtest]
 fn evidence_is_written_on_change_and_periodically() {
     let mut zone = ZoneFixture::new(&[0, 1]);
-    zone.feed.record_gossiped_number(START, vm(1), 7);
+    zone.feed.record_gossiped_revision(START, vm(1), 7);
     let mut write_times_s = Vec::new();
     for tick in 0..101 {
         let now = Duration::from_millis(200) * tick;
@@ -117,17 +117,17 @@
 #[gtest]
 fn a_process_that_has_just_started_counts_as_holding_nothing() {
     let started_at_ms = 1_000_000;
-    let vms = [0, 1].map(|number| VmEntry {
-        vm: vm(number),
+    let vms = [0, 1].map(|last_octet| VmEntry {
+        vm: vm(last_octet),
         zone: zone(),
-        incarnation: (number == 1).then_some(crate::ident::IncarnationNumber(started_at_ms)),
+        incarnation: (last_octet == 1).then_some(crate::ident::IncarnationNumber(started_at_ms)),
         leaving: false,
     });
     let mut zone = ZoneFixture::new(&[0]);
     let view = TopologyView::new(vms, []);
     zone.evidence.apply_topology(START, &view, &zone.feed);
     zone.feed.apply_topology(&view);
-    zone.feed.record_gossiped_number(START, vm(1), 7);
+    zone.feed.record_gossiped_revision(START, vm(1), 7);
     for (age_ms, lowest) in [(0, 0), (SETTLE_TIME_MS - 1_000, 0), (SETTLE_TIME_MS, 7)] {
         let now = Duration::from_millis(age_ms + 1_000);
         let evidence = zone
@@ -146,8 +146,8 @@
 fn vms_that_vanish_together_still_count_because_they_may_reach_each_other() {
     let one_second = Duration::from_secs(1);
     let mut zone = ZoneFixture::new(&[0, 1, 2]);
-    zone.feed.record_gossiped_number(START, vm(1), 6);
-    zone.feed.record_gossiped_number(START, vm(2), 7);
+    zone.feed.record_gossiped_revision(START, vm(1), 6);
+    zone.feed.record_gossiped_revision(START, vm(2), 7);
     zone.apply_view(one_second, &[0, 2], &[]);
     zone.apply_view(2 * one_second, &[0], &[]);
     expect_that!(zone.lowest(2 * one_second + FENCE_DELAY), eq(6));
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -1,9 +1,9 @@
 //! Decides how a VM learns of a newer revision and which peer it fetches it from, as a state machine without I/O.
 //!
-//! The feed knows the number that this VM holds and those that its peers have shown. A higher number from a peer starts
-//! a pull from that peer; a pull without progress is repeated with another peer. A VM announces each newly held number
-//! to a few peers of its zone, so that it reaches the zone in a few rounds. From time to time it also asks a random
-//! peer, which makes up for lost announcements and lets a new VM catch up while the store is down.
+//! The feed knows the revision that this VM holds and those that its peers have shown. A higher revision from a peer
+//! starts a pull from that peer; a pull without progress is repeated with another peer. A VM announces each newly held
+//! revision to a few peers of its zone, so that it reaches the zone in a few rounds. From time to time it also asks a
+//! random peer, which makes up for lost announcements and lets a new VM catch up while the store is down.
 
 use std::time::Duration;
 
@@ -18,32 +18,32 @@
 
 use super::peers::ZonePeers;
 
-/// How long a pull may go without progress.
+/// How long a pull of a revision from a peer may go without progress.
 pub const PULL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a newly held number is announced again, one tick apart. With four peers and a single round, one VM in
+/// How often a newly held revision is announced again, one tick apart. With four peers and a single round, one VM in
 /// fifty hears nothing; with three rounds, one in 160,000.
 const EXTRA_ANNOUNCE_ROUNDS: u32 = 2;
-/// How long to wait for a partner to show a number that a more distant VM has shown, before asking that VM itself.
+/// How long to wait for a partner to show a revision that a more distant VM has shown, before asking that VM itself.
 const PARTNER_WAIT: Duration = Duration::from_millis(500);
-/// Average interval at which a random peer is asked for a newer number.
+/// Average interval at which a VM asks a random peer for a newer revision.
 pub const ASK_PERIOD: Duration = Duration::from_secs(4);
-/// Average interval at which a random peer is asked while this VM holds no number.
+/// Average interval at which a VM asks a random peer while it holds no revision itself.
 const EMPTY_ASK_PERIOD: Duration = Duration::from_millis(250);
 
 /// An action that the feed asks its driver to carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedAction {
-    /// Start to watch the key in the store.
+    /// Start to watch the feed's key in the store.
     Watch,
-    /// Stop watching the key in the store.
+    /// Stop watching the feed's key in the store.
     Unwatch,
-    /// Ask this VM for a number above the held one.
+    /// Ask this VM for a revision above the held one.
     Ask(VmAddress),
-    /// Announce the held number to this VM.
+    /// Announce the held revision to this VM.
     Announce(VmAddress),
 }
 
-/// The actions that follow from one event.
+/// The actions that the feed requests in response to one event.
 pub type FeedActions = SmallVec<[FeedAction; 8]>;
 
 #[derive(Debug, Clone, Copy)]
@@ -52,7 +52,7 @@
     deadline: Duration,
 }
 
-/// What one VM knows about the spread of one numbered value, such as the configuration revision.
+/// What one VM knows about the revisions that it and its peers hold.
 ///
 /// # Examples
 ///
@@ -64,10 +64,10 @@
 ///
 /// let own_vm: VmAddress = "127.0.0.1".parse()?;
 /// let peer: VmAddress = "127.0.0.2".parse()?;
-/// let mut feed = FeedState::new("config/head", own, "zone-a".parse()?, 7);
-/// // Partners have half a one_second to apply_view the number first; this VM knows none.
-/// assert!(feed.record_gossiped_number(Duration::ZERO, peer, 3).is_empty());
-/// let actions = feed.record_gossiped_number(Duration::from_millis(500), peer, 3);
+/// let mut feed = FeedState::new("config/head", own_vm, "zone-a".parse()?, 7);
+/// // A partner has half a second to show the revision first; this VM knows none.
+/// assert!(feed.record_gossiped_revision(Duration::ZERO, peer, 3).is_empty());
+/// let actions = feed.record_gossiped_revision(Duration::from_millis(500), peer, 3);
 /// assert_eq!(actions.as_slice(), [FeedAction::Ask(peer)]);
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
 /// ```
@@ -77,30 +77,30 @@
     own_vm: VmAddress,
     peers: ZonePeers,
     rng: ChaCha8Rng,
-    held_number: u64,
-    /// The highest number that was fetched and found unusable.
-    rejected_number: u64,
-    shown_numbers: FxHashMap<VmAddress, u64>,
+    held_revision: u64,
+    /// The highest revision that was fetched and found unusable.
+    rejected_revision: u64,
+    shown_revisions: FxHashMap<VmAddress, u64>,
     is_watcher: bool,
-    /// Number of announcement rounds left for the held number.
+    /// Number of announcement rounds left for the held revision.
     announce_rounds_left: u32,
-    /// When this VM first heard of a number that it wants.
+    /// When this VM first heard of a revision that it wants.
     wanted_since: Option<Duration>,
     pending_pull: Option<PendingPull>,
     next_ask_at: Duration,
 }
 
 impl FeedState {
-    /// Creates a feed that holds no number and knows no other VM.
+    /// Creates a feed that holds no revision and knows no other VM.
     pub fn new(key: &'static str, own_vm: VmAddress, zone: ZoneName, seed: u64) -> Self {
         Self {
             key,
             own_vm,
             peers: ZonePeers::new(own_vm, zone),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            held_number: 0,
-            rejected_number: 0,
-            shown_numbers: FxHashMap::default(),
+            held_revision: 0,
+            rejected_revision: 0,
+            shown_revisions: FxHashMap::default(),
             is_watcher: false,
             announce_rounds_left: 0,
             wanted_since: None,
@@ -114,15 +114,15 @@
         &self.peers
     }
 
-    /// Returns the number that a VM has shown last; zero if it has shown none.
-    pub fn shown_number(&self, vm: VmAddress) -> u64 {
+    /// Returns the revision that a VM has shown last; zero if it has shown none.
+    pub fn shown_revision(&self, vm: VmAddress) -> u64 {
         if vm == self.own_vm {
-            return self.held_number;
+            return self.held_revision;
         }
-        self.shown_numbers.get(&vm).copied().unwrap_or(0)
+        self.shown_revisions.get(&vm).copied().unwrap_or(0)
     }
 
-    /// Returns whether this VM watches the key in the store.
+    /// Returns whether this VM watches the feed's key in the store.
     pub fn is_watching(&self) -> bool {
         self.is_watcher
     }
@@ -130,7 +130,8 @@
     /// Applies a new topology view. Starts or stops the watch if this VM's role as a watcher has changed.
     pub fn apply_topology(&mut self, view: &TopologyView) -> FeedActions {
         self.peers.update(view);
-        self.shown_numbers.retain(|vm, _| view.vms.contains_key(vm));
+        self.shown_revisions
+            .retain(|vm, _| view.vms.contains_key(vm));
         let is_watcher = self.peers.is_watcher(self.key);
         let mut actions = FeedActions::new();
         if is_watcher != self.is_watcher {
@@ -144,40 +145,40 @@
         actions
     }
 
-    /// Records the number that a peer has shown by gossip. It may be lower than before if the peer's process was
+    /// Records the revision that a peer has shown by gossip. It may be lower than before if the peer's process was
     /// restarted.
-    pub fn record_gossiped_number(
+    pub fn record_gossiped_revision(
         &mut self,
         now: Duration,
         vm: VmAddress,
-        number: u64,
+        revision: u64,
     ) -> FeedActions {
-        self.record_shown_number(now, vm, number, false)
+        self.record_shown_revision(now, vm, revision, false)
     }
 
-    /// Records the number that a peer has sent in a message. The link to the peer exists already, so the peer may be
+    /// Records the revision that a peer has sent in a message. The link to the peer exists already, so the peer may be
     /// asked at once.
-    pub fn record_received_number(
+    pub fn record_received_revision(
         &mut self,
         now: Duration,
         vm: VmAddress,
-        number: u64,
+        revision: u64,
     ) -> FeedActions {
-        self.record_shown_number(now, vm, number, true)
+        self.record_shown_revision(now, vm, revision, true)
     }
 
-    fn record_shown_number(
+    fn record_shown_revision(
         &mut self,
         now: Duration,
         vm: VmAddress,
-        number: u64,
+        revision: u64,
         is_linked: bool,
     ) -> FeedActions {
         if vm != self.own_vm {
-            self.shown_numbers.insert(vm, number);
+            self.shown_revisions.insert(vm, revision);
         }
         let mut actions = FeedActions::new();
-        if !self.is_wanted(number) {
+        if !self.is_wanted(revision) {
             return actions;
         }
         let wanted_since = *self.wanted_since.get_or_insert(now);
@@ -195,13 +196,13 @@
         }
     }
 
-    /// Records a newly held number and announces it; a number that isn't higher than the held one is ignored.
-    pub fn record_held_number(&mut self, number: u64) -> FeedActions {
+    /// Records a newly held revision and announces it; a revision that isn't higher than the held one is ignored.
+    pub fn record_held_revision(&mut self, revision: u64) -> FeedActions {
         let mut actions = FeedActions::new();
-        if number <= self.held_number {
+        if revision <= self.held_revision {
             return actions;
         }
-        self.held_number = number;
+        self.held_revision = revision;
         self.pending_pull = None;
         self.wanted_since = None;
         self.announce_rounds_left = EXTRA_ANNOUNCE_ROUNDS;
@@ -209,32 +210,32 @@
         actions
     }
 
-    /// Announces the held number to a few random partners that haven't shown it.
+    /// Announces the held revision to a few random partners that haven't shown it.
     fn announce(&mut self, actions: &mut FeedActions) {
         for vm in self.peers.draw_announce_targets(&mut self.rng) {
-            if self.shown_number(vm) < self.held_number {
+            if self.shown_revision(vm) < self.held_revision {
                 actions.push(FeedAction::Announce(vm));
             }
         }
     }
 
-    /// Records that a settled peer's revision has replaced a provisional one; its number may be lower.
-    pub fn record_adopted_number(&mut self, number: u64) -> FeedActions {
-        self.held_number = self.held_number.min(number.saturating_sub(1));
-        self.rejected_number = 0;
-        self.record_held_number(number)
+    /// Records that the revision of a settled peer has replaced the provisional one held here; it may be the lower one.
+    pub fn record_adopted_revision(&mut self, revision: u64) -> FeedActions {
+        self.held_revision = self.held_revision.min(revision.saturating_sub(1));
+        self.rejected_revision = 0;
+        self.record_held_revision(revision)
     }
 
-    /// Records that a number was fetched and can't be used, so that it isn't fetched again.
-    pub fn record_rejected_number(&mut self, number: u64) {
-        self.rejected_number = self.rejected_number.max(number);
+    /// Records that a revision was fetched and can't be used, so that it isn't fetched again.
+    pub fn record_rejected_revision(&mut self, revision: u64) {
+        self.rejected_revision = self.rejected_revision.max(revision);
         self.pending_pull = None;
         self.wanted_since = None;
     }
 
-    /// Returns whether a number is higher than the held one and any rejected one.
-    pub fn is_wanted(&self, number: u64) -> bool {
-        number > self.held_number.max(self.rejected_number)
+    /// Returns whether a revision is higher than the held one and any rejected one.
+    pub fn is_wanted(&self, revision: u64) -> bool {
+        revision > self.held_revision.max(self.rejected_revision)
     }
 
     /// Records that a peer couldn't serve the running pull, and pulls from another peer.
@@ -258,9 +259,9 @@
         }
         if self.pending_pull.is_none()
             && self
-                .shown_numbers
+                .shown_revisions
                 .values()
-                .any(|number| self.is_wanted(*number))
+                .any(|revision| self.is_wanted(*revision))
         {
             self.pull_from_any(now, &mut actions);
         }
@@ -277,7 +278,7 @@
 
     /// Returns the time until the next question to a random peer, with jitter so that VMs don't ask at the same moment.
     fn draw_ask_interval(&mut self) -> Duration {
-        let period = if self.held_number == 0 {
+        let period = if self.held_revision == 0 {
             EMPTY_ASK_PERIOD
         } else {
             ASK_PERIOD
@@ -285,20 +286,20 @@
         period.mul_f64(self.rng.random_range(0.5..=1.5))
     }
 
-    /// Ends the running pull and starts another one. The peer counts as having shown nothing until it shows a number
+    /// Ends the running pull and starts another one. The peer counts as having shown nothing until it shows a revision
     /// again.
     fn abandon_pull(&mut self, now: Duration, actions: &mut FeedActions) {
         if let Some(pull) = self.pending_pull.take() {
-            self.shown_numbers.remove(&pull.vm);
+            self.shown_revisions.remove(&pull.vm);
             self.pull_from_any(now, actions);
         }
     }
 
-    /// Pulls from a random partner that has a wanted number, or after [`PARTNER_WAIT`] from any VM that has one.
+    /// Pulls from a random partner that has a wanted revision, or after [`PARTNER_WAIT`] from any VM that has one.
     fn pull_from_any(&mut self, now: Duration, actions: &mut FeedActions) {
         let mut candidates: SmallVec<[VmAddress; 16]> = SmallVec::new();
-        for (vm, number) in &self.shown_numbers {
-            if self.is_wanted(*number) {
+        for (vm, revision) in &self.shown_revisions {
+            if self.is_wanted(*revision) {
                 candidates.push(*vm);
             }
         }
--- a/crates/ebonyfork/src/revision/metrics.rs
+++ b/crates/ebonyfork/src/revision/metrics.rs
@@ -17,12 +17,12 @@
 pub(super) struct RevisionMetrics {
     pub(super) held_revision: Gauge,
     pub(super) highest_revision: Gauge,
-    pub(super) watching: Gauge,
+    pub(super) is_watching: Gauge,
     pub(super) lagging_vms: Gauge,
     pub(super) revisions_taken: Family<SourceLabels, Counter>,
-    pub(super) rejected: Counter,
-    pub(super) diverged: Counter,
-    pub(super) restored: Counter,
+    pub(super) rejected_revisions: Counter,
+    pub(super) divergences: Counter,
+    pub(super) restored_heads: Counter,
     pub(super) refused_parts: Counter,
 }
 
@@ -41,7 +41,7 @@
         registry.register(
             "revision_watching",
             "Whether this VM watches the store for its zone, 1 or 0",
-            self.watching.clone(),
+            self.is_watching.clone(),
         );
         registry.register(
             "revision_lagging_vms",
@@ -56,17 +56,17 @@
         registry.register(
             "revision_rejected",
             "Revisions fetched whole that this VM can't read",
-            self.rejected.clone(),
+            self.rejected_revisions.clone(),
         );
         registry.register(
             "revision_diverged",
             "Times another change was seen under the number of the one in force",
-            self.diverged.clone(),
+            self.divergences.clone(),
         );
         registry.register(
             "revision_restored",
             "Times this VM moved the store's head forward again after it had gone back",
-            self.restored.clone(),
+            self.restored_heads.clone(),
         );
         registry.register(
             "revision_refused_parts",
--- a/crates/ebonyfork/src/revision/mod.rs
+++ b/crates/ebonyfork/src/revision/mod.rs
@@ -41,7 +41,7 @@
 };
 pub use publisher::{publish, publish_prepared, publish_request, unix_millis};
 pub use record::{
-    ChangeId, ChangeRecord, FILE_LIMIT, HEAD_KEY, HELD_PREFIX, HeadRecord, HeldEvidence,
+    ChangeId, ChangeRecord, EVIDENCE_PREFIX, FILE_LIMIT, HEAD_KEY, HeadRecord, HeldEvidence,
     LAGGING_LIMIT, LINEAGE_LIMIT, LaggingVm, PartDigest, PartEntry, PartSet,
 };
 pub use restore::{PROVISIONAL_TIME, RestorePlan, may_replace, must_adopt, plan_restore};
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -57,10 +57,10 @@
         self.near_partners.clear();
         self.far_partners.clear();
         self.active_vms.clear();
-        let mut own_is_leaving = false;
+        let mut own_vm_is_leaving = false;
         for entry in view.vms.values() {
             if entry.vm == self.own_vm {
-                own_is_leaving = entry.leaving;
+                own_vm_is_leaving = entry.leaving;
                 continue;
             }
             if entry.zone != self.zone {
@@ -72,7 +72,7 @@
                 self.active_vms.push(entry.vm);
             }
         }
-        if !own_is_leaving {
+        if !own_vm_is_leaving {
             self.active_vms.push(self.own_vm);
         }
         let key = self.own_vm.to_string();
--- a/crates/ebonyfork/src/revision/peers_tests.rs
+++ b/crates/ebonyfork/src/revision/peers_tests.rs
@@ -5,13 +5,13 @@
 use super::*;
 use crate::topology::VmEntry;
 
-fn vm(number: u8) -> VmAddress {
-    VmAddress([127, 0, 1, number].into())
+fn vm(last_octet: u8) -> VmAddress {
+    VmAddress([127, 0, 1, last_octet].into())
 }
 
 fn view(members: &[(u8, &str, bool)]) -> TopologyView {
-    let vms = members.iter().map(|(number, zone, leaving)| VmEntry {
-        vm: vm(*number),
+    let vms = members.iter().map(|(last_octet, zone, leaving)| VmEntry {
+        vm: vm(*last_octet),
         zone: zone.parse().unwrap(),
         incarnation: None,
         leaving: *leaving,
@@ -33,24 +33,26 @@
 
 #[gtest]
 fn each_zone_has_two_watchers_whatever_its_size() {
-    for size in [1, 2, 3, 30, 100] {
+    for zone_size in [1, 2, 3, 30, 100] {
         let mut members = Vec::new();
-        for number in 0..size {
-            members.push((number, "zone-a", false));
-            members.push((number + 100, "zone-b", false));
+        for last_octet in 0..zone_size {
+            members.push((last_octet, "zone-a", false));
+            members.push((last_octet + 100, "zone-b", false));
         }
-        let expected = 2 * usize::from(size.min(2));
+        let expected = 2 * usize::from(zone_size.min(2));
         expect_that!(watchers(&view(&members), "config/head").len(), eq(expected));
     }
 }
 
 #[gtest]
 fn a_leaving_vm_stops_watching_and_another_takes_over() {
-    let active_members: Vec<_> = (0..10).map(|number| (number, "zone-a", false)).collect();
+    let active_members: Vec<_> = (0..10)
+        .map(|last_octet| (last_octet, "zone-a", false))
+        .collect();
     let watchers_before = watchers(&view(&active_members), "config/head");
     let leaving_vm = watchers_before[0];
     let members_with_leaving: Vec<_> = (0..10)
-        .map(|number| (number, "zone-a", vm(number) == leaving_vm))
+        .map(|last_octet| (last_octet, "zone-a", vm(last_octet) == leaving_vm))
         .collect();
     let watchers_after = watchers(&view(&members_with_leaving), "config/head");
     expect_that!(watchers_after.len(), eq(2));
@@ -61,7 +63,9 @@
 #[gtest]
 fn announce_targets_are_distinct_and_ask_targets_are_mostly_near() {
     let mut rng = ChaCha8Rng::seed_from_u64(3);
-    let mut members: Vec<_> = (0..20).map(|number| (number, "zone-a", false)).collect();
+    let mut members: Vec<_> = (0..20)
+        .map(|last_octet| (last_octet, "zone-a", false))
+        .collect();
     members.push((99, "zone-b", false));
     let mut peers = ZonePeers::new(vm(0), "zone-a".parse().unwrap());
     expect_that!(peers.draw_ask_target(&mut rng), none());
@@ -76,8 +80,10 @@
 
 #[gtest]
 fn partners_are_few_and_stay_when_another_vm_leaves() {
-    let mut members: Vec<_> = (0..100).map(|number| (number, "zone-a", false)).collect();
-    members.extend((100..200).map(|number| (number, "zone-b", false)));
+    let mut members: Vec<_> = (0..100)
+        .map(|last_octet| (last_octet, "zone-a", false))
+        .collect();
+    members.extend((100..200).map(|last_octet| (last_octet, "zone-b", false)));
     let partners = |members: &[(u8, &str, bool)]| {
         let mut peers = ZonePeers::new(vm(0), "zone-a".parse().unwrap());
         peers.update(&view(members));
@@ -92,7 +98,7 @@
         eq(NEAR_PARTNER_COUNT + FAR_PARTNER_COUNT)
     );
     let removed_vm = partners_before[0];
-    members.retain(|(number, _, _)| vm(*number) != removed_vm);
+    members.retain(|(last_octet, _, _)| vm(*last_octet) != removed_vm);
     let partners_after = partners(&members);
     let kept_count = partners_before
         .iter()
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -168,7 +168,7 @@
 pub struct PublishRun {
     request: PublishRequest,
     step: PublishStep,
-    base: StoredHead,
+    stored_base: StoredHead,
     base_change: Option<ChangeRecord>,
     revision: RevisionNumber,
     /// Number of failed attempts at the current step.
@@ -187,7 +187,7 @@
         Self {
             request,
             step: PublishStep::ReadBase,
-            base: None,
+            stored_base: None,
             base_change: None,
             revision: RevisionNumber(0),
             step_failures: 0,
@@ -233,11 +233,11 @@
     }
 
     fn base_head(&self) -> Option<HeadRecord> {
-        self.base.map(|(_, head)| head)
+        self.stored_base.map(|(_, head)| head)
     }
 
     fn base_version(&self) -> StoreRevision {
-        self.base
+        self.stored_base
             .map_or(StoreRevision::ABSENT, |(version, _)| version)
     }
 
@@ -305,7 +305,7 @@
         if let ExpectedBase::Exactly(expected) = self.request.base
             && expected != current_head
         {
-            self.base = expected.map(|expected| (StoreRevision::ABSENT, expected));
+            self.stored_base = expected.map(|expected| (StoreRevision::ABSENT, expected));
             return match current_head {
                 Some(other_head) => {
                     self.enter_step(PublishStep::ReadOtherChange(other_head.change))
@@ -315,7 +315,7 @@
                 }
             };
         }
-        self.base = head;
+        self.stored_base = head;
         self.enter_step(PublishStep::ReadEvidence)
     }
 
@@ -333,7 +333,7 @@
             ));
         }
         self.revision = RevisionNumber(base_revision.0 + 1);
-        match self.base {
+        match self.stored_base {
             Some(_) => self.enter_step(PublishStep::ReadBaseChange),
             None => self.next_part(0),
         }
--- a/crates/ebonyfork/src/revision/publish_tests.rs
+++ b/crates/ebonyfork/src/revision/publish_tests.rs
@@ -124,8 +124,8 @@
     let other_change_head = Some((StoreRevision::new(2), head(2, OTHER_CHANGE)));
     let later_head = Some((StoreRevision::new(3), head(3, OTHER_CHANGE)));
     let older_head = Some((StoreRevision::new(7), head(0, OTHER_CHANGE)));
-    let other_on_base = record(2, OTHER_CHANGE, Some(BASE_CHANGE));
-    let other_on_own = record(3, OTHER_CHANGE, Some(OWN_CHANGE));
+    let other_record_on_base = record(2, OTHER_CHANGE, Some(BASE_CHANGE));
+    let other_record_on_own = record(3, OTHER_CHANGE, Some(OWN_CHANGE));
     // Each case: answers to the swaps, the head afterwards, the record of the other change, the expected outcome, and
     // the number of swaps sent.
     let cases = [
@@ -140,21 +140,21 @@
         (
             vec![lost_answer()],
             later_head,
-            Some(other_on_own),
+            Some(other_record_on_own),
             "published, followed",
             1,
         ),
         (
             vec![lost_answer()],
             other_change_head,
-            Some(other_on_base.clone()),
+            Some(other_record_on_base.clone()),
             "conflict",
             1,
         ),
         (
             vec![conflict_answer()],
             other_change_head,
-            Some(other_on_base),
+            Some(other_record_on_base),
             "conflict",
             1,
         ),
--- a/crates/ebonyfork/src/revision/record.rs
+++ b/crates/ebonyfork/src/revision/record.rs
@@ -23,7 +23,7 @@
 /// Store key of the [`HeadRecord`].
 pub const HEAD_KEY: &str = "config/head";
 /// Prefix of the store keys of each zone's [`HeldEvidence`].
-pub const HELD_PREFIX: &str = "config/held";
+pub const EVIDENCE_PREFIX: &str = "config/held";
 /// Maximum number of files in one revision.
 pub const FILE_LIMIT: usize = 1_000;
 
@@ -200,17 +200,17 @@
         lineage
     }
 
-    /// Returns whether this change descends from `held` and so may replace it.
+    /// Returns whether this change descends from `held_head` and so may replace it.
     ///
     /// If a store loses its last writes and is then published to again, its new change doesn't descend from the lost
-    /// one. If `held` is too old for the lineage to reach back to it, the higher revision number decides.
-    pub fn follows(&self, held: HeadRecord) -> bool {
-        if self.revision <= held.revision {
+    /// one. If `held_head` is too old for the lineage to reach back to it, the higher revision number decides.
+    pub fn follows(&self, held_head: HeadRecord) -> bool {
+        if self.revision <= held_head.revision {
             return false;
         }
         let exceeds_lineage = self.lineage.len() >= LINEAGE_LIMIT
-            && self.revision.0 - held.revision.0 >= LINEAGE_LIMIT as u64;
-        exceeds_lineage || self.lineage.contains(&held.change)
+            && self.revision.0 - held_head.revision.0 >= LINEAGE_LIMIT as u64;
+        exceeds_lineage || self.lineage.contains(&held_head.change)
     }
 
     /// Returns a change that puts the files of this one in force again, as a child of a `head` that doesn't descend
@@ -281,7 +281,7 @@
 impl HeldEvidence {
     /// Returns the store key of a zone's evidence.
     pub fn key(zone: &ZoneName) -> String {
-        format!("{HELD_PREFIX}/{zone}")
+        format!("{EVIDENCE_PREFIX}/{zone}")
     }
 }
 
@@ -312,10 +312,10 @@
         if let Err(parse_findings) = DeclaredConfig::parse(files, RevisionNumber(0)) {
             findings.extend(parse_findings);
         }
-        let mut sorted: Vec<&DeclaredFile> = files.iter().collect();
-        sorted.sort_by(|a, b| a.name.cmp(&b.name));
-        let mut set = Self::default();
-        for file in sorted {
+        let mut sorted_files: Vec<&DeclaredFile> = files.iter().collect();
+        sorted_files.sort_by(|a, b| a.name.cmp(&b.name));
+        let mut part_set = Self::default();
+        for file in sorted_files {
             let size = file.text.len();
             if size > VALUE_LIMIT {
                 let message =
@@ -323,14 +323,14 @@
                 findings.push(&file.name, 0, message);
                 continue;
             }
-            set.entries.push(PartEntry {
+            part_set.entries.push(PartEntry {
                 name: file.name.clone(),
                 sha256: PartDigest::new(&file.text),
                 size: size as u32,
             });
-            set.texts.push(Bytes::from(file.text.clone()));
+            part_set.texts.push(Bytes::from(file.text.clone()));
         }
-        findings.into_result(set)
+        findings.into_result(part_set)
     }
 }
 
--- a/crates/ebonyfork/src/revision/record_tests.rs
+++ b/crates/ebonyfork/src/revision/record_tests.rs
@@ -17,8 +17,8 @@
     let findings = PartSet::new(&[DeclaredFile::new("big.ini", text)]).unwrap_err();
     expect_that!(findings.to_string(), contains_substring("split the file"));
     let fitting_text = format!("; {}\n", "x".repeat(VALUE_LIMIT - 3));
-    let set = PartSet::new(&[DeclaredFile::new("big.ini", fitting_text)]);
-    expect_that!(set.map(|set| set.texts[0].len()), ok(eq(&VALUE_LIMIT)));
+    let part_set = PartSet::new(&[DeclaredFile::new("big.ini", fitting_text)]);
+    expect_that!(part_set.map(|set| set.texts[0].len()), ok(eq(&VALUE_LIMIT)));
 }
 
 fn change(revision: u64, id: u8, lineage: &[u8]) -> ChangeRecord {
@@ -51,21 +51,26 @@
 
 #[gtest]
 fn a_restoring_change_and_its_children_follow_both_histories() {
-    let (held, unrelated) = (change(7, 7, &[6, 5]), change(8, 80, &[70, 6]));
-    let restored = held.restored_onto(&unrelated, ChangeId([9; 16]), 0);
-    expect_that!(restored.revision, eq(RevisionNumber(9)));
-    expect_true!(restored.follows(held.head()) && restored.follows(unrelated.head()));
-    let mut child = change(10, 10, &[]);
-    child.lineage = restored.child_lineage();
-    expect_true!(child.follows(held.head()) && child.follows(unrelated.head()));
+    let (held_change, unrelated_change) = (change(7, 7, &[6, 5]), change(8, 80, &[70, 6]));
+    let restored_change = held_change.restored_onto(&unrelated_change, ChangeId([9; 16]), 0);
+    expect_that!(restored_change.revision, eq(RevisionNumber(9)));
+    expect_true!(
+        restored_change.follows(held_change.head())
+            && restored_change.follows(unrelated_change.head())
+    );
+    let mut child_change = change(10, 10, &[]);
+    child_change.lineage = restored_change.child_lineage();
+    expect_true!(
+        child_change.follows(held_change.head()) && child_change.follows(unrelated_change.head())
+    );
 }
 
 #[gtest]
 fn a_revision_older_than_the_lineage_is_replaced_by_a_higher_number() {
-    let mut distant = change(1_000, 1, &[]);
-    distant.lineage = (0..LINEAGE_LIMIT)
+    let mut distant_change = change(1_000, 1, &[]);
+    distant_change.lineage = (0..LINEAGE_LIMIT)
         .map(|id| ChangeId([id as u8; 16]))
         .collect();
-    expect_true!(distant.follows(change(3, 200, &[]).head()));
-    expect_false!(distant.follows(change(990, 200, &[]).head()));
+    expect_true!(distant_change.follows(change(3, 200, &[]).head()));
+    expect_false!(distant_change.follows(change(990, 200, &[]).head()));
 }
--- a/crates/ebonyfork/src/revision/restore.rs
+++ b/crates/ebonyfork/src/revision/restore.rs
@@ -1,8 +1,9 @@
 //! Decides which change may replace another, and how to restore a head that lacks the held revision.
 //!
 //! A VM accepts only a change that descends from the one it holds. The exception is a VM that has just started, because
-//! its first revision may come from a store that had lost its last writes. For a while that revision is *provisional*:
-//! it is replaced by a settled peer's revision that isn't among its ancestors, and is never used to restore the store.
+//! its first revision may come from a store that had lost its last writes. For a while that revision is *provisional*;
+//! afterwards the VM is *settled*. A provisional revision is replaced by a settled peer's revision that isn't among its
+//! ancestors, and it is never used to restore the store.
 
 use std::time::Duration;
 
--- a/crates/ebonyfork/src/revision/store.rs
+++ b/crates/ebonyfork/src/revision/store.rs
@@ -8,7 +8,7 @@
 use crate::store::{StoreClient, StoreError, StoreItem, StoreRevision};
 
 use super::record::{
-    ChangeId, ChangeRecord, HEAD_KEY, HELD_PREFIX, HeadRecord, HeldEvidence, PartDigest,
+    ChangeId, ChangeRecord, EVIDENCE_PREFIX, HEAD_KEY, HeadRecord, HeldEvidence, PartDigest,
 };
 
 /// The head with the store revision of its key; `None` before the first change is published.
@@ -59,7 +59,7 @@
 /// Reads the evidence of all zones that have written any.
 pub async fn read_evidence(client: &StoreClient) -> Result<Vec<HeldEvidence>, StoreError> {
     let mut evidence = Vec::new();
-    for item in client.list(HELD_PREFIX).await? {
+    for item in client.list(EVIDENCE_PREFIX).await? {
         if is_zone_key(&item.key) {
             evidence.push(parse_json(&item.key, &item.value)?);
         }
@@ -68,7 +68,7 @@
 }
 
 fn is_zone_key(key: &str) -> bool {
-    let suffix = key.strip_prefix(HELD_PREFIX);
+    let suffix = key.strip_prefix(EVIDENCE_PREFIX);
     let zone = suffix.and_then(|suffix| suffix.strip_prefix('/'));
     zone.is_some_and(|zone| zone.parse::<ZoneName>().is_ok())
 }
--- a/crates/ebonyfork/src/store/feed.rs
+++ b/crates/ebonyfork/src/store/feed.rs
@@ -162,19 +162,19 @@
                 })
             }
             MirrorStep::Watch { after } => {
-                let wait = self.settings.watch_wait;
-                let watch_call = self.port.watch(&self.settings.prefix, after, wait);
+                let watch_wait = self.settings.watch_wait;
+                let watch_call = self.port.watch(&self.settings.prefix, after, watch_wait);
                 let watch = self
-                    .await_answer(wait + self.settings.answer_timeout, watch_call)
+                    .await_answer(watch_wait + self.settings.answer_timeout, watch_call)
                     .await;
                 self.next_watch_at = Instant::now() + self.settings.min_watch_interval;
-                let waited_fully = called_at.elapsed() >= wait;
+                let waited_fully = called_at.elapsed() >= watch_wait;
                 watch.map(|watch| {
                     // A watch that returned changes may have read the store as early as its start. One that waited the
                     // full time without changes shows the store as of the end of the wait.
                     let was_idle = watch.events.is_empty() && waited_fully;
                     let up_to_date_at = if was_idle {
-                        called_at + wait
+                        called_at + watch_wait
                     } else {
                         called_at
                     };
--- a/crates/ebonyfork/src/store/mirror.rs
+++ b/crates/ebonyfork/src/store/mirror.rs
@@ -185,13 +185,13 @@
             return None;
         }
         *after = watch.revision.max(*after);
-        let newest = newest_events(watch.events);
-        (!newest.is_empty()).then_some(MirrorChange::Changed(newest))
+        let newest_changes = newest_events(watch.events);
+        (!newest_changes.is_empty()).then_some(MirrorChange::Changed(newest_changes))
     }
 
     /// Records the era that an answer states and returns the era that the answer counts as: the highest seen.
-    fn raise_era(&mut self, stated: StoreEra) -> StoreEra {
-        self.era = self.era.max(stated);
+    fn raise_era(&mut self, stated_era: StoreEra) -> StoreEra {
+        self.era = self.era.max(stated_era);
         self.era
     }
 
@@ -249,15 +249,15 @@
 
 /// Returns the newest event of each key, ordered by revision.
 pub fn newest_events(events: impl IntoIterator<Item = StoreEvent>) -> Vec<StoreEvent> {
-    let mut newest: FxHashMap<CompactString, StoreEvent> = FxHashMap::default();
+    let mut newest_by_key: FxHashMap<CompactString, StoreEvent> = FxHashMap::default();
     for event in events {
-        let known = newest.get(event.key());
-        if known.is_some_and(|known| known.revision() >= event.revision()) {
+        let known_event = newest_by_key.get(event.key());
+        if known_event.is_some_and(|known_event| known_event.revision() >= event.revision()) {
             continue;
         }
-        newest.insert(event.key().clone(), event);
+        newest_by_key.insert(event.key().clone(), event);
     }
-    let mut events: Vec<_> = newest.into_values().collect();
+    let mut events: Vec<_> = newest_by_key.into_values().collect();
     events.sort_unstable_by_key(StoreEvent::revision);
     events
 }
--- a/crates/ebonyfork/src/store/mirror_tests.rs
+++ b/crates/ebonyfork/src/store/mirror_tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn removed(key: &str, revision: u64) -> StoreEvent {
+fn removed_event(key: &str, revision: u64) -> StoreEvent {
     StoreEvent::Removed {
         key: key.into(),
         revision: StoreRevision::new(revision),
@@ -71,17 +71,17 @@
     let mut mirror = following_mirror(vec![item("a", 1)], 1);
     let events = vec![
         StoreEvent::Written(item("b", 2)),
-        removed("a", 3),
-        removed("b", 4),
+        removed_event("a", 3),
+        removed_event("b", 4),
         StoreEvent::Written(item("a", 5)),
     ];
     let change = mirror.apply_watch(watch(events, 5));
     // The removal of `b` is returned although the mirror never saw `b`: the reader may know the key from another VM.
-    let expected = vec![removed("b", 4), StoreEvent::Written(item("a", 5))];
+    let expected = vec![removed_event("b", 4), StoreEvent::Written(item("a", 5))];
     expect_that!(change, some(eq(&MirrorChange::Changed(expected))));
 }
 
-fn in_era(number: u64, era: u64) -> StoreRevision {
+fn revision_in_era(number: u64, era: u64) -> StoreRevision {
     StoreRevision::new(number).with_era(StoreEra(era))
 }
 
@@ -98,7 +98,7 @@
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
     let full_range = page(vec![item("a", 1)], false, 9).with_era(StoreEra(1));
     expect_that!(mirror.apply_page(full_range), some(anything()));
-    let after = in_era(9, 1);
+    let after = revision_in_era(9, 1);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
 }
 
@@ -117,9 +117,9 @@
 fn a_mirror_does_not_resume_at_a_revision_of_an_ended_history() {
     let mut mirror = following_mirror(vec![item("a", 1)], 5);
     mirror.apply_watch(watch(vec![], 4).with_era(StoreEra(2)));
-    mirror.resume_at(in_era(90, 1));
+    mirror.resume_at(revision_in_era(90, 1));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
-    let after = in_era(3, 3);
+    let after = revision_in_era(3, 3);
     mirror.resume_at(after);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
 }
@@ -133,7 +133,7 @@
         let change = mirror.apply_watch(watch_result.with_era(StoreEra(stated_era)));
         let expected = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
         expect_that!(change, some(eq(&MirrorChange::Changed(vec![expected]))));
-        let after = in_era(6, 2);
+        let after = revision_in_era(6, 2);
         expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
     }
 }
--- a/crates/ebonyfork/src/store/revision_tests.rs
+++ b/crates/ebonyfork/src/store/revision_tests.rs
@@ -5,7 +5,7 @@
 #[gtest]
 fn a_revision_of_a_later_era_orders_after_any_number_of_an_earlier_era() {
     let revision = |era, number| StoreRevision::new(number).with_era(StoreEra(era));
-    let order = [
+    let ordered_revisions = [
         StoreRevision::ABSENT,
         revision(0, 90),
         revision(1, 2),
@@ -13,7 +13,10 @@
         revision(2, 0),
         revision(2, 1),
     ];
-    expect_that!(order.is_sorted_by(|left, right| left < right), eq(true));
+    expect_that!(
+        ordered_revisions.is_sorted_by(|left, right| left < right),
+        eq(true)
+    );
 }
 
 #[gtest]
@@ -23,8 +26,8 @@
         StoreRevision::new(u64::MAX),
         StoreRevision::new(7).with_era(StoreEra(u64::MAX)),
     ] {
-        let read: StoreRevision = revision.to_string().parse().expect("a revision");
-        expect_that!(read, eq(revision));
+        let parsed: StoreRevision = revision.to_string().parse().expect("a revision");
+        expect_that!(parsed, eq(revision));
     }
     for text in [
         "",
