--- a/crates/ebonyfork-lab/src/publish_model/store.rs
+++ b/crates/ebonyfork-lab/src/publish_model/store.rs
@@ -38,7 +38,7 @@
     pub(super) fn head_or_lost(&self) -> Option<ChangeRecord> {
         let (_, head) = self.head?;
         let change = self.changes.get(&head.change).cloned();
-        Some(change.unwrap_or_else(|| ChangeRecord::lost(head)))
+        Some(change.unwrap_or_else(|| ChangeRecord::placeholder(head)))
     }
 
     pub(super) fn head_change(&self) -> Option<&ChangeRecord> {
--- a/crates/ebonyfork/src/revision/publish_tests.rs
+++ b/crates/ebonyfork/src/revision/publish_tests.rs
@@ -18,7 +18,7 @@
 fn record(revision: u64, change: ChangeId, parent: Option<ChangeId>) -> ChangeRecord {
     ChangeRecord {
         lineage: parent.into_iter().collect(),
-        ..ChangeRecord::lost(head(revision, change))
+        ..ChangeRecord::placeholder(head(revision, change))
     }
 }
 
--- a/crates/ebonyfork/src/revision/record.rs
+++ b/crates/ebonyfork/src/revision/record.rs
@@ -175,7 +175,7 @@
 
 impl ChangeRecord {
     /// Returns a placeholder for a change whose record the store has lost.
-    pub fn lost(head: HeadRecord) -> Self {
+    pub fn placeholder(head: HeadRecord) -> Self {
         Self {
             revision: head.revision,
             change: head.change,
--- a/crates/ebonyfork/src/revision/watcher.rs
+++ b/crates/ebonyfork/src/revision/watcher.rs
@@ -100,7 +100,7 @@
         return Ok(held.change.clone());
     }
     let change = read_change(client, head.change).await?;
-    Ok(change.unwrap_or_else(|| ChangeRecord::lost(head)))
+    Ok(change.unwrap_or_else(|| ChangeRecord::placeholder(head)))
 }
 
 async fn move_head_forward(
