--- a/crates/ebonyfork-lab/src/config_fleet.rs
+++ b/crates/ebonyfork-lab/src/config_fleet.rs
@@ -134,7 +134,8 @@
             .map(|node| (node.vm, node.revision()))
             .collect();
         for node in &self.nodes {
-            node.revision.note_members(held.iter().copied());
+            node.revision
+                .record_gossiped_revisions(held.iter().copied());
         }
     }
 
--- a/crates/ebonyfork/src/node/gossip.rs
+++ b/crates/ebonyfork/src/node/gossip.rs
@@ -63,7 +63,7 @@
     let mut snapshot = members.snapshot();
     loop {
         let seen = snapshot.borrow_and_update().clone();
-        revision.note_members(held_revisions(&seen));
+        revision.record_gossiped_revisions(held_revisions(&seen));
         if snapshot.changed().await.is_err() {
             return;
         }
--- a/crates/ebonyfork/src/revision/handle.rs
+++ b/crates/ebonyfork/src/revision/handle.rs
@@ -50,12 +50,15 @@
     }
 
     /// Records the revision that a peer's membership digest shows.
-    pub fn note_peer_revision(&self, vm: VmAddress, revision: RevisionNumber) {
-        self.note_members([(vm, revision)]);
+    pub fn record_gossiped_revision(&self, vm: VmAddress, revision: RevisionNumber) {
+        self.record_gossiped_revisions([(vm, revision)]);
     }
 
     /// Records the revisions that several members have shown by gossip.
-    pub fn note_members(&self, revisions: impl IntoIterator<Item = (VmAddress, RevisionNumber)>) {
+    pub fn record_gossiped_revisions(
+        &self,
+        revisions: impl IntoIterator<Item = (VmAddress, RevisionNumber)>,
+    ) {
         let revisions = revisions.into_iter().collect();
         let _send_result = self
             .address
