--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -44,8 +44,9 @@
 /// have been faster than the store's watch.
 const ROLLBACK_GRACE_TIME: Duration = Duration::from_secs(2);
 
-/// First and longest wait after a failed attempt to load a revision from the store.
+/// Wait after the first failed attempt to load a revision from the store; it doubles with each further failure.
 const FIRST_LOAD_WAIT: Duration = Duration::from_millis(100);
+/// Maximum wait after a failed attempt to load a revision from the store.
 const MAX_LOAD_WAIT: Duration = Duration::from_secs(5);
 
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -18,7 +18,7 @@
 
 /// Number of VMs per zone that watch a key of the store.
 pub const WATCHERS_PER_ZONE: usize = 2;
-/// Number of peers in the own zone that receive each announcement.
+/// Maximum number of peers in the own zone that receive an announcement.
 pub const ANNOUNCE_FAN_OUT: usize = 4;
 /// Number of partners in the own zone. Among 490 VMs, one in 3,000 is nobody's partner; it learns of changes by asking.
 pub const NEAR_PARTNER_COUNT: usize = 8;
--- a/crates/ebonyfork/src/revision/publisher.rs
+++ b/crates/ebonyfork/src/revision/publisher.rs
@@ -16,8 +16,9 @@
 use super::record::{ChangeId, HeadRecord, PartSet};
 use super::store::{move_head, put_if_absent, read_change, read_evidence, read_head, to_json};
 
-/// First and longest wait after a failed store call.
+/// Wait after the first failed store call; it doubles with each further failure.
 const FIRST_RETRY_WAIT: Duration = Duration::from_millis(100);
+/// Maximum wait after a failed store call.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(2);
 
 /// Returns the milliseconds since the Unix epoch by this machine's clock.
