--- a/crates/ebonyfork-lab/src/publish_model/mod.rs
+++ b/crates/ebonyfork-lab/src/publish_model/mod.rs
@@ -13,7 +13,7 @@
 use ebonyfork::ident::RevisionNumber;
 use ebonyfork::revision::{
     ChangeId, ChangeRecord, ExpectedBase, HeadRecord, HeldEvidence, PartSet, PublishAction,
-    PublishOutcome, PublishReply, PublishRequest, PublishRun, RestorePlan, may_take, must_adopt,
+    PublishOutcome, PublishReply, PublishRequest, PublishRun, RestorePlan, may_replace, must_adopt,
     plan_restore,
 };
 use ebonyfork::store::{StoreError, StoreRevision};
@@ -265,7 +265,7 @@
             self.provisional[vm] = true;
             return Ok(());
         };
-        if !may_take(Some(held), self.provisional[vm], &change) {
+        if !may_replace(Some(held), self.provisional[vm], &change) {
             return Ok(());
         }
         if let Some(restored) = change.restores {
@@ -299,7 +299,7 @@
         };
         let id = ChangeId::random(&mut self.rng);
         let plan = plan_restore(self.store.head_or_lost().as_ref(), &held, id, 0);
-        if let RestorePlan::Move(change) = plan {
+        if let RestorePlan::MoveHead(change) = plan {
             let head = change.head();
             self.write_change(change);
             let version = self.store.version();
@@ -334,7 +334,7 @@
         }
         let reply = self.answer(action);
         let operator = &mut self.operators[number];
-        operator.action = operator.run.take(reply);
+        operator.action = operator.run.apply_reply(reply);
         Ok(())
     }
 
--- a/crates/ebonyfork/src/node/gossip.rs
+++ b/crates/ebonyfork/src/node/gossip.rs
@@ -66,7 +66,7 @@
     let mut snapshot = members.snapshot();
     loop {
         let current = snapshot.borrow_and_update().clone();
-        revision.note_members(held_revisions(&current));
+        revision.record_gossiped_revisions(held_revisions(&current));
         if snapshot.changed().await.is_err() {
             return;
         }
--- a/crates/ebonyfork/src/revision/metrics.rs
+++ b/crates/ebonyfork/src/revision/metrics.rs
@@ -6,23 +6,23 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// Where a revision came from.
+/// Labels of the `revision_taken` counter: whether a revision came from a peer or the store.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(super) struct SourceLabels {
     pub(super) source: &'static str,
 }
 
-/// What a process shows about its revisions.
+/// Metrics about the revisions that a process holds and has seen.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RevisionMetrics {
-    pub(super) held: Gauge,
-    pub(super) highest: Gauge,
-    pub(super) watching: Gauge,
-    pub(super) lagging: Gauge,
-    pub(super) taken: Family<SourceLabels, Counter>,
-    pub(super) rejected: Counter,
-    pub(super) diverged: Counter,
-    pub(super) restored: Counter,
+    pub(super) held_revision: Gauge,
+    pub(super) highest_revision: Gauge,
+    pub(super) is_watching: Gauge,
+    pub(super) lagging_vms: Gauge,
+    pub(super) revisions_taken: Family<SourceLabels, Counter>,
+    pub(super) rejected_revisions: Counter,
+    pub(super) divergences: Counter,
+    pub(super) restored_heads: Counter,
     pub(super) refused_parts: Counter,
 }
 
@@ -31,42 +31,42 @@
         registry.register(
             "revision_held",
             "Revision of the configuration that is in force on this VM",
-            self.held.clone(),
+            self.held_revision.clone(),
         );
         registry.register(
             "revision_highest",
             "Highest revision of the configuration that any peer or the store has shown",
-            self.highest.clone(),
+            self.highest_revision.clone(),
         );
         registry.register(
             "revision_watching",
             "Whether this VM watches the store for its zone, 1 or 0",
-            self.watching.clone(),
+            self.is_watching.clone(),
         );
         registry.register(
             "revision_lagging_vms",
             "VMs of the zone below this VM's revision, on the zone's watchers",
-            self.lagging.clone(),
+            self.lagging_vms.clone(),
         );
         registry.register(
             "revision_taken",
             "Revisions put in force, by where they came from",
-            self.taken.clone(),
+            self.revisions_taken.clone(),
         );
         registry.register(
             "revision_rejected",
             "Revisions fetched whole that this VM can't read",
-            self.rejected.clone(),
+            self.rejected_revisions.clone(),
         );
         registry.register(
             "revision_diverged",
             "Times another change was seen under the number of the one in force",
-            self.diverged.clone(),
+            self.divergences.clone(),
         );
         registry.register(
             "revision_restored",
             "Times this VM moved the store's head forward again after it had gone back",
-            self.restored.clone(),
+            self.restored_heads.clone(),
         );
         registry.register(
             "revision_refused_parts",
--- a/crates/ebonyfork/src/store/mirror_tests.rs
+++ b/crates/ebonyfork/src/store/mirror_tests.rs
@@ -13,10 +13,10 @@
     }
 }
 
-fn page(items: Vec<StoreItem>, more: bool, revision: u64) -> StorePage {
+fn page(items: Vec<StoreItem>, has_more: bool, revision: u64) -> StorePage {
     StorePage {
         items,
-        more,
+        has_more,
         revision: StoreRevision::new(revision),
     }
 }
@@ -28,125 +28,135 @@
     }
 }
 
-fn removed(key: &str, revision: u64) -> StoreEvent {
+fn removed_event(key: &str, revision: u64) -> StoreEvent {
     StoreEvent::Removed {
         key: key.into(),
         revision: StoreRevision::new(revision),
     }
 }
 
-fn following(items: Vec<StoreItem>, revision: u64) -> MirrorState {
+fn following_mirror(items: Vec<StoreItem>, revision: u64) -> MirrorState {
     let mut mirror = MirrorState::new();
-    let change = mirror.take_page(page(items, false, revision));
+    let change = mirror.apply_page(page(items, false, revision));
     expect_that!(change.is_some(), eq(true));
     mirror
 }
 
 #[gtest]
-fn pages_are_put_together_and_followed_from_the_first() {
+fn pages_are_combined_and_watched_from_the_first_page_revision() {
     let mut mirror = MirrorState::new();
-    expect_that!(mirror.take_page(page(vec![item("a", 3)], true, 10)), none());
+    expect_that!(
+        mirror.apply_page(page(vec![item("a", 3)], true, 10)),
+        none()
+    );
     let after = Some(CompactString::new("a"));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after }));
-    let change = mirror.take_page(page(vec![item("b", 12)], false, 13));
-    let whole = MirrorChange::Replaced(vec![item("a", 3), item("b", 12)]);
-    expect_that!(change, some(eq(&whole)));
+    let change = mirror.apply_page(page(vec![item("b", 12)], false, 13));
+    let full_range = MirrorChange::Replaced(vec![item("a", 3), item("b", 12)]);
+    expect_that!(change, some(eq(&full_range)));
     let after = StoreRevision::new(10);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
-    // The change that the second page has shown already is told all the same: it belongs to those after the first page,
-    // and who hears of these from the reader may not have it.
-    let shown = StoreEvent::Written(item("b", 12));
-    let change = mirror.take_watch(watch(vec![shown.clone()], 13));
-    expect_that!(change, some(eq(&MirrorChange::Changed(vec![shown]))));
+    // The watch returns this change although the second page already contained it: it comes after the first page's
+    // revision, and someone who gets the changes from the reader may lack it.
+    let repeated_event = StoreEvent::Written(item("b", 12));
+    let change = mirror.apply_watch(watch(vec![repeated_event.clone()], 13));
+    expect_that!(
+        change,
+        some(eq(&MirrorChange::Changed(vec![repeated_event])))
+    );
 }
 
 #[gtest]
-fn of_several_changes_of_a_key_the_last_is_told() {
-    let mut mirror = following(vec![item("a", 1)], 1);
+fn only_the_last_of_several_changes_of_a_key_is_returned() {
+    let mut mirror = following_mirror(vec![item("a", 1)], 1);
     let events = vec![
         StoreEvent::Written(item("b", 2)),
-        removed("a", 3),
-        removed("b", 4),
+        removed_event("a", 3),
+        removed_event("b", 4),
         StoreEvent::Written(item("a", 5)),
     ];
-    let change = mirror.take_watch(watch(events, 5));
-    // Also that a key is gone which this mirror never saw: its reader may have heard of it from another VM.
-    let expected = vec![removed("b", 4), StoreEvent::Written(item("a", 5))];
+    let change = mirror.apply_watch(watch(events, 5));
+    // The removal of `b` is returned although the mirror never saw `b`: the reader may know the key from another VM.
+    let expected = vec![removed_event("b", 4), StoreEvent::Written(item("a", 5))];
     expect_that!(change, some(eq(&MirrorChange::Changed(expected))));
 }
 
-fn in_era(number: u64, era: u64) -> StoreRevision {
+fn revision_in_era(number: u64, era: u64) -> StoreRevision {
     StoreRevision::new(number).with_era(StoreEra(era))
 }
 
-/// The new history may have reached the revision that was asked for: the store then answers as if it were the old one.
+/// Guards against mixing two histories: the new one may already have reached the requested revision, and the store then
+/// answers as if the history had continued.
 #[gtest]
-fn changes_of_a_later_era_are_no_continuation() {
-    let mut mirror = following(vec![item("a", 1)], 5);
-    let changes = watch(vec![StoreEvent::Written(item("b", 8))], 8);
-    expect_that!(mirror.take_watch(changes.with_era(StoreEra(1))), none());
+fn changes_of_a_later_era_cause_a_full_read() {
+    let mut mirror = following_mirror(vec![item("a", 1)], 5);
+    let watch_result = watch(vec![StoreEvent::Written(item("b", 8))], 8);
+    expect_that!(
+        mirror.apply_watch(watch_result.with_era(StoreEra(1))),
+        none()
+    );
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
-    let whole = page(vec![item("a", 1)], false, 9).with_era(StoreEra(1));
-    expect_that!(mirror.take_page(whole), some(anything()));
-    let after = in_era(9, 1);
+    let full_range = page(vec![item("a", 1)], false, 9).with_era(StoreEra(1));
+    expect_that!(mirror.apply_page(full_range), some(anything()));
+    let after = revision_in_era(9, 1);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
 }
 
 #[gtest]
-fn pages_of_two_eras_are_no_range() {
+fn pages_of_two_eras_are_not_combined() {
     let mut mirror = MirrorState::new();
-    let first = page(vec![item("a", 3)], true, 10).with_era(StoreEra(1));
-    let second = page(vec![item("b", 4)], false, 10).with_era(StoreEra(2));
-    expect_that!(mirror.take_page(first), none());
-    expect_that!(mirror.take_page(second.clone()), none());
+    let first_page = page(vec![item("a", 3)], true, 10).with_era(StoreEra(1));
+    let second_page = page(vec![item("b", 4)], false, 10).with_era(StoreEra(2));
+    expect_that!(mirror.apply_page(first_page), none());
+    expect_that!(mirror.apply_page(second_page.clone()), none());
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
-    expect_that!(mirror.take_page(second), some(anything()));
+    expect_that!(mirror.apply_page(second_page), some(anything()));
 }
 
 #[gtest]
-fn a_history_that_has_ended_is_not_resumed() {
-    let mut mirror = following(vec![item("a", 1)], 5);
-    mirror.take_watch(watch(vec![], 4).with_era(StoreEra(2)));
-    mirror.resume_at(in_era(90, 1));
+fn a_mirror_does_not_resume_at_a_revision_of_an_ended_history() {
+    let mut mirror = following_mirror(vec![item("a", 1)], 5);
+    mirror.apply_watch(watch(vec![], 4).with_era(StoreEra(2)));
+    mirror.resume_at(revision_in_era(90, 1));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
-    let after = in_era(3, 3);
+    let after = revision_in_era(3, 3);
     mirror.resume_at(after);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
 }
 
 #[gtest]
-fn answers_of_a_lower_era_count_as_of_the_known_one() {
+fn answers_of_a_lower_era_count_as_answers_of_the_highest_era() {
     let mut mirror = MirrorState::new();
-    mirror.take_page(page(vec![], false, 5).with_era(StoreEra(2)));
-    for stated in [0, 1] {
-        let changes = watch(vec![StoreEvent::Written(item("a", 6))], 6);
-        let change = mirror.take_watch(changes.with_era(StoreEra(stated)));
-        let known = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
-        expect_that!(change, some(eq(&MirrorChange::Changed(vec![known]))));
-        let after = in_era(6, 2);
+    mirror.apply_page(page(vec![], false, 5).with_era(StoreEra(2)));
+    for stated_era in [0, 1] {
+        let watch_result = watch(vec![StoreEvent::Written(item("a", 6))], 6);
+        let change = mirror.apply_watch(watch_result.with_era(StoreEra(stated_era)));
+        let expected = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
+        expect_that!(change, some(eq(&MirrorChange::Changed(vec![expected]))));
+        let after = revision_in_era(6, 2);
         expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
     }
 }
 
 #[gtest]
-fn lost_history_means_reading_anew_at_once() {
-    let mut mirror = following(vec![item("a", 1)], 1);
+fn a_lost_history_causes_an_immediate_full_read() {
+    let mut mirror = following_mirror(vec![item("a", 1)], 1);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    mirror.take_failure(&StoreError::HistoryGone, &mut rng);
+    mirror.apply_failure(&StoreError::HistoryGone, &mut rng);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
     expect_that!(mirror.is_following(), eq(false));
 }
 
 #[gtest]
-fn a_failed_watch_goes_on_where_it_was_after_a_pause() {
-    let mut mirror = following(vec![item("a", 1)], 7);
+fn a_failed_watch_resumes_at_its_revision_after_a_pause() {
+    let mut mirror = following_mirror(vec![item("a", 1)], 7);
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let lost = StoreError::Lost {
+    let lost_error = StoreError::Lost {
         reason: "silent".into(),
     };
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        mirror.take_failure(&lost, &mut rng);
+        mirror.apply_failure(&lost_error, &mut rng);
         let MirrorStep::Pause(pause) = mirror.next_step() else {
             panic!("expected a pause");
         };
@@ -154,19 +164,19 @@
         let after = StoreRevision::new(7);
         expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
     }
-    expect_that!(pauses[0], le(RETRY_FIRST));
-    expect_that!(pauses[7], all![ge(RETRY_LONGEST / 2), le(RETRY_LONGEST)]);
+    expect_that!(pauses[0], le(FIRST_RETRY_WAIT));
+    expect_that!(pauses[7], all![ge(MAX_RETRY_WAIT / 2), le(MAX_RETRY_WAIT)]);
 }
 
 #[gtest]
-fn a_range_that_breaks_off_is_read_from_its_beginning() {
+fn an_interrupted_read_restarts_at_the_first_page() {
     let mut mirror = MirrorState::new();
-    mirror.take_page(page(vec![item("a", 1)], true, 1));
+    mirror.apply_page(page(vec![item("a", 1)], true, 1));
     let mut rng = ChaCha8Rng::seed_from_u64(1);
-    let down = StoreError::Refused {
+    let refused_error = StoreError::Refused {
         reason: "503".into(),
     };
-    mirror.take_failure(&down, &mut rng);
+    mirror.apply_failure(&refused_error, &mut rng);
     expect_that!(matches!(mirror.next_step(), MirrorStep::Pause(_)), eq(true));
     expect_that!(mirror.next_step(), eq(&MirrorStep::Read { after: None }));
 }
