--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -94,10 +94,10 @@
         if self.order.contains(&vm) {
             return;
         }
-        let place = rng.random_range(0..=self.order.len());
+        let index = rng.random_range(0..=self.order.len());
         self.order.push(vm);
         let last = self.order.len() - 1;
-        self.order.swap(place, last);
+        self.order.swap(index, last);
     }
 
     /// Returns the next member of the round that is not failed; starts a new shuffled round when this one is exhausted.
--- a/crates/ebonyfork/src/membership/protocol_tests.rs
+++ b/crates/ebonyfork/src/membership/protocol_tests.rs
@@ -296,14 +296,16 @@
 
 /// Returns a random rule by which datagrams are lost.
 fn random_loss(rng: &mut ChaCha8Rng) -> DeliveryRule {
-    let (one, other) = (rng.random_range(0..9), rng.random_range(0..9));
+    let (first_node, second_node) = (rng.random_range(0..9), rng.random_range(0..9));
     let mut losses = ChaCha8Rng::seed_from_u64(rng.random());
     match rng.random_range(0..5) {
         0 => Box::new(move |_, _, _| !losses.random_bool(0.2)),
-        1 => Box::new(move |_, from, to| (from % 3 == one % 3) == (to % 3 == one % 3)),
-        2 => Box::new(move |_, from, to| (from, to) != (one, other)),
-        3 => Box::new(move |_, from, _| from != one),
-        _ => Box::new(move |_, _, to| to != one),
+        1 => {
+            Box::new(move |_, from, to| (from % 3 == first_node % 3) == (to % 3 == first_node % 3))
+        }
+        2 => Box::new(move |_, from, to| (from, to) != (first_node, second_node)),
+        3 => Box::new(move |_, from, _| from != first_node),
+        _ => Box::new(move |_, _, to| to != first_node),
     }
 }
 
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -270,6 +270,7 @@
         TopologyHandle::start(settings, list, members.snapshot(), writer)
     }
 
+    /// Starts the entry, which consults the quarantine about each query.
     fn start_entry(&self, views: &NodeViews) -> EntryHandle {
         let (quarantine, for_suspicion) = (self.quarantine.clone(), self.quarantine.clone());
         let settings = EntrySettings::new(self.session, self.settings.zone.clone(), views.clone())
@@ -282,6 +283,7 @@
         EntryHandle::start(settings, move |vm, message| pool.send(vm, message))
     }
 
+    /// Starts the handling of idempotency keys; it executes queries through the entry.
     fn start_once(&self, views: &NodeViews, entry: &EntryHandle) -> OnceHandle {
         let entry = entry.clone();
         let execute = move |request| -> BoxFuture<'static, _> {
@@ -293,6 +295,7 @@
         OnceHandle::start(self.session, views.clone(), execute, send)
     }
 
+    /// Starts the relay, which reports losses and answers to the quarantine and leaving upstreams to the topology.
     fn start_relay(&self, views: &NodeViews, topology: TopologyHandle) -> RelayHandle {
         let for_refusals = self.quarantine.clone();
         let for_losses = self.quarantine.clone();
@@ -312,6 +315,7 @@
         RelayHandle::start(settings)
     }
 
+    /// Starts the distribution of configuration revisions.
     fn start_revision(
         &self,
         views: &NodeViews,
@@ -328,6 +332,7 @@
         )
     }
 
+    /// Starts the distribution of index catalogues.
     fn start_catalog(
         &self,
         views: &NodeViews,
--- a/crates/ebonyfork/src/topology/feed_tests.rs
+++ b/crates/ebonyfork/src/topology/feed_tests.rs
@@ -26,14 +26,14 @@
     let list = {
         let reads = Arc::clone(&reads);
         move || -> BoxFuture<'static, std::result::Result<Vec<VmRecord>, &'static str>> {
-            let number = reads.fetch_add(1, Ordering::Relaxed);
+            let read_number = reads.fetch_add(1, Ordering::Relaxed);
             let records = vec![
                 record(1, OWN_GROUP, None),
                 record(2, OWN_GROUP, None),
                 record(9, "tender-00", Some(80)),
             ];
             Box::pin(async move {
-                if number == 1 {
+                if read_number == 1 {
                     Ok(records)
                 } else {
                     Err("outage")
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -95,10 +95,11 @@
             };
             upstreams.insert(entry.upstream, entry);
         }
-        let before = self.vms.len() + self.upstreams.len();
-        let after = vms.len() + upstreams.len();
-        self.shrink_rejected =
-            !self.shrink_rejected && before >= MIN_SHRINK_CHECK_ITEMS && after * 2 < before;
+        let item_count_before = self.vms.len() + self.upstreams.len();
+        let item_count_after = vms.len() + upstreams.len();
+        self.shrink_rejected = !self.shrink_rejected
+            && item_count_before >= MIN_SHRINK_CHECK_ITEMS
+            && item_count_after * 2 < item_count_before;
         if self.shrink_rejected {
             return false;
         }
@@ -147,14 +148,16 @@
         now: Duration,
         upstreams: &BTreeMap<UpstreamAddress, UpstreamEntry>,
     ) {
-        let before = &self.upstreams;
+        let old_upstreams = &self.upstreams;
         self.leaving_reports.retain(|upstream, reported_at| {
             let Some(entry) = upstreams.get(upstream) else {
                 return false;
             };
-            let returned = before.get(upstream).is_some_and(|entry| entry.leaving);
+            let was_leaving = old_upstreams
+                .get(upstream)
+                .is_some_and(|entry| entry.leaving);
             let report_expired = now.saturating_sub(*reported_at) >= LEAVING_REPORT_AGE;
-            entry.leaving || !(returned || report_expired)
+            entry.leaving || !(was_leaving || report_expired)
         });
     }
 
@@ -165,8 +168,9 @@
             .vms
             .iter()
             .filter(|(vm, _)| self.members.get(**vm).is_none());
-        let ends = unconfirmed.map(|(_, listed)| listed.first_listed + self.unconfirmed_grace());
-        ends.filter(|end| *end > now).min()
+        let grace_ends =
+            unconfirmed.map(|(_, listed)| listed.first_listed + self.unconfirmed_grace());
+        grace_ends.filter(|grace_end| *grace_end > now).min()
     }
 
     /// Returns how long a listed VM that membership does not know is included.
--- a/crates/ebonyfork/src/wire/pool_tests.rs
+++ b/crates/ebonyfork/src/wire/pool_tests.rs
@@ -54,26 +54,26 @@
     for query in 0..100 {
         let Some(LinkEvent::Message {
             from,
-            message: found,
+            message: received_message,
         }) = received.recv().await
         else {
             fail!("the link went down").unwrap();
             return;
         };
-        expect_that!(found, eq(&message(query)));
+        expect_that!(received_message, eq(&message(query)));
         expect_that!(from.peer(), some(eq(session(1))));
         from.send(message(query + 1_000)).unwrap();
     }
     for query in 0..100 {
         let Some(LinkEvent::Message {
             from,
-            message: found,
+            message: received_message,
         }) = replies.recv().await
         else {
             fail!("the link went down").unwrap();
             return;
         };
-        expect_that!(found, eq(&message(query + 1_000)));
+        expect_that!(received_message, eq(&message(query + 1_000)));
         expect_that!(from.peer(), some(eq(session(2))));
     }
 }
