--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -84,7 +84,7 @@
         self.next_probe = now + PROBE_PERIOD;
     }
 
-    /// Extends the open probe by [`DIRECT_TIMEOUT`].
+    /// Keeps the open probe open for at least another [`DIRECT_TIMEOUT`].
     pub(super) fn postpone(&mut self, now: Duration) {
         self.next_probe = self.next_probe.max(now + DIRECT_TIMEOUT);
     }
