--- a/crates/ebonyfork/src/gateway/metrics.rs
+++ b/crates/ebonyfork/src/gateway/metrics.rs
@@ -89,22 +89,18 @@
         registry.register("repeats", "Hedges and retries sent", self.repeats.clone());
         registry.register(
             "unfunded_repeats",
-            "Hedges and retries denied for lack of budget",
+            "Hedges and retries not sent for want of budget",
             self.unfunded.clone(),
         );
         registry.register(
             "borrowed_repeat_shares",
-            "Shares of the retry budget's slack on lease from other VMs",
+            "Shares of the repeats' slack on lease from other VMs",
             self.borrowed_shares.clone(),
         );
-        registry.register(
-            "abandoned",
-            "Requests whose caller disconnected",
-            self.abandoned.clone(),
-        );
+        registry.register("abandoned", "Callers that left", self.abandoned.clone());
         registry.register(
             "request_seconds",
-            "Time from receiving a request head to answering it",
+            "Time from a request's head to its answer",
             self.latency.clone(),
         );
         registry.register(
@@ -114,17 +110,17 @@
         );
         registry.register(
             "store_copy_revision",
-            "Revision of the store up to which the copy is complete",
+            "The store's revision up to which the copy is whole",
             self.copy_revision.clone(),
         );
         registry.register(
             "store_copy_era",
-            "Era of the store up to which the copy is complete",
+            "The store's era up to which the copy is whole",
             self.copy_era.clone(),
         );
         registry.register(
             "store_told_bytes",
-            "Bytes sent to the VMs that follow this one",
+            "Bytes told to the VMs that follow this one",
             self.told_bytes.clone(),
         );
     }
