--- a/crates/ebonyfork/src/gateway/vms_tests.rs
+++ b/crates/ebonyfork/src/gateway/vms_tests.rs
@@ -54,23 +54,23 @@
     shares.iter().map(pair).collect()
 }
 
-fn locate(directory: &VmDirectory, shares: &ZoneShares, own: bool) -> Vec<u8> {
+fn locate(directory: &VmDirectory, shares: &ZoneShares, include_own: bool) -> Vec<u8> {
     let needs = HostNeeds {
         zones: shares.clone(),
         regions: HostRegions::default(),
     };
-    locate_for_needs(directory, &place(), &needs, own)
+    locate_for_needs(directory, &place(), &needs, include_own)
 }
 
 fn locate_for_needs(
     directory: &VmDirectory,
     caller_place: &NodePlace,
     needs: &HostNeeds,
-    own: bool,
+    include_own: bool,
 ) -> Vec<u8> {
     let place = place();
-    let own = own.then_some(&place);
-    let addresses = directory.locate(caller_place, needs, own);
+    let own_place = include_own.then_some(&place);
+    let addresses = directory.locate(caller_place, needs, own_place);
     let last = |address: &SocketAddr| match address.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[3],
         std::net::IpAddr::V6(_) => 0,
@@ -95,8 +95,8 @@
         ),
     ];
     for (shares, expected) in cases {
-        let found = locate(&directory, &zone_shares_of(shares), true);
-        expect_that!(found, eq(&expected.to_vec()), "{shares:?}");
+        let located_vms = locate(&directory, &zone_shares_of(shares), true);
+        expect_that!(located_vms, eq(&expected.to_vec()), "{shares:?}");
     }
 }
 
@@ -107,27 +107,33 @@
 fn callers_of_limited_routes_go_to_their_own_region_or_a_home() {
     let directory = directory();
     let needs = |zones: &[(&str, f64)], region: &str| {
-        let limited = HomeRegions::new([PlaceName::new(region)]);
+        let home_regions = HomeRegions::new([PlaceName::new(region)]);
         HostNeeds {
             zones: zone_shares_of(zones),
-            regions: HostRegions::new([&limited]),
+            regions: HostRegions::new([&home_regions]),
         }
     };
-    let found = |needs: &HostNeeds| locate_for_needs(&directory, &place(), needs, true);
+    let locate_vms = |needs: &HostNeeds| locate_for_needs(&directory, &place(), needs, true);
     expect_that!(
-        found(&needs(&[("south-a", 1.0)], "south")),
+        locate_vms(&needs(&[("south-a", 1.0)], "south")),
         eq(&[1, 2, 3, 4])
     );
-    expect_that!(found(&needs(&[], "south")), eq(&[1, 2]));
-    expect_that!(found(&needs(&[("north-b", 1.0)], "north")), eq(&[3, 4]));
+    expect_that!(locate_vms(&needs(&[], "south")), eq(&[1, 2]));
+    expect_that!(
+        locate_vms(&needs(&[("north-b", 1.0)], "north")),
+        eq(&[3, 4])
+    );
     let caller_place = NodePlace {
         zone: PlaceName::new("west-a"),
         region: PlaceName::new("west"),
         ..place()
     };
-    let found = |needs: &HostNeeds| locate_for_needs(&directory, &caller_place, needs, true);
-    expect_that!(found(&needs(&[("north-a", 1.0)], "south")), eq(&[5, 6]));
-    expect_that!(found(&needs(&[], "west")), eq(&[1, 2, 3, 4, 5, 6]));
+    let locate_vms = |needs: &HostNeeds| locate_for_needs(&directory, &caller_place, needs, true);
+    expect_that!(
+        locate_vms(&needs(&[("north-a", 1.0)], "south")),
+        eq(&[5, 6])
+    );
+    expect_that!(locate_vms(&needs(&[], "west")), eq(&[1, 2, 3, 4, 5, 6]));
 }
 
 /// Guards against underestimating the fleet: two VMs that a registration reports are partitioned and their entries have
@@ -136,17 +142,17 @@
 fn vms_reported_by_another_registration_count_as_possibly_running() {
     let directory = directory();
     expect_that!(directory.peak_count(), eq(6));
-    let later = VmRecord {
+    let later_record = VmRecord {
         vms: 8,
         ..record(7, "north-a", "north")
     };
-    directory.put(&"vm/7".into(), later);
+    directory.put(&"vm/7".into(), later_record);
     expect_that!((directory.count(), directory.peak_count()), eq((7, 8)));
-    let wrong = VmRecord {
+    let implausible_record = VmRecord {
         vms: u32::MAX,
         ..record(8, "north-a", "north")
     };
-    directory.put(&"vm/8".into(), wrong);
+    directory.put(&"vm/8".into(), implausible_record);
     expect_that!(directory.peak_count(), eq(MAX_REPORTED_VMS));
 }
 
@@ -197,7 +203,7 @@
 /// longer lists it.
 #[gtest]
 fn an_expired_registration_ends_when_gossip_no_longer_reports_the_vm() {
-    for gone in [
+    for later_states in [
         &[(2, MemberState::Failed)][..],
         &[(2, MemberState::Leaving)],
         &[],
@@ -206,8 +212,8 @@
         directory.apply_members(members(&[(2, MemberState::Alive)]));
         directory.remove(&"vm/10.0.0.2:80".into());
         expect_that!(directory.count(), eq(6));
-        directory.apply_members(members(gone));
-        expect_that!(directory.count(), eq(5), "{gone:?}");
+        directory.apply_members(members(later_states));
+        expect_that!(directory.count(), eq(5), "{later_states:?}");
     }
 }
 
@@ -238,8 +244,8 @@
     expect_that!(shares[&PlaceName::new("south-a")], eq(0.5));
 }
 
-/// Guards against a VM claiming too much of the retry budget. A store restored from an older copy contained a single
-/// registration, so a VM that started just then used the whole slack as its share of two VMs.
+/// Guards against a VM claiming too much of the retry budget. A store restored from an older copy may contain a single
+/// registration; a VM that starts just then must not compute its share of the slack for a fleet of two VMs.
 #[gtest]
 fn vms_alive_in_gossip_count_although_the_store_has_lost_them() {
     let directory = VmDirectory::new(caller(1));
--- a/crates/ebonyfork/src/gateway/weights.rs
+++ b/crates/ebonyfork/src/gateway/weights.rs
@@ -38,30 +38,36 @@
     /// let picks = (0..8).filter_map(|_n| scheduler.pick(&route, &parts));
     /// assert_eq!(picks.filter(|service| service.as_str() == "new").count(), 2);
     /// ```
-    pub fn pick(&self, route: &RouteName, parts: &[WeightedService]) -> Option<UpstreamService> {
-        let sum: f64 = parts.iter().map(|part| part.weight).sum();
-        if sum <= 0.0 {
+    pub fn pick(&self, route: &RouteName, services: &[WeightedService]) -> Option<UpstreamService> {
+        let weight_sum: f64 = services.iter().map(|candidate| candidate.weight).sum();
+        if weight_sum <= 0.0 {
             return None;
         }
         let mut credits = self.credits.borrow_mut();
         let credits = credits.entry(route.clone()).or_default();
-        credits.retain(|(service, _credit)| parts.iter().any(|part| part.service == *service));
-        let mut best: Option<usize> = None;
-        for part in parts {
+        credits.retain(|(service, _credit)| {
+            services
+                .iter()
+                .any(|candidate| candidate.service == *service)
+        });
+        let mut best_index: Option<usize> = None;
+        for candidate in services {
             let index = credits
                 .iter()
-                .position(|(service, _credit)| *service == part.service);
+                .position(|(service, _credit)| *service == candidate.service);
             let index = index.unwrap_or_else(|| {
-                credits.push((part.service.clone(), 0.0));
+                credits.push((candidate.service.clone(), 0.0));
                 credits.len() - 1
             });
-            credits[index].1 += part.weight / sum;
-            if part.weight > 0.0 && best.is_none_or(|best| credits[index].1 > credits[best].1) {
-                best = Some(index);
+            credits[index].1 += candidate.weight / weight_sum;
+            if candidate.weight > 0.0
+                && best_index.is_none_or(|best_index| credits[index].1 > credits[best_index].1)
+            {
+                best_index = Some(index);
             }
         }
-        let best = best?;
-        credits[best].1 -= 1.0;
-        Some(credits[best].0.clone())
+        let best_index = best_index?;
+        credits[best_index].1 -= 1.0;
+        Some(credits[best_index].0.clone())
     }
 }
