--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -125,7 +125,7 @@
             lag: Rc::new(RefCell::new(AnswerLag::new(settings.place.cores))),
             round_robin: WeightedRoundRobin::new(),
             host_needs: RefCell::default(),
-            relay: MirrorRelay::new(max_age, metrics.told_bytes.clone()),
+            relay: MirrorRelay::new(max_age, metrics.sent_change_bytes.clone()),
             route_checks: RouteChecks::default(),
             delegates: DelegateTable::default(),
             aggregates: AggregateTable::default(),
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -469,7 +469,9 @@
     /// Reports the age of the copy in metrics, and logs each change between stale and up to date once.
     fn report_age(&mut self, source: ChangeSource) {
         let age = self.core.relay.copy_age();
-        self.core.metrics.note_copy(age, self.complete_revision());
+        self.core
+            .metrics
+            .record_copy_state(age, self.complete_revision());
         let is_stale = self.core.relay.is_stale();
         if is_stale == self.logged_stale {
             return;
--- a/crates/ebonyfork/src/gateway/metrics.rs
+++ b/crates/ebonyfork/src/gateway/metrics.rs
@@ -51,7 +51,7 @@
     /// Era of the store up to which the copy is complete.
     pub copy_era: Gauge<u64, AtomicU64>,
     /// Bytes of the store's changes sent to VMs that follow this one.
-    pub told_bytes: Counter,
+    pub sent_change_bytes: Counter,
 }
 
 impl Default for GatewayMetrics {
@@ -67,14 +67,14 @@
             copy_age: Gauge::default(),
             copy_revision: Gauge::default(),
             copy_era: Gauge::default(),
-            told_bytes: Counter::default(),
+            sent_change_bytes: Counter::default(),
         }
     }
 }
 
 impl GatewayMetrics {
     /// Records the state of the copy of the store; `age` is `None` before the copy was first up to date.
-    pub fn note_copy(&self, age: Option<Duration>, revision: StoreRevision) {
+    pub fn record_copy_state(&self, age: Option<Duration>, revision: StoreRevision) {
         self.copy_age
             .set(age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
         self.copy_revision.set(revision.number());
@@ -121,7 +121,7 @@
         registry.register(
             "store_told_bytes",
             "Bytes told to the VMs that follow this one",
-            self.told_bytes.clone(),
+            self.sent_change_bytes.clone(),
         );
     }
 }
