--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -8,7 +8,7 @@
 use crate::gateway::clock::now;
 use crate::gateway::core::{GatewayCore, ServiceState};
 use crate::gateway::partial::{
-    FailedShard, PartialMessage, PartialQuery, PartialReply, ShardReach,
+    FailedShard, PartialMessage, PartialQuery, PartialReply, ShardProgress,
 };
 use crate::gateway::request::ForwardRequest;
 use crate::gateway::route::{GatherTerms, RouteEntry, RouteTarget};
@@ -68,7 +68,7 @@
 fn refuse(asking_vm: &LinkSender, query: &PartialQuery) {
     let failed_shards = query.shards.iter().map(|shard| FailedShard {
         shard: *shard,
-        reach: ShardReach::Unsent,
+        progress: ShardProgress::Unsent,
         avoid: false,
     });
     let reply = PartialReply {
--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -9,7 +9,7 @@
 
 use crate::gateway::clock::now;
 use crate::gateway::partial::{
-    FailedShard, PartialMessage, PartialQuery, PartialReply, ShardReach,
+    FailedShard, PartialMessage, PartialQuery, PartialReply, ShardProgress,
 };
 use crate::gateway::policy::health::UpstreamHealth;
 use crate::gateway::policy::latency::millis;
@@ -62,7 +62,7 @@
 /// would see the length of their queues.
 fn shows_known_upstreams(reply: &PartialReply) -> bool {
     let found_no_upstream =
-        |failed: &FailedShard| failed.reach == ShardReach::Unsent && !failed.avoid;
+        |failed: &FailedShard| failed.progress == ShardProgress::Unsent && !failed.avoid;
     !reply.parts.is_empty() || !reply.failed.iter().all(found_no_upstream)
 }
 
--- a/crates/ebonyfork/src/gateway/delegate_tests.rs
+++ b/crates/ebonyfork/src/gateway/delegate_tests.rs
@@ -3,10 +3,10 @@
 use super::*;
 use crate::gateway::partial::ShardSignature;
 
-fn failed(reach: ShardReach, avoid: bool) -> FailedShard {
+fn failed(progress: ShardProgress, avoid: bool) -> FailedShard {
     FailedShard {
         shard: 1,
-        reach,
+        progress,
         avoid,
     }
 }
@@ -21,12 +21,12 @@
         took_us: 10,
     };
     let cases = [
-        (vec![part], vec![failed(ShardReach::Unsent, false)], true),
-        (vec![], vec![failed(ShardReach::Declined, false)], true),
-        (vec![], vec![failed(ShardReach::Run, false)], true),
-        (vec![], vec![failed(ShardReach::Broken, false)], true),
-        (vec![], vec![failed(ShardReach::Unsent, true)], true),
-        (vec![], vec![failed(ShardReach::Unsent, false)], false),
+        (vec![part], vec![failed(ShardProgress::Unsent, false)], true),
+        (vec![], vec![failed(ShardProgress::Declined, false)], true),
+        (vec![], vec![failed(ShardProgress::Run, false)], true),
+        (vec![], vec![failed(ShardProgress::Broken, false)], true),
+        (vec![], vec![failed(ShardProgress::Unsent, true)], true),
+        (vec![], vec![failed(ShardProgress::Unsent, false)], false),
         (vec![], vec![], false),
     ];
     for (parts, failed, expected) in cases {
--- a/crates/ebonyfork/src/gateway/partial.rs
+++ b/crates/ebonyfork/src/gateway/partial.rs
@@ -54,7 +54,7 @@
 
 /// Progress of a request at a shard that could not be gathered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ShardReach {
+pub enum ShardProgress {
     /// No upstream has received the request: another attempt is a first one.
     Unsent,
     /// Upstreams have declined the request: another attempt is a retry.
@@ -71,7 +71,7 @@
     /// Shard, as an index into the route's list.
     pub shard: u16,
     /// Progress of the request at the shard.
-    pub reach: ShardReach,
+    pub progress: ShardProgress,
     /// Whether the upstream is unreachable or paused for the replying VM, so that another one should be used for a
     /// moment.
     pub avoid: bool,
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::HeaderValue;
 
-use crate::gateway::partial::ShardReach;
+use crate::gateway::partial::ShardProgress;
 
 /// Answer of one shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -84,17 +84,17 @@
     }
 
     /// Returns how far the request got at the shard's upstreams.
-    pub fn reach(&self) -> ShardReach {
+    pub fn progress(&self) -> ShardProgress {
         if self.lost {
-            return ShardReach::Broken;
+            return ShardProgress::Broken;
         }
         if self.ran > 0 {
-            return ShardReach::Run;
+            return ShardProgress::Run;
         }
         if self.declined > 0 {
-            return ShardReach::Declined;
+            return ShardProgress::Declined;
         }
-        ShardReach::Unsent
+        ShardProgress::Unsent
     }
 
     /// Returns whether the part may still arrive.
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -14,7 +14,7 @@
 use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::merge::merge_records;
 use crate::gateway::partial::{
-    FailedShard, PartialQuery, PartialReply, ShardReach, ShardSignature,
+    FailedShard, PartialQuery, PartialReply, ShardProgress, ShardSignature,
 };
 use crate::gateway::policy::choice::UpstreamChoice;
 use crate::gateway::policy::gather::ShardOutcome;
@@ -155,13 +155,13 @@
         match event.update {
             GroupUpdate::Reply(reply) => self.handle_reply(event.group, reply),
             GroupUpdate::Down { sent } => {
-                let reach = if sent {
-                    ShardReach::Run
+                let progress = if sent {
+                    ShardProgress::Run
                 } else {
-                    ShardReach::Unsent
+                    ShardProgress::Unsent
                 };
                 for number in self.groups[event.group].attempts.clone() {
-                    self.record_delegated_failure(number, reach);
+                    self.record_delegated_failure(number, progress);
                 }
             }
         }
@@ -205,7 +205,7 @@
                 let health = &self.attempts[number].upstream.health;
                 health.borrow_mut().record_avoid_advice(time);
             }
-            self.record_delegated_failure(number, failed.reach);
+            self.record_delegated_failure(number, failed.progress);
         }
     }
 
@@ -240,15 +240,15 @@
 
     /// Records that another VM won't deliver a part, and retries the shard. If upstreams declined it, they have
     /// received the request, so the next attempt spends from the retry budget.
-    fn record_delegated_failure(&mut self, number: usize, reach: ShardReach) {
+    fn record_delegated_failure(&mut self, number: usize, progress: ShardProgress) {
         let attempt = &mut self.attempts[number];
         if attempt.ended {
             return;
         }
         attempt.ended = true;
-        attempt.may_have_run = matches!(reach, ShardReach::Run | ShardReach::Broken);
+        attempt.may_have_run = matches!(progress, ShardProgress::Run | ShardProgress::Broken);
         let mut health = attempt.upstream.health.borrow_mut();
-        if reach == ShardReach::Declined {
+        if progress == ShardProgress::Declined {
             health.record_failure(attempt.began, now());
         } else {
             health.record_unsent(attempt.began);
@@ -257,17 +257,17 @@
         let shard = attempt.shard;
         let state = self.state.shard_mut(shard);
         state.in_flight -= 1;
-        match reach {
-            ShardReach::Unsent => {
+        match progress {
+            ShardProgress::Unsent => {
                 state.ran -= 1;
                 state.unsent += 1;
             }
-            ShardReach::Declined => {
+            ShardProgress::Declined => {
                 state.ran -= 1;
                 state.declined += 1;
             }
-            ShardReach::Run => {}
-            ShardReach::Broken => {
+            ShardProgress::Run => {}
+            ShardProgress::Broken => {
                 state.lost = true;
                 let check = Rc::new(LossCheck::new(LossVerdict::Lost));
                 self.retry_lost(shard, Some(check));
@@ -380,10 +380,10 @@
     /// Returns how far the request got with a shard, for the VM that requested it. A broken connection is only reported
     /// as broken if the upstream is confirmed lost; reporting every broken connection held back the other VM's
     /// remaining shards.
-    fn reach(&self, shard: usize) -> ShardReach {
-        match self.state.shards()[shard].reach() {
-            ShardReach::Broken if !self.suspicion.is_confirmed(shard) => ShardReach::Run,
-            reach => reach,
+    fn progress(&self, shard: usize) -> ShardProgress {
+        match self.state.shards()[shard].progress() {
+            ShardProgress::Broken if !self.suspicion.is_confirmed(shard) => ShardProgress::Run,
+            progress => progress,
         }
     }
 
@@ -407,7 +407,7 @@
                 .is_some_and(|delivery| delivery.avoid[*number]);
             reply.failed.push(FailedShard {
                 shard: *number as u16,
-                reach: self.reach(*number),
+                progress: self.progress(*number),
                 avoid,
             });
         }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -13,7 +13,7 @@
 use crate::gateway::fixture::{dialect, entry, settings, wire_names};
 use crate::gateway::fixture_upstream::{ScriptedReply, ScriptedUpstream};
 use crate::gateway::ident::{ConfigVersion, PlaceName};
-use crate::gateway::partial::ShardReach;
+use crate::gateway::partial::ShardProgress;
 use crate::gateway::policy::cold::{ColdBound, RequestRate};
 use crate::gateway::policy::homes::HomeRegions;
 use crate::gateway::reply_body::ReplyBody;
@@ -464,13 +464,13 @@
         })
         .await;
         failed.sort_by_key(|shard| shard.shard);
-        let reach: Vec<_> = failed.iter().map(|shard| shard.reach).collect();
+        let progress: Vec<_> = failed.iter().map(|shard| shard.progress).collect();
         expect_that!(
-            reach,
+            progress,
             elements_are![
-                eq(&ShardReach::Declined),
-                eq(&ShardReach::Run),
-                eq(&ShardReach::Unsent)
+                eq(&ShardProgress::Declined),
+                eq(&ShardProgress::Run),
+                eq(&ShardProgress::Unsent)
             ]
         );
         expect_that!(held[0].log.borrow().requests.len(), ge(1));
