--- a/crates/ebonyfork/src/gateway/policy/choice_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/choice_tests.rs
@@ -67,7 +67,8 @@
         expect_that!(chosen(&candidates, now), some(eq("b")));
     }
     let latency = RouteLatency::default();
-    let allowed = |_: &Upstream, life: &UpstreamIncarnation| life.instance.as_str() == "a";
+    let allowed =
+        |_: &Upstream, incarnation: &UpstreamIncarnation| incarnation.instance.as_str() == "a";
     let none = choose_upstream(&candidates, allowed, &place(), &latency, now);
     expect_that!(none.is_none(), eq(true));
 }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -37,7 +37,7 @@
     /// Upstream that it is sent to. For a delegated attempt, the upstream that this VM would have used.
     pub upstream: Rc<Upstream>,
     /// Incarnation of that upstream.
-    pub life: UpstreamIncarnation,
+    pub incarnation: UpstreamIncarnation,
     /// How the attempt reaches the upstream.
     pub kind: AttemptKind,
     /// Whether the request may have run at the upstream.
@@ -124,7 +124,7 @@
             } else {
                 AttemptKind::Zone
             };
-            let upstream = (kind, &attempt.life);
+            let upstream = (kind, &attempt.incarnation);
             if attempt.may_have_run && !upstreams.contains(&upstream) {
                 upstreams.push(upstream);
             }
@@ -194,8 +194,8 @@
             self.delivery.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
         let pick = |allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
-            let allowed = |upstream: &Upstream, life: &UpstreamIncarnation| {
-                in_own_zone(upstream) && allowed(upstream, life)
+            let allowed = |upstream: &Upstream, incarnation: &UpstreamIncarnation| {
+                in_own_zone(upstream) && allowed(upstream, incarnation)
             };
             choose_upstream(&candidates, allowed, place, &latency, time)
         };
@@ -204,17 +204,18 @@
         }
         let run = self.upstreams_run(shard);
         let more = run.len() < self.max_upstreams();
-        let fresh = |life: &UpstreamIncarnation| {
+        let fresh = |incarnation: &UpstreamIncarnation| {
             let mut attempts = self.attempts_of(shard);
-            more && !attempts.any(|attempt| attempt.life == *life)
+            more && !attempts.any(|attempt| attempt.incarnation == *incarnation)
         };
         let reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
         let alone = self.state.shards()[shard].in_flight == 0;
-        let known = |life: &UpstreamIncarnation| run.contains(&(AttemptKind::Zone, life));
-        let again = |life: &UpstreamIncarnation| alone && (more || known(life));
-        pick(&|upstream, life| reachable(upstream) && fresh(life))
-            .or_else(|| pick(&|upstream, life| reachable(upstream) && again(life)))
-            .or_else(|| pick(&|_upstream, life| fresh(life) || again(life)))
+        let known =
+            |incarnation: &UpstreamIncarnation| run.contains(&(AttemptKind::Zone, incarnation));
+        let again = |incarnation: &UpstreamIncarnation| alone && (more || known(incarnation));
+        pick(&|upstream, incarnation| reachable(upstream) && fresh(incarnation))
+            .or_else(|| pick(&|upstream, incarnation| reachable(upstream) && again(incarnation)))
+            .or_else(|| pick(&|_upstream, incarnation| fresh(incarnation) || again(incarnation)))
     }
 
     /// Records the start of an attempt; returns its index in the list.
@@ -235,7 +236,7 @@
         }
         self.attempts.push(StartedAttempt {
             shard,
-            life: choice.upstream.entry().incarnation(),
+            incarnation: choice.upstream.entry().incarnation(),
             upstream: Rc::clone(&choice.upstream),
             kind,
             may_have_run: true,
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -59,7 +59,7 @@
         let named = open.take(OPEN_LIMIT).map(|attempt| {
             let waited = time.saturating_duration_since(attempt.began).as_millis();
             let service = self.target.service(attempt.shard);
-            format_compact!(" open={service}@{}:{waited}ms", attempt.life)
+            format_compact!(" open={service}@{}:{waited}ms", attempt.incarnation)
         });
         named.collect()
     }
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -84,7 +84,7 @@
             target: "ebonyfork::decision",
             "attempt request={id} service={} instance={} after_ms={} {outcome}",
             self.target.service(attempt.shard),
-            attempt.life,
+            attempt.incarnation,
             now().saturating_duration_since(attempt.began).as_millis()
         );
     }
@@ -120,7 +120,7 @@
             let entry = upstream.entry();
             let mut attempts = self.attempts_of(shard);
             upstream.takes_requests()
-                && !attempts.any(|attempt| attempt.life == entry.incarnation())
+                && !attempts.any(|attempt| attempt.incarnation == entry.incarnation())
         })
     }
 }
--- a/crates/ebonyfork/src/gateway/run/suspicion.rs
+++ b/crates/ebonyfork/src/gateway/run/suspicion.rs
@@ -59,10 +59,10 @@
         self.losses.iter().any(lost)
     }
 
-    fn count(&self, finding: LossVerdict) -> usize {
+    fn count(&self, verdict: LossVerdict) -> usize {
         let found = self.losses.iter();
         found
-            .filter(|(_shard, check)| check.verdict() == finding)
+            .filter(|(_shard, check)| check.verdict() == verdict)
             .count()
     }
 
