--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -86,7 +86,7 @@
     }
 
     /// Returns the outcome as one word for logs.
-    pub fn word(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
             Self::Declined(_) => "declined",
@@ -98,12 +98,12 @@
 
 impl fmt::Display for AttemptOutcome {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = self.word();
+        let label = self.label();
         match self {
-            Self::Answered(answer) => write!(f, "{word} status={}", answer.status.as_u16()),
-            Self::Declined(status) => write!(f, "{word} status={}", status.as_u16()),
-            Self::Unsent(reason) => write!(f, "{word} reason={reason:?}"),
-            Self::Lost(loss) => write!(f, "{word} reason={:?}", loss.reason),
+            Self::Answered(answer) => write!(f, "{label} status={}", answer.status.as_u16()),
+            Self::Declined(status) => write!(f, "{label} status={}", status.as_u16()),
+            Self::Unsent(reason) => write!(f, "{label} reason={reason:?}"),
+            Self::Lost(loss) => write!(f, "{label} reason={:?}", loss.reason),
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -168,7 +168,7 @@
         Ok(report) => report,
         Err(reason) => RunReport {
             reply: refusal(reason),
-            outcome: reason.word(),
+            outcome: reason.label(),
             detail: CompactString::default(),
             decided: None,
         },
--- a/crates/ebonyfork/src/gateway/policy/budget/account.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account.rs
@@ -22,7 +22,7 @@
 
 impl RepeatDenial {
     /// Returns the reason as it appears in logs and metrics.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::NoShare => "no_share",
             Self::Empty => "empty",
--- a/crates/ebonyfork/src/gateway/refusal.rs
+++ b/crates/ebonyfork/src/gateway/refusal.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the reason as one word, for logs, metrics and the answer's body.
-    pub fn word(self) -> &'static str {
+    pub fn label(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
             Self::NoRoute => "no-route",
--- a/crates/ebonyfork/src/gateway/reply.rs
+++ b/crates/ebonyfork/src/gateway/reply.rs
@@ -20,7 +20,7 @@
 
 /// Builds the answer for a refusal.
 pub fn refusal(reason: RefusalReason) -> CallerReply {
-    let mut reply = Response::new(Bytes::from_static(reason.word().as_bytes()).into());
+    let mut reply = Response::new(Bytes::from_static(reason.label().as_bytes()).into());
     *reply.status_mut() = reason.status();
     let headers = reply.headers_mut();
     headers.insert(
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -145,10 +145,10 @@
                 core.metrics.repeats.inc();
             }
             Err(denial) => {
-                let label = OutcomeLabel(denial.word());
+                let label = OutcomeLabel(denial.label());
                 core.metrics.unfunded.get_or_create(&label).inc();
                 self.unfunded.set(self.unfunded.get() + 1);
-                self.denial.set(denial.word());
+                self.denial.set(denial.label());
             }
         }
         result.is_ok()
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -100,6 +100,6 @@
         {
             set_retry_after(&mut reply, wait);
         }
-        (reason.word(), reply)
+        (reason.label(), reply)
     }
 }
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -25,7 +25,7 @@
         attempt.took = Some(now().saturating_duration_since(attempt.began));
         let shard = attempt.shard;
         self.log_attempt(number, &outcome);
-        let label = OutcomeLabel(outcome.word());
+        let label = OutcomeLabel(outcome.label());
         let metrics = &self.context.core.metrics;
         metrics.attempts.get_or_create(&label).inc();
         let state = self.state.shard_mut(shard);
