--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -17,7 +17,7 @@
 use crate::gateway::policy::route_latency::RouteLatency;
 use crate::gateway::reply_body::{AnswerStream, ReplyBody};
 use crate::gateway::request::ForwardRequest;
-use crate::gateway::route::RepeatKind;
+use crate::gateway::route::Idempotency;
 use crate::gateway::slots::SlotPriority;
 use crate::gateway::upstream::{ActiveLink, Upstream};
 use crate::http_link::{LinkBody, LinkError};
@@ -116,7 +116,7 @@
     /// Attempt latencies of the route.
     pub latency: Rc<std::cell::RefCell<RouteLatency>>,
     /// Whether the request may run more than once.
-    pub repeat: RepeatKind,
+    pub idempotency: Idempotency,
     /// Longest silence within a streamed answer; `None` if answers must be buffered whole.
     pub stream_idle_timeout: Option<Duration>,
 }
@@ -207,9 +207,9 @@
         sent_at: None,
         is_recorded: false,
     };
-    let max_idle = match context.repeat {
-        RepeatKind::Idempotent => MAX_IDLE_IDEMPOTENT,
-        RepeatKind::Once => MAX_IDLE_ONCE,
+    let max_idle = match context.idempotency {
+        Idempotency::Idempotent => MAX_IDLE_IDEMPOTENT,
+        Idempotency::Once => MAX_IDLE_ONCE,
     };
     let priority = SlotPriority {
         useful_until,
--- a/crates/ebonyfork/src/gateway/mod.rs
+++ b/crates/ebonyfork/src/gateway/mod.rs
@@ -85,7 +85,7 @@
 pub use policy::load_report::{LoadReport, LoadReportError};
 pub use request::strip_hop_headers;
 pub use route::{
-    CallerLimits, GatherTerms, RepeatKind, RouteEntry, RouteTable, RouteTarget, ServiceTerms,
+    CallerLimits, GatherTerms, Idempotency, RouteEntry, RouteTable, RouteTarget, ServiceTerms,
     WeightedService,
 };
 pub use route_check::RouteCheckMessage;
--- a/crates/ebonyfork/src/gateway/policy/retry.rs
+++ b/crates/ebonyfork/src/gateway/policy/retry.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use crate::gateway::route::RepeatKind;
+use crate::gateway::route::Idempotency;
 
 /// Delay before a retry at an upstream that declined the shard: about one service time.
 const DECLINED_PAUSE: Duration = Duration::from_millis(25);
@@ -48,10 +48,10 @@
 }
 
 /// Returns the maximum number of attempts of a shard that may run.
-pub fn max_sends(repeat: RepeatKind) -> usize {
-    match repeat {
-        RepeatKind::Idempotent => SENT_LIMIT,
-        RepeatKind::Once => 1,
+pub fn max_sends(idempotency: Idempotency) -> usize {
+    match idempotency {
+        Idempotency::Idempotent => SENT_LIMIT,
+        Idempotency::Once => 1,
     }
 }
 
--- a/crates/ebonyfork/src/gateway/policy/retry_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/retry_tests.rs
@@ -11,6 +11,6 @@
 
 #[gtest]
 fn a_request_that_may_run_once_is_sent_once() {
-    expect_that!(max_sends(RepeatKind::Once), eq(1));
-    expect_that!(max_sends(RepeatKind::Idempotent), gt(1));
+    expect_that!(max_sends(Idempotency::Once), eq(1));
+    expect_that!(max_sends(Idempotency::Idempotent), gt(1));
 }
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -14,7 +14,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum RepeatKind {
+pub enum Idempotency {
     /// The request may run on several upstreams, sequentially or concurrently.
     Idempotent,
     /// The request runs at most once.
@@ -82,7 +82,7 @@
     /// Path prefix that the route matches.
     pub prefix: CompactString,
     /// Whether a request of the route may run more than once.
-    pub repeat: RepeatKind,
+    pub idempotency: Idempotency,
     /// Longest time for which a request may be kept waiting.
     pub timeout: Duration,
     /// Latency target: a later answer is worth little to the caller.
@@ -141,13 +141,13 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{HomeRegions, RepeatKind, RouteEntry, RouteName, RouteTarget, UpstreamService};
+    /// use ebonyfork::gateway::{HomeRegions, Idempotency, RouteEntry, RouteName, RouteTarget, UpstreamService};
     ///
     /// let route = |timeout| RouteEntry {
     ///     name: RouteName::new("r"),
     ///     host: "a.example".into(),
     ///     prefix: "/a/".into(),
-    ///     repeat: RepeatKind::Idempotent,
+    ///     idempotency: Idempotency::Idempotent,
     ///     timeout,
     ///     target: Duration::from_millis(200),
     ///     attempts: 2,
@@ -185,8 +185,8 @@
         for time in [self.timeout, self.target] {
             hash.update(&time.as_micros().to_be_bytes());
         }
-        let repeats = u8::from(self.repeat == RepeatKind::Idempotent);
-        hash.update(&[repeats, self.priority]);
+        let idempotency_byte = u8::from(self.idempotency == Idempotency::Idempotent);
+        hash.update(&[idempotency_byte, self.priority]);
         hash.update(&self.attempts.to_be_bytes());
         for region in self.homes.regions() {
             hash.update(region.as_str().as_bytes());
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -10,7 +10,7 @@
 use crate::gateway::ident::{ConfigVersion, RouteName, UpstreamService};
 use crate::gateway::peers::{accept_links, follow_links, open_links};
 use crate::gateway::policy::homes::HomeRegions;
-use crate::gateway::route::{CallerLimits, RepeatKind, RouteTarget};
+use crate::gateway::route::{CallerLimits, Idempotency, RouteTarget};
 use crate::ident::{IncarnationNumber, RevisionNumber, SessionId, VmAddress, ZoneName};
 use crate::membership::{MemberDigest, MemberEntry, MemberSnapshot, MemberState};
 
@@ -29,7 +29,7 @@
         name: RouteName::new(prefix),
         host: "t.example".into(),
         prefix: prefix.into(),
-        repeat: RepeatKind::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(500),
         attempts: 2,
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -17,7 +17,7 @@
         name: RouteName::new(name),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: RepeatKind::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(200),
         attempts: 2,
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -93,7 +93,7 @@
 
     /// Returns the maximum number of attempts of a shard that may run, at the same or different upstreams.
     pub(super) fn max_sends(&self) -> usize {
-        retry::max_sends(self.route.repeat)
+        retry::max_sends(self.route.idempotency)
     }
 
     /// Returns whether an upstream may have run the request, or may still run it. An attempt that waits for a
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -33,7 +33,7 @@
 use crate::gateway::policy::latency::millis;
 use crate::gateway::reply::CallerReply;
 use crate::gateway::request::ForwardRequest;
-use crate::gateway::route::{GatherTerms, RepeatKind, RouteEntry};
+use crate::gateway::route::{GatherTerms, Idempotency, RouteEntry};
 use crate::quarantine::QuarantineStatus;
 
 use self::attempt::{AttemptSet, StartedAttempt};
@@ -169,7 +169,7 @@
         let context = AttemptContext {
             core: Rc::clone(core),
             latency: core.latency(route),
-            repeat: route.repeat,
+            idempotency: route.idempotency,
             stream_idle_timeout: matches!(target, RunTarget::One(_)).then_some(route.timeout),
         };
         let (event_sender, events) = mpsc::unbounded_channel();
@@ -201,10 +201,10 @@
 
     /// Returns the maximum number of upstreams on which a shard may run.
     fn max_upstreams(&self) -> usize {
-        match self.route.repeat {
-            RepeatKind::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
+        match self.route.idempotency {
+            Idempotency::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
             // The VM that requested the parts may use the others.
-            RepeatKind::Idempotent | RepeatKind::Once => 1,
+            Idempotency::Idempotent | Idempotency::Once => 1,
         }
     }
 
@@ -258,7 +258,7 @@
         if self.suspicion.waits() {
             wake = wake.min(time + LOSS_CHECK_INTERVAL);
         }
-        if self.route.repeat == RepeatKind::Once {
+        if self.route.idempotency == Idempotency::Once {
             // Requests that may run only once are never hedged, so stragglers aren't checked. Including their check
             // times made each such request busy-loop from its 90th percentile latency until its answer.
             return wake;
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -71,7 +71,7 @@
         name: crate::gateway::RouteName::new("r"),
         host: "t.example".into(),
         prefix: "/".into(),
-        repeat: RepeatKind::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: LONG,
         target: Duration::from_millis(500),
         attempts,
@@ -244,12 +244,12 @@
 #[tokio::test]
 async fn the_next_wake_is_never_in_the_past() {
     let test = async {
-        for repeat in [RepeatKind::Idempotent, RepeatKind::Once] {
+        for idempotency in [Idempotency::Idempotent, Idempotency::Once] {
             let core = core();
             let _held = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
             let (route, target) = one(2);
             let route = Rc::new(RouteEntry {
-                repeat,
+                idempotency,
                 ..RouteEntry::clone(&route)
             });
             let mut run = QueryRun::new(&core, &route, target, request(LONG));
@@ -258,7 +258,7 @@
                 let time = run.request.received + Duration::from_millis(after_ms);
                 run.check_stragglers(time);
                 let wake = run.next_wake(time);
-                expect_that!(wake, gt(time), "{repeat:?} after {after_ms} ms");
+                expect_that!(wake, gt(time), "{idempotency:?} after {after_ms} ms");
             }
         }
     };
@@ -276,7 +276,7 @@
         let context = AttemptContext {
             core: Rc::clone(&core),
             latency: Rc::<RefCell<_>>::default(),
-            repeat: RepeatKind::Idempotent,
+            idempotency: Idempotency::Idempotent,
             stream_idle_timeout: None,
         };
         let request = request(Duration::ZERO);
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -5,13 +5,13 @@
 use super::QueryRun;
 use crate::gateway::policy::hedge::HedgeCandidate;
 use crate::gateway::policy::latency::{AttemptKind, millis};
-use crate::gateway::route::RepeatKind;
+use crate::gateway::route::Idempotency;
 use crate::gateway::settings::PlaceDistance;
 
 impl QueryRun {
     /// Sends a hedge for each first attempt that is late, if it is worthwhile.
     pub(super) fn check_stragglers(&mut self, time: Instant) {
-        if self.route.repeat == RepeatKind::Once {
+        if self.route.idempotency == Idempotency::Once {
             return;
         }
         for number in 0..self.attempts.len() {
