--- a/crates/ebonyfork/src/gateway/caller_time.rs
+++ b/crates/ebonyfork/src/gateway/caller_time.rs
@@ -54,8 +54,8 @@
 
     /// Returns what a request from this distance takes on the caller's side. `is_first` tells whether the request is
     /// the first on its connection.
-    pub fn for_request(self, is_first: bool) -> CallerTime {
-        CallerTime {
+    pub fn for_request(self, is_first: bool) -> CallerOverhead {
+        CallerOverhead {
             distance: self,
             is_first,
         }
@@ -64,12 +64,12 @@
 
 /// Part of one request's latency target that passes on the caller's side.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerTime {
+pub struct CallerOverhead {
     distance: CallerDistance,
     is_first: bool,
 }
 
-impl CallerTime {
+impl CallerOverhead {
     /// Returns the total: the time before the request was sent, assumed if `time_before` is `None`, plus the round
     /// trip.
     pub fn total(self, time_before: Option<Duration>) -> Duration {
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -17,7 +17,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::gateway::caller_time::{CallerDistance, CallerTime};
+use crate::gateway::caller_time::{CallerDistance, CallerOverhead};
 use crate::gateway::clock::now;
 use crate::gateway::core::{GatewayCore, ServiceState};
 use crate::gateway::http_server::log_accept_error;
@@ -88,10 +88,10 @@
             async move {
                 activity.is_answering.set(true);
                 activity.head_started.set(None);
-                let caller_time = activity
+                let caller_overhead = activity
                     .distance
                     .for_request(activity.awaits_first_request.replace(false));
-                let (reply, decided_at) = answer(&core, request, caller_time).await;
+                let (reply, decided_at) = answer(&core, request, caller_overhead).await;
                 activity.decided_at.set(decided_at);
                 activity.is_answering.set(false);
                 activity.idle_since.set(now());
@@ -158,13 +158,21 @@
 async fn answer(
     core: &Rc<GatewayCore>,
     request: Request<Incoming>,
-    caller_time: CallerTime,
+    caller_overhead: CallerOverhead,
 ) -> (CallerReply, Option<Instant>) {
     let received = now();
     let (parts, body) = request.into_parts();
     let in_flight = core.in_flight.enter();
     let mut request_log = RequestLog::new(core, &parts, received);
-    let report = match handle(core, parts, body, (received, caller_time), &mut request_log).await {
+    let report = match handle(
+        core,
+        parts,
+        body,
+        (received, caller_overhead),
+        &mut request_log,
+    )
+    .await
+    {
         Ok(report) => report,
         Err(reason) => RunReport {
             reply: refusal(reason),
@@ -243,7 +251,7 @@
     core: &Rc<GatewayCore>,
     parts: Parts,
     body: Incoming,
-    (received, caller_time): (Instant, CallerTime),
+    (received, caller_overhead): (Instant, CallerOverhead),
     request_log: &mut RequestLog,
 ) -> Result<RunReport, RefusalReason> {
     let table = core.table().ok_or(RefusalReason::NoConfig)?;
@@ -269,7 +277,7 @@
     let finish_by = received + wait;
     let body = read_body(body, table.limits().body_bytes, finish_by).await?;
     let request = ForwardRequest::new(names, parts, body, id, received, finish_by)
-        .with_caller_time(caller_time.total(time_before_request));
+        .with_caller_overhead(caller_overhead.total(time_before_request));
     let quarantine_status = core.quarantine.admit(request.fingerprint);
     if quarantine_status == QuarantineStatus::Quarantined {
         return Err(RefusalReason::Quarantined);
--- a/crates/ebonyfork/src/gateway/request.rs
+++ b/crates/ebonyfork/src/gateway/request.rs
@@ -64,7 +64,7 @@
     /// Time at which the request head was received.
     pub received: Instant,
     /// Part of the request's latency target that passes on the caller's side.
-    pub caller_time: Duration,
+    pub caller_overhead: Duration,
     /// Time at which the caller gives up or the route's timeout ends.
     pub finish_by: Instant,
     /// Identifies the request across attempts: it is the same when the request is sent again.
@@ -98,7 +98,7 @@
         Self {
             id,
             received,
-            caller_time: Duration::ZERO,
+            caller_overhead: Duration::ZERO,
             finish_by,
             fingerprint,
             after_loss: Cell::new(false),
@@ -111,8 +111,8 @@
 
     /// Sets the part of the latency target that passes on the caller's side.
     #[must_use]
-    pub fn with_caller_time(mut self, time: Duration) -> Self {
-        self.caller_time = time;
+    pub fn with_caller_overhead(mut self, time: Duration) -> Self {
+        self.caller_overhead = time;
         self
     }
 
@@ -135,7 +135,7 @@
         Ok(Self {
             id,
             received,
-            caller_time: Duration::ZERO,
+            caller_overhead: Duration::ZERO,
             finish_by,
             fingerprint: fingerprint(&method, &target, &headers, &partial.body),
             after_loss: Cell::new(false),
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -28,7 +28,7 @@
             self.denial.get(),
             self.state.lost(),
             self.postponed,
-            millis(self.request.caller_time),
+            millis(self.request.caller_overhead),
             millis(self.lag)
         );
         let (outcome, reply) = match end {
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -162,7 +162,7 @@
             RunTarget::Gather(terms) => (terms.shards.len(), terms.min_shards()),
         };
         let lag = core.lag.borrow().margin();
-        let margin = request.caller_time + lag;
+        let margin = request.caller_overhead + lag;
         let answer_by = request.received + route.target.saturating_sub(margin);
         let finish_by = request.finish_by.checked_sub(FINISH_MARGIN);
         let finish_by = finish_by.unwrap_or(request.received);
