--- a/crates/ebonyfork/src/gateway/control.rs
+++ b/crates/ebonyfork/src/gateway/control.rs
@@ -104,7 +104,7 @@
     let routes = table.routes_of(&query.host).iter();
     HostNeeds {
         zones: upstream_zones(core, &table, query),
-        regions: HostRegions::new(routes.map(|route| &route.homes)),
+        regions: HostRegions::new(routes.map(|route| &route.home_regions)),
     }
 }
 
--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -198,36 +198,40 @@
     }
 
     /// Returns the upstreams of a service that are in the home regions of a route.
-    pub fn home_upstreams(&self, route: &RouteEntry, service: &UpstreamService) -> UpstreamList {
+    pub fn home_region_upstreams(
+        &self,
+        route: &RouteEntry,
+        service: &UpstreamService,
+    ) -> UpstreamList {
         let mut upstreams = self.registry.upstreams(service);
-        if route.homes.is_limited() {
+        if route.home_regions.is_limited() {
             let region_of = |upstream: &Upstream| {
                 let zone = &upstream.entry().zone;
                 self.settings.place.region_of(zone).cloned()
             };
-            upstreams.retain(|upstream| route.homes.allows(region_of(upstream).as_ref()));
+            upstreams.retain(|upstream| route.home_regions.allows(region_of(upstream).as_ref()));
         }
         upstreams
     }
 
     /// Returns those of a route's weighted services that have an upstream in its home regions. The weights apply among
     /// these services. Evacuating a zone does not shift requests from one service to another.
-    pub fn home_services<'a>(
+    pub fn home_region_services<'a>(
         &self,
         route: &RouteEntry,
         weighted_services: &'a [WeightedService],
     ) -> Cow<'a, [WeightedService]> {
-        if !route.homes.is_limited() {
+        if !route.home_regions.is_limited() {
             return Cow::Borrowed(weighted_services);
         }
-        let has_home_upstream = |candidate: &&WeightedService| {
-            let upstreams = self.home_upstreams(route, &candidate.service);
+        let has_home_region_upstream = |candidate: &&WeightedService| {
+            let upstreams = self.home_region_upstreams(route, &candidate.service);
             upstreams.iter().any(|upstream| !upstream.is_leaving())
         };
         Cow::Owned(
             weighted_services
                 .iter()
-                .filter(has_home_upstream)
+                .filter(has_home_region_upstream)
                 .cloned()
                 .collect(),
         )
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -146,7 +146,7 @@
     fn log_unknown_homes(&self, table: &RouteTable) {
         let zones = &self.core.settings.place.zones;
         for route in table.routes() {
-            for region in route.homes.regions() {
+            for region in route.home_regions.regions() {
                 if zones.values().any(|known_region| known_region == region) {
                     continue;
                 }
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -359,11 +359,11 @@
         RouteTarget::One(service) => Ok(RunTarget::One(service.clone())),
         RouteTarget::Gather(terms) => Ok(RunTarget::Gather(terms.clone())),
         RouteTarget::Weighted(parts) => {
-            let home_services = core.home_services(route, parts);
-            if home_services.is_empty() {
+            let home_region_services = core.home_region_services(route, parts);
+            if home_region_services.is_empty() {
                 return Err(RefusalReason::NotAtHome);
             }
-            let picked_service = core.round_robin.pick(&route.name, &home_services);
+            let picked_service = core.round_robin.pick(&route.name, &home_region_services);
             picked_service
                 .map(RunTarget::One)
                 .ok_or(RefusalReason::NoUpstream)
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -94,7 +94,7 @@
     /// Services to which the route's requests are sent.
     pub destination: RouteTarget,
     /// Regions in which the route's requests may be served.
-    pub homes: HomeRegions,
+    pub home_regions: HomeRegions,
 }
 
 /// Properties that the configuration states for a service.
@@ -153,7 +153,7 @@
     ///     attempts: 2,
     ///     priority: 1,
     ///     destination: RouteTarget::One(UpstreamService::new("s")),
-    ///     homes: HomeRegions::default(),
+    ///     home_regions: HomeRegions::default(),
     /// };
     /// let shorter = route(Duration::from_secs(1));
     /// assert_eq!(route(Duration::from_secs(2)).shard_digest(), shorter.shard_digest());
@@ -188,7 +188,7 @@
         let idempotency_byte = u8::from(self.idempotency == Idempotency::Idempotent);
         hash.update(&[idempotency_byte, self.priority]);
         hash.update(&self.attempts.to_be_bytes());
-        for region in self.homes.regions() {
+        for region in self.home_regions.regions() {
             hash.update(region.as_str().as_bytes());
             hash.update(&[0]);
         }
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -35,7 +35,7 @@
         attempts: 2,
         priority: 0,
         destination: RouteTarget::One(UpstreamService::new(service)),
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     }
 }
 
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -23,7 +23,7 @@
         attempts: 2,
         priority: 1,
         destination: RouteTarget::One(UpstreamService::new("s")),
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     }
 }
 
@@ -83,7 +83,7 @@
 fn different_home_regions_change_the_scope_digest() {
     let digest = |regions: &[&str]| {
         let route = RouteEntry {
-            homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
+            home_regions: HomeRegions::new(regions.iter().map(PlaceName::new)),
             ..route("r", "a.example", "/x/")
         };
         let table = RouteTable::new(ConfigVersion(1), [route], [], limits());
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -178,7 +178,9 @@
     /// Returns the upstreams in the home regions of the route.
     pub(super) fn home_upstreams(&self, shard: usize) -> UpstreamList {
         let service = self.target.service(shard);
-        self.context.core.home_upstreams(&self.route, service)
+        self.context
+            .core
+            .home_region_upstreams(&self.route, service)
     }
 
     /// Selects an upstream that the shard was not sent to. If there is none and no attempt is in flight, selects one
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -77,7 +77,7 @@
         attempts,
         priority: 0,
         destination,
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     })
 }
 
@@ -591,7 +591,7 @@
 
 fn with_home_regions(route: &Rc<RouteEntry>, regions: &[&str]) -> Rc<RouteEntry> {
     Rc::new(RouteEntry {
-        homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
+        home_regions: HomeRegions::new(regions.iter().map(PlaceName::new)),
         ..RouteEntry::clone(route)
     })
 }
