--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -120,7 +120,7 @@
             session,
             dialect,
             registry: UpstreamRegistry::new(),
-            vms: VmDirectory::new(settings.listen.callers),
+            vms: VmDirectory::new(settings.listen.caller_address),
             repeats: RefCell::new(repeats),
             lag: Rc::new(RefCell::new(AnswerLag::new(settings.place.cores))),
             round_robin: WeightedRoundRobin::new(),
--- a/crates/ebonyfork/src/gateway/fixture.rs
+++ b/crates/ebonyfork/src/gateway/fixture.rs
@@ -70,10 +70,10 @@
     GatewaySettings {
         place: place(),
         listen: ListenAddresses {
-            callers: address,
-            ready: address,
-            directory: address,
-            metrics: address,
+            caller_address: address,
+            ready_address: address,
+            directory_address: address,
+            metrics_address: address,
             peer_port: 0,
         },
         store: address,
--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -230,7 +230,7 @@
         let mut settings = settings();
         settings.place.address = vm.0;
         settings.change_bound = self.max_change_delay;
-        settings.listen.callers = SocketAddr::new(vm.0, self.peer_port);
+        settings.listen.caller_address = SocketAddr::new(vm.0, self.peer_port);
         let core = Rc::new(GatewayCore::new(settings, text_dialect()));
         let session = SessionId::new(vm, IncarnationNumber(incarnation));
         let link_cancellation = CancellationToken::new();
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -85,10 +85,10 @@
         port: P,
     ) -> Result<Self, GatewayError> {
         let listen = settings.listen;
-        let caller_listener = bind("caller", listen.callers).await?;
-        let ready_listener = bind("ready", listen.ready).await?;
-        let directory_listener = bind("directory", listen.directory).await?;
-        let metrics_listener = bind("metrics", listen.metrics).await?;
+        let caller_listener = bind("caller", listen.caller_address).await?;
+        let ready_listener = bind("ready", listen.ready_address).await?;
+        let directory_listener = bind("directory", listen.directory_address).await?;
+        let metrics_listener = bind("metrics", listen.metrics_address).await?;
         let peer_address = SocketAddr::new(settings.place.address, listen.peer_port);
         let gossip_socket = UdpSocket::bind(peer_address).await.context(BindSnafu {
             role: "peer",
@@ -215,9 +215,9 @@
         place.name,
         place.zone,
         place.region,
-        listen.callers,
-        listen.directory,
-        listen.ready,
+        listen.caller_address,
+        listen.directory_address,
+        listen.ready_address,
         core.settings.store
     );
 }
--- a/crates/ebonyfork/src/gateway/register.rs
+++ b/crates/ebonyfork/src/gateway/register.rs
@@ -106,7 +106,7 @@
 
     /// Renews the lease, or opens a new one and writes the entry under it.
     async fn renew_or_register(&self) -> Result<(), StoreError> {
-        let key = (self.core.dialect.vm_key)(self.core.settings.listen.callers);
+        let key = (self.core.dialect.vm_key)(self.core.settings.listen.caller_address);
         if let Some(lease) = self.lease.get()
             && self.is_written(&key)
         {
@@ -135,7 +135,7 @@
     fn record(&self) -> Result<Bytes, StoreError> {
         let place = &self.core.settings.place;
         let record = VmRecord {
-            caller: self.core.settings.listen.callers,
+            caller: self.core.settings.listen.caller_address,
             zone: CompactString::new(place.zone.as_str()),
             region: CompactString::new(place.region.as_str()),
             cores: place.cores as f32,
--- a/crates/ebonyfork/src/gateway/settings.rs
+++ b/crates/ebonyfork/src/gateway/settings.rs
@@ -63,13 +63,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenAddresses {
     /// Address for callers' requests.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Address for readiness checks.
-    pub ready: SocketAddr,
+    pub ready_address: SocketAddr,
     /// Address for look-ups of the VMs to use.
-    pub directory: SocketAddr,
+    pub directory_address: SocketAddr,
     /// Address for metrics.
-    pub metrics: SocketAddr,
+    pub metrics_address: SocketAddr,
     /// UDP and TCP port on which the processes of our own VMs reach each other.
     pub peer_port: u16,
 }
@@ -187,17 +187,17 @@
 fn read_listen(document: &IniDocument, findings: &mut FindingList) -> Option<ListenAddresses> {
     let section = document.needed_section("listen", findings)?;
     let mut reader = SectionReader::new(&document.file, section, findings);
-    let callers = reader.required("callers");
-    let ready = reader.required("ready");
-    let directory = reader.required("directory");
-    let metrics = reader.required("metrics");
+    let caller_address = reader.required("callers");
+    let ready_address = reader.required("ready");
+    let directory_address = reader.required("directory");
+    let metrics_address = reader.required("metrics");
     let peer_port = reader.required("peer-port");
     reader.finish();
     Some(ListenAddresses {
-        callers: callers?,
-        ready: ready?,
-        directory: directory?,
-        metrics: metrics?,
+        caller_address: caller_address?,
+        ready_address: ready_address?,
+        directory_address: directory_address?,
+        metrics_address: metrics_address?,
         peer_port: peer_port?,
     })
 }
