--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -23,7 +23,7 @@
 use crate::gateway::http_server::log_accept_error;
 use crate::gateway::metrics::OutcomeLabel;
 use crate::gateway::refusal::RefusalReason;
-use crate::gateway::reply::{CallerReply, refusal};
+use crate::gateway::reply::{CallerReply, refusal_reply};
 use crate::gateway::request::ForwardRequest;
 use crate::gateway::route::{RouteEntry, RouteTable, RouteTarget};
 use crate::gateway::route_check::check_route;
@@ -175,7 +175,7 @@
     {
         Ok(report) => report,
         Err(reason) => RunReport {
-            reply: refusal(reason),
+            reply: refusal_reply(reason),
             outcome: reason.label(),
             detail: CompactString::default(),
             decided: None,
--- a/crates/ebonyfork/src/gateway/reply.rs
+++ b/crates/ebonyfork/src/gateway/reply.rs
@@ -19,7 +19,7 @@
 pub type CallerReply = Response<ReplyBody>;
 
 /// Builds the answer for a refusal.
-pub fn refusal(reason: RefusalReason) -> CallerReply {
+pub fn refusal_reply(reason: RefusalReason) -> CallerReply {
     let mut reply = Response::new(Bytes::from_static(reason.label().as_bytes()).into());
     *reply.status_mut() = reason.status();
     let headers = reply.headers_mut();
@@ -44,7 +44,7 @@
 }
 
 /// Forwards an upstream's answer without its hop-by-hop headers.
-pub fn forwarded(answer: UpstreamAnswer) -> CallerReply {
+pub fn forwarded_reply(answer: UpstreamAnswer) -> CallerReply {
     let mut headers = answer.headers;
     strip_hop_headers(&mut headers);
     let body = answer.body;
@@ -59,7 +59,7 @@
 }
 
 /// Builds the answer of a query over many shards from the partial answers received so far.
-pub fn gathered(names: &WireNames, state: &GatherState, top: usize) -> CallerReply {
+pub fn gathered_reply(names: &WireNames, state: &GatherState, top: usize) -> CallerReply {
     let body = merge_records(state.records(), top);
     let mut reply = Response::new(body.into());
     let headers = reply.headers_mut();
@@ -80,8 +80,11 @@
         }
         Err(error) => log::error!("joined signatures are not a valid header value: {error}"),
     }
-    let missing = state.shards().len() - state.answered();
-    headers.insert(names.missing_parts.clone(), HeaderValue::from(missing));
+    let missing_count = state.shards().len() - state.answered();
+    headers.insert(
+        names.missing_parts.clone(),
+        HeaderValue::from(missing_count),
+    );
     reply
 }
 
--- a/crates/ebonyfork/src/gateway/reply_tests.rs
+++ b/crates/ebonyfork/src/gateway/reply_tests.rs
@@ -26,7 +26,7 @@
 fn only_refusals_of_requests_that_have_not_run_promise_it() {
     for reason in REASONS {
         let may_have_run = matches!(reason, RefusalReason::Unknown | RefusalReason::Late);
-        let reply = refusal(reason);
+        let reply = refusal_reply(reason);
         let promises_not_run = reply.status() == StatusCode::SERVICE_UNAVAILABLE;
         expect_that!(promises_not_run && may_have_run, eq(false), "{reason:?}");
         let has_retry_after = reply.headers().contains_key(header::RETRY_AFTER);
@@ -45,7 +45,7 @@
     answer
         .headers
         .insert("transfer-encoding", header("chunked"));
-    let reply = forwarded(answer);
+    let reply = forwarded_reply(answer);
     expect_that!(reply.status(), eq(StatusCode::IM_A_TEAPOT));
     let mut names: Vec<_> = reply
         .headers()
@@ -65,7 +65,7 @@
         let records = Bytes::from(vec![shard as u8; 16]);
         state.add_part(shard, HeaderValue::from_static(name), records);
     }
-    let reply = gathered(&wire_names(), &state, 1);
+    let reply = gathered_reply(&wire_names(), &state, 1);
     let text = |name: &str| {
         reply.headers()[name]
             .to_str()
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -7,7 +7,9 @@
 use crate::gateway::policy::gather::GatherEnd;
 use crate::gateway::policy::latency::millis;
 use crate::gateway::refusal::RefusalReason;
-use crate::gateway::reply::{CallerReply, forwarded, gathered, refusal, set_retry_after};
+use crate::gateway::reply::{
+    CallerReply, forwarded_reply, gathered_reply, refusal_reply, set_retry_after,
+};
 
 /// Maximum number of attempts listed in the log line of a failed request.
 const OPEN_LIMIT: usize = 4;
@@ -40,12 +42,13 @@
         } else {
             detail + &self.open_attempts()
         };
-        let gathered = matches!(self.target, RunTarget::Gather(_)) && reply.status().is_success();
+        let gathered_reply =
+            matches!(self.target, RunTarget::Gather(_)) && reply.status().is_success();
         RunReport {
             reply,
             outcome,
             detail,
-            decided: gathered.then_some(decided),
+            decided: gathered_reply.then_some(decided),
         }
     }
 
@@ -72,18 +75,18 @@
             } else {
                 "partial"
             };
-            return (word, gathered(names, &self.state, terms.top));
+            return (word, gathered_reply(names, &self.state, terms.top));
         }
         match self.single.take() {
-            Some(answer) => ("answered", forwarded(answer)),
-            None => ("unknown", refusal(RefusalReason::Unknown)),
+            Some(answer) => ("answered", forwarded_reply(answer)),
+            None => ("unknown", refusal_reply(RefusalReason::Unknown)),
         }
     }
 
     fn fail(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
         let one = matches!(self.target, RunTarget::One(_));
         if let Some(failure) = self.failure.take().filter(|_failure| one) {
-            return ("failed", forwarded(failure));
+            return ("failed", forwarded_reply(failure));
         }
         // A request that only waited for a connection hasn't run, so it isn't answered with 504: that status kept
         // callers from resending requests that may run only once.
@@ -94,7 +97,7 @@
             (false, _) if self.is_excluded() => RefusalReason::NotAtHome,
             (false, _) => RefusalReason::NoUpstream,
         };
-        let mut reply = refusal(reason);
+        let mut reply = refusal_reply(reason);
         if reason == RefusalReason::NoUpstream
             && let Some(wait) = self.registration_left().or_else(|| self.warm_up_left())
         {
