--- a/crates/ebonyfork/src/gateway/core.rs
+++ b/crates/ebonyfork/src/gateway/core.rs
@@ -64,9 +64,9 @@
     /// Our own VMs.
     pub vms: VmDirectory,
     /// Budget of retries and hedges that may still be sent.
-    pub repeats: RefCell<LeasedRetryBudget>,
+    pub retry_budget: RefCell<LeasedRetryBudget>,
     /// Delays between deciding on an answer and writing it.
-    pub lag: Rc<RefCell<AnswerLag>>,
+    pub answer_lag: Rc<RefCell<AnswerLag>>,
     /// Distributes the requests of weighted routes among their services.
     pub round_robin: WeightedRoundRobin,
     /// Shards of queries that other VMs gather for this one.
@@ -112,7 +112,7 @@
 impl GatewayCore {
     /// Creates the state of a process that has just started.
     pub fn new(settings: GatewaySettings, dialect: GatewayDialect) -> Self {
-        let repeats = LeasedRetryBudget::new(settings.budget);
+        let retry_budget = LeasedRetryBudget::new(settings.budget);
         let metrics = GatewayMetrics::default();
         let max_age = FreshnessTimings::new(settings.change_bound).max_age;
         let session = own_session(&settings);
@@ -121,8 +121,8 @@
             dialect,
             registry: UpstreamRegistry::new(),
             vms: VmDirectory::new(settings.listen.caller_address),
-            repeats: RefCell::new(repeats),
-            lag: Rc::new(RefCell::new(AnswerLag::new(settings.place.cores))),
+            retry_budget: RefCell::new(retry_budget),
+            answer_lag: Rc::new(RefCell::new(AnswerLag::new(settings.place.cores))),
             round_robin: WeightedRoundRobin::new(),
             host_needs: RefCell::default(),
             relay: MirrorRelay::new(max_age, metrics.sent_change_bytes.clone()),
@@ -264,7 +264,7 @@
     pub fn redistribute_shares(&self) {
         let vm_count = self.vms.peak_count();
         let time = self.running_time();
-        self.repeats.borrow_mut().set_vm_count(vm_count, time);
+        self.retry_budget.borrow_mut().set_vm_count(vm_count, time);
         self.registry.for_each(|upstream| {
             let connection_share = self.connection_share(&upstream.entry().service);
             upstream.set_connection_share(connection_share);
--- a/crates/ebonyfork/src/gateway/gossip.rs
+++ b/crates/ebonyfork/src/gateway/gossip.rs
@@ -55,7 +55,7 @@
     loop {
         let digest = MemberDigest {
             revision: RevisionNumber(version.borrow_and_update().0),
-            load: vm_load(core.lag.borrow().margin()),
+            load: vm_load(core.answer_lag.borrow().margin()),
         };
         core.vms.set_own_load(digest.load);
         if digest != published_digest {
--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -77,7 +77,7 @@
         idle_since: Cell::new(now()),
         head_started: Cell::new(None),
         decided_at: Cell::new(None),
-        answer_lag: Rc::clone(&core.lag),
+        answer_lag: Rc::clone(&core.answer_lag),
     });
     let service = service_fn({
         let core = Rc::clone(&core);
--- a/crates/ebonyfork/src/gateway/node.rs
+++ b/crates/ebonyfork/src/gateway/node.rs
@@ -236,7 +236,7 @@
         sweeps = sweeps.wrapping_add(1);
         if sweeps.is_multiple_of(SWEEPS_PER_BUDGET_CLEANUP) {
             let time = core.running_time();
-            core.repeats.borrow_mut().remove_idle(time);
+            core.retry_budget.borrow_mut().remove_idle(time);
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -137,7 +137,7 @@
         let core = &self.context.core;
         let service = self.target.service(shard);
         let result = core
-            .repeats
+            .retry_budget
             .borrow_mut()
             .spend(service, core.running_time());
         match result {
@@ -162,7 +162,7 @@
         self.state.shard_mut(shard).counted = true;
         let core = &self.context.core;
         let service = self.target.service(shard);
-        core.repeats
+        core.retry_budget
             .borrow_mut()
             .record_request(service, core.running_time());
     }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -161,7 +161,7 @@
             RunTarget::One(_) => (1, 1),
             RunTarget::Gather(terms) => (terms.shards.len(), terms.min_shards()),
         };
-        let lag = core.lag.borrow().margin();
+        let lag = core.answer_lag.borrow().margin();
         let margin = request.caller_overhead + lag;
         let answer_by = request.received + route.target.saturating_sub(margin);
         let finish_by = request.finish_by.checked_sub(FINISH_MARGIN);
@@ -238,7 +238,7 @@
     fn record_timer_delay(&self, due: Instant) {
         let time = now();
         let late = time.saturating_duration_since(due);
-        let mut lag = self.context.core.lag.borrow_mut();
+        let mut lag = self.context.core.answer_lag.borrow_mut();
         lag.record_timer_delay(late, time);
     }
 
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -41,7 +41,7 @@
 fn earn_repeats(core: &GatewayCore, service: &str) {
     for _ in 0..1_000 {
         let service = UpstreamService::new(service);
-        core.repeats
+        core.retry_budget
             .borrow_mut()
             .record_request(&service, core.running_time());
     }
@@ -450,11 +450,11 @@
         let service = UpstreamService::new("s1");
         let spend = |core: &GatewayCore| {
             let time = core.running_time();
-            core.repeats.borrow_mut().spend(&service, time)
+            core.retry_budget.borrow_mut().spend(&service, time)
         };
         while spend(&core).is_ok() {}
         let before = core
-            .repeats
+            .retry_budget
             .borrow()
             .available(&service, core.running_time());
         let mut failed = Vec::new();
@@ -475,7 +475,7 @@
         );
         expect_that!(held[0].log.borrow().requests.len(), ge(1));
         let time = core.running_time();
-        let after = core.repeats.borrow().available(&service, time);
+        let after = core.retry_budget.borrow().available(&service, time);
         expect_that!(after - before, lt(0.1), "a counted request earns 0.19");
     };
     LocalSet::new().run_until(test).await;
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -39,7 +39,7 @@
 
 fn request_share(core: &GatewayCore, owner: VmAddress) {
     let number = core
-        .repeats
+        .retry_budget
         .borrow_mut()
         .request(owner, core.running_time());
     let message = PeerMessage::Share(ShareMessage::Request { number });
@@ -50,7 +50,7 @@
 /// Updates the metrics with the shares on lease, and logs them if they have changed.
 fn report_shares(core: &GatewayCore, last_logged: &mut Option<LeasedShares>) {
     let time = core.running_time();
-    let account = core.repeats.borrow();
+    let account = core.retry_budget.borrow();
     let leased = LeasedShares {
         borrowed: account.borrowed(time),
         lent_to: account.lent_to(time),
@@ -86,7 +86,10 @@
             }
         }
         ShareMessage::Granted { number } => {
-            let is_accepted = core.repeats.borrow_mut().accept_grant(peer, number, time);
+            let is_accepted = core
+                .retry_budget
+                .borrow_mut()
+                .accept_grant(peer, number, time);
             if !is_accepted {
                 log::info!("share of {peer} not accepted: request {number} is not pending");
             }
@@ -104,7 +107,7 @@
     let own = VmAddress(core.settings.place.address);
     let roles = core.vms.zone_roles(&core.settings.place);
     let is_serving = roles.serving.contains(&own);
-    let result = core.repeats.borrow_mut().lend(peer, is_serving, time);
+    let result = core.retry_budget.borrow_mut().lend(peer, is_serving, time);
     if let Err(refusal) = result {
         log::debug!("share not lent to {peer}: {refusal}");
         return ShareMessage::Refused { number };
