--- a/crates/ebonyfork/src/gateway/aggregate.rs
+++ b/crates/ebonyfork/src/gateway/aggregate.rs
@@ -58,7 +58,7 @@
     }
     let gather_terms = GatherTerms {
         shards,
-        top: gather_terms.top,
+        max_records: gather_terms.max_records,
         min_coverage: 0.0,
     };
     Some((Rc::clone(route), gather_terms))
--- a/crates/ebonyfork/src/gateway/fixture.rs
+++ b/crates/ebonyfork/src/gateway/fixture.rs
@@ -100,7 +100,7 @@
         slots: 2,
         heartbeats: 1,
         leaving: false,
-        cold: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SettlingTime {
     /// Time by which most of the missing upstreams are likely to have registered.
-    pub likely: Instant,
+    pub likely_by: Instant,
     /// Time from which missing upstreams count as gone.
     pub until: Instant,
 }
@@ -180,7 +180,7 @@
     pub fn settling(&self, now: Instant) -> Option<SettlingTime> {
         let first_read = self.first_read.get()?;
         let settling = SettlingTime {
-            likely: first_read + LIKELY_RETURN_TIME,
+            likely_by: first_read + LIKELY_RETURN_TIME,
             until: first_read + RETURN_GRACE,
         };
         (now < settling.until).then_some(settling)
--- a/crates/ebonyfork/src/gateway/reply.rs
+++ b/crates/ebonyfork/src/gateway/reply.rs
@@ -59,8 +59,8 @@
 }
 
 /// Builds the answer of a query over many shards from the partial answers received so far.
-pub fn gathered_reply(names: &WireNames, state: &GatherState, top: usize) -> CallerReply {
-    let body = merge_records(state.records(), top);
+pub fn gathered_reply(names: &WireNames, state: &GatherState, max_records: usize) -> CallerReply {
+    let body = merge_records(state.records(), max_records);
     let mut reply = Response::new(body.into());
     let headers = reply.headers_mut();
     headers.insert(
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -36,7 +36,7 @@
     /// Shards of the query. Each is a service whose upstreams are interchangeable.
     pub shards: Vec<UpstreamService>,
     /// Largest number of records in the answer.
-    pub top: usize,
+    pub max_records: usize,
     /// Smallest fraction of the shards, 0 to 1, that must have answered for the query to be answered at all.
     pub min_coverage: f64,
 }
@@ -50,7 +50,7 @@
     /// use ebonyfork::gateway::{GatherTerms, UpstreamService};
     ///
     /// let shards = (0..20).map(|number| UpstreamService::new(number.to_string())).collect();
-    /// let terms = GatherTerms { shards, top: 10, min_coverage: 0.89 };
+    /// let terms = GatherTerms { shards, max_records: 10, min_coverage: 0.89 };
     /// assert_eq!(terms.min_shards(), 18);
     /// ```
     pub fn min_shards(&self) -> usize {
@@ -200,7 +200,7 @@
                 }
             }
             RouteTarget::Gather(terms) => {
-                hash.update(&terms.top.to_be_bytes());
+                hash.update(&terms.max_records.to_be_bytes());
                 hash.update(&terms.min_coverage.to_be_bytes());
             }
         }
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -70,7 +70,7 @@
             shards: (0..shards)
                 .map(|number: usize| UpstreamService::new(number.to_string()))
                 .collect(),
-            top: 5,
+            max_records: 5,
             min_coverage,
         };
         expect_that!(terms.min_shards(), eq(expected), "{shards} {min_coverage}");
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -75,7 +75,7 @@
             } else {
                 "partial"
             };
-            return (word, gathered_reply(names, &self.state, terms.top));
+            return (word, gathered_reply(names, &self.state, terms.max_records));
         }
         match self.single.take() {
             Some(answer) => ("answered", forwarded_reply(answer)),
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -415,7 +415,7 @@
         let RunTarget::Gather(terms) = &self.target else {
             return reply;
         };
-        reply.records = merge_records(own, terms.top);
+        reply.records = merge_records(own, terms.max_records);
         reply
     }
 }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -148,7 +148,7 @@
         }
         let terms = GatherTerms {
             shards: ["s0", "s1", "s2"].map(UpstreamService::new).to_vec(),
-            top: 10,
+            max_records: 10,
             min_coverage: 0.9,
         };
         let route = route(2, RouteTarget::Gather(terms.clone()));
@@ -377,7 +377,7 @@
             .iter()
             .map(|shard| UpstreamService::new(*shard))
             .collect(),
-        top: 10,
+        max_records: 10,
         min_coverage,
     };
     let route = route(2, RouteTarget::Gather(terms.clone()));
@@ -757,7 +757,7 @@
 async fn cold_upstream(core: &GatewayCore, instance: &str) -> ScriptedUpstream {
     let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
     let entry = UpstreamEntry {
-        cold: Duration::from_secs(2),
+        cold_remaining: Duration::from_secs(2),
         ..entry(instance, "s", "north-a", upstream.address)
     };
     core.registry.put(&instance.into(), entry, now(), 4);
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -14,7 +14,7 @@
     pub(super) async fn wait_for_upstreams(&self) {
         let registry = &self.context.core.registry;
         while let Some(settling) = registry.settling(now()) {
-            if self.has_enough_upstreams() || settling.likely > self.request.finish_by {
+            if self.has_enough_upstreams() || settling.likely_by > self.request.finish_by {
                 return;
             }
             let until = settling.until.min(self.request.finish_by);
--- a/crates/ebonyfork/src/gateway/upstream.rs
+++ b/crates/ebonyfork/src/gateway/upstream.rs
@@ -35,7 +35,7 @@
     /// Whether the upstream is about to leave.
     pub leaving: bool,
     /// Remaining time for which the upstream is slow after its start.
-    pub cold: Duration,
+    pub cold_remaining: Duration,
 }
 
 impl UpstreamEntry {
@@ -112,10 +112,10 @@
     pub fn new(entry: UpstreamEntry, now: Instant, connection_share: usize) -> Self {
         let connection_share = connection_share.min(entry.slots).max(1);
         Self {
-            health: RefCell::new(UpstreamHealth::new(now, entry.cold)),
+            health: RefCell::new(UpstreamHealth::new(now, entry.cold_remaining)),
             leaving: Cell::new(entry.leaving),
             evacuated: Cell::new(false),
-            reported_cold_until: Cell::new(now + entry.cold),
+            reported_cold_until: Cell::new(now + entry.cold_remaining),
             assumed_cold_until: Cell::new(now),
             load_warned: Cell::new(false),
             cold_sends: RefCell::new(SendWindow::new()),
@@ -137,7 +137,7 @@
     /// Updates the entry with a newer one of the same incarnation.
     pub fn update(&self, entry: UpstreamEntry, now: Instant) {
         self.leaving.set(entry.leaving);
-        self.reported_cold_until.set(now + entry.cold);
+        self.reported_cold_until.set(now + entry.cold_remaining);
         *self.entry.borrow_mut() = Rc::new(entry);
     }
 
