--- a/crates/ebonyfork/src/gateway/aggregate_table.rs
+++ b/crates/ebonyfork/src/gateway/aggregate_table.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds a running query.
+    /// Adds a running query with the handle that aborts it.
     pub fn begin(&self, key: AggregateKey, abort_handle: AbortHandle) {
         self.abort_handles.borrow_mut().insert(key, abort_handle);
     }
--- a/crates/ebonyfork/src/gateway/caller_time_tests.rs
+++ b/crates/ebonyfork/src/gateway/caller_time_tests.rs
@@ -35,8 +35,8 @@
     let now = Instant::now();
     let mut track = WaitTrack::default();
     for number in 1..MIN_WAIT_SAMPLES {
-        let stated = if number == 4 { ms(800) } else { ms(785) };
-        expect_that!(track.record(stated, now), none(), "too few samples");
+        let stated_wait = if number == 4 { ms(800) } else { ms(785) };
+        expect_that!(track.record(stated_wait, now), none(), "too few samples");
     }
     expect_that!(track.record(ms(800), now), some(eq(ms(0))));
     expect_that!(track.record(ms(777), now), some(eq(ms(23))));
--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -37,7 +37,7 @@
     },
 }
 
-/// Event of one group of shards.
+/// Update about one of the groups into which a query divides its shards.
 #[derive(Debug)]
 pub struct GroupEvent {
     /// Index of the group within its query.
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -47,7 +47,7 @@
     pub body: ReplyBody,
 }
 
-/// Outcome of an attempt.
+/// How an attempt ended, which tells whether the request may have run.
 #[derive(Debug)]
 pub enum AttemptOutcome {
     /// The upstream ran the request and answered.
--- a/crates/ebonyfork/src/gateway/ident.rs
+++ b/crates/ebonyfork/src/gateway/ident.rs
@@ -52,7 +52,7 @@
     InstanceName
 );
 text_type!(
-    /// Name of a route.
+    /// Name that the configuration gives a route.
     RouteName
 );
 text_type!(
--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -36,7 +36,7 @@
 /// Largest number of attempts per shard.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Fault of an upstream.
+/// Way in which an upstream of the model misbehaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ModelFault {
     /// Declines this fraction of the requests.
--- a/crates/ebonyfork/src/gateway/load_tests.rs
+++ b/crates/ebonyfork/src/gateway/load_tests.rs
@@ -29,8 +29,8 @@
         let budget_config = self.budget_config();
         let requests = |from: usize, until: usize| {
             let until = until.min(self.seconds.len());
-            let counted = self.seconds[from.min(until)..until].iter();
-            counted.map(|second| second.queries).sum::<f64>()
+            let counted_seconds = self.seconds[from.min(until)..until].iter();
+            counted_seconds.map(|second| second.queries).sum::<f64>()
         };
         for repeats in &self.repeats {
             for from in 0..self.seconds.len() {
@@ -42,10 +42,10 @@
                     requests(first_second, first_second + 10)
                 });
                 let max_requests = max_requests.into_iter().fold(0.0, f64::max);
-                let bound = max_requests * budget_config.ratio + budget_config.slack;
+                let max_repeats = max_requests * budget_config.ratio + budget_config.slack;
                 expect_that!(
                     repeats_in_window.count() as f64,
-                    le(bound),
+                    le(max_repeats),
                     "seed {seed} from {from}"
                 );
             }
@@ -82,9 +82,9 @@
 /// overlapping phases.
 #[gtest]
 fn slow_upstreams_are_avoided() {
-    let first = phase(ModelFault::Slow(8.0), None, 4, 12);
-    let second = phase(ModelFault::Slow(1.5), None, 8, 14);
-    let mean_value = mean_value_of(0.2, &[first, second], 5..14);
+    let first_phase = phase(ModelFault::Slow(8.0), None, 4, 12);
+    let second_phase = phase(ModelFault::Slow(1.5), None, 8, 14);
+    let mean_value = mean_value_of(0.2, &[first_phase, second_phase], 5..14);
     expect_that!(mean_value, ge(0.9));
 }
 
--- a/crates/ebonyfork/src/gateway/registry.rs
+++ b/crates/ebonyfork/src/gateway/registry.rs
@@ -69,7 +69,7 @@
     entries: RefCell<FxHashMap<CompactString, Rc<Upstream>>>,
     services: RefCell<FxHashMap<UpstreamService, UpstreamList>>,
     /// Entries that are missing since the store came back, with the time at which they count as gone.
-    missing: RefCell<FxHashMap<CompactString, Instant>>,
+    missing_until: RefCell<FxHashMap<CompactString, Instant>>,
     /// Time until which a missing entry may still reappear.
     return_deadline: Cell<Option<Instant>>,
     /// Time at which the store was first read whole.
@@ -78,9 +78,9 @@
     /// value is the time at which it ends.
     evacuated_zones: RefCell<FxHashMap<PlaceName, Option<Instant>>>,
     /// Incarnations that have left recently, by the store key of their entry.
-    departed: RefCell<FxHashMap<CompactString, DepartedIncarnation>>,
+    departed_incarnations: RefCell<FxHashMap<CompactString, DepartedIncarnation>>,
     /// Entries of departed incarnations that an older copy of the store brought back.
-    withheld: RefCell<FxHashMap<CompactString, WithheldEntry>>,
+    withheld_entries: RefCell<FxHashMap<CompactString, WithheldEntry>>,
     /// Notified when an entry is added.
     entry_added: Notify,
 }
@@ -205,9 +205,9 @@
         now: Instant,
         connection_share: usize,
     ) {
-        self.missing.borrow_mut().remove(key);
-        self.withheld.borrow_mut().remove(key);
-        self.departed.borrow_mut().remove(key);
+        self.missing_until.borrow_mut().remove(key);
+        self.withheld_entries.borrow_mut().remove(key);
+        self.departed_incarnations.borrow_mut().remove(key);
         let is_evacuated = self.is_evacuated(&entry.zone);
         let known_upstream = self.entries.borrow().get(key).cloned();
         if let Some(known_upstream) = known_upstream {
@@ -254,7 +254,7 @@
         connection_share: usize,
     ) {
         if self.is_older(key, &entry) {
-            self.missing.borrow_mut().remove(key);
+            self.missing_until.borrow_mut().remove(key);
             log::info!(
                 target: "ebonyfork::decision",
                 "upstream entry older instance={} heartbeats={} leaving={}: keeping the newer entry",
@@ -276,7 +276,7 @@
             connection_share,
             until: now + WITHHOLD_TIME,
         };
-        self.withheld
+        self.withheld_entries
             .borrow_mut()
             .insert(key.clone(), withheld_entry);
     }
@@ -295,10 +295,10 @@
     }
 
     fn has_departed(&self, key: &CompactString, entry: &UpstreamEntry, now: Instant) -> bool {
-        let departed = self.departed.borrow();
-        departed.get(key).is_some_and(|departed| {
-            let is_recent = now < departed.removed_at + DEPARTED_RETENTION;
-            is_recent && departed.incarnation == entry.incarnation()
+        let departures = self.departed_incarnations.borrow();
+        departures.get(key).is_some_and(|departure| {
+            let is_recent = now < departure.removed_at + DEPARTED_RETENTION;
+            is_recent && departure.incarnation == entry.incarnation()
         })
     }
 
@@ -309,7 +309,7 @@
 
     /// Handles the removal of an entry from the store.
     pub fn remove(&self, key: &CompactString, now: Instant) {
-        self.withheld.borrow_mut().remove(key);
+        self.withheld_entries.borrow_mut().remove(key);
         let return_deadline = self
             .return_deadline
             .get()
@@ -327,57 +327,67 @@
         let Some(upstream) = entries.get(key) else {
             return;
         };
-        let departed = DepartedIncarnation {
+        let departure = DepartedIncarnation {
             incarnation: upstream.entry().incarnation(),
             removed_at: now,
         };
-        self.departed.borrow_mut().insert(key.clone(), departed);
+        self.departed_incarnations
+            .borrow_mut()
+            .insert(key.clone(), departure);
     }
 
     fn keep_missing(&self, key: &CompactString, deadline: Instant) {
-        if !self.entries.borrow().contains_key(key) || self.missing.borrow().contains_key(key) {
+        if !self.entries.borrow().contains_key(key) || self.missing_until.borrow().contains_key(key)
+        {
             return;
         }
         log::info!(
             target: "ebonyfork::decision",
             "upstream held key={key}: its entry may have expired while the store was unavailable"
         );
-        self.missing.borrow_mut().insert(key.clone(), deadline);
+        self.missing_until
+            .borrow_mut()
+            .insert(key.clone(), deadline);
     }
 
     /// Removes the entries that have not reappeared in time and admits those that were withheld for long enough.
     pub fn expire(&self, now: Instant) {
         self.admit_withheld(now);
         let is_retained =
-            |departed: &mut DepartedIncarnation| now < departed.removed_at + DEPARTED_RETENTION;
-        self.departed
+            |departure: &mut DepartedIncarnation| now < departure.removed_at + DEPARTED_RETENTION;
+        self.departed_incarnations
             .borrow_mut()
-            .retain(|_key, departed| is_retained(departed));
-        let missing = self.missing.borrow();
-        let expired_keys: Vec<_> = missing
+            .retain(|_key, departure| is_retained(departure));
+        let missing_until = self.missing_until.borrow();
+        let expired_keys: Vec<_> = missing_until
             .iter()
             .filter(|(_key, deadline)| **deadline <= now)
             .map(|(key, _until)| key.clone())
             .collect();
-        drop(missing);
+        drop(missing_until);
         for key in expired_keys {
             self.drop_entry(&key, "not registered again after the store's outage");
         }
     }
 
     fn admit_withheld(&self, now: Instant) {
-        let mut withheld = self.withheld.borrow_mut();
-        let due_entries: Vec<_> = withheld
-            .extract_if(|_key, withheld| withheld.until <= now)
+        let mut withheld_entries = self.withheld_entries.borrow_mut();
+        let due_entries: Vec<_> = withheld_entries
+            .extract_if(|_key, entry| entry.until <= now)
             .collect();
-        drop(withheld);
-        for (key, withheld) in due_entries {
-            self.put(&key, withheld.entry, now, withheld.connection_share);
+        drop(withheld_entries);
+        for (key, withheld_entry) in due_entries {
+            self.put(
+                &key,
+                withheld_entry.entry,
+                now,
+                withheld_entry.connection_share,
+            );
         }
     }
 
     fn drop_entry(&self, key: &CompactString, reason: &str) {
-        self.missing.borrow_mut().remove(key);
+        self.missing_until.borrow_mut().remove(key);
         let Some(upstream) = self.entries.borrow_mut().remove(key) else {
             return;
         };
--- a/crates/ebonyfork/src/gateway/reply_body.rs
+++ b/crates/ebonyfork/src/gateway/reply_body.rs
@@ -42,10 +42,10 @@
     }
 
     /// Returns the part of the body that has been buffered.
-    pub fn begun(&self) -> &Bytes {
+    pub fn buffered_part(&self) -> &Bytes {
         match self {
             Self::Whole(bytes) => bytes,
-            Self::Stream(stream) => &stream.begun,
+            Self::Stream(stream) => &stream.buffered_part,
         }
     }
 }
@@ -53,7 +53,7 @@
 /// Answer of an upstream whose rest is still arriving. Dropping it closes the upstream's connection, which also cancels
 /// the work at the upstream.
 pub struct AnswerStream {
-    begun: Bytes,
+    buffered_part: Bytes,
     rest: Incoming,
     /// Connection that carries the answer; `None` once it has been returned to the pool.
     link: Option<ActiveLink>,
@@ -77,16 +77,16 @@
 }
 
 impl AnswerStream {
-    /// Creates a stream that passes on `begun`, then the rest as it arrives. A silence of `idle_timeout` ends it with
-    /// an error.
+    /// Creates a stream that passes on `buffered_part`, then the rest as it arrives. A silence of `idle_timeout` ends
+    /// it with an error.
     pub fn new(
-        (begun, rest): (Bytes, Incoming),
+        (buffered_part, rest): (Bytes, Incoming),
         link: ActiveLink,
         upstream: &Rc<Upstream>,
         idle_timeout: Duration,
     ) -> Self {
         Self {
-            begun,
+            buffered_part,
             rest,
             link: Some(link),
             reusable: false,
@@ -156,28 +156,28 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        let begun = match &mut *self {
+        let buffered_part = match &mut *self {
             Self::Whole(bytes) if bytes.is_empty() => return Poll::Ready(None),
             Self::Whole(bytes) => bytes,
-            Self::Stream(stream) if stream.begun.is_empty() => return stream.poll_rest(cx),
-            Self::Stream(stream) => &mut stream.begun,
+            Self::Stream(stream) if stream.buffered_part.is_empty() => return stream.poll_rest(cx),
+            Self::Stream(stream) => &mut stream.buffered_part,
         };
-        Poll::Ready(Some(Ok(Frame::data(std::mem::take(begun)))))
+        Poll::Ready(Some(Ok(Frame::data(std::mem::take(buffered_part)))))
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Whole(bytes) => bytes.is_empty(),
-            Self::Stream(stream) => stream.begun.is_empty() && stream.rest.is_end_stream(),
+            Self::Stream(stream) => stream.buffered_part.is_empty() && stream.rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
-        let begun = self.begun().len() as u64;
+        let buffered_bytes = self.buffered_part().len() as u64;
         match self {
-            Self::Whole(_) => SizeHint::with_exact(begun),
+            Self::Whole(_) => SizeHint::with_exact(buffered_bytes),
             Self::Stream(stream) => match stream.rest.size_hint().exact() {
-                Some(rest) => SizeHint::with_exact(begun + rest),
+                Some(rest_bytes) => SizeHint::with_exact(buffered_bytes + rest_bytes),
                 None => SizeHint::default(),
             },
         }
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -72,7 +72,7 @@
     Gather(GatherTerms),
 }
 
-/// A route.
+/// A route: the requests that it matches, and how they are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteEntry {
     /// Name of the route.
@@ -126,8 +126,8 @@
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     version: ConfigVersion,
-    hosts: FxHashMap<CompactString, Vec<Rc<RouteEntry>>>,
-    digests: FxHashMap<u64, Rc<RouteEntry>>,
+    routes_by_host: FxHashMap<CompactString, Vec<Rc<RouteEntry>>>,
+    routes_by_digest: FxHashMap<u64, Rc<RouteEntry>>,
     services: FxHashMap<UpstreamService, ServiceTerms>,
     limits: CallerLimits,
 }
@@ -233,24 +233,24 @@
         services: impl IntoIterator<Item = (UpstreamService, ServiceTerms)>,
         limits: CallerLimits,
     ) -> Self {
-        let mut hosts = FxHashMap::<CompactString, Vec<Rc<RouteEntry>>>::default();
-        let mut digests = FxHashMap::default();
+        let mut routes_by_host = FxHashMap::<CompactString, Vec<Rc<RouteEntry>>>::default();
+        let mut routes_by_digest = FxHashMap::default();
         for route in routes {
             let route = Rc::new(route);
-            let listed = hosts.entry(route.host.clone()).or_default();
-            listed.push(Rc::clone(&route));
+            let host_routes = routes_by_host.entry(route.host.clone()).or_default();
+            host_routes.push(Rc::clone(&route));
             if let RouteTarget::Gather(_) = &route.destination {
-                digests.insert(route.shard_digest(), route);
+                routes_by_digest.insert(route.shard_digest(), route);
             }
         }
-        for routes in hosts.values_mut() {
+        for routes in routes_by_host.values_mut() {
             // Sorts the longest prefix first, so that the first match is the most specific.
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         Self {
             version,
-            hosts,
-            digests,
+            routes_by_host,
+            routes_by_digest,
             services: services.into_iter().collect(),
             limits,
         }
@@ -269,9 +269,11 @@
     /// Finds the route of a host (in any case, with or without a port) with the longest prefix that matches a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteEntry>> {
         let host = host_name(host);
-        let routes = match self.hosts.get(host) {
+        let routes = match self.routes_by_host.get(host) {
             Some(routes) => routes,
-            None => self.hosts.get(host.to_ascii_lowercase().as_str())?,
+            None => self
+                .routes_by_host
+                .get(host.to_ascii_lowercase().as_str())?,
         };
         routes
             .iter()
@@ -280,21 +282,24 @@
 
     /// Finds a route over many shards by its [shard digest](RouteEntry::shard_digest).
     pub fn find_by_digest(&self, digest: u64) -> Option<&Rc<RouteEntry>> {
-        self.digests.get(&digest)
+        self.routes_by_digest.get(&digest)
     }
 
     /// Returns a digest of the route with this host and prefix and of all routes of the host whose prefixes extend it.
     /// While the digest is the same in two versions, both treat every path with this prefix alike. Returns `None` if no
     /// such route exists.
     pub fn scope_digest(&self, host: &str, prefix: &str) -> Option<u64> {
-        let below = |route: &&Rc<RouteEntry>| route.prefix.starts_with(prefix);
-        let mut below: Vec<_> = self.routes_of(host).iter().filter(below).collect();
-        below.sort_unstable_by(|one, other| one.prefix.cmp(&other.prefix));
-        if below.first().is_none_or(|route| route.prefix != prefix) {
+        let extends_prefix = |route: &&Rc<RouteEntry>| route.prefix.starts_with(prefix);
+        let mut routes_below: Vec<_> = self.routes_of(host).iter().filter(extends_prefix).collect();
+        routes_below.sort_unstable_by(|a, b| a.prefix.cmp(&b.prefix));
+        if routes_below
+            .first()
+            .is_none_or(|route| route.prefix != prefix)
+        {
             return None;
         }
         let mut hash = Xxh3::new();
-        for route in below {
+        for route in routes_below {
             hash.update(&route.terms_digest().to_be_bytes());
         }
         Some(hash.digest())
@@ -302,7 +307,7 @@
 
     /// Returns the routes of a host.
     pub fn routes_of(&self, host: &str) -> &[Rc<RouteEntry>] {
-        let routes = self.hosts.get(host_name(host));
+        let routes = self.routes_by_host.get(host_name(host));
         routes.map_or(&[], Vec::as_slice)
     }
 
@@ -313,7 +318,7 @@
 
     /// Iterates over all routes.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<RouteEntry>> {
-        self.hosts.values().flatten()
+        self.routes_by_host.values().flatten()
     }
 
     /// Iterates over the names of all routes.
@@ -323,7 +328,7 @@
 
     /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
-        self.hosts.values().map(Vec::len).sum()
+        self.routes_by_host.values().map(Vec::len).sum()
     }
 }
 
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -67,7 +67,7 @@
             return;
         };
         self.state
-            .add_part(shard, signature, answer.body.begun().clone());
+            .add_part(shard, signature, answer.body.buffered_part().clone());
         if matches!(self.target, RunTarget::One(_)) && self.single.is_none() {
             self.single = Some(answer);
         }
--- a/crates/ebonyfork/src/gateway/share_exchange.rs
+++ b/crates/ebonyfork/src/gateway/share_exchange.rs
@@ -20,15 +20,15 @@
 }
 
 /// Requests shares until the future is dropped.
-pub async fn run_leases(core: Rc<GatewayCore>, own: VmAddress) {
+pub async fn run_leases(core: Rc<GatewayCore>, own_address: VmAddress) {
     let mut last_logged = None;
     loop {
         tokio::time::sleep(REQUEST_PERIOD).await;
         let roles = core.vms.zone_roles(&core.settings.place);
-        let is_serving = roles.serving.contains(&own);
+        let is_serving = roles.serving.contains(&own_address);
         if is_serving && core.is_ready() {
             for owner in roles.idle {
-                if rendezvous(&roles.serving, owner) == Some(own) {
+                if rendezvous(&roles.serving, owner) == Some(own_address) {
                     request_share(&core, owner);
                 }
             }
@@ -104,9 +104,9 @@
     number: u64,
     time: Duration,
 ) -> ShareMessage {
-    let own = VmAddress(core.settings.place.address);
+    let own_address = VmAddress(core.settings.place.address);
     let roles = core.vms.zone_roles(&core.settings.place);
-    let is_serving = roles.serving.contains(&own);
+    let is_serving = roles.serving.contains(&own_address);
     let result = core.retry_budget.borrow_mut().lend(peer, is_serving, time);
     if let Err(refusal) = result {
         log::debug!("share not lent to {peer}: {refusal}");
--- a/crates/ebonyfork/src/gateway/vms.rs
+++ b/crates/ebonyfork/src/gateway/vms.rs
@@ -124,8 +124,9 @@
         let other_members = members.members().iter().filter(|member| {
             member.vm.0 != self.own_address.ip() && member.state != MemberState::Failed
         });
-        let running = other_members.count() + 1;
-        self.peak_count.set(self.peak_count.get().max(running));
+        let running_count = other_members.count() + 1;
+        self.peak_count
+            .set(self.peak_count.get().max(running_count));
         *self.membership.borrow_mut() = members;
         let members = self.membership.borrow();
         let has_failed = |record: &VmRecord| {
--- a/crates/ebonyfork/src/gateway/vms_tests.rs
+++ b/crates/ebonyfork/src/gateway/vms_tests.rs
@@ -71,11 +71,11 @@
     let place = place();
     let own_place = include_own.then_some(&place);
     let addresses = directory.locate(caller_place, needs, own_place);
-    let last = |address: &SocketAddr| match address.ip() {
+    let last_byte = |address: &SocketAddr| match address.ip() {
         std::net::IpAddr::V4(ip) => ip.octets()[3],
         std::net::IpAddr::V6(_) => 0,
     };
-    addresses.iter().map(last).collect()
+    addresses.iter().map(last_byte).collect()
 }
 
 /// Shares of the zones, and the VMs that the answer is expected to contain.
--- a/crates/ebonyfork/src/gateway/weights.rs
+++ b/crates/ebonyfork/src/gateway/weights.rs
@@ -31,11 +31,11 @@
     /// ```
     /// use ebonyfork::gateway::{RouteName, UpstreamService, WeightedRoundRobin, WeightedService};
     ///
-    /// let part = |name: &str, weight| WeightedService { service: UpstreamService::new(name), weight };
-    /// let parts = [part("old", 3.0), part("new", 1.0)];
+    /// let weighted_service = |name: &str, weight| WeightedService { service: UpstreamService::new(name), weight };
+    /// let services = [weighted_service("old", 3.0), weighted_service("new", 1.0)];
     /// let scheduler = WeightedRoundRobin::new();
     /// let route = RouteName::new("r");
-    /// let picks = (0..8).filter_map(|_n| scheduler.pick(&route, &parts));
+    /// let picks = (0..8).filter_map(|_n| scheduler.pick(&route, &services));
     /// assert_eq!(picks.filter(|service| service.as_str() == "new").count(), 2);
     /// ```
     pub fn pick(&self, route: &RouteName, services: &[WeightedService]) -> Option<UpstreamService> {
