--- a/crates/ebonyfork/src/gateway/fixture.rs
+++ b/crates/ebonyfork/src/gateway/fixture.rs
@@ -70,10 +70,10 @@
     GatewaySettings {
         place: place(),
         listen: ListenAddresses {
-            callers: address,
-            ready: address,
-            directory: address,
-            metrics: address,
+            caller_address: address,
+            ready_address: address,
+            directory_address: address,
+            metrics_address: address,
             peer_port: 0,
         },
         store: address,
@@ -89,7 +89,7 @@
     }
 }
 
-/// Returns the entry of an upstream.
+/// Returns the entry of an upstream with two slots that is neither cold nor leaving.
 pub fn entry(instance: &str, service: &str, zone: &str, address: SocketAddr) -> UpstreamEntry {
     UpstreamEntry {
         instance: InstanceName::new(instance),
@@ -100,12 +100,12 @@
         slots: 2,
         heartbeats: 1,
         leaving: false,
-        cold: Duration::ZERO,
+        cold_remaining: Duration::ZERO,
     }
 }
 
-/// Returns a signed answer.
-pub fn signed(signature: &str, body: &'static [u8]) -> UpstreamAnswer {
+/// Returns an upstream's answer with status 200, a signature and a body.
+pub fn signed_answer(signature: &str, body: &'static [u8]) -> UpstreamAnswer {
     let mut headers = http::HeaderMap::new();
     let value = HeaderValue::from_str(signature).expect("a valid signature");
     headers.insert(wire_names().signature, value);
--- a/crates/ebonyfork/src/gateway/metrics.rs
+++ b/crates/ebonyfork/src/gateway/metrics.rs
@@ -51,7 +51,7 @@
     /// Era of the store up to which the copy is complete.
     pub copy_era: Gauge<u64, AtomicU64>,
     /// Bytes of the store's changes sent to VMs that follow this one.
-    pub told_bytes: Counter,
+    pub sent_change_bytes: Counter,
 }
 
 impl Default for GatewayMetrics {
@@ -67,14 +67,14 @@
             copy_age: Gauge::default(),
             copy_revision: Gauge::default(),
             copy_era: Gauge::default(),
-            told_bytes: Counter::default(),
+            sent_change_bytes: Counter::default(),
         }
     }
 }
 
 impl GatewayMetrics {
     /// Records the state of the copy of the store; `age` is `None` before the copy was first up to date.
-    pub fn note_copy(&self, age: Option<Duration>, revision: StoreRevision) {
+    pub fn record_copy_state(&self, age: Option<Duration>, revision: StoreRevision) {
         self.copy_age
             .set(age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
         self.copy_revision.set(revision.number());
@@ -89,22 +89,18 @@
         registry.register("repeats", "Hedges and retries sent", self.repeats.clone());
         registry.register(
             "unfunded_repeats",
-            "Hedges and retries denied for lack of budget",
+            "Hedges and retries not sent for want of budget",
             self.unfunded.clone(),
         );
         registry.register(
             "borrowed_repeat_shares",
-            "Shares of the retry budget's slack on lease from other VMs",
+            "Shares of the repeats' slack on lease from other VMs",
             self.borrowed_shares.clone(),
         );
-        registry.register(
-            "abandoned",
-            "Requests whose caller disconnected",
-            self.abandoned.clone(),
-        );
+        registry.register("abandoned", "Callers that left", self.abandoned.clone());
         registry.register(
             "request_seconds",
-            "Time from receiving a request head to answering it",
+            "Time from a request's head to its answer",
             self.latency.clone(),
         );
         registry.register(
@@ -114,18 +110,18 @@
         );
         registry.register(
             "store_copy_revision",
-            "Revision of the store up to which the copy is complete",
+            "The store's revision up to which the copy is whole",
             self.copy_revision.clone(),
         );
         registry.register(
             "store_copy_era",
-            "Era of the store up to which the copy is complete",
+            "The store's era up to which the copy is whole",
             self.copy_era.clone(),
         );
         registry.register(
             "store_told_bytes",
-            "Bytes sent to the VMs that follow this one",
-            self.told_bytes.clone(),
+            "Bytes told to the VMs that follow this one",
+            self.sent_change_bytes.clone(),
         );
     }
 }
--- a/crates/ebonyfork/src/gateway/partial.rs
+++ b/crates/ebonyfork/src/gateway/partial.rs
@@ -14,7 +14,7 @@
 pub struct PartialQuery {
     /// Identifies the query between the two VMs.
     pub number: u64,
-    /// Digest of the route and its shards.
+    /// Digest of the route's name and shards, by which the asked VM finds the route.
     pub digest: u64,
     /// Shards to gather, as indices into the route's list.
     pub shards: SmallVec<[u16; 16]>,
@@ -46,15 +46,15 @@
 pub struct ShardSignature {
     /// Shard, as an index into the route's list.
     pub shard: u16,
-    /// Signature of the upstream.
+    /// Signature of the upstream over its partial answer, passed on to the caller.
     pub signature: Bytes,
-    /// Microseconds that the upstream took.
+    /// Duration of the attempt that brought the answer, in microseconds.
     pub took_us: u32,
 }
 
 /// Progress of a request at a shard that could not be gathered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ShardReach {
+pub enum ShardProgress {
     /// No upstream has received the request: another attempt is a first one.
     Unsent,
     /// Upstreams have declined the request: another attempt is a retry.
@@ -71,7 +71,7 @@
     /// Shard, as an index into the route's list.
     pub shard: u16,
     /// Progress of the request at the shard.
-    pub reach: ShardReach,
+    pub progress: ShardProgress,
     /// Whether the upstream is unreachable or paused for the replying VM, so that another one should be used for a
     /// moment.
     pub avoid: bool,
@@ -86,7 +86,7 @@
     pub parts: Vec<ShardSignature>,
     /// Greatest records of these shards, merged.
     pub records: Bytes,
-    /// Shards that can't be gathered.
+    /// Shards that the replying VM can't gather.
     pub failed: Vec<FailedShard>,
 }
 
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::HeaderValue;
 
-use crate::gateway::partial::ShardReach;
+use crate::gateway::partial::ShardProgress;
 
 /// Part of a query's answer that comes from one shard.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -84,17 +84,17 @@
     }
 
     /// Returns how far the request got at the shard's upstreams.
-    pub fn reach(&self) -> ShardReach {
+    pub fn progress(&self) -> ShardProgress {
         if self.connection_broke {
-            return ShardReach::Broken;
+            return ShardProgress::Broken;
         }
         if self.possible_runs > 0 {
-            return ShardReach::Run;
+            return ShardProgress::Run;
         }
         if self.declined_attempts > 0 {
-            return ShardReach::Declined;
+            return ShardProgress::Declined;
         }
-        ShardReach::Unsent
+        ShardProgress::Unsent
     }
 
     /// Returns whether the shard's part may still arrive.
--- a/crates/ebonyfork/src/gateway/refusal.rs
+++ b/crates/ebonyfork/src/gateway/refusal.rs
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Returns the reason as one word, for logs and the answer's body.
-    pub fn word(self) -> &'static str {
+    /// Returns the reason as one word, for logs, metrics and the answer's body.
+    pub fn label(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
             Self::NoRoute => "no-route",
--- a/crates/ebonyfork/src/gateway/route.rs
+++ b/crates/ebonyfork/src/gateway/route.rs
@@ -14,7 +14,7 @@
 
 /// Whether a request may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum RepeatKind {
+pub enum Idempotency {
     /// The request may run on several upstreams, sequentially or concurrently.
     Idempotent,
     /// The request runs at most once.
@@ -36,7 +36,7 @@
     /// Shards of the query. Each is a service whose upstreams are interchangeable.
     pub shards: Vec<UpstreamService>,
     /// Largest number of records in the answer.
-    pub top: usize,
+    pub max_records: usize,
     /// Smallest fraction of the shards, 0 to 1, that must have answered for the query to be answered at all.
     pub min_coverage: f64,
 }
@@ -50,7 +50,7 @@
     /// use ebonyfork::gateway::{GatherTerms, UpstreamService};
     ///
     /// let shards = (0..20).map(|number| UpstreamService::new(number.to_string())).collect();
-    /// let terms = GatherTerms { shards, top: 10, min_coverage: 0.89 };
+    /// let terms = GatherTerms { shards, max_records: 10, min_coverage: 0.89 };
     /// assert_eq!(terms.min_shards(), 18);
     /// ```
     pub fn min_shards(&self) -> usize {
@@ -72,7 +72,7 @@
     Gather(GatherTerms),
 }
 
-/// A route.
+/// A route: the requests that it matches, and how they are served.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteEntry {
     /// Name of the route.
@@ -81,8 +81,8 @@
     pub host: CompactString,
     /// Path prefix that the route matches.
     pub prefix: CompactString,
-    /// Whether its requests may run more than once.
-    pub repeat: RepeatKind,
+    /// Whether a request of the route may run more than once.
+    pub idempotency: Idempotency,
     /// Longest time for which a request may be kept waiting.
     pub timeout: Duration,
     /// Latency target: a later answer is worth little to the caller.
@@ -91,10 +91,10 @@
     pub attempts: usize,
     /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where its requests are sent.
+    /// Services to which the route's requests are sent.
     pub destination: RouteTarget,
-    /// Regions in which its requests may be served.
-    pub homes: HomeRegions,
+    /// Regions in which the route's requests may be served.
+    pub home_regions: HomeRegions,
 }
 
 /// Properties that the configuration states for a service.
@@ -126,8 +126,8 @@
 #[derive(Debug, Clone)]
 pub struct RouteTable {
     version: ConfigVersion,
-    hosts: FxHashMap<CompactString, Vec<Rc<RouteEntry>>>,
-    digests: FxHashMap<u64, Rc<RouteEntry>>,
+    routes_by_host: FxHashMap<CompactString, Vec<Rc<RouteEntry>>>,
+    routes_by_digest: FxHashMap<u64, Rc<RouteEntry>>,
     services: FxHashMap<UpstreamService, ServiceTerms>,
     limits: CallerLimits,
 }
@@ -141,19 +141,19 @@
     /// ```
     /// use std::time::Duration;
     ///
-    /// use ebonyfork::gateway::{HomeRegions, RepeatKind, RouteEntry, RouteName, RouteTarget, UpstreamService};
+    /// use ebonyfork::gateway::{HomeRegions, Idempotency, RouteEntry, RouteName, RouteTarget, UpstreamService};
     ///
     /// let route = |timeout| RouteEntry {
     ///     name: RouteName::new("r"),
     ///     host: "a.example".into(),
     ///     prefix: "/a/".into(),
-    ///     repeat: RepeatKind::Idempotent,
+    ///     idempotency: Idempotency::Idempotent,
     ///     timeout,
     ///     target: Duration::from_millis(200),
     ///     attempts: 2,
     ///     priority: 1,
     ///     destination: RouteTarget::One(UpstreamService::new("s")),
-    ///     homes: HomeRegions::default(),
+    ///     home_regions: HomeRegions::default(),
     /// };
     /// let shorter = route(Duration::from_secs(1));
     /// assert_eq!(route(Duration::from_secs(2)).shard_digest(), shorter.shard_digest());
@@ -185,10 +185,10 @@
         for time in [self.timeout, self.target] {
             hash.update(&time.as_micros().to_be_bytes());
         }
-        let repeats = u8::from(self.repeat == RepeatKind::Idempotent);
-        hash.update(&[repeats, self.priority]);
+        let idempotency_byte = u8::from(self.idempotency == Idempotency::Idempotent);
+        hash.update(&[idempotency_byte, self.priority]);
         hash.update(&self.attempts.to_be_bytes());
-        for region in self.homes.regions() {
+        for region in self.home_regions.regions() {
             hash.update(region.as_str().as_bytes());
             hash.update(&[0]);
         }
@@ -200,7 +200,7 @@
                 }
             }
             RouteTarget::Gather(terms) => {
-                hash.update(&terms.top.to_be_bytes());
+                hash.update(&terms.max_records.to_be_bytes());
                 hash.update(&terms.min_coverage.to_be_bytes());
             }
         }
@@ -233,24 +233,24 @@
         services: impl IntoIterator<Item = (UpstreamService, ServiceTerms)>,
         limits: CallerLimits,
     ) -> Self {
-        let mut hosts = FxHashMap::<CompactString, Vec<Rc<RouteEntry>>>::default();
-        let mut digests = FxHashMap::default();
+        let mut routes_by_host = FxHashMap::<CompactString, Vec<Rc<RouteEntry>>>::default();
+        let mut routes_by_digest = FxHashMap::default();
         for route in routes {
             let route = Rc::new(route);
-            let listed = hosts.entry(route.host.clone()).or_default();
-            listed.push(Rc::clone(&route));
+            let host_routes = routes_by_host.entry(route.host.clone()).or_default();
+            host_routes.push(Rc::clone(&route));
             if let RouteTarget::Gather(_) = &route.destination {
-                digests.insert(route.shard_digest(), route);
+                routes_by_digest.insert(route.shard_digest(), route);
             }
         }
-        for routes in hosts.values_mut() {
+        for routes in routes_by_host.values_mut() {
             // Sorts the longest prefix first, so that the first match is the most specific.
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
         Self {
             version,
-            hosts,
-            digests,
+            routes_by_host,
+            routes_by_digest,
             services: services.into_iter().collect(),
             limits,
         }
@@ -269,9 +269,11 @@
     /// Finds the route of a host (in any case, with or without a port) with the longest prefix that matches a path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Rc<RouteEntry>> {
         let host = host_name(host);
-        let routes = match self.hosts.get(host) {
+        let routes = match self.routes_by_host.get(host) {
             Some(routes) => routes,
-            None => self.hosts.get(host.to_ascii_lowercase().as_str())?,
+            None => self
+                .routes_by_host
+                .get(host.to_ascii_lowercase().as_str())?,
         };
         routes
             .iter()
@@ -280,21 +282,24 @@
 
     /// Finds a route over many shards by its [shard digest](RouteEntry::shard_digest).
     pub fn find_by_digest(&self, digest: u64) -> Option<&Rc<RouteEntry>> {
-        self.digests.get(&digest)
+        self.routes_by_digest.get(&digest)
     }
 
     /// Returns a digest of the route with this host and prefix and of all routes of the host whose prefixes extend it.
     /// While the digest is the same in two versions, both treat every path with this prefix alike. Returns `None` if no
     /// such route exists.
     pub fn scope_digest(&self, host: &str, prefix: &str) -> Option<u64> {
-        let below = |route: &&Rc<RouteEntry>| route.prefix.starts_with(prefix);
-        let mut below: Vec<_> = self.routes_of(host).iter().filter(below).collect();
-        below.sort_unstable_by(|one, other| one.prefix.cmp(&other.prefix));
-        if below.first().is_none_or(|route| route.prefix != prefix) {
+        let extends_prefix = |route: &&Rc<RouteEntry>| route.prefix.starts_with(prefix);
+        let mut routes_below: Vec<_> = self.routes_of(host).iter().filter(extends_prefix).collect();
+        routes_below.sort_unstable_by(|a, b| a.prefix.cmp(&b.prefix));
+        if routes_below
+            .first()
+            .is_none_or(|route| route.prefix != prefix)
+        {
             return None;
         }
         let mut hash = Xxh3::new();
-        for route in below {
+        for route in routes_below {
             hash.update(&route.terms_digest().to_be_bytes());
         }
         Some(hash.digest())
@@ -302,7 +307,7 @@
 
     /// Returns the routes of a host.
     pub fn routes_of(&self, host: &str) -> &[Rc<RouteEntry>] {
-        let routes = self.hosts.get(host_name(host));
+        let routes = self.routes_by_host.get(host_name(host));
         routes.map_or(&[], Vec::as_slice)
     }
 
@@ -313,7 +318,7 @@
 
     /// Iterates over all routes.
     pub fn routes(&self) -> impl Iterator<Item = &Rc<RouteEntry>> {
-        self.hosts.values().flatten()
+        self.routes_by_host.values().flatten()
     }
 
     /// Iterates over the names of all routes.
@@ -323,7 +328,7 @@
 
     /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
-        self.hosts.values().map(Vec::len).sum()
+        self.routes_by_host.values().map(Vec::len).sum()
     }
 }
 
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -10,7 +10,7 @@
 use crate::gateway::ident::{ConfigVersion, RouteName, UpstreamService};
 use crate::gateway::peers::{accept_links, follow_links, open_links};
 use crate::gateway::policy::homes::HomeRegions;
-use crate::gateway::route::{CallerLimits, RepeatKind, RouteTarget};
+use crate::gateway::route::{CallerLimits, Idempotency, RouteTarget};
 use crate::ident::{IncarnationNumber, RevisionNumber, SessionId, VmAddress, ZoneName};
 use crate::membership::{MemberDigest, MemberEntry, MemberSnapshot, MemberState};
 
@@ -29,13 +29,13 @@
         name: RouteName::new(prefix),
         host: "t.example".into(),
         prefix: prefix.into(),
-        repeat: RepeatKind::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(500),
         attempts: 2,
         priority: 0,
         destination: RouteTarget::One(UpstreamService::new(service)),
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     }
 }
 
--- a/crates/ebonyfork/src/gateway/route_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_tests.rs
@@ -17,13 +17,13 @@
         name: RouteName::new(name),
         host: host.into(),
         prefix: prefix.into(),
-        repeat: RepeatKind::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: Duration::from_secs(1),
         target: Duration::from_millis(200),
         attempts: 2,
         priority: 1,
         destination: RouteTarget::One(UpstreamService::new("s")),
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     }
 }
 
@@ -48,8 +48,8 @@
         ("c.example", "/x/", None),
     ];
     for (host, path, expected) in cases {
-        let found = table.find(host, path).map(|route| route.name.as_str());
-        expect_that!(found, eq(expected), "{host} {path}");
+        let route_name = table.find(host, path).map(|route| route.name.as_str());
+        expect_that!(route_name, eq(expected), "{host} {path}");
     }
 }
 
@@ -70,7 +70,7 @@
             shards: (0..shards)
                 .map(|number: usize| UpstreamService::new(number.to_string()))
                 .collect(),
-            top: 5,
+            max_records: 5,
             min_coverage,
         };
         expect_that!(terms.min_shards(), eq(expected), "{shards} {min_coverage}");
@@ -83,7 +83,7 @@
 fn different_home_regions_change_the_scope_digest() {
     let digest = |regions: &[&str]| {
         let route = RouteEntry {
-            homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
+            home_regions: HomeRegions::new(regions.iter().map(PlaceName::new)),
             ..route("r", "a.example", "/x/")
         };
         let table = RouteTable::new(ConfigVersion(1), [route], [], limits());
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -94,7 +94,7 @@
 
     /// Returns the maximum number of attempts of a shard that may run, at the same or different upstreams.
     pub(super) fn max_sends(&self) -> usize {
-        retry::max_sends(self.route.repeat)
+        retry::max_sends(self.route.idempotency)
     }
 
     /// Returns whether an upstream may have run the request, or may still run it. An attempt that waits for a
@@ -138,7 +138,7 @@
         let core = &self.context.core;
         let service = self.target.service(shard);
         let result = core
-            .repeats
+            .retry_budget
             .borrow_mut()
             .spend(service, core.running_time());
         match result {
@@ -146,10 +146,10 @@
                 core.metrics.repeats.inc();
             }
             Err(denial) => {
-                let label = OutcomeLabel(denial.word());
+                let label = OutcomeLabel(denial.label());
                 core.metrics.unfunded.get_or_create(&label).inc();
                 self.denied_repeats.set(self.denied_repeats.get() + 1);
-                self.last_denial.set(denial.word());
+                self.last_denial.set(denial.label());
             }
         }
         result.is_ok()
@@ -163,7 +163,7 @@
         self.state.shard_mut(shard).request_counted = true;
         let core = &self.context.core;
         let service = self.target.service(shard);
-        core.repeats
+        core.retry_budget
             .borrow_mut()
             .record_request(service, core.running_time());
     }
@@ -179,7 +179,9 @@
     /// Returns the upstreams in the home regions of the route.
     pub(super) fn home_upstreams(&self, shard: usize) -> UpstreamList {
         let service = self.target.service(shard);
-        self.context.core.home_upstreams(&self.route, service)
+        self.context
+            .core
+            .home_region_upstreams(&self.route, service)
     }
 
     /// Selects the upstream for an attempt of a shard: the best of all candidates for the first one. If `is_repeat` is
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -7,7 +7,9 @@
 use crate::gateway::policy::gather::GatherEnd;
 use crate::gateway::policy::latency::millis;
 use crate::gateway::refusal::RefusalReason;
-use crate::gateway::reply::{CallerReply, forwarded, gathered, refusal, set_retry_after};
+use crate::gateway::reply::{
+    CallerReply, forwarded_reply, gathered_reply, refusal_reply, set_retry_after,
+};
 
 /// Maximum number of open attempts listed in the log line of a failed request.
 const LISTED_ATTEMPTS_LIMIT: usize = 4;
@@ -28,7 +30,7 @@
             self.last_denial.get(),
             self.state.lost_count(),
             self.postponed_count,
-            millis(self.request.caller_time),
+            millis(self.request.caller_overhead),
             millis(self.answer_margin)
         );
         let (outcome, reply) = match end {
@@ -74,11 +76,14 @@
             } else {
                 "partial"
             };
-            return (outcome, gathered(names, &self.state, gather_terms.top));
+            return (
+                outcome,
+                gathered_reply(names, &self.state, gather_terms.max_records),
+            );
         }
         match self.single_answer.take() {
-            Some(answer) => ("answered", forwarded(answer)),
-            None => ("unknown", refusal(RefusalReason::Unknown)),
+            Some(answer) => ("answered", forwarded_reply(answer)),
+            None => ("unknown", refusal_reply(RefusalReason::Unknown)),
         }
     }
 
@@ -86,7 +91,7 @@
     fn failure_reply(&mut self, end: GatherEnd) -> (&'static str, CallerReply) {
         let is_single = matches!(self.target, RunTarget::One(_));
         if let Some(failed_answer) = self.failed_answer.take().filter(|_failed_answer| is_single) {
-            return ("failed", forwarded(failed_answer));
+            return ("failed", forwarded_reply(failed_answer));
         }
         // A request that only waited for a connection hasn't run, so it isn't answered with 504: after that status
         // callers don't resend requests that may run only once.
@@ -97,12 +102,12 @@
             (false, _) if self.is_excluded() => RefusalReason::NotAtHome,
             (false, _) => RefusalReason::NoUpstream,
         };
-        let mut reply = refusal(reason);
+        let mut reply = refusal_reply(reason);
         if reason == RefusalReason::NoUpstream
             && let Some(retry_after) = self.registration_left().or_else(|| self.warm_up_left())
         {
             set_retry_after(&mut reply, retry_after);
         }
-        (reason.word(), reply)
+        (reason.label(), reply)
     }
 }
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -14,7 +14,7 @@
 use crate::gateway::loss::{LossCheck, LossVerdict};
 use crate::gateway::merge::merge_records;
 use crate::gateway::partial::{
-    FailedShard, PartialQuery, PartialReply, ShardReach, ShardSignature,
+    FailedShard, PartialQuery, PartialReply, ShardProgress, ShardSignature,
 };
 use crate::gateway::policy::choice::UpstreamChoice;
 use crate::gateway::policy::gather::ShardOutcome;
@@ -166,13 +166,13 @@
         match event.update {
             GroupUpdate::Reply(reply) => self.handle_reply(event.group, reply),
             GroupUpdate::Down { sent } => {
-                let reach = if sent {
-                    ShardReach::Run
+                let progress = if sent {
+                    ShardProgress::Run
                 } else {
-                    ShardReach::Unsent
+                    ShardProgress::Unsent
                 };
                 for number in self.groups[event.group].attempts.clone() {
-                    self.record_delegated_failure(number, reach);
+                    self.record_delegated_failure(number, progress);
                 }
             }
         }
@@ -216,7 +216,7 @@
                 let health = &self.attempts[number].upstream.health;
                 health.borrow_mut().record_avoid_advice(time);
             }
-            self.record_delegated_failure(number, failed_shard.reach);
+            self.record_delegated_failure(number, failed_shard.progress);
         }
     }
 
@@ -252,15 +252,15 @@
 
     /// Records that another VM won't deliver a part, and retries the shard. If upstreams declined it, they have
     /// received the request, so the next attempt spends from the retry budget.
-    fn record_delegated_failure(&mut self, number: usize, reach: ShardReach) {
+    fn record_delegated_failure(&mut self, number: usize, progress: ShardProgress) {
         let attempt = &mut self.attempts[number];
         if attempt.ended {
             return;
         }
         attempt.ended = true;
-        attempt.may_have_run = matches!(reach, ShardReach::Run | ShardReach::Broken);
+        attempt.may_have_run = matches!(progress, ShardProgress::Run | ShardProgress::Broken);
         let mut health = attempt.upstream.health.borrow_mut();
-        if reach == ShardReach::Declined {
+        if progress == ShardProgress::Declined {
             health.record_failure(attempt.began, now());
         } else {
             health.record_unsent(attempt.began);
@@ -269,17 +269,17 @@
         let shard = attempt.shard;
         let shard_state = self.state.shard_mut(shard);
         shard_state.in_flight -= 1;
-        match reach {
-            ShardReach::Unsent => {
+        match progress {
+            ShardProgress::Unsent => {
                 shard_state.possible_runs -= 1;
                 shard_state.unsent_attempts += 1;
             }
-            ShardReach::Declined => {
+            ShardProgress::Declined => {
                 shard_state.possible_runs -= 1;
                 shard_state.declined_attempts += 1;
             }
-            ShardReach::Run => {}
-            ShardReach::Broken => {
+            ShardProgress::Run => {}
+            ShardProgress::Broken => {
                 shard_state.connection_broke = true;
                 let check = Rc::new(LossCheck::new(LossVerdict::Lost));
                 self.retry_lost(shard, Some(check));
@@ -395,10 +395,12 @@
     /// Returns how far the request got with a shard, for the VM that requested it. A broken connection is only reported
     /// as broken if the upstream is confirmed lost; reporting every broken connection would hold back the other VM's
     /// remaining shards.
-    fn reach(&self, shard: usize) -> ShardReach {
-        match self.state.shards()[shard].reach() {
-            ShardReach::Broken if !self.suspicion.has_confirmed_loss(shard) => ShardReach::Run,
-            reach => reach,
+    fn progress(&self, shard: usize) -> ShardProgress {
+        match self.state.shards()[shard].progress() {
+            ShardProgress::Broken if !self.suspicion.has_confirmed_loss(shard) => {
+                ShardProgress::Run
+            }
+            progress => progress,
         }
     }
 
@@ -422,7 +424,7 @@
                 .is_some_and(|delivery| delivery.avoid[*number]);
             reply.failed.push(FailedShard {
                 shard: *number as u16,
-                reach: self.reach(*number),
+                progress: self.progress(*number),
                 avoid,
             });
         }
@@ -430,7 +432,7 @@
         let RunTarget::Gather(gather_terms) = &self.target else {
             return reply;
         };
-        reply.records = merge_records(separate_records, gather_terms.top);
+        reply.records = merge_records(separate_records, gather_terms.max_records);
         reply
     }
 }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -33,7 +33,7 @@
 use crate::gateway::policy::latency::millis;
 use crate::gateway::reply::CallerReply;
 use crate::gateway::request::ForwardRequest;
-use crate::gateway::route::{GatherTerms, RepeatKind, RouteEntry};
+use crate::gateway::route::{GatherTerms, Idempotency, RouteEntry};
 use crate::quarantine::QuarantineStatus;
 
 use self::attempt::{AttemptSet, StartedAttempt};
@@ -169,15 +169,15 @@
                 (gather_terms.shards.len(), gather_terms.min_shards())
             }
         };
-        let answer_margin = core.lag.borrow().margin();
-        let margin = request.caller_time + answer_margin;
+        let answer_margin = core.answer_lag.borrow().margin();
+        let margin = request.caller_overhead + answer_margin;
         let answer_by = request.received + route.target.saturating_sub(margin);
         let finish_by = request.finish_by.checked_sub(FINISH_MARGIN);
         let finish_by = finish_by.unwrap_or(request.received);
         let context = AttemptContext {
             core: Rc::clone(core),
             latency: core.latency(route),
-            repeat: route.repeat,
+            idempotency: route.idempotency,
             stream_idle_timeout: matches!(target, RunTarget::One(_)).then_some(route.timeout),
         };
         let (event_sender, event_receiver) = mpsc::unbounded_channel();
@@ -209,10 +209,10 @@
 
     /// Returns the maximum number of upstreams on which a shard may run.
     fn max_upstreams(&self) -> usize {
-        match self.route.repeat {
-            RepeatKind::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
+        match self.route.idempotency {
+            Idempotency::Idempotent if self.delivery.is_none() => self.route.attempts.max(1),
             // If this VM gathers parts for another VM, that VM may use the other upstreams itself.
-            RepeatKind::Idempotent | RepeatKind::Once => 1,
+            Idempotency::Idempotent | Idempotency::Once => 1,
         }
     }
 
@@ -249,7 +249,7 @@
     fn record_timer_delay(&self, planned_time: Instant) {
         let time = now();
         let delay = time.saturating_duration_since(planned_time);
-        let mut lag = self.context.core.lag.borrow_mut();
+        let mut lag = self.context.core.answer_lag.borrow_mut();
         lag.record_timer_delay(delay, time);
     }
 
@@ -270,7 +270,7 @@
         if self.suspicion.awaits_checks() {
             wake_time = wake_time.min(time + LOSS_CHECK_INTERVAL);
         }
-        if self.route.repeat == RepeatKind::Once {
+        if self.route.idempotency == Idempotency::Once {
             // Requests that may run only once are never hedged, so stragglers aren't checked and their check times
             // don't advance. With these times each such request would busy-loop from its 90th percentile latency until
             // its answer.
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -25,7 +25,7 @@
         attempt.took = Some(now().saturating_duration_since(attempt.began));
         let shard = attempt.shard;
         self.log_attempt(number, &outcome);
-        let label = OutcomeLabel(outcome.word());
+        let label = OutcomeLabel(outcome.label());
         let metrics = &self.context.core.metrics;
         metrics.attempts.get_or_create(&label).inc();
         let shard_state = self.state.shard_mut(shard);
@@ -67,7 +67,7 @@
             return;
         };
         self.state
-            .add_part(shard, signature, answer.body.begun().clone());
+            .add_part(shard, signature, answer.body.buffered_part().clone());
         if matches!(self.target, RunTarget::One(_)) && self.single_answer.is_none() {
             self.single_answer = Some(answer);
         }
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -13,7 +13,7 @@
 use crate::gateway::fixture::{dialect, entry, settings, wire_names};
 use crate::gateway::fixture_upstream::{ScriptedReply, ScriptedUpstream};
 use crate::gateway::ident::{ConfigVersion, PlaceName};
-use crate::gateway::partial::ShardReach;
+use crate::gateway::partial::ShardProgress;
 use crate::gateway::policy::cold::{ColdBound, RequestRate};
 use crate::gateway::policy::homes::HomeRegions;
 use crate::gateway::reply_body::ReplyBody;
@@ -41,7 +41,7 @@
 fn earn_repeats(core: &GatewayCore, service: &str) {
     for _ in 0..1_000 {
         let service = UpstreamService::new(service);
-        core.repeats
+        core.retry_budget
             .borrow_mut()
             .record_request(&service, core.running_time());
     }
@@ -71,13 +71,13 @@
         name: crate::gateway::RouteName::new("r"),
         host: "t.example".into(),
         prefix: "/".into(),
-        repeat: RepeatKind::Idempotent,
+        idempotency: Idempotency::Idempotent,
         timeout: LONG_TIME,
         target: Duration::from_millis(500),
         attempts,
         priority: 0,
         destination,
-        homes: HomeRegions::default(),
+        home_regions: HomeRegions::default(),
     })
 }
 
@@ -163,7 +163,7 @@
         }
         let gather_terms = GatherTerms {
             shards: ["s0", "s1", "s2"].map(UpstreamService::new).to_vec(),
-            top: 10,
+            max_records: 10,
             min_coverage: 0.9,
         };
         let route = route(2, RouteTarget::Gather(gather_terms.clone()));
@@ -262,12 +262,12 @@
 #[tokio::test]
 async fn the_next_wake_is_never_in_the_past() {
     let test = async {
-        for repeat in [RepeatKind::Idempotent, RepeatKind::Once] {
+        for idempotency in [Idempotency::Idempotent, Idempotency::Once] {
             let core = core();
             let _holding_upstreams = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
             let (route, target) = single_route(2);
             let route = Rc::new(RouteEntry {
-                repeat,
+                idempotency,
                 ..RouteEntry::clone(&route)
             });
             let mut run = QueryRun::new(&core, &route, target, request(LONG_TIME));
@@ -276,7 +276,7 @@
                 let time = run.request.received + Duration::from_millis(after_ms);
                 run.check_stragglers(time);
                 let wake = run.next_wake(time);
-                expect_that!(wake, gt(time), "{repeat:?} after {after_ms} ms");
+                expect_that!(wake, gt(time), "{idempotency:?} after {after_ms} ms");
             }
         }
     };
@@ -294,7 +294,7 @@
         let context = AttemptContext {
             core: Rc::clone(&core),
             latency: Rc::<RefCell<_>>::default(),
-            repeat: RepeatKind::Idempotent,
+            idempotency: Idempotency::Idempotent,
             stream_idle_timeout: None,
         };
         let request = request(Duration::ZERO);
@@ -398,7 +398,7 @@
             .iter()
             .map(|shard| UpstreamService::new(*shard))
             .collect(),
-        top: 10,
+        max_records: 10,
         min_coverage,
     };
     let route = route(2, RouteTarget::Gather(gather_terms.clone()));
@@ -475,11 +475,11 @@
         let service = UpstreamService::new("s1");
         let spend_repeat = |core: &GatewayCore| {
             let time = core.running_time();
-            core.repeats.borrow_mut().spend(&service, time)
+            core.retry_budget.borrow_mut().spend(&service, time)
         };
         while spend_repeat(&core).is_ok() {}
         let tokens_before = core
-            .repeats
+            .retry_budget
             .borrow()
             .available_repeats(&service, core.running_time());
         let mut failed_shards = Vec::new();
@@ -496,18 +496,18 @@
         )
         .await;
         failed_shards.sort_by_key(|shard| shard.shard);
-        let reach: Vec<_> = failed_shards.iter().map(|shard| shard.reach).collect();
+        let progress: Vec<_> = failed_shards.iter().map(|shard| shard.progress).collect();
         expect_that!(
-            reach,
+            progress,
             elements_are![
-                eq(&ShardReach::Declined),
-                eq(&ShardReach::Run),
-                eq(&ShardReach::Unsent)
+                eq(&ShardProgress::Declined),
+                eq(&ShardProgress::Run),
+                eq(&ShardProgress::Unsent)
             ]
         );
         expect_that!(breaking_upstreams[0].log.borrow().requests.len(), ge(1));
         let time = core.running_time();
-        let tokens_after = core.repeats.borrow().available_repeats(&service, time);
+        let tokens_after = core.retry_budget.borrow().available_repeats(&service, time);
         expect_that!(
             tokens_after - tokens_before,
             lt(0.1),
@@ -630,7 +630,7 @@
 
 fn with_home_regions(route: &Rc<RouteEntry>, regions: &[&str]) -> Rc<RouteEntry> {
     Rc::new(RouteEntry {
-        homes: HomeRegions::new(regions.iter().map(PlaceName::new)),
+        home_regions: HomeRegions::new(regions.iter().map(PlaceName::new)),
         ..RouteEntry::clone(route)
     })
 }
@@ -804,7 +804,7 @@
 async fn cold_upstream(core: &GatewayCore, instance: &str) -> ScriptedUpstream {
     let upstream = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
     let entry = UpstreamEntry {
-        cold: Duration::from_secs(2),
+        cold_remaining: Duration::from_secs(2),
         ..entry(instance, "s", "north-a", upstream.address)
     };
     core.registry.put(&instance.into(), entry, now(), 4);
