--- a/crates/ebonyfork/src/once/actor.rs
+++ b/crates/ebonyfork/src/once/actor.rs
@@ -1,4 +1,4 @@
-//! The actor: runs the actions of [`OnceState`], writes the decision log, keeps the timers.
+//! Actor that performs the actions of [`OnceState`], writes the decision log and updates the metrics.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,45 +15,46 @@
 use xtra::prelude::*;
 
 use crate::ident::{IdempotencyKey, RunState, SessionId, VmAddress};
-use crate::once::message::{OnceMessage, OnceOutcome, fit_frame};
+use crate::once::message::{OnceMessage, OnceOutcome, replace_oversized};
 use crate::once::state::{OnceAction, OnceActions, OnceContext, OnceState, WaiterId};
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 use crate::topology::TopologyView;
 use crate::views::{NodeReadiness, NodeViews};
 use crate::wire::{LinkError, LinkSender, PeerMessage};
 
+/// Log target of the decision log.
 const DECISION: &str = "ebonyfork::decision";
 
-/// Runs a query; always says truthfully whether it ran.
+/// Runs a query; the outcome must say correctly whether it ran.
 pub(super) type ExecuteFunction =
     dyn Fn(QueryRequest) -> BoxFuture<'static, QueryOutcome> + Send + Sync;
-/// Hands a message to a VM's link.
+/// Queues a message on the link to a VM.
 pub(super) type SendFunction =
     dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 
-/// Counts, shared with the handle.
+/// Metrics of the actor, shared with [`OnceHandle`](crate::once::OnceHandle).
 #[derive(Debug, Default)]
 pub(super) struct OnceMetrics {
-    /// Keys that run, and callers that wait for another VM.
+    /// Number of running queries and of callers that wait for another VM.
     pub(super) in_flight: AtomicUsize,
     pub(super) runs: Counter,
     pub(super) forwards: Counter,
-    pub(super) unknown: Counter,
-    pub(super) adopted: Counter,
-    pub(super) kept: Gauge,
+    pub(super) unknown_outcomes: Counter,
+    pub(super) adopted_sessions: Counter,
+    pub(super) kept_outcomes: Gauge,
     pub(super) kept_bytes: Gauge,
 }
 
-/// Whom an outcome goes to.
+/// The receiver of an outcome.
 enum OutcomeReceiver {
     Caller(oneshot::Sender<QueryOutcome>),
     Peer { link: LinkSender, ticket: u64 },
 }
 
-/// Sessions that a successor has not yet confirmed.
+/// A handover that the successor has not yet confirmed in full.
 struct PendingHandover {
-    sessions: BTreeSet<SessionId>,
-    done: Option<oneshot::Sender<()>>,
+    unconfirmed: BTreeSet<SessionId>,
+    confirmed: Option<oneshot::Sender<()>>,
 }
 
 #[derive(xtra::Actor)]
@@ -69,55 +70,55 @@
     handover: Option<PendingHandover>,
 }
 
-/// A caller's query under a key.
+/// Message to the actor: submit a caller's query with an idempotency key.
 pub(super) struct SubmitQuery {
     pub(super) key: IdempotencyKey,
     pub(super) request: QueryRequest,
-    pub(super) patience: Duration,
+    pub(super) timeout: Duration,
     pub(super) reply: oneshot::Sender<QueryOutcome>,
 }
 
-/// A peer's message.
-pub(super) struct TakeMessage {
+/// Message to the actor: handle a message from a peer.
+pub(super) struct HandlePeerMessage {
     pub(super) from: LinkSender,
     pub(super) message: OnceMessage,
 }
 
-/// The link to a VM broke.
+/// Message to the actor: the link to a VM broke.
 pub(super) struct LinkDown(pub(super) VmAddress);
 
-/// A run has ended.
+/// Message to the actor: the run of a query has ended.
 struct FinishRun {
     key: IdempotencyKey,
     outcome: QueryOutcome,
 }
 
-/// Seal, and hand everything to a successor.
+/// Message to the actor: seal the own session and send all outcomes to a successor.
 pub(super) struct StartHandover {
     pub(super) successor: VmAddress,
-    pub(super) done: oneshot::Sender<()>,
+    pub(super) confirmed: oneshot::Sender<()>,
 }
 
-/// What was sent to a successor.
+/// Counts of what was sent to a successor.
 pub(super) struct SentHandover {
     pub(super) sessions: usize,
     pub(super) outcomes: usize,
     pub(super) abandoned: usize,
 }
 
-/// Time to look at what has aged.
+/// Message to the actor: remove expired outcomes, sessions and receivers.
 pub(super) struct ExpireTick;
 
 impl OnceActor {
     pub(super) fn new(
-        own: SessionId,
+        own_session: SessionId,
         views: NodeViews,
         execute: Arc<ExecuteFunction>,
         send: Arc<SendFunction>,
         metrics: Arc<OnceMetrics>,
     ) -> Self {
         Self {
-            state: OnceState::new(own),
+            state: OnceState::new(own_session),
             views,
             execute,
             send,
@@ -145,7 +146,7 @@
         Arc::clone(&view)
     }
 
-    fn gate(&self) -> Option<RefusalCode> {
+    fn new_work_refusal(&self) -> Option<RefusalCode> {
         match *self.views.readiness.borrow() {
             NodeReadiness::Ready | NodeReadiness::Leaving => None,
             NodeReadiness::Starting | NodeReadiness::Fenced => Some(RefusalCode::NotReady),
@@ -153,51 +154,51 @@
         }
     }
 
-    /// Lets the state decide and runs what it returns.
+    /// Applies `decide` to the state and performs the actions it returns.
     fn decide(
         &mut self,
-        own: &WeakAddress<Self>,
+        own_address: &WeakAddress<Self>,
         decide: impl FnOnce(&mut OnceState, &OnceContext<'_>) -> OnceActions,
     ) {
         let view = self.view();
         let context = OnceContext {
             now: self.now(),
             view: &view,
-            gate: self.gate(),
+            new_work_refusal: self.new_work_refusal(),
         };
         let mut actions = decide(&mut self.state, &context);
         while let Some(action) = actions.pop() {
-            let more = self.run_action(own, action, &context);
-            actions.extend(more);
+            let follow_ups = self.run_action(own_address, action, &context);
+            actions.extend(follow_ups);
         }
-        self.report();
+        self.update_metrics();
     }
 
     fn run_action(
         &mut self,
-        own: &WeakAddress<Self>,
+        own_address: &WeakAddress<Self>,
         action: OnceAction,
         context: &OnceContext<'_>,
     ) -> OnceActions {
         match action {
-            OnceAction::Execute(request) => self.execute(own, request),
+            OnceAction::Execute(request) => self.execute(own_address, request),
             OnceAction::Answer { waiter, outcome } => self.answer(waiter, outcome),
             OnceAction::Send { vm, message } => return self.send_message(vm, message, context),
         }
         OnceActions::new()
     }
 
-    fn execute(&self, own: &WeakAddress<Self>, request: QueryRequest) {
+    fn execute(&self, own_address: &WeakAddress<Self>, request: QueryRequest) {
         let Some(key) = request.key else {
             return;
         };
         self.metrics.runs.inc();
         log::info!(target: DECISION, "once run key={key} class={}", request.class);
         let run = tokio::spawn((self.execute)(request));
-        let own = own.clone();
+        let own_address = own_address.clone();
         tokio::spawn(async move {
             let outcome = run.await.unwrap_or_else(|error| {
-                log::error!("run of key {key}: {error}");
+                log::error!("run of key {key} failed: {error}");
                 let message = "the run broke off";
                 Err(QueryRefusal::new(
                     RefusalCode::UpstreamFailed,
@@ -205,8 +206,8 @@
                     message,
                 ))
             });
-            // The actor outlives its runs unless the process is ending; then nobody waits any more.
-            let _ended = own.send(FinishRun { key, outcome }).await;
+            // Sending fails only if the actor has ended with the process; then no receiver waits.
+            let _ended = own_address.send(FinishRun { key, outcome }).await;
         });
     }
 
@@ -214,21 +215,21 @@
         if let OnceOutcome::Known(Err(refusal)) = &outcome
             && refusal.code == RefusalCode::OutcomeUnknown
         {
-            self.metrics.unknown.inc();
+            self.metrics.unknown_outcomes.inc();
         }
         match (self.receivers.remove(&waiter), outcome) {
             (Some(OutcomeReceiver::Caller(reply)), OnceOutcome::Known(outcome)) => {
-                // A caller that has gone away finds its outcome when it sends the key again.
+                // A caller that no longer waits gets the outcome when it sends the key again.
                 let _gone = reply.send(outcome);
             }
             (Some(OutcomeReceiver::Peer { link, ticket }), outcome) => {
                 let outcome = match outcome {
-                    OnceOutcome::Known(outcome) => OnceOutcome::Known(fit_frame(outcome)),
-                    OnceOutcome::NotHere => OnceOutcome::NotHere,
+                    OnceOutcome::Known(outcome) => OnceOutcome::Known(replace_oversized(outcome)),
+                    OnceOutcome::NotHeld => OnceOutcome::NotHeld,
                 };
                 reply_peer(&link, OnceMessage::Outcome { ticket, outcome });
             }
-            (Some(OutcomeReceiver::Caller(_)), OnceOutcome::NotHere) | (None, _) => {}
+            (Some(OutcomeReceiver::Caller(_)), OnceOutcome::NotHeld) | (None, _) => {}
         }
     }
 
@@ -249,37 +250,37 @@
         match (self.send)(vm, PeerMessage::Once(message)) {
             Ok(()) => OnceActions::new(),
             Err(error) => {
-                log::debug!("forward to {vm}: {error}");
-                self.state.send_failed(ticket, context)
+                log::debug!("could not forward to {vm}: {error}");
+                self.state.handle_send_failure(ticket, context)
             }
         }
     }
 
-    fn report(&self) {
-        let in_flight = self.state.running() + self.state.waiting();
+    fn update_metrics(&self) {
+        let in_flight = self.state.running_count() + self.state.waiting_count();
         self.metrics.in_flight.store(in_flight, Ordering::Release);
         let table = self.state.table();
-        self.metrics.kept.set(table.kept() as i64);
+        self.metrics.kept_outcomes.set(table.kept_count() as i64);
         self.metrics.kept_bytes.set(table.kept_bytes() as i64);
     }
 
-    fn take_confirmation(&mut self, session: SessionId) {
+    fn record_confirmation(&mut self, session: SessionId) {
         let Some(pending) = &mut self.handover else {
             return;
         };
-        pending.sessions.remove(&session);
-        if pending.sessions.is_empty()
-            && let Some(done) = pending.done.take()
+        pending.unconfirmed.remove(&session);
+        if pending.unconfirmed.is_empty()
+            && let Some(confirmed) = pending.confirmed.take()
         {
-            // Whoever asked may have given up waiting.
-            let _gone = done.send(());
+            // The requester may have timed out.
+            let _gone = confirmed.send(());
         }
     }
 }
 
 fn reply_peer(link: &LinkSender, message: OnceMessage) {
     if let Err(error) = link.send(PeerMessage::Once(message)) {
-        log::debug!("reply to {:?}: {error}", link.peer());
+        log::debug!("could not reply to {:?}: {error}", link.peer());
     }
 }
 
@@ -287,46 +288,46 @@
     type Return = ();
 
     async fn handle(&mut self, message: SubmitQuery, ctx: &mut Context<Self>) {
-        let own = ctx.mailbox().address();
+        let own_address = ctx.mailbox().address();
         let waiter = self.add_receiver(OutcomeReceiver::Caller(message.reply));
-        let until = self.now() + message.patience;
-        self.decide(&own, |state, context| {
-            state.submit(waiter, message.key, message.request, until, context)
+        let expires_at = self.now() + message.timeout;
+        self.decide(&own_address, |state, context| {
+            state.submit(waiter, message.key, message.request, expires_at, context)
         });
     }
 }
 
-impl Handler<TakeMessage> for OnceActor {
+impl Handler<HandlePeerMessage> for OnceActor {
     type Return = ();
 
-    async fn handle(&mut self, message: TakeMessage, ctx: &mut Context<Self>) {
-        let own = ctx.mailbox().address();
-        let TakeMessage { from, message } = message;
+    async fn handle(&mut self, message: HandlePeerMessage, ctx: &mut Context<Self>) {
+        let own_address = ctx.mailbox().address();
+        let HandlePeerMessage { from, message } = message;
         match message {
             OnceMessage::Forward { ticket, request } => {
                 let receiver = OutcomeReceiver::Peer { link: from, ticket };
                 let waiter = self.add_receiver(receiver);
-                self.decide(&own, |state, context| {
-                    state.take_forward(waiter, request, context)
+                self.decide(&own_address, |state, context| {
+                    state.handle_forward(waiter, request, context)
                 });
             }
             OnceMessage::Outcome { ticket, outcome } => {
-                self.decide(&own, |state, context| {
-                    state.take_outcome(ticket, outcome, context)
+                self.decide(&own_address, |state, context| {
+                    state.handle_outcome(ticket, outcome, context)
                 });
             }
-            // A process that has handed over takes nothing any more: what it took now would end with it.
+            // A process that has handed over must not adopt further sessions: they would be lost when it ends.
             OnceMessage::Handover(_) if self.handover.is_some() => {}
             OnceMessage::Handover(part) => {
                 let session = part.session;
                 let now = self.now();
-                if self.state.take_part(part, now) {
-                    self.metrics.adopted.inc();
+                if self.state.add_part(part, now) {
+                    self.metrics.adopted_sessions.inc();
                     log::info!(target: DECISION, "once adopt session={session}");
-                    reply_peer(&from, OnceMessage::HandoverTaken { session });
+                    reply_peer(&from, OnceMessage::HandoverConfirmed { session });
                 }
             }
-            OnceMessage::HandoverTaken { session } => self.take_confirmation(session),
+            OnceMessage::HandoverConfirmed { session } => self.record_confirmation(session),
         }
     }
 }
@@ -335,8 +336,10 @@
     type Return = ();
 
     async fn handle(&mut self, LinkDown(vm): LinkDown, ctx: &mut Context<Self>) {
-        let own = ctx.mailbox().address();
-        self.decide(&own, |state, context| state.link_down(vm, context));
+        let own_address = ctx.mailbox().address();
+        self.decide(&own_address, |state, context| {
+            state.handle_link_down(vm, context)
+        });
     }
 }
 
@@ -344,9 +347,9 @@
     type Return = ();
 
     async fn handle(&mut self, message: FinishRun, ctx: &mut Context<Self>) {
-        let own = ctx.mailbox().address();
+        let own_address = ctx.mailbox().address();
         let FinishRun { key, outcome } = message;
-        self.decide(&own, |state, context| {
+        self.decide(&own_address, |state, context| {
             state.finish(key.sequence, outcome, context.now)
         });
     }
@@ -364,17 +367,20 @@
             outcomes += part.outcomes.len();
             let part = PeerMessage::Once(OnceMessage::Handover(part));
             if let Err(error) = (self.send)(message.successor, part) {
-                log::warn!("handover to {}: {error}", message.successor);
+                log::warn!(
+                    "could not send a handover part to {}: {error}",
+                    message.successor
+                );
             }
         }
         let sent = SentHandover {
             sessions: sessions.len(),
             outcomes,
-            abandoned: self.state.running(),
+            abandoned: self.state.running_count(),
         };
         self.handover = Some(PendingHandover {
-            sessions,
-            done: Some(message.done),
+            unconfirmed: sessions,
+            confirmed: Some(message.confirmed),
         });
         sent
     }
@@ -390,6 +396,6 @@
             OutcomeReceiver::Caller(reply) => !reply.is_closed(),
             OutcomeReceiver::Peer { link, .. } => !link.is_closed(),
         });
-        self.report();
+        self.update_metrics();
     }
 }
--- a/crates/ebonyfork/src/once/adopted.rs
+++ b/crates/ebonyfork/src/once/adopted.rs
@@ -1,7 +1,7 @@
-//! Sealed sessions of processes that have stopped as planned. Pure.
+//! Sealed sessions of processes that have ended by a planned stop.
 //!
-//! A sealed session never changes again: the process that owned it had stopped running keys before it handed them over.
-//! So a key that is in no part of it has never run and never will.
+//! A sealed session never changes: its process started no more queries before it handed the session over. So a key
+//! that is in no part of the session has never run and never will.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,34 +9,36 @@
 use rustc_hash::FxHashMap;
 
 use crate::ident::{RunState, SessionId};
-use crate::once::aged::AgedKeys;
+use crate::once::aged::EvictedKeys;
 use crate::once::message::{HandoverPart, SealedOutcome, TransferId};
 use crate::once::table::{
-    OUTCOME_WINDOW, RequestDigest, aged_refusal, gate_refusal, mismatch_refusal, outcome_bytes,
+    OUTCOME_TTL, RequestDigest, evicted_key_refusal, mismatch_refusal, no_new_work_refusal,
+    outcome_bytes,
 };
 use crate::query::{QueryOutcome, QueryRefusal, RefusalCode};
 
-/// How long an adopted session is kept.
-pub const ADOPTED_WINDOW: Duration = OUTCOME_WINDOW;
-/// Bytes of adopted outcomes at most.
-pub const ADOPTED_BYTES: usize = 16 << 20;
-/// Adopted sessions kept at most.
-const SESSION_LIMIT: usize = 64;
-/// Bytes of outcomes in one part.
-const PART_BYTES: usize = 512 << 10;
-/// Aged ranges in one part.
-const PART_RANGES: usize = 16_384;
-/// Parts of one session at most: more than any process sends.
-const PART_LIMIT: u32 = 4_096;
-/// When to ask again for a session whose handover is on its way.
-const PART_RETRY: Duration = Duration::from_millis(500);
+/// How long an adopted session is kept after its first part arrived.
+pub const ADOPTED_TTL: Duration = OUTCOME_TTL;
+/// Largest total size of adopted outcomes, in bytes.
+pub const MAX_ADOPTED_BYTES: usize = 16 << 20;
+/// Largest number of adopted sessions; beyond it the oldest is removed.
+const MAX_ADOPTED_SESSIONS: usize = 64;
+/// Largest total size of the outcomes in one part, in bytes.
+const MAX_PART_BYTES: usize = 512 << 10;
+/// Largest number of ranges of evicted keys in one part.
+const MAX_PART_RANGES: usize = 16_384;
+/// Largest accepted number of parts in one transfer, above what any process sends.
+const MAX_PARTS: u32 = 4_096;
+/// Retry delay given to callers while a session's handover is incomplete.
+const HANDOVER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
+/// A sealed session, as far as its parts have arrived.
 #[derive(Debug)]
 struct AdoptedSession {
     transfer: TransferId,
     outcomes: FxHashMap<u64, SealedOutcome>,
-    aged: AgedKeys,
-    /// Parts that have arrived, by number.
+    evicted: EvictedKeys,
+    /// Whether each part has arrived, by its index.
     parts: Vec<bool>,
     bytes: usize,
 }
@@ -46,27 +48,27 @@
         Self {
             transfer: part.transfer,
             outcomes: FxHashMap::default(),
-            aged: AgedKeys::new(),
+            evicted: EvictedKeys::new(),
             parts: vec![false; part.count as usize],
             bytes: 0,
         }
     }
 
-    /// Adds a part; outcomes beyond `limit` bytes become aged keys.
-    fn take_part(&mut self, part: HandoverPart, limit: usize) {
+    /// Adds a part; keys whose outcomes would exceed `max_bytes` bytes are recorded as evicted.
+    fn add_part(&mut self, part: HandoverPart, max_bytes: usize) {
         let Some(arrived) = self.parts.get_mut(part.number as usize) else {
             return;
         };
         if std::mem::replace(arrived, true) {
             return;
         }
-        for range in part.aged {
-            self.aged.insert_range(range);
+        for range in part.evicted {
+            self.evicted.insert_range(range);
         }
         for sealed in part.outcomes {
             let bytes = outcome_bytes(&sealed.outcome);
-            if self.bytes + bytes > limit {
-                self.aged.insert(sealed.sequence);
+            if self.bytes + bytes > max_bytes {
+                self.evicted.insert(sealed.sequence);
                 continue;
             }
             self.bytes += bytes;
@@ -79,24 +81,24 @@
     }
 }
 
-/// All adopted sessions of one process.
+/// The adopted sessions of one process.
 #[derive(Debug, Default)]
 pub struct AdoptedSessions {
     sessions: FxHashMap<SessionId, AdoptedSession>,
-    /// Oldest first, with the time of the first part.
-    order: VecDeque<(Duration, SessionId)>,
+    /// Arrival time of the first part of each session, oldest first.
+    arrival_order: VecDeque<(Duration, SessionId)>,
     bytes: usize,
 }
 
 impl AdoptedSessions {
-    /// Starts without any.
+    /// Creates an empty collection.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in a part; true if the session is complete. A sending that breaks off is replaced by the next one.
-    pub fn take_part(&mut self, part: HandoverPart, now: Duration) -> bool {
-        if part.number >= part.count || part.count > PART_LIMIT {
+    /// Adds a part; returns true if its session is complete. An incomplete transfer is replaced by a newer one.
+    pub fn add_part(&mut self, part: HandoverPart, now: Duration) -> bool {
+        if part.number >= part.count || part.count > MAX_PARTS {
             return false;
         }
         let session = part.session;
@@ -107,25 +109,25 @@
         {
             return true;
         }
-        let is_other = |adopted: &AdoptedSession| adopted.transfer != part.transfer;
-        if self.sessions.get(&session).is_some_and(is_other) {
-            self.forget(session);
+        let is_other_transfer = |adopted: &AdoptedSession| adopted.transfer != part.transfer;
+        if self.sessions.get(&session).is_some_and(is_other_transfer) {
+            self.remove_session(session);
         }
         if !self.sessions.contains_key(&session) {
-            self.make_room();
-            self.order.push_back((now, session));
+            self.evict_if_full();
+            self.arrival_order.push_back((now, session));
             self.sessions.insert(session, AdoptedSession::new(&part));
         }
         let Some(adopted) = self.sessions.get_mut(&session) else {
             return false;
         };
-        let used = self.bytes - adopted.bytes;
-        adopted.take_part(part, ADOPTED_BYTES - used);
-        self.bytes = used + adopted.bytes;
+        let other_bytes = self.bytes - adopted.bytes;
+        adopted.add_part(part, MAX_ADOPTED_BYTES - other_bytes);
+        self.bytes = other_bytes + adopted.bytes;
         adopted.is_complete()
     }
 
-    /// The outcome of a key, if its session was adopted.
+    /// Returns the outcome of a key, or `None` if its session was not adopted.
     pub fn outcome(
         &self,
         session: SessionId,
@@ -139,33 +141,33 @@
             }
             return Some(sealed.outcome.clone());
         }
-        if adopted.aged.contains(sequence) {
-            return Some(Err(aged_refusal()));
+        if adopted.evicted.contains(sequence) {
+            return Some(Err(evicted_key_refusal()));
         }
         let refusal = if adopted.is_complete() {
-            gate_refusal(RefusalCode::Stopping)
+            no_new_work_refusal(RefusalCode::Stopping)
         } else {
             let message = "the key's process has stopped; its outcomes are being handed over";
             QueryRefusal::new(RefusalCode::OutcomeUnknown, RunState::Unknown, message)
-                .with_retry_after(PART_RETRY)
+                .with_retry_after(HANDOVER_RETRY_DELAY)
         };
         Some(Err(refusal))
     }
 
-    /// Forgets sessions beyond the window: their keys are unknown from then on.
+    /// Removes sessions older than [`ADOPTED_TTL`]; this process then no longer holds any outcome of theirs.
     pub fn expire(&mut self, now: Duration) {
-        while let Some(&(at, _session)) = self.order.front() {
-            if at + ADOPTED_WINDOW > now {
+        while let Some(&(first_part_at, _session)) = self.arrival_order.front() {
+            if first_part_at + ADOPTED_TTL > now {
                 return;
             }
-            self.forget_oldest();
+            self.remove_oldest_session();
         }
     }
 
-    /// Complete sessions, for a successor of their own.
+    /// Returns the parts of all complete sessions, for handover to this process's successor.
     pub fn export(&self, transfer: TransferId) -> Vec<HandoverPart> {
         let mut parts = Vec::new();
-        for (_at, session) in &self.order {
+        for (_first_part_at, session) in &self.arrival_order {
             let Some(adopted) = self.sessions.get(session) else {
                 continue;
             };
@@ -173,47 +175,54 @@
                 continue;
             }
             let outcomes = adopted.outcomes.values().cloned().collect();
-            parts.extend(split_session(*session, transfer, outcomes, &adopted.aged));
+            parts.extend(split_session(
+                *session,
+                transfer,
+                outcomes,
+                &adopted.evicted,
+            ));
         }
         parts
     }
 
-    /// Number of sessions.
+    /// Returns the number of adopted sessions, complete or not.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Tells whether there is none.
+    /// Returns whether no session is adopted.
     pub fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    fn make_room(&mut self) {
-        if self.sessions.len() >= SESSION_LIMIT {
-            self.forget_oldest();
+    fn evict_if_full(&mut self) {
+        if self.sessions.len() >= MAX_ADOPTED_SESSIONS {
+            self.remove_oldest_session();
         }
     }
 
-    fn forget_oldest(&mut self) {
-        if let Some(&(_at, session)) = self.order.front() {
-            self.forget(session);
+    fn remove_oldest_session(&mut self) {
+        if let Some(&(_first_part_at, session)) = self.arrival_order.front() {
+            self.remove_session(session);
         }
     }
 
-    fn forget(&mut self, session: SessionId) {
-        self.order.retain(|(_at, other)| *other != session);
+    fn remove_session(&mut self, session: SessionId) {
+        self.arrival_order
+            .retain(|(_first_part_at, other)| *other != session);
         if let Some(adopted) = self.sessions.remove(&session) {
             self.bytes -= adopted.bytes;
         }
     }
 }
 
-/// Splits a sealed session into parts that fit a frame. An outcome too large for one becomes an aged key.
+/// Splits a sealed session into parts that each fit into a frame. The key of an outcome too large for a part is sent
+/// as evicted.
 pub(super) fn split_session(
     session: SessionId,
     transfer: TransferId,
     outcomes: Vec<SealedOutcome>,
-    aged: &AgedKeys,
+    evicted: &EvictedKeys,
 ) -> Vec<HandoverPart> {
     let new_part = || HandoverPart {
         session,
@@ -221,30 +230,30 @@
         number: 0,
         count: 0,
         outcomes: Vec::new(),
-        aged: Vec::new(),
+        evicted: Vec::new(),
     };
-    let mut aged = aged.clone();
+    let mut evicted = evicted.clone();
     let mut parts = Vec::new();
     let mut part = new_part();
-    let mut filled = 0;
+    let mut part_bytes = 0;
     for sealed in outcomes {
         let bytes = outcome_bytes(&sealed.outcome);
-        if bytes > PART_BYTES {
-            aged.insert(sealed.sequence);
+        if bytes > MAX_PART_BYTES {
+            evicted.insert(sealed.sequence);
             continue;
         }
-        if filled + bytes > PART_BYTES {
+        if part_bytes + bytes > MAX_PART_BYTES {
             parts.push(std::mem::replace(&mut part, new_part()));
-            filled = 0;
+            part_bytes = 0;
         }
-        filled += bytes;
+        part_bytes += bytes;
         part.outcomes.push(sealed);
     }
-    for range in aged.ranges() {
-        if part.aged.len() == PART_RANGES {
+    for range in evicted.ranges() {
+        if part.evicted.len() == MAX_PART_RANGES {
             parts.push(std::mem::replace(&mut part, new_part()));
         }
-        part.aged.push(range);
+        part.evicted.push(range);
     }
     parts.push(part);
     let count = parts.len() as u32;
--- a/crates/ebonyfork/src/once/adopted_tests.rs
+++ b/crates/ebonyfork/src/once/adopted_tests.rs
@@ -33,7 +33,7 @@
     })
 }
 
-fn sealed(sequences: std::ops::Range<u64>, bytes: usize) -> Vec<SealedOutcome> {
+fn sealed_outcomes(sequences: std::ops::Range<u64>, bytes: usize) -> Vec<SealedOutcome> {
     let mut outcomes = Vec::new();
     for sequence in sequences {
         outcomes.push(SealedOutcome {
@@ -50,32 +50,37 @@
     outcomes
 }
 
-fn code(adopted: &AdoptedSessions, sequence: u64) -> Option<(RefusalCode, RunState)> {
+fn refusal_of(adopted: &AdoptedSessions, sequence: u64) -> Option<(RefusalCode, RunState)> {
     let outcome = adopted.outcome(session(1), sequence, digest());
     outcome?.err().map(|refusal| (refusal.code, refusal.ran))
 }
 
 #[gtest]
-fn not_run_is_said_only_when_every_part_is_here() {
-    let mut aged = AgedKeys::new();
-    aged.insert(7);
-    let parts = split_session(session(1), transfer(0), sealed(10..20, 200_000), &aged);
+fn a_key_is_reported_as_not_run_only_once_every_part_has_arrived() {
+    let mut evicted = EvictedKeys::new();
+    evicted.insert(7);
+    let parts = split_session(
+        session(1),
+        transfer(0),
+        sealed_outcomes(10..20, 200_000),
+        &evicted,
+    );
     assert_that!(parts.len(), gt(2));
     let mut adopted = AdoptedSessions::new();
     for (number, part) in parts.iter().enumerate() {
         expect_that!(
-            adopted.take_part(part.clone(), NOW),
+            adopted.add_part(part.clone(), NOW),
             eq(number + 1 == parts.len())
         );
-        let unknown_key = if number + 1 == parts.len() {
+        let expected = if number + 1 == parts.len() {
             (RefusalCode::Stopping, RunState::NotRun)
         } else {
             (RefusalCode::OutcomeUnknown, RunState::Unknown)
         };
-        expect_that!(code(&adopted, 3), some(eq(unknown_key)));
+        expect_that!(refusal_of(&adopted, 3), some(eq(expected)));
     }
     expect_that!(
-        code(&adopted, 7),
+        refusal_of(&adopted, 7),
         some(eq((RefusalCode::OutcomeUnknown, RunState::Unknown)))
     );
     expect_that!(
@@ -83,50 +88,50 @@
         some(ok(anything()))
     );
     expect_that!(adopted.outcome(session(2), 12, digest()), none());
-    adopted.expire(NOW + ADOPTED_WINDOW);
+    adopted.expire(NOW + ADOPTED_TTL);
     expect_that!(adopted.outcome(session(1), 12, digest()), none());
 }
 
 #[gtest]
-fn two_sendings_are_never_mixed() {
+fn parts_of_two_transfers_are_never_mixed() {
     let first = split_session(
         session(1),
         transfer(0),
-        sealed(0..10, 200_000),
-        &AgedKeys::new(),
+        sealed_outcomes(0..10, 200_000),
+        &EvictedKeys::new(),
     );
     let second = split_session(
         session(1),
         transfer(1),
-        sealed(0..11, 150_000),
-        &AgedKeys::new(),
+        sealed_outcomes(0..11, 150_000),
+        &EvictedKeys::new(),
     );
     let mut adopted = AdoptedSessions::new();
-    let mut complete = adopted.take_part(first[0].clone(), NOW);
+    let mut complete = adopted.add_part(first[0].clone(), NOW);
     for part in &second[1..] {
-        complete |= adopted.take_part(part.clone(), NOW);
+        complete |= adopted.add_part(part.clone(), NOW);
     }
     expect_that!(complete, eq(false));
-    expect_that!(adopted.take_part(second[0].clone(), NOW), eq(true));
+    expect_that!(adopted.add_part(second[0].clone(), NOW), eq(true));
     for sequence in 0..11 {
-        expect_that!(code(&adopted, sequence), none(), "{sequence}");
+        expect_that!(refusal_of(&adopted, sequence), none(), "{sequence}");
     }
 }
 
 #[gtest]
-fn memory_is_bounded() {
+fn adopted_sessions_and_bytes_stay_within_their_limits() {
     let mut adopted = AdoptedSessions::new();
     for incarnation in 0..100 {
-        let outcomes = sealed(0..4, 300_000);
+        let outcomes = sealed_outcomes(0..4, 300_000);
         for part in split_session(
             session(incarnation),
             transfer(0),
             outcomes,
-            &AgedKeys::new(),
+            &EvictedKeys::new(),
         ) {
-            adopted.take_part(part, NOW);
+            adopted.add_part(part, NOW);
         }
-        expect_that!(adopted.bytes, le(ADOPTED_BYTES));
+        expect_that!(adopted.bytes, le(MAX_ADOPTED_BYTES));
     }
-    expect_that!(adopted.len(), le(SESSION_LIMIT));
+    expect_that!(adopted.len(), le(MAX_ADOPTED_SESSIONS));
 }
--- a/crates/ebonyfork/src/once/aged.rs
+++ b/crates/ebonyfork/src/once/aged.rs
@@ -1,68 +1,69 @@
-//! Keys whose outcomes are no longer kept: they must never run anew.
+//! Idempotency keys whose outcomes are no longer kept. They must never run again.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Ranges kept at most. Callers that count up, from wherever they start, need one range each.
-const RANGE_LIMIT: usize = 65_536;
+/// Default for the largest number of ranges. A caller that numbers its keys consecutively takes up one range.
+const MAX_RANGES: usize = 65_536;
 
 /// Sequence numbers from `first` to `last`, both included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SequenceRange {
-    /// The lowest.
+    /// Lowest sequence number of the range.
     pub first: u64,
-    /// The highest.
+    /// Highest sequence number of the range.
     pub last: u64,
 }
 
-/// A set of sequence numbers in bounded memory. It never forgets a number; when there are too many ranges, the nearest
-/// ones are joined, and the numbers between them count as aged too. That is safe: such a key is answered as unknown.
+/// A set of sequence numbers in bounded memory. A number is never removed; when there are too many ranges, the nearest
+/// ones are merged, and the numbers between them count as evicted too. That is safe: the outcome of such a key is
+/// reported as unknown.
 ///
 /// # Examples
 ///
 /// ```
-/// use ebonyfork::once::AgedKeys;
+/// use ebonyfork::once::EvictedKeys;
 ///
-/// let mut aged = AgedKeys::new();
+/// let mut evicted = EvictedKeys::new();
 /// for sequence in [7, 9, 8] {
-///     aged.insert(sequence);
+///     evicted.insert(sequence);
 /// }
-/// assert!(aged.contains(8) && !aged.contains(10));
-/// assert_eq!(aged.ranges().count(), 1);
+/// assert!(evicted.contains(8) && !evicted.contains(10));
+/// assert_eq!(evicted.ranges().count(), 1);
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct AgedKeys {
-    /// Last number of each range, by its first; ranges neither overlap nor touch.
+pub struct EvictedKeys {
+    /// Last number of each range, by its first number; ranges neither overlap nor touch.
     ranges: BTreeMap<u64, u64>,
-    limit: Option<usize>,
+    max_ranges: Option<usize>,
 }
 
-impl AgedKeys {
-    /// Makes an empty set.
+impl EvictedKeys {
+    /// Creates an empty set with the default limit.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replaces the number of ranges that are kept apart.
+    /// Replaces the largest number of ranges.
     #[must_use]
-    pub fn with_limit(mut self, limit: usize) -> Self {
-        self.limit = Some(limit.max(1));
+    pub fn with_max_ranges(mut self, max_ranges: usize) -> Self {
+        self.max_ranges = Some(max_ranges.max(1));
         self
     }
 
-    /// Tells whether a number is in the set.
+    /// Returns whether a sequence number is in the set.
     pub fn contains(&self, sequence: u64) -> bool {
-        let below = self.ranges.range(..=sequence).next_back();
-        below.is_some_and(|(_first, last)| *last >= sequence)
+        let preceding_range = self.ranges.range(..=sequence).next_back();
+        preceding_range.is_some_and(|(_first, last)| *last >= sequence)
     }
 
-    /// Tells whether the set is empty.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.ranges.is_empty()
     }
 
-    /// Adds a number.
+    /// Adds a sequence number.
     pub fn insert(&mut self, sequence: u64) {
         self.insert_range(SequenceRange {
             first: sequence,
@@ -70,10 +71,11 @@
         });
     }
 
-    /// Adds a range of numbers.
+    /// Adds a range of sequence numbers.
     pub fn insert_range(&mut self, range: SequenceRange) {
         let (mut first, mut last) = (range.first, range.last.max(range.first));
-        // Take out every range that overlaps or touches, from the highest that starts at or below `last + 1`.
+        // Merge all ranges that overlap or touch the new one, going down from the highest that starts at or below
+        // `last + 1`.
         while let Some((&start, &end)) = self.ranges.range(..=last.saturating_add(1)).next_back() {
             if end.saturating_add(1) < first {
                 break;
@@ -83,31 +85,31 @@
             last = last.max(end);
         }
         self.ranges.insert(first, last);
-        let limit = self.limit.unwrap_or(RANGE_LIMIT);
-        if self.ranges.len() > limit {
-            self.join_nearest(limit);
+        let max_ranges = self.max_ranges.unwrap_or(MAX_RANGES);
+        if self.ranges.len() > max_ranges {
+            self.merge_nearest_ranges(max_ranges);
         }
     }
 
-    /// All ranges, ascending.
+    /// Returns all ranges in ascending order.
     pub fn ranges(&self) -> impl Iterator<Item = SequenceRange> {
         let ranges = self.ranges.iter();
         ranges.map(|(&first, &last)| SequenceRange { first, last })
     }
 
-    /// Joins ranges across the smallest gaps until an eighth of the limit is free.
-    fn join_nearest(&mut self, limit: usize) {
+    /// Merges ranges across the smallest gaps until an eighth of the limit is free.
+    fn merge_nearest_ranges(&mut self, max_ranges: usize) {
         let ranges: Vec<SequenceRange> = self.ranges().collect();
-        let surplus = ranges.len() - limit + limit / 8;
+        let merge_count = ranges.len() - max_ranges + max_ranges / 8;
         let mut gaps: Vec<(u64, usize)> = Vec::with_capacity(ranges.len());
         for (index, pair) in ranges.windows(2).enumerate() {
             gaps.push((pair[1].first - pair[0].last, index));
         }
         gaps.sort_unstable();
-        gaps.truncate(surplus);
-        for (_width, index) in gaps {
+        gaps.truncate(merge_count);
+        for (_gap, index) in gaps {
             let (lower, upper) = (ranges[index], ranges[index + 1]);
-            // Either range may have grown by an earlier join of this loop.
+            // An earlier iteration may have merged either range already.
             let Some(end) = self.ranges.remove(&upper.first) else {
                 continue;
             };
--- a/crates/ebonyfork/src/once/handle.rs
+++ b/crates/ebonyfork/src/once/handle.rs
@@ -1,4 +1,4 @@
-//! The way in: every caller's query, every peer's message about keys, the planned stop.
+//! Handle to the at-most-once actor: callers' queries, peers' messages about keys, and the handover at a planned stop.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -14,8 +14,8 @@
 
 use crate::ident::{IdempotencyKey, RunState, SessionId, VmAddress};
 use crate::once::actor::{
-    ExecuteFunction, ExpireTick, LinkDown, OnceActor, OnceMetrics, StartHandover, SubmitQuery,
-    TakeMessage,
+    ExecuteFunction, ExpireTick, HandlePeerMessage, LinkDown, OnceActor, OnceMetrics,
+    StartHandover, SubmitQuery,
 };
 use crate::once::message::OnceMessage;
 use crate::once::route::session_successors;
@@ -23,27 +23,28 @@
 use crate::views::NodeViews;
 use crate::wire::{LinkError, LinkSender, PeerMessage};
 
-/// Header that carries the key; named in refusals.
-const KEY_FIELD: &str = "idempotency-key";
-/// Added to a query's bound before its outcome is given up as unknown: the run's own deadline answer comes first.
-const BOUND_MARGIN: Duration = Duration::from_millis(250);
-/// Bound of a keyed query whose class is no longer declared.
-const LOST_CLASS_BOUND: Duration = Duration::from_secs(10);
-/// Longest wait for a successor's confirmation.
+/// Header that carries the idempotency key; named in refusals.
+const KEY_HEADER: &str = "idempotency-key";
+/// Added to a query's time limit before its outcome is reported as unknown, so that the run's own deadline refusal
+/// arrives first.
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(250);
+/// Time limit of a query with a key whose class is no longer declared.
+const UNDECLARED_CLASS_BOUND: Duration = Duration::from_secs(10);
+/// Longest wait for a successor to confirm a handover.
 const HANDOVER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two looks at what has aged.
-const EXPIRE_PERIOD: Duration = Duration::from_secs(1);
+/// Interval between removals of expired outcomes and sessions.
+const EXPIRE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What came of a handover.
+/// Result of a handover to a successor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HandoverReport {
-    /// Sessions sent: the own one and those adopted.
+    /// Number of sessions sent: the own session and the adopted ones.
     pub sessions: usize,
-    /// Outcomes sent.
+    /// Number of outcomes sent.
     pub outcomes: usize,
-    /// Keys that still ran; the successor answers for them as unknown.
+    /// Number of keys that were still running; the successor reports their outcomes as unknown.
     pub abandoned: usize,
-    /// Whether the successor has confirmed all of it.
+    /// Whether the successor has confirmed all sessions.
     pub taken: bool,
 }
 
@@ -62,10 +63,10 @@
     }
 }
 
-/// Runs queries, those under a key at most once. Cheap to clone.
+/// Runs queries; a query with an idempotency key runs at most once. Cheap to clone.
 #[derive(Clone)]
 pub struct OnceHandle {
-    own: SessionId,
+    own_session: SessionId,
     actor: Address<OnceActor>,
     views: NodeViews,
     execute: Arc<ExecuteFunction>,
@@ -79,10 +80,10 @@
 }
 
 impl OnceHandle {
-    /// Starts the session `own`. `execute` runs a query and says truthfully whether it ran; `send` hands a message to a
-    /// VM's link.
+    /// Starts the actor for the session `own_session`. `execute` runs a query and must say correctly whether it ran;
+    /// `send` queues a message on the link to a VM.
     pub fn start(
-        own: SessionId,
+        own_session: SessionId,
         views: NodeViews,
         execute: impl Fn(QueryRequest) -> BoxFuture<'static, QueryOutcome> + Send + Sync + 'static,
         send: impl Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync + 'static,
@@ -90,16 +91,16 @@
         let execute: Arc<ExecuteFunction> = Arc::new(execute);
         let metrics = Arc::new(OnceMetrics::default());
         let actor = OnceActor::new(
-            own,
+            own_session,
             views.clone(),
             Arc::clone(&execute),
             Arc::new(send),
             Arc::clone(&metrics),
         );
         let actor = xtra::spawn_tokio(actor, Mailbox::unbounded());
-        tokio::spawn(tick(actor.downgrade()));
+        tokio::spawn(send_expire_ticks(actor.downgrade()));
         Self {
-            own,
+            own_session,
             actor,
             views,
             execute,
@@ -107,51 +108,58 @@
         }
     }
 
-    /// Runs a caller's query. An idempotent class passes straight through. Any other needs a key, and is run by the
-    /// key's session alone, at most once. The run goes on when this future is dropped, and a resend finds its outcome.
+    /// Runs a caller's query. A query of an idempotent class is run directly. Any other query needs a key and is run at
+    /// most once, by the session that the key names. The run continues if this future is dropped, and a resend gets its
+    /// outcome.
     pub async fn run(&self, request: QueryRequest) -> QueryOutcome {
-        let target = self.class_bound(&request);
+        let target = self.idempotent_and_bound(&request);
         match (target, request.key) {
             (Some((true, _)), _) | (None, None) => (self.execute)(request).await,
             (Some((false, _)), None) => Err(missing_key_refusal()),
             (Some((false, bound)), Some(key)) => self.run_keyed(key, request, bound).await,
-            (None, Some(key)) => self.run_keyed(key, request, LOST_CLASS_BOUND).await,
+            (None, Some(key)) => self.run_keyed(key, request, UNDECLARED_CLASS_BOUND).await,
         }
     }
 
-    /// Takes in a peer's message.
+    /// Handles a message from a peer.
     pub async fn take_message(&self, from: LinkSender, message: OnceMessage) {
-        // The actor ends with the process; a message that comes later has no receiver and needs none.
-        let _ended = self.actor.send(TakeMessage { from, message }).await;
+        // Sending fails only if the actor has ended with the process; the message can be dropped then.
+        let _ended = self.actor.send(HandlePeerMessage { from, message }).await;
     }
 
-    /// Takes in that the link to a VM broke. What was never sent is asked elsewhere like what was not answered, so
-    /// `unsent` needs no look: that a forward was never sent does not show that an earlier send of its key did not run.
+    /// Handles a broken link to a VM. Unsent forwards are repeated like unanswered ones, so `unsent` is not examined: a
+    /// forward that was never sent doesn't prove that an earlier send of its key did not run.
     pub async fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
         drop(unsent);
         let _ended = self.actor.send(LinkDown(vm)).await;
     }
 
-    /// Planned stop: seals the session, so that this process never runs a key again, and hands all outcomes to a
-    /// successor. If it does not confirm, perhaps because it stops as well, the next VMs in rank are asked.
+    /// Seals the session at a planned stop, so that this process starts no further keys, and hands all outcomes to a
+    /// successor. If the successor doesn't confirm, perhaps because it is stopping too, the next VMs in rank are tried.
     pub async fn hand_over(&self, successor: VmAddress) -> HandoverReport {
-        let mut report = self.try_successor(successor).await;
+        let mut report = self.hand_over_to(successor).await;
         let view = self.views.topology.borrow().clone();
-        for next in session_successors(&view, self.own) {
+        for next in session_successors(&view, self.own_session) {
             if report.taken {
                 break;
             }
             if next != successor {
-                log::warn!("handover: {report}; {next} is next");
-                report = self.try_successor(next).await;
+                log::warn!("handover failed: {report}; trying {next}");
+                report = self.hand_over_to(next).await;
             }
         }
         report
     }
 
-    async fn try_successor(&self, successor: VmAddress) -> HandoverReport {
-        let (done, confirmed) = oneshot::channel();
-        let sent = self.actor.send(StartHandover { successor, done }).await;
+    async fn hand_over_to(&self, successor: VmAddress) -> HandoverReport {
+        let (confirmed, confirmation) = oneshot::channel();
+        let sent = self
+            .actor
+            .send(StartHandover {
+                successor,
+                confirmed,
+            })
+            .await;
         let Ok(sent) = sent else {
             return HandoverReport {
                 sessions: 0,
@@ -160,21 +168,21 @@
                 taken: false,
             };
         };
-        let confirmed = tokio::time::timeout(HANDOVER_TIMEOUT, confirmed).await;
+        let confirmation = tokio::time::timeout(HANDOVER_TIMEOUT, confirmation).await;
         HandoverReport {
             sessions: sent.sessions,
             outcomes: sent.outcomes,
             abandoned: sent.abandoned,
-            taken: matches!(confirmed, Ok(Ok(()))),
+            taken: matches!(confirmation, Ok(Ok(()))),
         }
     }
 
-    /// Keys that run here now, and callers that wait for another VM.
+    /// Returns the number of keys running here and of callers that wait for another VM.
     pub fn in_flight(&self) -> usize {
         self.metrics.in_flight.load(Ordering::Acquire)
     }
 
-    /// Registers the metrics.
+    /// Registers the metrics of keyed queries.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("once");
         let metrics = &self.metrics;
@@ -184,14 +192,18 @@
             (
                 "unknown",
                 "Outcomes that can no longer be known",
-                &metrics.unknown,
+                &metrics.unknown_outcomes,
+            ),
+            (
+                "adopted",
+                "Sealed sessions taken over",
+                &metrics.adopted_sessions,
             ),
-            ("adopted", "Sealed sessions taken over", &metrics.adopted),
         ];
         for (name, help, counter) in counters {
             registry.register(name, help, counter.clone());
         }
-        registry.register("kept", "Outcomes kept", metrics.kept.clone());
+        registry.register("kept", "Outcomes kept", metrics.kept_outcomes.clone());
         registry.register(
             "kept_bytes",
             "Bytes of outcomes kept",
@@ -199,7 +211,7 @@
         );
     }
 
-    fn class_bound(&self, request: &QueryRequest) -> Option<(bool, Duration)> {
+    fn idempotent_and_bound(&self, request: &QueryRequest) -> Option<(bool, Duration)> {
         let config = self.views.config.borrow();
         let target = config.classes.get(&request.class)?;
         Some((target.idempotent, target.bound))
@@ -214,28 +226,28 @@
         let bound = request
             .deadline
             .map_or(bound, |deadline| deadline.min(bound));
-        let patience = bound + BOUND_MARGIN;
+        let timeout = bound + TIMEOUT_MARGIN;
         let (reply, outcome) = oneshot::channel();
         let submit = SubmitQuery {
             key,
             request,
-            patience,
+            timeout,
             reply,
         };
         if self.actor.send(submit).await.is_err() {
-            return Err(lost_refusal());
+            return Err(process_ending_refusal());
         }
-        match tokio::time::timeout(patience, outcome).await {
+        match tokio::time::timeout(timeout, outcome).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_dropped)) => Err(lost_refusal()),
-            Err(_elapsed) => Err(late_refusal()),
+            Ok(Err(_dropped)) => Err(process_ending_refusal()),
+            Err(_elapsed) => Err(outcome_timeout_refusal()),
         }
     }
 }
 
-async fn tick(actor: WeakAddress<OnceActor>) {
+async fn send_expire_ticks(actor: WeakAddress<OnceActor>) {
     loop {
-        tokio::time::sleep(EXPIRE_PERIOD).await;
+        tokio::time::sleep(EXPIRE_INTERVAL).await;
         if actor.send(ExpireTick).await.is_err() {
             return;
         }
@@ -244,15 +256,15 @@
 
 fn missing_key_refusal() -> QueryRefusal {
     let message = "a class that is not idempotent needs a key: <session>.<sequence>";
-    QueryRefusal::new(RefusalCode::BadRequest, RunState::NotRun, message).with_field(KEY_FIELD)
+    QueryRefusal::new(RefusalCode::BadRequest, RunState::NotRun, message).with_field(KEY_HEADER)
 }
 
-fn lost_refusal() -> QueryRefusal {
+fn process_ending_refusal() -> QueryRefusal {
     let message = "this process is ending; send the same key again";
     QueryRefusal::new(RefusalCode::OutcomeUnknown, RunState::Unknown, message)
 }
 
-fn late_refusal() -> QueryRefusal {
+fn outcome_timeout_refusal() -> QueryRefusal {
     let message = "no outcome in time; send the same key again to learn it";
     QueryRefusal::new(RefusalCode::Deadline, RunState::Unknown, message)
 }
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -46,7 +46,7 @@
 }
 
 impl TestNode {
-    /// Starts a node whose runs take a moment and count.
+    /// Starts a node whose queries take 20 ms each and are counted.
     fn start(last: u8, listener: TcpListener, view: &TopologyView) -> Self {
         let session = SessionId::new(address(last), IncarnationNumber(1));
         let (writers, views) = view_channels();
@@ -55,15 +55,15 @@
         writers.readiness.send_replace(NodeReadiness::Ready);
         let port = listener.local_addr().unwrap().port();
         let stop = CancellationToken::new();
-        let slot: Arc<std::sync::OnceLock<OnceHandle>> = Arc::default();
-        let own = Arc::clone(&slot);
+        let handle_cell: Arc<std::sync::OnceLock<OnceHandle>> = Arc::default();
+        let own_handle = Arc::clone(&handle_cell);
         let pool = PeerPool::new(
             PoolSettings::new(session, port),
             stop.clone(),
             move |event| {
-                let own = Arc::clone(&own);
+                let own_handle = Arc::clone(&own_handle);
                 Box::pin(async move {
-                    let Some(once) = own.get() else { return };
+                    let Some(once) = own_handle.get() else { return };
                     match event {
                         LinkEvent::Message {
                             from,
@@ -96,7 +96,7 @@
         let once = OnceHandle::start(session, views, execute, move |vm, message| {
             pool.send(vm, message)
         });
-        slot.set(once.clone()).unwrap();
+        handle_cell.set(once.clone()).unwrap();
         Self {
             once,
             session,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Starts nodes 1 to 3 on one port, each with a view of all.
+/// Starts nodes 1 to 3 on one port, each with a topology that lists all three.
 async fn start_nodes() -> [TestNode; 3] {
     let entries = [1, 2, 3].map(|last| VmEntry {
         vm: address(last),
@@ -144,7 +144,7 @@
     }
 }
 
-fn code(outcome: &QueryOutcome) -> Option<(RefusalCode, RunState)> {
+fn refusal_of(outcome: &QueryOutcome) -> Option<(RefusalCode, RunState)> {
     let refusal = outcome.as_ref().err()?;
     Some((refusal.code, refusal.ran))
 }
@@ -160,12 +160,12 @@
     let refusal = once.run(request("deferral", None)).await.unwrap_err();
     expect_that!(refusal.code, eq(RefusalCode::BadRequest));
     expect_that!(refusal.ran, eq(RunState::NotRun));
-    expect_that!(refusal.field.as_deref(), some(eq(KEY_FIELD)));
+    expect_that!(refusal.field.as_deref(), some(eq(KEY_HEADER)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn resends_through_any_vm_get_the_first_outcome_also_after_a_stop() {
+async fn resends_through_any_vm_get_the_first_outcome_even_after_a_planned_stop() {
     let nodes = start_nodes().await;
     let key = IdempotencyKey {
         session: nodes[0].session,
@@ -198,7 +198,7 @@
         expect_that!(again, eq(&first));
         let new = node.once.run(request("deferral", Some(new_key))).await;
         expect_that!(
-            code(&new),
+            refusal_of(&new),
             some(eq((RefusalCode::Stopping, RunState::NotRun)))
         );
     }
@@ -207,21 +207,21 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_crashed_session_is_unknown_and_a_dropped_caller_loses_nothing() {
+async fn a_dropped_call_keeps_its_outcome_until_the_session_crashes() {
     let nodes = start_nodes().await;
     let key = IdempotencyKey {
         session: nodes[0].session,
         sequence: 7,
     };
     let dropped = nodes[1].once.run(request("deferral", Some(key)));
-    let gone = tokio::time::timeout(Duration::from_millis(1), dropped).await;
-    expect_that!(gone.is_err(), eq(true));
+    let timed_out = tokio::time::timeout(Duration::from_millis(1), dropped).await;
+    expect_that!(timed_out.is_err(), eq(true));
     let again = nodes[2].once.run(request("deferral", Some(key))).await;
     expect_that!(again, ok(anything()));
     nodes[0].stop.cancel();
     let lost = nodes[2].once.run(request("deferral", Some(key))).await;
     expect_that!(
-        code(&lost),
+        refusal_of(&lost),
         some(eq((RefusalCode::OutcomeUnknown, RunState::Unknown)))
     );
     expect_that!(nodes[0].runs() + nodes[1].runs() + nodes[2].runs(), eq(1));
@@ -229,7 +229,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_successor_that_stops_as_well_is_passed_over() {
+async fn a_handover_skips_a_successor_that_is_stopping_too() {
     let nodes = start_nodes().await;
     let key = IdempotencyKey {
         session: nodes[0].session,
@@ -238,10 +238,10 @@
     let first = nodes[0].once.run(request("deferral", Some(key))).await;
     let view = nodes[0].once.views.topology.borrow().clone();
     let successors = session_successors(&view, key.session);
-    let number = |vm: VmAddress| nodes.iter().position(|node| node.session.vm == vm);
+    let node_index = |vm: VmAddress| nodes.iter().position(|node| node.session.vm == vm);
     let (stopping, staying) = (
-        number(successors[0]).unwrap(),
-        number(successors[1]).unwrap(),
+        node_index(successors[0]).unwrap(),
+        node_index(successors[1]).unwrap(),
     );
     nodes[stopping].once.hand_over(successors[1]).await;
     let report = nodes[0].once.hand_over(successors[0]).await;
--- a/crates/ebonyfork/src/once/message.rs
+++ b/crates/ebonyfork/src/once/message.rs
@@ -1,4 +1,4 @@
-//! What VMs say to each other about keys.
+//! Messages between VMs about idempotency keys.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,47 +7,47 @@
 use crate::once::table::{RequestDigest, outcome_bytes};
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 
-/// One message about keys.
+/// A message between VMs about idempotency keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnceMessage {
-    /// A query for the receiver's session, or for a session whose sealed outcomes it may hold.
+    /// A query of the receiver's session, or of a session whose sealed outcomes the receiver may hold.
     Forward {
-        /// Counted up by the sender.
+        /// Number that the sender assigned to this forward, returned with the outcome.
         ticket: u64,
-        /// The query, with its key.
+        /// The query, including its idempotency key.
         request: QueryRequest,
     },
-    /// The answer to a forward.
+    /// The answer to a [`OnceMessage::Forward`].
     Outcome {
-        /// The forward's ticket.
+        /// Ticket of the forward that is answered.
         ticket: u64,
-        /// What the receiver knows.
+        /// What the VM that answers knows about the key.
         outcome: OnceOutcome,
     },
-    /// Sealed outcomes of a session, from the process that holds them to its successor.
+    /// Part of a sealed session, sent by the process that holds it to its successor.
     Handover(HandoverPart),
-    /// All parts of the session have arrived.
-    HandoverTaken {
-        /// The session.
+    /// Confirms to the sender that all parts of the session have arrived.
+    HandoverConfirmed {
+        /// The session whose parts have arrived.
         session: SessionId,
     },
 }
 
-/// What a VM knows about a key.
+/// What a VM knows about an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OnceOutcome {
-    /// The session is its own, or it holds the session's sealed outcomes: this is the outcome.
+    /// The VM runs the key's session or holds its sealed outcomes; this is the outcome.
     Known(QueryOutcome),
-    /// It is not that process, and holds nothing of that session.
-    NotHere,
+    /// The VM neither runs the key's session nor holds any of its sealed outcomes.
+    NotHeld,
 }
 
-/// Bytes of an outcome that still fits a frame.
-const FRAME_BYTES: usize = 1 << 20;
+/// Largest outcome, in bytes, that fits into one frame of a link between VMs.
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// Replaces an outcome that does not fit a frame by a truthful refusal.
-pub(super) fn fit_frame(outcome: QueryOutcome) -> QueryOutcome {
-    if outcome_bytes(&outcome) <= FRAME_BYTES {
+/// Replaces an outcome that doesn't fit into a frame with a refusal that says whether the query ran.
+pub(super) fn replace_oversized(outcome: QueryOutcome) -> QueryOutcome {
+    if outcome_bytes(&outcome) <= MAX_FRAME_BYTES {
         return outcome;
     }
     let ran = outcome.map_or_else(|refusal| refusal.ran, |_answer| RunState::Ran);
@@ -55,39 +55,39 @@
     Err(QueryRefusal::new(RefusalCode::UpstreamFailed, ran, message))
 }
 
-/// The outcome of one key of a sealed session.
+/// The outcome of one idempotency key of a sealed session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SealedOutcome {
-    /// The key's sequence number.
+    /// Sequence number of the idempotency key.
     pub sequence: u64,
-    /// What was asked under the key.
+    /// Digest of the request that was sent with the key.
     pub digest: RequestDigest,
-    /// What came of it.
+    /// Outcome of that request.
     pub outcome: QueryOutcome,
 }
 
-/// Names one sending of a sealed session, so that the parts of two sendings are never mixed.
+/// Identifies one transfer of a sealed session, so that parts of two transfers are never mixed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TransferId {
-    /// The sender.
+    /// Session of the sending process.
     pub sender: SessionId,
-    /// Counted up by the sender.
+    /// Number of the transfer, incremented by the sender.
     pub number: u64,
 }
 
-/// A part of a sealed session, small enough for one frame.
+/// Part of a sealed session, small enough for one frame.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HandoverPart {
-    /// The session.
+    /// The sealed session.
     pub session: SessionId,
-    /// The sending that this part belongs to.
+    /// The transfer that this part belongs to.
     pub transfer: TransferId,
-    /// Number of this part, from zero.
+    /// Index of this part within the transfer, from zero.
     pub number: u32,
-    /// Number of all parts.
+    /// Number of parts in the transfer.
     pub count: u32,
-    /// Kept outcomes.
+    /// Outcomes that the sender has kept.
     pub outcomes: Vec<SealedOutcome>,
-    /// Keys that ran, or may have run, and whose outcomes are gone.
-    pub aged: Vec<SequenceRange>,
+    /// Keys that ran, or may have run, and whose outcomes are no longer kept.
+    pub evicted: Vec<SequenceRange>,
 }
--- a/crates/ebonyfork/src/once/mod.rs
+++ b/crates/ebonyfork/src/once/mod.rs
@@ -1,14 +1,14 @@
-//! Non-idempotent queries: each runs at most once, and a resend gets the first outcome.
+//! At-most-once execution of non-idempotent queries: a resend of a query gets the outcome of its first run.
 //!
-//! A key names the *session* that may run it: one process incarnation. That process keeps the outcome in memory and
-//! gives it again to resends; nobody else ever runs the key. So no lease is needed, and a pause or a lost link can't
-//! lead to a second run. Sent to another VM, the query is forwarded. When the process has stopped as planned, its
-//! *sealed* outcomes are with a successor; when it has crashed, the outcome is unknown and is said to be.
+//! An idempotency key names the *session* that may run its query: one incarnation of a process. Only that process runs
+//! the query; it keeps the outcome in memory and returns it to resends. So no lease is needed, and neither a pause nor
+//! a lost link can lead to a second run. A VM that receives a query of another session forwards it. After a planned
+//! stop of the process, a successor holds its *sealed* outcomes; after a crash, the outcome is reported as unknown.
 //!
-//! - [`OutcomeTable`]: the keys of the own session.
+//! - [`OutcomeTable`]: the keys of this process's own session.
 //! - [`AdoptedSessions`]: sealed sessions of processes that have stopped.
-//! - [`OnceState`]: both, and the queries that wait for an answer of another VM. Pure: it returns [`OnceAction`]s.
-//! - [`OnceHandle`]: the running part.
+//! - [`OnceState`]: both of these and the queries forwarded to other VMs. It does no I/O; it returns [`OnceAction`]s.
+//! - [`OnceHandle`]: the interface to the actor that performs these actions.
 
 mod actor;
 mod adopted;
@@ -19,14 +19,14 @@
 mod state;
 mod table;
 
-pub use adopted::{ADOPTED_BYTES, ADOPTED_WINDOW, AdoptedSessions};
-pub use aged::{AgedKeys, SequenceRange};
+pub use adopted::{ADOPTED_TTL, AdoptedSessions, MAX_ADOPTED_BYTES};
+pub use aged::{EvictedKeys, SequenceRange};
 pub use handle::{HandoverReport, OnceHandle};
 pub use message::{HandoverPart, OnceMessage, OnceOutcome, SealedOutcome, TransferId};
 pub use route::{session_candidates, session_successor};
 pub use state::{OnceAction, OnceContext, OnceState, WaiterId};
 pub use table::{
-    BeginVerdict, OUTCOME_BYTES, OUTCOME_COUNT, OUTCOME_WINDOW, OutcomeLimits, OutcomeTable,
+    BeginVerdict, MAX_KEPT_BYTES, MAX_KEPT_OUTCOMES, OUTCOME_TTL, OutcomeLimits, OutcomeTable,
     RequestDigest,
 };
 
--- a/crates/ebonyfork/src/once/model_tests.rs
+++ b/crates/ebonyfork/src/once/model_tests.rs
@@ -1,7 +1,8 @@
-//! A model of several VMs under crash, pause, loss, resend, forward and stop, which counts what ran.
+//! Randomised model of several VMs with crashes, pauses, lost messages, resends, forwards and planned stops. It checks
+//! that no key runs twice and that every reported outcome is correct.
 //!
-//! `EBONYFORK_HISTORIES` sets the number of histories: `EBONYFORK_HISTORIES=100000 cargo test --release -p ebonyfork
-//! once::model`.
+//! `EBONYFORK_HISTORIES` sets the number of random histories:
+//! `EBONYFORK_HISTORIES=100000 cargo test --release -p ebonyfork once::model`.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -23,72 +24,80 @@
 };
 use crate::topology::{TopologyView, VmEntry};
 
-const VMS: usize = 4;
-const STEPS: usize = 120;
-const KEYS: u64 = 5;
+const VM_COUNT: usize = 4;
+const STEPS_PER_HISTORY: usize = 120;
+const KEYS_PER_SESSION: u64 = 5;
 const DEFAULT_HISTORIES: u64 = 3_000;
-/// Adopted sessions live this long; the model sometimes jumps beyond it.
-const LONG: Duration = Duration::from_mins(11);
+/// Longer than adopted sessions and outcomes are kept; the model sometimes advances its clock by this.
+const LONG_DELAY: Duration = Duration::from_mins(11);
 
-/// Whom an outcome goes to.
+/// The receiver of an outcome.
 #[derive(Clone, Copy)]
-enum Receiver {
+enum OutcomeReceiver {
     Caller,
     Peer { link: usize, ticket: u64 },
 }
 
-/// One TCP link between two lives of VMs; what is queued may be lost from the end when it breaks.
+/// One TCP link between two processes; when it breaks, the messages queued last may be lost.
 struct Link {
+    /// VM index and incarnation of the opener and of the other end.
     ends: [(usize, u64); 2],
+    /// Messages on their way, by direction: from the opener, then to the opener.
     queues: [VecDeque<OnceMessage>; 2],
     broken: bool,
 }
 
+/// One VM with the process that runs on it.
 struct Vm {
     session: SessionId,
     state: OnceState,
     view: TopologyView,
-    receivers: BTreeMap<WaiterId, (Receiver, QueryRequest)>,
+    receivers: BTreeMap<WaiterId, (OutcomeReceiver, QueryRequest)>,
+    /// Index of the link opened last, by the VM it leads to.
     links: BTreeMap<usize, usize>,
-    runs: Vec<(u64, QueryOutcome)>,
-    gate: Option<RefusalCode>,
+    /// Unfinished runs: sequence number and the outcome that they will have.
+    unfinished_runs: Vec<(u64, QueryOutcome)>,
+    new_work_refusal: Option<RefusalCode>,
     paused: bool,
 }
 
-/// What is true of a key, whatever the VMs believe.
+/// What really happened to a key, independent of what the VMs know.
 #[derive(Default)]
-struct Truth {
+struct KeyGroundTruth {
     runs: u32,
-    never: bool,
+    refused_for_good: bool,
     outcome: Option<QueryOutcome>,
 }
 
+/// All VMs, the links between them, and what really happened.
 struct Model {
     rng: ChaCha8Rng,
     now: Duration,
     vms: Vec<Vm>,
     links: Vec<Link>,
-    truth: BTreeMap<IdempotencyKey, Truth>,
+    ground_truth: BTreeMap<IdempotencyKey, KeyGroundTruth>,
+    /// All sessions so far, oldest first.
     sessions: Vec<SessionId>,
-    next: u64,
-    /// Whether answers are passed on now that another VM gave.
-    relayed: bool,
+    /// Last number used for an incarnation, a waiter or an answer.
+    last_number: u64,
+    /// Whether the outcome being handled was given by another VM.
+    outcome_is_relayed: bool,
 }
 
-/// Counts that show that the histories reach what they are meant to reach.
+/// Counts that show that the histories cover the intended cases.
 #[derive(Debug, Default)]
 struct Tally {
     runs: u64,
-    replays: u64,
-    unknown: u64,
-    sealed: u64,
+    repeated_answers: u64,
+    unknown_outcomes: u64,
+    sealed_refusals: u64,
 }
 
 fn address(vm: usize) -> VmAddress {
     VmAddress([10, 0, 0, vm as u8].into())
 }
 
-fn number(vm: VmAddress) -> usize {
+fn vm_index(vm: VmAddress) -> usize {
     match vm.0 {
         std::net::IpAddr::V4(ip) => usize::from(ip.octets()[3]),
         std::net::IpAddr::V6(_) => unreachable!("the model uses IPv4"),
@@ -110,7 +119,7 @@
 impl Vm {
     fn new(session: SessionId) -> Self {
         let limits = OutcomeLimits {
-            count: 3,
+            max_outcomes: 3,
             ..OutcomeLimits::default()
         };
         let table = OutcomeTable::new().with_limits(limits, 2);
@@ -120,13 +129,13 @@
             view: TopologyView::default(),
             receivers: BTreeMap::new(),
             links: BTreeMap::new(),
-            runs: Vec::new(),
-            gate: None,
+            unfinished_runs: Vec::new(),
+            new_work_refusal: None,
             paused: false,
         }
     }
 
-    fn life(&self) -> u64 {
+    fn incarnation(&self) -> u64 {
         self.session.incarnation.0
     }
 }
@@ -138,90 +147,95 @@
             now: Duration::from_secs(1),
             vms: Vec::new(),
             links: Vec::new(),
-            truth: BTreeMap::new(),
+            ground_truth: BTreeMap::new(),
             sessions: Vec::new(),
-            next: 1,
-            relayed: false,
+            last_number: 1,
+            outcome_is_relayed: false,
         };
-        for vm in 0..VMS {
+        for vm in 0..VM_COUNT {
             let session = model.new_session(vm);
             model.vms.push(Vm::new(session));
         }
-        for vm in 0..VMS {
-            model.vms[vm].view = model.true_view();
+        for vm in 0..VM_COUNT {
+            model.vms[vm].view = model.actual_view();
         }
         model
     }
 
     fn new_session(&mut self, vm: usize) -> SessionId {
-        self.next += 1;
-        let session = SessionId::new(address(vm), IncarnationNumber(self.next));
+        self.last_number += 1;
+        let session = SessionId::new(address(vm), IncarnationNumber(self.last_number));
         self.sessions.push(session);
         session
     }
 
-    fn true_view(&self) -> TopologyView {
+    fn actual_view(&self) -> TopologyView {
         let entries = self.vms.iter().map(|vm| VmEntry {
             vm: vm.session.vm,
             zone: "zone-a".parse().unwrap(),
             incarnation: Some(vm.session.incarnation),
-            leaving: vm.gate.is_some(),
+            leaving: vm.new_work_refusal.is_some(),
         });
         TopologyView::new(entries, [])
     }
 
     fn step(&mut self, tally: &mut Tally) {
         self.now += Duration::from_millis(self.rng.random_range(0..50));
-        let vm = self.rng.random_range(0..VMS);
+        let vm = self.rng.random_range(0..VM_COUNT);
         match self.rng.random_range(0..100) {
             0..25 => self.send_query(vm, tally),
             25..60 => self.deliver(tally),
             60..75 => self.finish_run(vm, tally),
             75..80 => self.vms[vm].paused = !self.vms[vm].paused,
-            80..84 => self.vms[vm].view = self.true_view(),
+            80..84 => self.vms[vm].view = self.actual_view(),
             84..88 => self.break_random_link(tally),
             88..91 => self.restart(vm, tally),
-            91..94 => self.vms[vm].gate = Some(RefusalCode::Stopping),
+            91..94 => self.vms[vm].new_work_refusal = Some(RefusalCode::Stopping),
             94..97 => self.seal(vm),
-            97 => self.fence(vm),
+            97 => self.toggle_fence(vm),
             98 => {
                 let now = self.now;
                 self.vms[vm].state.expire(now);
             }
-            _ => self.now += LONG,
+            _ => self.now += LONG_DELAY,
         }
     }
 
-    /// Fences a VM, or lifts its fence.
-    fn fence(&mut self, vm: usize) {
-        self.vms[vm].gate = match self.vms[vm].gate {
+    /// Fences a VM, or lifts its fence; a stopping VM stays as it is.
+    fn toggle_fence(&mut self, vm: usize) {
+        self.vms[vm].new_work_refusal = match self.vms[vm].new_work_refusal {
             None => Some(RefusalCode::NotReady),
             Some(RefusalCode::NotReady) => None,
             stopping => stopping,
         };
     }
 
-    /// A caller sends a key, often one sent before, to any VM; a few reuse a key for something else.
+    /// Sends a caller's query to a VM, often with a key sent before; a few reuse a key for another request.
     fn send_query(&mut self, vm: usize, tally: &mut Tally) {
         if self.vms[vm].paused {
             return;
         }
-        let recent = self.sessions.len().saturating_sub(VMS + 2);
+        let recent = self.sessions.len().saturating_sub(VM_COUNT + 2);
         let session = self.sessions[self.rng.random_range(recent..self.sessions.len())];
-        let sequence = self.rng.random_range(0..KEYS);
+        let sequence = self.rng.random_range(0..KEYS_PER_SESSION);
         let key = IdempotencyKey { session, sequence };
         let variant = u64::from(self.rng.random_range(0..20) == 0);
         let request = request(key, variant);
-        let waiter = self.wait(vm, Receiver::Caller, &request);
-        let until = self.now + Duration::from_secs(5);
+        let waiter = self.add_receiver(vm, OutcomeReceiver::Caller, &request);
+        let expires_at = self.now + Duration::from_secs(5);
         self.decide(vm, tally, |state, context| {
-            state.submit(waiter, key, request, until, context)
+            state.submit(waiter, key, request, expires_at, context)
         });
     }
 
-    fn wait(&mut self, vm: usize, receiver: Receiver, request: &QueryRequest) -> WaiterId {
-        self.next += 1;
-        let waiter = WaiterId(self.next);
+    fn add_receiver(
+        &mut self,
+        vm: usize,
+        receiver: OutcomeReceiver,
+        request: &QueryRequest,
+    ) -> WaiterId {
+        self.last_number += 1;
+        let waiter = WaiterId(self.last_number);
         self.vms[vm]
             .receivers
             .insert(waiter, (receiver, request.clone()));
@@ -238,19 +252,20 @@
         let context = OnceContext {
             now: self.now,
             view: &view,
-            gate: self.vms[vm].gate,
+            new_work_refusal: self.vms[vm].new_work_refusal,
         };
         let actions = decide(&mut self.vms[vm].state, &context);
         for action in actions {
             match action {
                 OnceAction::Execute(request) => self.execute(vm, &request, tally),
                 OnceAction::Answer { waiter, outcome } => self.answer(vm, waiter, outcome, tally),
-                OnceAction::Send { vm: to, message } => self.send(vm, number(to), message),
+                OnceAction::Send { vm: to, message } => self.send(vm, vm_index(to), message),
             }
         }
     }
 
-    /// Starts a run. It counts at once unless it ends as not run, since an upstream goes on when its VM crashes.
+    /// Starts a run and draws its outcome. Unless the outcome is `NotRun`, the run counts from now on, since the
+    /// upstream continues even if the VM crashes.
     fn execute(&mut self, vm: usize, request: &QueryRequest, tally: &mut Tally) {
         let key = request.key.unwrap();
         let outcome = match self.rng.random_range(0..10) {
@@ -266,28 +281,28 @@
                 "busy",
             )),
         };
-        let truth = self.truth.entry(key).or_default();
+        let ground_truth = self.ground_truth.entry(key).or_default();
         if !matches!(&outcome, Err(refusal) if refusal.ran == RunState::NotRun) {
-            truth.runs += 1;
+            ground_truth.runs += 1;
             tally.runs += 1;
-            truth.outcome = Some(outcome.clone());
+            ground_truth.outcome = Some(outcome.clone());
         }
-        assert!(truth.runs <= 1, "{key} ran twice");
+        assert!(ground_truth.runs <= 1, "{key} ran twice");
         assert!(
-            !truth.never,
-            "{key} ran after it was said that it never will"
+            !ground_truth.refused_for_good,
+            "{key} ran after it was refused for good"
         );
         assert_eq!(
             key.session, self.vms[vm].session,
-            "only its session runs {key}"
+            "{key} ran in another session"
         );
-        self.vms[vm].runs.push((key.sequence, outcome));
+        self.vms[vm].unfinished_runs.push((key.sequence, outcome));
     }
 
     fn new_answer(&mut self, request: &QueryRequest) -> QueryAnswer {
-        self.next += 1;
+        self.last_number += 1;
         QueryAnswer {
-            query: format!("{}", self.next).into(),
+            query: format!("{}", self.last_number).into(),
             snapshot: SnapshotVersion(1),
             coverage: QueryCoverage::default(),
             bodies: vec![request.selection.clone()],
@@ -295,59 +310,59 @@
     }
 
     fn finish_run(&mut self, vm: usize, tally: &mut Tally) {
-        if self.vms[vm].paused || self.vms[vm].runs.is_empty() {
+        if self.vms[vm].paused || self.vms[vm].unfinished_runs.is_empty() {
             return;
         }
-        let index = self.rng.random_range(0..self.vms[vm].runs.len());
-        let (sequence, outcome) = self.vms[vm].runs.swap_remove(index);
+        let index = self.rng.random_range(0..self.vms[vm].unfinished_runs.len());
+        let (sequence, outcome) = self.vms[vm].unfinished_runs.swap_remove(index);
         let now = self.now;
         self.decide(vm, tally, |state, _context| {
             state.finish(sequence, outcome, now)
         });
     }
 
-    /// Checks an answer where it is given, and passes it on.
+    /// Checks an outcome, and sends it back over the link if a peer forwarded the query.
     fn answer(&mut self, vm: usize, waiter: WaiterId, outcome: OnceOutcome, tally: &mut Tally) {
         let Some((receiver, request)) = self.vms[vm].receivers.remove(&waiter) else {
             return;
         };
         if let OnceOutcome::Known(outcome) = &outcome {
-            self.check(&request, outcome, tally);
+            self.check_outcome(&request, outcome, tally);
         }
-        if let Receiver::Peer { link, ticket } = receiver {
+        if let OutcomeReceiver::Peer { link, ticket } = receiver {
             let message = OnceMessage::Outcome { ticket, outcome };
             self.enqueue(link, 1, message);
         }
     }
 
-    fn check(&mut self, request: &QueryRequest, outcome: &QueryOutcome, tally: &mut Tally) {
-        let relayed = self.relayed;
+    fn check_outcome(&mut self, request: &QueryRequest, outcome: &QueryOutcome, tally: &mut Tally) {
+        let relayed = self.outcome_is_relayed;
         let key = request.key.unwrap();
-        let truth = self.truth.entry(key).or_default();
+        let ground_truth = self.ground_truth.entry(key).or_default();
         match outcome {
             Ok(answer) => {
                 assert_eq!(
-                    truth.outcome.as_ref(),
+                    ground_truth.outcome.as_ref(),
                     Some(outcome),
                     "{key}: not the first outcome"
                 );
                 assert_eq!(
                     answer.bodies[0], request.selection,
-                    "{key}: another's answer"
+                    "{key}: answer to another request"
                 );
-                tally.replays += 1;
+                tally.repeated_answers += 1;
             }
             Err(refusal) if refusal.code == RefusalCode::BadRequest => {}
             Err(refusal) => match refusal.ran {
-                RunState::Unknown => tally.unknown += 1,
-                RunState::Ran => assert_eq!(truth.runs, 1, "{key} did not run"),
-                // A relayed refusal was checked where it was given; a later send may have run the key since.
+                RunState::Unknown => tally.unknown_outcomes += 1,
+                RunState::Ran => assert_eq!(ground_truth.runs, 1, "{key} did not run"),
+                // A relayed refusal was checked on the VM that gave it; a later send may have run the key since.
                 RunState::NotRun if relayed => {}
                 RunState::NotRun => {
-                    assert_eq!(truth.runs, 0, "{key} ran: {refusal}");
+                    assert_eq!(ground_truth.runs, 0, "{key} ran: {refusal}");
                     if refusal.code == RefusalCode::Stopping {
-                        truth.never = true;
-                        tally.sealed += 1;
+                        ground_truth.refused_for_good = true;
+                        tally.sealed_refusals += 1;
                     }
                 }
             },
@@ -357,13 +372,16 @@
     fn send(&mut self, from: usize, to: usize, message: OnceMessage) {
         let link = match self.vms[from].links.get(&to) {
             Some(link) if !self.links[*link].broken => *link,
-            _ => self.open(from, to),
+            _ => self.open_link(from, to),
         };
         self.enqueue(link, 0, message);
     }
 
-    fn open(&mut self, from: usize, to: usize) -> usize {
-        let ends = [(from, self.vms[from].life()), (to, self.vms[to].life())];
+    fn open_link(&mut self, from: usize, to: usize) -> usize {
+        let ends = [
+            (from, self.vms[from].incarnation()),
+            (to, self.vms[to].incarnation()),
+        ];
         self.links.push(Link {
             ends,
             queues: [VecDeque::new(), VecDeque::new()],
@@ -386,12 +404,12 @@
             return;
         }
         let (link, direction) = waiting[self.rng.random_range(0..waiting.len())];
-        let (to, life) = self.links[link].ends[1 - direction];
+        let (to, incarnation) = self.links[link].ends[1 - direction];
         let Some(message) = self.links[link].queues[direction].pop_front() else {
             return;
         };
-        if self.vms[to].life() == life {
-            self.take(to, link, message, tally);
+        if self.vms[to].incarnation() == incarnation {
+            self.handle_message(to, link, message, tally);
         }
     }
 
@@ -399,7 +417,7 @@
         let mut waiting = Vec::new();
         for (index, link) in self.links.iter().enumerate() {
             for direction in 0..2 {
-                let (to, _life) = link.ends[1 - direction];
+                let (to, _incarnation) = link.ends[1 - direction];
                 if !link.queues[direction].is_empty() && !self.vms[to].paused {
                     waiting.push((index, direction));
                 }
@@ -408,26 +426,27 @@
         waiting
     }
 
-    fn take(&mut self, vm: usize, link: usize, message: OnceMessage, tally: &mut Tally) {
+    fn handle_message(&mut self, vm: usize, link: usize, message: OnceMessage, tally: &mut Tally) {
         let now = self.now;
         match message {
             OnceMessage::Forward { ticket, request } => {
-                let waiter = self.wait(vm, Receiver::Peer { link, ticket }, &request);
+                let waiter =
+                    self.add_receiver(vm, OutcomeReceiver::Peer { link, ticket }, &request);
                 self.decide(vm, tally, |state, context| {
-                    state.take_forward(waiter, request, context)
+                    state.handle_forward(waiter, request, context)
                 });
             }
             OnceMessage::Outcome { ticket, outcome } => {
-                self.relayed = matches!(outcome, OnceOutcome::Known(_));
+                self.outcome_is_relayed = matches!(outcome, OnceOutcome::Known(_));
                 self.decide(vm, tally, |state, context| {
-                    state.take_outcome(ticket, outcome, context)
+                    state.handle_outcome(ticket, outcome, context)
                 });
-                self.relayed = false;
+                self.outcome_is_relayed = false;
             }
             OnceMessage::Handover(part) => {
-                self.vms[vm].state.take_part(part, now);
+                self.vms[vm].state.add_part(part, now);
             }
-            OnceMessage::HandoverTaken { .. } => {}
+            OnceMessage::HandoverConfirmed { .. } => {}
         }
     }
 
@@ -439,25 +458,26 @@
         self.break_link(link, tally);
     }
 
-    /// Breaks a link: a random part of what was sent still arrives, the rest is lost.
+    /// Breaks a link: a random number of the queued messages still arrives, the rest is lost.
     fn break_link(&mut self, link: usize, tally: &mut Tally) {
         if std::mem::replace(&mut self.links[link].broken, true) {
             return;
         }
         for queue in &mut self.links[link].queues {
-            let kept = self.rng.random_range(0..=queue.len());
-            queue.truncate(kept);
+            let arriving = self.rng.random_range(0..=queue.len());
+            queue.truncate(arriving);
         }
-        let (opener, life) = self.links[link].ends[0];
-        let (to, _life) = self.links[link].ends[1];
-        if self.vms[opener].life() == life {
+        let (opener, incarnation) = self.links[link].ends[0];
+        let (to, _incarnation) = self.links[link].ends[1];
+        if self.vms[opener].incarnation() == incarnation {
             self.decide(opener, tally, |state, context| {
-                state.link_down(address(to), context)
+                state.handle_link_down(address(to), context)
             });
         }
     }
 
-    /// Seals a session, whatever else refuses new work, and sends everything to the successor that this VM believes in.
+    /// Seals a VM's session, whether or not new work is refused already, and sends its parts to the successor according
+    /// to the VM's own topology.
     fn seal(&mut self, vm: usize) {
         if self.vms[vm].paused {
             return;
@@ -466,17 +486,21 @@
             return;
         };
         for part in self.vms[vm].state.seal() {
-            self.send(vm, number(successor), OnceMessage::Handover(part));
+            self.send(vm, vm_index(successor), OnceMessage::Handover(part));
         }
     }
 
-    /// Ends a process, stopped or not, and starts the next one on its VM.
+    /// Ends the process of a VM, sealed or not, and starts its next incarnation.
     fn restart(&mut self, vm: usize, tally: &mut Tally) {
         let session = self.new_session(vm);
         self.vms[vm] = Vm::new(session);
-        self.vms[vm].view = self.true_view();
+        self.vms[vm].view = self.actual_view();
         for link in 0..self.links.len() {
-            if self.links[link].ends.iter().any(|(end, _life)| *end == vm) {
+            if self.links[link]
+                .ends
+                .iter()
+                .any(|(end, _incarnation)| *end == vm)
+            {
                 self.break_link(link, tally);
             }
         }
@@ -490,17 +514,17 @@
     let mut tally = Tally::default();
     for seed in 0..histories {
         let mut model = Model::new(seed);
-        for _ in 0..STEPS {
+        for _ in 0..STEPS_PER_HISTORY {
             model.step(&mut tally);
         }
     }
     println!("{histories} histories: {tally:?}");
     assert!(
-        tally.runs > histories && tally.replays > histories,
+        tally.runs > histories && tally.repeated_answers > histories,
         "{tally:?}"
     );
     assert!(
-        tally.unknown > histories / 10 && tally.sealed > histories / 10,
+        tally.unknown_outcomes > histories / 10 && tally.sealed_refusals > histories / 10,
         "{tally:?}"
     );
 }
--- a/crates/ebonyfork/src/once/route.rs
+++ b/crates/ebonyfork/src/once/route.rs
@@ -1,8 +1,8 @@
-//! Where a sealed session is to be found: rendezvous hashing over the VMs. Pure.
+//! Locates the holder of a sealed session by rendezvous hashing over the VMs.
 //!
-//! A process that stops hands its outcomes to the highest-ranked VM that stays; others ask the VMs in the same order.
-//! VMs that leave are asked too, because they hold what they were given until they hand it on. Several are asked, so
-//! that a VM that came back in the meantime, and ranks above the holder, does not hide it.
+//! A process that stops hands its outcomes to the highest-ranked VM that isn't leaving; other VMs forward queries of
+//! the session in the same order. Leaving VMs are included, because they hold adopted sessions until they hand them
+//! over. Several VMs are tried, since a VM that joined after the handover may rank above the holder.
 
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::Xxh3Default;
@@ -10,15 +10,15 @@
 use crate::ident::{SessionId, VmAddress};
 use crate::topology::TopologyView;
 
-/// VMs asked for a sealed session at most.
-pub(super) const ASK_LIMIT: usize = 4;
+/// Largest number of VMs that are asked for a sealed session.
+pub(super) const MAX_CANDIDATES: usize = 4;
 
-/// VMs that may hold a sealed session, most likely first.
+/// Returns the VMs that may hold a sealed session, most likely first.
 pub fn session_candidates(view: &TopologyView, session: SessionId) -> SmallVec<[VmAddress; 4]> {
-    rank(view.vms.keys().copied(), session)
+    rank_vms(view.vms.keys().copied(), session)
 }
 
-/// The VM that takes over a session when its process stops; none if no other VM stays.
+/// Returns the VM that takes over a session when its process stops, or `None` if every other VM is leaving too.
 ///
 /// # Examples
 ///
@@ -34,21 +34,21 @@
     session_successors(view, session).first().copied()
 }
 
-/// The VMs that may take over a session when its process stops, best first.
+/// Returns the VMs that may take over a session when its process stops, highest rank first.
 pub(super) fn session_successors(
     view: &TopologyView,
     session: SessionId,
 ) -> SmallVec<[VmAddress; 4]> {
     let staying = view.vms.values();
     let staying = staying.filter(|entry| !entry.leaving && entry.vm != session.vm);
-    rank(staying.map(|entry| entry.vm), session)
+    rank_vms(staying.map(|entry| entry.vm), session)
 }
 
-fn rank(vms: impl Iterator<Item = VmAddress>, session: SessionId) -> SmallVec<[VmAddress; 4]> {
+fn rank_vms(vms: impl Iterator<Item = VmAddress>, session: SessionId) -> SmallVec<[VmAddress; 4]> {
     let mut ranked: SmallVec<[(u64, VmAddress); 16]> = SmallVec::new();
     ranked.extend(vms.map(|vm| (session_score(session, vm), vm)));
     ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let best = ranked.iter().take(ASK_LIMIT);
+    let best = ranked.iter().take(MAX_CANDIDATES);
     best.map(|(_score, vm)| *vm).collect()
 }
 
--- a/crates/ebonyfork/src/once/state.rs
+++ b/crates/ebonyfork/src/once/state.rs
@@ -1,4 +1,4 @@
-//! What one process decides about keys, and whom it asks. Pure: inputs go in, actions come out.
+//! State machine for the idempotency keys of one process. It does no I/O: each input returns the actions to perform.
 
 use std::time::Duration;
 
@@ -13,194 +13,194 @@
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 use crate::topology::TopologyView;
 
-/// How often the session's own process is asked before others are.
-const OWNER_TRIES: u8 = 2;
-/// When to ask again for a key whose process can't be reached at the moment.
-const OWNER_RETRY: Duration = Duration::from_secs(1);
+/// Attempts to reach the process of a key's session before other VMs are asked.
+const MAX_OWNER_ATTEMPTS: u8 = 2;
+/// Retry delay given to callers while the process of a key's session can't be reached.
+const OWNER_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Names whoever waits for an outcome within this process: a caller, or a peer's forward.
+/// Identifies a receiver that waits in this process for an outcome: a caller, or a peer that forwarded a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// What a decision looks at besides the state.
+/// Inputs to a decision besides the state itself.
 #[derive(Debug, Clone, Copy)]
 pub struct OnceContext<'a> {
     /// Time since the process started.
     pub now: Duration,
-    /// Who is there.
+    /// Topology of the deployment as this VM sees it.
     pub view: &'a TopologyView,
-    /// The refusal of new work, if this process takes none.
-    pub gate: Option<RefusalCode>,
+    /// Code with which new work is refused; `None` while this process accepts work.
+    pub new_work_refusal: Option<RefusalCode>,
 }
 
-/// What is to be done.
+/// An action that the caller of [`OnceState`] has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OnceAction {
-    /// Run the query under its key, and report with [`OnceState::finish`]. Never said twice for a key that ran.
+    /// Run the query and report its outcome with [`OnceState::finish`]. Never returned again for a key that ran.
     Execute(QueryRequest),
-    /// Tell the waiter.
+    /// Deliver an outcome to a waiter.
     Answer {
-        /// Who waits.
+        /// The waiter that receives the outcome.
         waiter: WaiterId,
-        /// The outcome; a caller of this process only gets known ones.
+        /// The outcome; always [`OnceOutcome::Known`] for a caller of this process.
         outcome: OnceOutcome,
     },
-    /// Send a message; if that fails, report with [`OnceState::send_failed`].
+    /// Send a message to a VM, and report a failure with [`OnceState::handle_send_failure`].
     Send {
-        /// The receiver.
+        /// The VM that receives the message.
         vm: VmAddress,
-        /// The message.
+        /// The message to send.
         message: OnceMessage,
     },
 }
 
-/// A few actions.
+/// Actions returned for one input, in order.
 pub type OnceActions = SmallVec<[OnceAction; 2]>;
 
-/// A query of a foreign session that waits for an answer of another VM.
+/// A query of another process's session that was forwarded to a VM and is not answered yet.
 #[derive(Debug)]
-struct OnceInquiry {
+struct PendingForward {
     waiter: WaiterId,
     request: QueryRequest,
     session: SessionId,
-    until: Duration,
-    asked: VmAddress,
-    owner_tries: u8,
-    /// VMs that may hold the session's sealed outcomes and are still to be asked, most likely last.
+    expires_at: Duration,
+    asked_vm: VmAddress,
+    owner_attempts: u8,
+    /// VMs not yet asked that may hold the session's sealed outcomes, most likely last.
     candidates: SmallVec<[VmAddress; 4]>,
 }
 
-/// Keys as one process knows them.
+/// Idempotency keys known to one process, and queries forwarded to other VMs.
 #[derive(Debug)]
 pub struct OnceState {
-    own: SessionId,
+    own_session: SessionId,
     table: OutcomeTable,
     adopted: AdoptedSessions,
-    inquiries: FxHashMap<u64, OnceInquiry>,
+    pending_forwards: FxHashMap<u64, PendingForward>,
     next_ticket: u64,
     next_transfer: u64,
 }
 
 impl OnceState {
-    /// Starts the own session, without any key.
-    pub fn new(own: SessionId) -> Self {
+    /// Creates the state of a process whose session is `own_session`, without any keys.
+    pub fn new(own_session: SessionId) -> Self {
         Self {
-            own,
+            own_session,
             table: OutcomeTable::new(),
             adopted: AdoptedSessions::new(),
-            inquiries: FxHashMap::default(),
+            pending_forwards: FxHashMap::default(),
             next_ticket: 0,
             next_transfer: 0,
         }
     }
 
-    /// Replaces the table of the own session's keys.
+    /// Replaces the table of this process's own keys.
     #[must_use]
     pub fn with_table(mut self, table: OutcomeTable) -> Self {
         self.table = table;
         self
     }
 
-    /// Takes in a caller's query under a key; what is asked of others is given up at `until`.
+    /// Handles a caller's query with an idempotency key. A forward to another VM is abandoned at `expires_at`.
     pub fn submit(
         &mut self,
         waiter: WaiterId,
         key: IdempotencyKey,
         request: QueryRequest,
-        until: Duration,
+        expires_at: Duration,
         context: &OnceContext<'_>,
     ) -> OnceActions {
         let digest = RequestDigest::new(&request);
-        if key.session == self.own {
+        if key.session == self.own_session {
             return self.begin(waiter, key, digest, request, context);
         }
         if let Some(outcome) = self.adopted.outcome(key.session, key.sequence, digest) {
             return answer(waiter, OnceOutcome::Known(outcome));
         }
         let mut candidates = session_candidates(context.view, key.session);
-        candidates.retain(|vm| *vm != self.own.vm);
+        candidates.retain(|vm| *vm != self.own_session.vm);
         candidates.reverse();
-        let inquiry = OnceInquiry {
+        let pending = PendingForward {
             waiter,
             request,
             session: key.session,
-            until,
-            asked: key.session.vm,
-            owner_tries: 0,
+            expires_at,
+            asked_vm: key.session.vm,
+            owner_attempts: 0,
             candidates,
         };
-        self.ask_next(inquiry, context)
+        self.forward_to_next(pending, context)
     }
 
-    /// Takes in a query that a peer forwards. It is never forwarded again.
-    pub fn take_forward(
+    /// Handles a query that a peer forwarded; it is never forwarded again.
+    pub fn handle_forward(
         &mut self,
         waiter: WaiterId,
         request: QueryRequest,
         context: &OnceContext<'_>,
     ) -> OnceActions {
         let Some(key) = request.key else {
-            return answer(waiter, OnceOutcome::NotHere);
+            return answer(waiter, OnceOutcome::NotHeld);
         };
         let digest = RequestDigest::new(&request);
-        if key.session == self.own {
+        if key.session == self.own_session {
             return self.begin(waiter, key, digest, request, context);
         }
         let outcome = self.adopted.outcome(key.session, key.sequence, digest);
         answer(
             waiter,
-            outcome.map_or(OnceOutcome::NotHere, OnceOutcome::Known),
+            outcome.map_or(OnceOutcome::NotHeld, OnceOutcome::Known),
         )
     }
 
-    /// Takes in a peer's answer to a forward.
-    pub fn take_outcome(
+    /// Handles a peer's answer to a forward.
+    pub fn handle_outcome(
         &mut self,
         ticket: u64,
         outcome: OnceOutcome,
         context: &OnceContext<'_>,
     ) -> OnceActions {
-        let Some(inquiry) = self.inquiries.remove(&ticket) else {
+        let Some(pending) = self.pending_forwards.remove(&ticket) else {
             return OnceActions::new();
         };
         match outcome {
-            OnceOutcome::Known(_) => answer(inquiry.waiter, outcome),
-            OnceOutcome::NotHere => {
-                let mut inquiry = inquiry;
-                // Whoever answers on that VM, it is not the session's process.
-                if inquiry.asked == inquiry.session.vm {
-                    inquiry.owner_tries = OWNER_TRIES;
+            OnceOutcome::Known(_) => answer(pending.waiter, outcome),
+            OnceOutcome::NotHeld => {
+                let mut pending = pending;
+                // The VM runs another process than the session's, so asking it again is useless.
+                if pending.asked_vm == pending.session.vm {
+                    pending.owner_attempts = MAX_OWNER_ATTEMPTS;
                 }
-                self.ask_next(inquiry, context)
+                self.forward_to_next(pending, context)
             }
         }
     }
 
-    /// Takes in that a forward could not be sent.
-    pub fn send_failed(&mut self, ticket: u64, context: &OnceContext<'_>) -> OnceActions {
-        match self.inquiries.remove(&ticket) {
-            Some(inquiry) => self.ask_next(inquiry, context),
+    /// Handles a forward that could not be sent: asks the next VM.
+    pub fn handle_send_failure(&mut self, ticket: u64, context: &OnceContext<'_>) -> OnceActions {
+        match self.pending_forwards.remove(&ticket) {
+            Some(pending) => self.forward_to_next(pending, context),
             None => OnceActions::new(),
         }
     }
 
-    /// Takes in that the link to a VM broke: what was asked there is asked anew, of it or of others.
-    pub fn link_down(&mut self, vm: VmAddress, context: &OnceContext<'_>) -> OnceActions {
+    /// Handles a broken link to a VM: forwards to it are repeated, to the same VM or to others.
+    pub fn handle_link_down(&mut self, vm: VmAddress, context: &OnceContext<'_>) -> OnceActions {
         let mut tickets: SmallVec<[u64; 16]> = SmallVec::new();
-        for (ticket, inquiry) in &self.inquiries {
-            if inquiry.asked == vm {
+        for (ticket, pending) in &self.pending_forwards {
+            if pending.asked_vm == vm {
                 tickets.push(*ticket);
             }
         }
         tickets.sort_unstable();
         let mut actions = OnceActions::new();
         for ticket in tickets {
-            actions.extend(self.send_failed(ticket, context));
+            actions.extend(self.handle_send_failure(ticket, context));
         }
         actions
     }
 
-    /// Takes in the outcome of a run and answers all who wait for it.
+    /// Records the outcome of a run and returns the answers to all its waiters.
     pub fn finish(&mut self, sequence: u64, outcome: QueryOutcome, now: Duration) -> OnceActions {
         let mut actions = OnceActions::new();
         for waiter in self.table.finish(sequence, &outcome, now) {
@@ -210,45 +210,45 @@
         actions
     }
 
-    /// Takes in a part of a sealed session; true if all of it is here.
-    pub fn take_part(&mut self, part: HandoverPart, now: Duration) -> bool {
-        part.session != self.own && self.adopted.take_part(part, now)
+    /// Adds a part of a sealed session; returns true if the session is complete.
+    pub fn add_part(&mut self, part: HandoverPart, now: Duration) -> bool {
+        part.session != self.own_session && self.adopted.add_part(part, now)
     }
 
-    /// Seals the own session: from now on no key is run here that is not running already. Returns what a successor needs
-    /// to answer for this session and for those adopted.
+    /// Seals the own session: from now on, no further key starts to run here. Returns the parts that a successor needs
+    /// to answer queries of this session and of the adopted ones.
     pub fn seal(&mut self) -> Vec<HandoverPart> {
         self.table.seal();
         let transfer = TransferId {
-            sender: self.own,
+            sender: self.own_session,
             number: self.next_transfer,
         };
         self.next_transfer += 1;
-        let (outcomes, aged) = self.table.export();
-        let mut parts = split_session(self.own, transfer, outcomes, &aged);
+        let (outcomes, evicted) = self.table.export();
+        let mut parts = split_session(self.own_session, transfer, outcomes, &evicted);
         parts.extend(self.adopted.export(transfer));
         parts
     }
 
-    /// Drops what is too old: outcomes, adopted sessions, and inquiries that nobody waits for any more.
+    /// Removes outcomes and adopted sessions beyond their lifetime, and forwards whose caller no longer waits.
     pub fn expire(&mut self, now: Duration) {
         self.table.expire(now);
         self.adopted.expire(now);
-        self.inquiries
-            .retain(|_ticket, inquiry| inquiry.until > now);
+        self.pending_forwards
+            .retain(|_ticket, pending| pending.expires_at > now);
     }
 
-    /// Keys that run now.
-    pub fn running(&self) -> usize {
-        self.table.running()
+    /// Returns the number of keys whose query is running.
+    pub fn running_count(&self) -> usize {
+        self.table.running_count()
     }
 
-    /// Queries that wait for another VM.
-    pub fn waiting(&self) -> usize {
-        self.inquiries.len()
+    /// Returns the number of queries that wait for an answer from another VM.
+    pub fn waiting_count(&self) -> usize {
+        self.pending_forwards.len()
     }
 
-    /// The own session's keys.
+    /// Returns the table of this process's own keys.
     pub fn table(&self) -> &OutcomeTable {
         &self.table
     }
@@ -262,48 +262,55 @@
         context: &OnceContext<'_>,
     ) -> OnceActions {
         self.table.expire(context.now);
-        match self.table.begin(key.sequence, digest, waiter, context.gate) {
+        match self
+            .table
+            .begin(key.sequence, digest, waiter, context.new_work_refusal)
+        {
             BeginVerdict::Execute => SmallVec::from_iter([OnceAction::Execute(request)]),
             BeginVerdict::Joined => OnceActions::new(),
             BeginVerdict::Answer(outcome) => answer(waiter, OnceOutcome::Known(outcome)),
         }
     }
 
-    /// Asks the session's own process while it may live, then whoever may hold its sealed outcomes.
-    fn ask_next(&mut self, inquiry: OnceInquiry, context: &OnceContext<'_>) -> OnceActions {
-        let mut inquiry = inquiry;
-        let owner = inquiry.session.vm;
-        let may_live = self.may_live(inquiry.session, context.view);
-        if may_live && inquiry.owner_tries < OWNER_TRIES {
-            inquiry.owner_tries += 1;
-            return self.ask(inquiry, owner);
+    /// Forwards to the session's own process while it may be running, then to the VMs that may hold its outcomes.
+    fn forward_to_next(
+        &mut self,
+        pending: PendingForward,
+        context: &OnceContext<'_>,
+    ) -> OnceActions {
+        let mut pending = pending;
+        let owner = pending.session.vm;
+        let may_be_running = self.may_be_running(pending.session, context.view);
+        if may_be_running && pending.owner_attempts < MAX_OWNER_ATTEMPTS {
+            pending.owner_attempts += 1;
+            return self.forward_to(pending, owner);
         }
-        while let Some(vm) = inquiry.candidates.pop() {
-            if vm == owner && inquiry.owner_tries > 0 {
+        while let Some(vm) = pending.candidates.pop() {
+            if vm == owner && pending.owner_attempts > 0 {
                 continue;
             }
-            return self.ask(inquiry, vm);
+            return self.forward_to(pending, vm);
         }
-        let refusal = unknown_refusal(may_live);
-        answer(inquiry.waiter, OnceOutcome::Known(Err(refusal)))
+        let refusal = unknown_refusal(may_be_running);
+        answer(pending.waiter, OnceOutcome::Known(Err(refusal)))
     }
 
-    fn ask(&mut self, inquiry: OnceInquiry, vm: VmAddress) -> OnceActions {
+    fn forward_to(&mut self, pending: PendingForward, vm: VmAddress) -> OnceActions {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let request = inquiry.request.clone();
-        let asked = OnceInquiry {
-            asked: vm,
-            ..inquiry
+        let request = pending.request.clone();
+        let pending = PendingForward {
+            asked_vm: vm,
+            ..pending
         };
-        self.inquiries.insert(ticket, asked);
+        self.pending_forwards.insert(ticket, pending);
         let message = OnceMessage::Forward { ticket, request };
         SmallVec::from_iter([OnceAction::Send { vm, message }])
     }
 
-    /// Tells whether the session's process may still run, as far as this VM knows.
-    fn may_live(&self, session: SessionId, view: &TopologyView) -> bool {
-        if session.vm == self.own.vm {
+    /// Returns whether the session's process may still be running, as far as this VM knows.
+    fn may_be_running(&self, session: SessionId, view: &TopologyView) -> bool {
+        if session.vm == self.own_session.vm {
             return false;
         }
         let Some(entry) = view.vms.get(&session.vm) else {
@@ -319,13 +326,14 @@
     SmallVec::from_iter([OnceAction::Answer { waiter, outcome }])
 }
 
-/// Nobody who can be reached knows. That this very send did not run it proves nothing: an earlier one may have.
-fn unknown_refusal(may_live: bool) -> QueryRefusal {
+/// Creates the refusal for a key whose outcome no reachable VM knows. It reports the run state as unknown even if this
+/// request was never sent, because an earlier send of the key may have run.
+fn unknown_refusal(may_be_running: bool) -> QueryRefusal {
     let unknown =
         |message| QueryRefusal::new(RefusalCode::OutcomeUnknown, RunState::Unknown, message);
-    if may_live {
+    if may_be_running {
         let message = "the key's process can't be reached; send the same key again";
-        unknown(message).with_retry_after(OWNER_RETRY)
+        unknown(message).with_retry_after(OWNER_RETRY_DELAY)
     } else {
         unknown("the key's process is gone and nobody holds its outcomes")
     }
--- a/crates/ebonyfork/src/once/state_tests.rs
+++ b/crates/ebonyfork/src/once/state_tests.rs
@@ -43,7 +43,7 @@
     state.submit(WAITER, key, request, NOW * 10, context)
 }
 
-fn sent(actions: &OnceActions) -> Option<(VmAddress, u64)> {
+fn forwarded_to(actions: &OnceActions) -> Option<(VmAddress, u64)> {
     match actions.first()? {
         OnceAction::Send {
             vm,
@@ -53,7 +53,7 @@
     }
 }
 
-fn refused(actions: &OnceActions) -> Option<(RefusalCode, bool)> {
+fn refusal_and_retry(actions: &OnceActions) -> Option<(RefusalCode, bool)> {
     match actions.first()? {
         OnceAction::Answer {
             outcome: OnceOutcome::Known(Err(refusal)),
@@ -63,14 +63,14 @@
     }
 }
 
-/// Which VMs are asked, in order, when each breaks its link or says that it knows nothing.
+/// Checks which VMs a query is forwarded to when each link breaks or each VM answers that it doesn't hold the session.
 #[gtest]
-fn a_foreign_key_is_asked_of_its_process_then_of_successors() {
-    const LIVE: &[(u8, u64)] = &[(1, 9), (2, 9), (3, 9)];
-    const REPLACED: &[(u8, u64)] = &[(1, 9), (2, 10), (3, 9)];
-    const GONE: &[(u8, u64)] = &[(1, 9), (3, 9)];
-    const ALONE: &[(u8, u64)] = &[(1, 9)];
-    type AskCase = (
+fn a_key_of_another_session_is_forwarded_to_its_process_then_to_successors() {
+    const ALL_LIVE: &[(u8, u64)] = &[(1, 9), (2, 9), (3, 9)];
+    const VM2_REPLACED: &[(u8, u64)] = &[(1, 9), (2, 10), (3, 9)];
+    const VM2_GONE: &[(u8, u64)] = &[(1, 9), (3, 9)];
+    const ONLY_VM1: &[(u8, u64)] = &[(1, 9)];
+    type ForwardCase = (
         &'static str,
         &'static [(u8, u64)],
         SessionId,
@@ -78,82 +78,89 @@
         &'static [u8],
         bool,
     );
-    let cases: &[AskCase] = &[
+    let cases: &[ForwardCase] = &[
         (
             "alive, links break",
-            LIVE,
+            ALL_LIVE,
             session(2, 9),
             true,
             &[2, 2, 3],
             true,
         ),
         (
-            "alive, but another life answers",
-            LIVE,
+            "alive, but another incarnation answers",
+            ALL_LIVE,
             session(2, 9),
             false,
             &[2, 3],
             true,
         ),
-        ("replaced", REPLACED, session(2, 9), false, &[2, 3], false),
         (
-            "list lags behind the new process",
-            LIVE,
+            "process replaced",
+            VM2_REPLACED,
+            session(2, 9),
+            false,
+            &[2, 3],
+            false,
+        ),
+        (
+            "topology lags behind the new process",
+            ALL_LIVE,
             session(2, 10),
             true,
             &[2, 2, 3],
             true,
         ),
-        ("gone", GONE, session(2, 9), false, &[3], false),
+        ("VM gone", VM2_GONE, session(2, 9), false, &[3], false),
         (
-            "own earlier life",
-            LIVE,
+            "earlier incarnation on the own VM",
+            ALL_LIVE,
             session(1, 8),
             false,
             &[2, 3],
             false,
         ),
-        ("nobody to ask", ALONE, session(2, 9), false, &[], false),
+        ("no other VM", ONLY_VM1, session(2, 9), false, &[], false),
     ];
-    for (name, vms, session_of_key, breaks, expected, retry) in cases {
+    for (name, vms, session_of_key, links_break, expected, has_retry_delay) in cases {
         let view = view(vms);
         let context = OnceContext {
             now: NOW,
             view: &view,
-            gate: None,
+            new_work_refusal: None,
         };
         let mut state = OnceState::new(session(1, 9));
         let mut actions = submit(&mut state, *session_of_key, &context);
-        let mut asked = Vec::new();
-        while let Some((vm, ticket)) = sent(&actions) {
-            asked.push(vm);
-            actions = if *breaks {
-                state.link_down(vm, &context)
+        let mut asked_vms = Vec::new();
+        while let Some((vm, ticket)) = forwarded_to(&actions) {
+            asked_vms.push(vm);
+            actions = if *links_break {
+                state.handle_link_down(vm, &context)
             } else {
-                state.take_outcome(ticket, OnceOutcome::NotHere, &context)
+                state.handle_outcome(ticket, OnceOutcome::NotHeld, &context)
             };
         }
-        // Successors are asked in the order of their rank, which is not the order of their numbers.
+        // Successors are asked in order of rank, which differs from the order of their numbers.
         let mut expected: Vec<_> = expected.iter().map(|number| vm(*number)).collect();
-        asked.sort();
+        asked_vms.sort();
         expected.sort();
-        expect_that!(asked, eq(&expected), "{name}");
+        expect_that!(asked_vms, eq(&expected), "{name}");
         expect_that!(
-            refused(&actions),
-            some(eq((RefusalCode::OutcomeUnknown, *retry))),
+            refusal_and_retry(&actions),
+            some(eq((RefusalCode::OutcomeUnknown, *has_retry_delay))),
             "{name}"
         );
-        expect_that!(state.waiting(), eq(0), "{name}");
+        expect_that!(state.waiting_count(), eq(0), "{name}");
     }
 }
 
 #[gtest]
-fn a_successor_answers_for_a_sealed_session_and_hands_it_on() {
+fn a_successor_answers_for_a_sealed_session_and_hands_it_over_in_turn() {
     let view = view(&[(1, 9), (2, 9), (3, 9)]);
     let context = OnceContext {
         now: NOW,
         view: &view,
-        gate: None,
+        new_work_refusal: None,
     };
     let mut states = [1, 2, 3].map(|number| OnceState::new(session(number, 9)));
     let first = session(1, 9);
@@ -162,11 +169,11 @@
     states[0].finish(5, Err(refusal), NOW);
     for (from, to) in [(0, 1), (1, 2)] {
         for part in states[from].seal() {
-            states[to].take_part(part, NOW);
+            states[to].add_part(part, NOW);
         }
         let actions = submit(&mut states[to], first, &context);
         expect_that!(
-            refused(&actions),
+            refusal_and_retry(&actions),
             some(eq((RefusalCode::UpstreamFailed, false)))
         );
     }
--- a/crates/ebonyfork/src/once/table.rs
+++ b/crates/ebonyfork/src/once/table.rs
@@ -1,4 +1,4 @@
-//! The keys of the own session. Pure.
+//! Idempotency keys and outcomes of this process's own session.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,52 +9,53 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 use crate::ident::RunState;
-use crate::once::aged::AgedKeys;
+use crate::once::aged::EvictedKeys;
 use crate::once::message::SealedOutcome;
 use crate::once::state::WaiterId;
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 
-/// How long an outcome is kept.
-pub const OUTCOME_WINDOW: Duration = Duration::from_mins(10);
-/// Outcomes kept at most.
-pub const OUTCOME_COUNT: usize = 65_536;
-/// Bytes of kept outcomes at most.
-pub const OUTCOME_BYTES: usize = 16 << 20;
-/// An outcome beyond this part of all bytes is given to those who wait and not kept.
-const ANSWER_SHARE: usize = 4;
-/// Bytes that a kept outcome takes besides its answer.
-const ENTRY_BYTES: usize = 160;
-/// When a caller that was refused by a stopping or fenced process should come back.
-const GATE_RETRY: Duration = Duration::from_secs(1);
+/// How long an outcome is kept by default.
+pub const OUTCOME_TTL: Duration = Duration::from_mins(10);
+/// Default for the largest number of kept outcomes.
+pub const MAX_KEPT_OUTCOMES: usize = 65_536;
+/// Default for the largest total size of kept outcomes, in bytes.
+pub const MAX_KEPT_BYTES: usize = 16 << 20;
+/// An outcome larger than the byte limit divided by this is delivered to its waiters, but not kept.
+const LARGE_OUTCOME_DIVISOR: usize = 4;
+/// Estimated memory that a kept outcome takes besides its content, in bytes.
+const ENTRY_OVERHEAD_BYTES: usize = 160;
+/// Retry delay for callers that a stopping or fenced process refuses.
+const NEW_WORK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Bounds of an [`OutcomeTable`]. Whatever falls out of them is remembered as aged.
+/// Limits of an [`OutcomeTable`]. Keys whose outcome exceeds them are recorded as evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutcomeLimits {
     /// How long an outcome is kept.
-    pub window: Duration,
-    /// Outcomes kept at most.
-    pub count: usize,
-    /// Bytes of kept outcomes at most.
-    pub bytes: usize,
+    pub ttl: Duration,
+    /// Largest number of kept outcomes.
+    pub max_outcomes: usize,
+    /// Largest total size of kept outcomes, in bytes.
+    pub max_bytes: usize,
 }
 
 impl Default for OutcomeLimits {
     fn default() -> Self {
         Self {
-            window: OUTCOME_WINDOW,
-            count: OUTCOME_COUNT,
-            bytes: OUTCOME_BYTES,
+            ttl: OUTCOME_TTL,
+            max_outcomes: MAX_KEPT_OUTCOMES,
+            max_bytes: MAX_KEPT_BYTES,
         }
     }
 }
 
-/// Digest of everything that a key was used for: class, organisation, record and selection.
+/// Digest of the request that a key was used for: class, organisation, record and selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestDigest(u128);
 
 impl RequestDigest {
-    /// Computes the digest of a request. Deadline and the caller's own name for it may differ between sends.
+    /// Computes the digest of a request. It leaves out the deadline and the caller's own id of the request, which may
+    /// differ between sends.
     pub fn new(request: &QueryRequest) -> Self {
         let mut hasher = Xxh3Default::new();
         let record = request.record.as_deref().unwrap_or_default();
@@ -73,17 +74,18 @@
     }
 }
 
-/// What is to be done with a query under a key of the own session.
+/// How to proceed with a query whose key belongs to the own session.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginVerdict {
-    /// It has to be run, now.
+    /// The query has to be run now.
     Execute,
-    /// It runs already; the waiter gets the same outcome.
+    /// The query is running already; the waiter gets the same outcome.
     Joined,
-    /// This is the outcome.
+    /// The outcome, or the reason for a refusal, is already known.
     Answer(QueryOutcome),
 }
 
+/// The request that one key was used for, and its state.
 #[derive(Debug)]
 struct OnceEntry {
     digest: RequestDigest,
@@ -92,68 +94,70 @@
 
 #[derive(Debug)]
 enum EntryState {
+    /// The query is running; these waiters get its outcome.
     Running(SmallVec<[WaiterId; 1]>),
+    /// The outcome is kept and counts with so many bytes.
     Done { outcome: QueryOutcome, bytes: usize },
 }
 
-/// Outcomes of the own session, with bounds in time, number and bytes.
+/// Outcomes of the own session, limited by age, number and size.
 #[derive(Debug, Default)]
 pub struct OutcomeTable {
     limits: OutcomeLimits,
     entries: FxHashMap<u64, OnceEntry>,
-    /// Keys with a kept outcome, oldest first.
-    order: VecDeque<(Duration, u64)>,
-    aged: AgedKeys,
-    bytes: usize,
-    running: usize,
+    /// Finish time and sequence number of each key with a kept outcome, oldest first.
+    finish_order: VecDeque<(Duration, u64)>,
+    evicted: EvictedKeys,
+    kept_bytes: usize,
+    running_count: usize,
     sealed: bool,
 }
 
 impl OutcomeTable {
-    /// Makes an empty table.
+    /// Creates an empty table with the default limits.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replaces the bounds, and the number of aged ranges that are kept apart.
+    /// Replaces the limits, and the largest number of ranges of evicted keys.
     #[must_use]
-    pub fn with_limits(mut self, limits: OutcomeLimits, ranges: usize) -> Self {
+    pub fn with_limits(mut self, limits: OutcomeLimits, max_evicted_ranges: usize) -> Self {
         self.limits = limits;
-        self.aged = AgedKeys::new().with_limit(ranges);
+        self.evicted = EvictedKeys::new().with_max_ranges(max_evicted_ranges);
         self
     }
 
-    /// Takes in a query under a key. `gate` is the refusal of new work, if any: what is known is told all the same, and
-    /// a key that was never seen is truthfully refused as not run.
+    /// Handles a query with an idempotency key. While `new_work_refusal` is set, a known outcome is still returned, and
+    /// a key that was never seen is refused with this code as not run.
     pub fn begin(
         &mut self,
         sequence: u64,
         digest: RequestDigest,
         waiter: WaiterId,
-        gate: Option<RefusalCode>,
+        new_work_refusal: Option<RefusalCode>,
     ) -> BeginVerdict {
-        if self.aged.contains(sequence) {
-            return BeginVerdict::Answer(Err(aged_refusal()));
+        if self.evicted.contains(sequence) {
+            return BeginVerdict::Answer(Err(evicted_key_refusal()));
         }
         if let Some(entry) = self.entries.get_mut(&sequence) {
-            return entry.resend(digest, waiter);
+            return entry.handle_resend(digest, waiter);
         }
-        let gate = if self.sealed {
+        let new_work_refusal = if self.sealed {
             Some(RefusalCode::Stopping)
         } else {
-            gate
+            new_work_refusal
         };
-        if let Some(code) = gate {
-            return BeginVerdict::Answer(Err(gate_refusal(code)));
+        if let Some(code) = new_work_refusal {
+            return BeginVerdict::Answer(Err(no_new_work_refusal(code)));
         }
         let state = EntryState::Running(SmallVec::from_iter([waiter]));
         self.entries.insert(sequence, OnceEntry { digest, state });
-        self.running += 1;
+        self.running_count += 1;
         BeginVerdict::Execute
     }
 
-    /// Takes in the outcome of a run; returns who waits for it. What did not run is forgotten, so that a resend may run;
-    /// everything else is kept.
+    /// Records the outcome of a run and returns its waiters. A key that did not run is removed, so that a resend may
+    /// run. Any other outcome is kept, or, if it is too large, its key is recorded as evicted.
     pub fn finish(
         &mut self,
         sequence: u64,
@@ -167,57 +171,59 @@
             return SmallVec::new();
         };
         let waiters = std::mem::take(waiters);
-        self.running -= 1;
+        self.running_count -= 1;
         let bytes = outcome_bytes(outcome);
         if is_not_run(outcome) {
             self.entries.remove(&sequence);
-        } else if bytes > self.limits.bytes / ANSWER_SHARE {
+        } else if bytes > self.limits.max_bytes / LARGE_OUTCOME_DIVISOR {
             self.entries.remove(&sequence);
-            self.aged.insert(sequence);
+            self.evicted.insert(sequence);
         } else {
             let outcome = outcome.clone();
             entry.state = EntryState::Done { outcome, bytes };
-            self.bytes += bytes;
-            self.order.push_back((now, sequence));
+            self.kept_bytes += bytes;
+            self.finish_order.push_back((now, sequence));
         }
         self.expire(now);
         waiters
     }
 
-    /// Drops outcomes beyond the bounds; their keys stay known as aged.
+    /// Removes outcomes beyond the limits; their keys are recorded as evicted.
     pub fn expire(&mut self, now: Duration) {
-        while let Some(&(at, sequence)) = self.order.front() {
-            let over = self.order.len() > self.limits.count || self.bytes > self.limits.bytes;
-            if !over && at + self.limits.window > now {
+        while let Some(&(finished_at, sequence)) = self.finish_order.front() {
+            let over_limit = self.finish_order.len() > self.limits.max_outcomes
+                || self.kept_bytes > self.limits.max_bytes;
+            if !over_limit && finished_at + self.limits.ttl > now {
                 break;
             }
-            self.order.pop_front();
+            self.finish_order.pop_front();
             if let Some(OnceEntry {
                 state: EntryState::Done { bytes, .. },
                 ..
             }) = self.entries.remove(&sequence)
             {
-                self.bytes -= bytes;
+                self.kept_bytes -= bytes;
             }
-            self.aged.insert(sequence);
+            self.evicted.insert(sequence);
         }
     }
 
-    /// From now on no key is run that is not running already.
+    /// Seals the table: from now on no further key starts to run.
     pub fn seal(&mut self) {
         self.sealed = true;
     }
 
-    /// Tells whether the table is sealed.
+    /// Returns whether the table is sealed.
     pub fn is_sealed(&self) -> bool {
         self.sealed
     }
 
-    /// Kept outcomes and aged keys, for a successor. What still runs has an unknown outcome there.
-    pub fn export(&self) -> (Vec<SealedOutcome>, AgedKeys) {
-        let mut outcomes = Vec::with_capacity(self.order.len());
-        let mut aged = self.aged.clone();
-        for (_at, sequence) in &self.order {
+    /// Returns kept outcomes and evicted keys for a successor. A key that is still running counts as evicted, so that
+    /// the successor reports its outcome as unknown.
+    pub fn export(&self) -> (Vec<SealedOutcome>, EvictedKeys) {
+        let mut outcomes = Vec::with_capacity(self.finish_order.len());
+        let mut evicted = self.evicted.clone();
+        for (_finished_at, sequence) in &self.finish_order {
             let Some(entry) = self.entries.get(sequence) else {
                 continue;
             };
@@ -231,30 +237,30 @@
         }
         for (sequence, entry) in &self.entries {
             if matches!(entry.state, EntryState::Running(_)) {
-                aged.insert(*sequence);
+                evicted.insert(*sequence);
             }
         }
-        (outcomes, aged)
+        (outcomes, evicted)
     }
 
-    /// Keys that run now.
-    pub fn running(&self) -> usize {
-        self.running
+    /// Returns the number of keys whose query is running.
+    pub fn running_count(&self) -> usize {
+        self.running_count
     }
 
-    /// Kept outcomes.
-    pub fn kept(&self) -> usize {
-        self.order.len()
+    /// Returns the number of kept outcomes.
+    pub fn kept_count(&self) -> usize {
+        self.finish_order.len()
     }
 
-    /// Bytes of kept outcomes.
+    /// Returns the total size of kept outcomes in bytes.
     pub fn kept_bytes(&self) -> usize {
-        self.bytes
+        self.kept_bytes
     }
 }
 
 impl OnceEntry {
-    fn resend(&mut self, digest: RequestDigest, waiter: WaiterId) -> BeginVerdict {
+    fn handle_resend(&mut self, digest: RequestDigest, waiter: WaiterId) -> BeginVerdict {
         if self.digest != digest {
             return BeginVerdict::Answer(Err(mismatch_refusal()));
         }
@@ -268,12 +274,12 @@
     }
 }
 
-/// Tells whether nothing ran and nothing will.
+/// Returns whether the outcome is a refusal that guarantees that the query did not run.
 pub(super) fn is_not_run(outcome: &QueryOutcome) -> bool {
     matches!(outcome, Err(refusal) if refusal.ran == RunState::NotRun)
 }
 
-/// Bytes that keeping an outcome takes.
+/// Estimates the memory that a kept outcome takes, in bytes.
 pub(super) fn outcome_bytes(outcome: &QueryOutcome) -> usize {
     let content = match outcome {
         Ok(answer) => {
@@ -282,10 +288,10 @@
         }
         Err(refusal) => refusal.message.len(),
     };
-    content + ENTRY_BYTES
+    content + ENTRY_OVERHEAD_BYTES
 }
 
-pub(super) fn aged_refusal() -> QueryRefusal {
+pub(super) fn evicted_key_refusal() -> QueryRefusal {
     let message = "the key was used and its outcome is no longer kept";
     QueryRefusal::new(RefusalCode::OutcomeUnknown, RunState::Unknown, message)
 }
@@ -296,12 +302,12 @@
         .with_field("idempotency-key")
 }
 
-pub(super) fn gate_refusal(code: RefusalCode) -> QueryRefusal {
+pub(super) fn no_new_work_refusal(code: RefusalCode) -> QueryRefusal {
     let message = match code {
         RefusalCode::Stopping => "the key's process is stopping; locate again and use a new key",
         _ => "the key's process takes no new work at present",
     };
-    QueryRefusal::new(code, RunState::NotRun, message).with_retry_after(GATE_RETRY)
+    QueryRefusal::new(code, RunState::NotRun, message).with_retry_after(NEW_WORK_RETRY_DELAY)
 }
 
 #[cfg(test)]
--- a/crates/ebonyfork/src/once/table_tests.rs
+++ b/crates/ebonyfork/src/once/table_tests.rs
@@ -5,10 +5,10 @@
 use crate::ident::SnapshotVersion;
 use crate::query::{QueryAnswer, QueryCoverage};
 
-const FIRST: WaiterId = WaiterId(1);
-const SECOND: WaiterId = WaiterId(2);
-const SOME: RequestDigest = RequestDigest(1);
-const OTHER: RequestDigest = RequestDigest(2);
+const FIRST_WAITER: WaiterId = WaiterId(1);
+const SECOND_WAITER: WaiterId = WaiterId(2);
+const DIGEST: RequestDigest = RequestDigest(1);
+const OTHER_DIGEST: RequestDigest = RequestDigest(2);
 
 fn answer(bytes: usize) -> QueryAnswer {
     QueryAnswer {
@@ -23,20 +23,20 @@
     Err(QueryRefusal::new(code, ran, "test"))
 }
 
-/// What is sent under key 1 after something has happened to it.
+/// Sends key 1 again in each state that the key can be in, and checks the verdict.
 #[gtest]
-fn a_resend_meets_what_became_of_its_key() {
+fn a_resend_gets_the_outcome_of_its_key() {
     type Prepare = fn(&mut OutcomeTable);
     let now = Duration::from_secs(1);
-    let run: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+    let running: Prepare = |table| {
+        table.begin(1, DIGEST, FIRST_WAITER, None);
     };
     let ran: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+        table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
     };
     let not_run: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+        table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(
             1,
             &refusal(RefusalCode::Overloaded, RunState::NotRun),
@@ -44,88 +44,95 @@
         );
     };
     let broken: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+        table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(
             1,
             &refusal(RefusalCode::UpstreamFailed, RunState::Unknown),
             Duration::ZERO,
         );
     };
-    let aged: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+    let evicted: Prepare = |table| {
+        table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
-        table.expire(Duration::from_secs(1) + OUTCOME_WINDOW);
+        table.expire(Duration::from_secs(1) + OUTCOME_TTL);
     };
     let huge: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
-        table.finish(1, &Ok(answer(OUTCOME_BYTES / 2)), Duration::from_secs(1));
+        table.begin(1, DIGEST, FIRST_WAITER, None);
+        table.finish(1, &Ok(answer(MAX_KEPT_BYTES / 2)), Duration::from_secs(1));
     };
     let sealed_new: Prepare = OutcomeTable::seal;
     let sealed_ran: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+        table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
         table.seal();
     };
     let sealed_running: Prepare = |table| {
-        table.begin(1, SOME, FIRST, None);
+        table.begin(1, DIGEST, FIRST_WAITER, None);
         table.seal();
     };
     let nothing: Prepare = |_table| {};
-    let known = |code, ran| Some((code, ran));
+    let refused_as = |code, ran| Some((code, ran));
     let (stopping, fenced) = (Some(RefusalCode::Stopping), Some(RefusalCode::NotReady));
     let cases = [
-        ("new", nothing, SOME, None, "execute", None),
+        ("new", nothing, DIGEST, None, "execute", None),
         (
             "new, fenced",
             nothing,
-            SOME,
+            DIGEST,
             fenced,
             "refusal",
-            known(RefusalCode::NotReady, RunState::NotRun),
+            refused_as(RefusalCode::NotReady, RunState::NotRun),
         ),
         (
             "new, stopping",
             nothing,
-            SOME,
+            DIGEST,
             stopping,
             "refusal",
-            known(RefusalCode::Stopping, RunState::NotRun),
+            refused_as(RefusalCode::Stopping, RunState::NotRun),
         ),
         (
             "new, sealed",
             sealed_new,
-            SOME,
+            DIGEST,
             None,
             "refusal",
-            known(RefusalCode::Stopping, RunState::NotRun),
+            refused_as(RefusalCode::Stopping, RunState::NotRun),
+        ),
+        ("running", running, DIGEST, None, "join", None),
+        ("running, fenced", running, DIGEST, fenced, "join", None),
+        (
+            "running, sealed",
+            sealed_running,
+            DIGEST,
+            None,
+            "join",
+            None,
         ),
-        ("running", run, SOME, None, "join", None),
-        ("running, fenced", run, SOME, fenced, "join", None),
-        ("running, sealed", sealed_running, SOME, None, "join", None),
         (
             "running, another request",
-            run,
-            OTHER,
+            running,
+            OTHER_DIGEST,
             None,
             "refusal",
-            known(RefusalCode::BadRequest, RunState::NotRun),
+            refused_as(RefusalCode::BadRequest, RunState::NotRun),
         ),
-        ("ran", ran, SOME, None, "answer", None),
-        ("ran, stopping", ran, SOME, stopping, "answer", None),
-        ("ran, sealed", sealed_ran, SOME, None, "answer", None),
+        ("ran", ran, DIGEST, None, "answer", None),
+        ("ran, stopping", ran, DIGEST, stopping, "answer", None),
+        ("ran, sealed", sealed_ran, DIGEST, None, "answer", None),
         (
             "ran, another request",
             ran,
-            OTHER,
+            OTHER_DIGEST,
             None,
             "refusal",
-            known(RefusalCode::BadRequest, RunState::NotRun),
+            refused_as(RefusalCode::BadRequest, RunState::NotRun),
         ),
-        ("refused as not run", not_run, SOME, None, "execute", None),
+        ("refused as not run", not_run, DIGEST, None, "execute", None),
         (
             "refused as not run, another request",
             not_run,
-            OTHER,
+            OTHER_DIGEST,
             None,
             "execute",
             None,
@@ -133,40 +140,40 @@
         (
             "broke off",
             broken,
-            SOME,
+            DIGEST,
             None,
             "refusal",
-            known(RefusalCode::UpstreamFailed, RunState::Unknown),
+            refused_as(RefusalCode::UpstreamFailed, RunState::Unknown),
         ),
         (
-            "aged",
-            aged,
-            SOME,
+            "evicted",
+            evicted,
+            DIGEST,
             None,
             "refusal",
-            known(RefusalCode::OutcomeUnknown, RunState::Unknown),
+            refused_as(RefusalCode::OutcomeUnknown, RunState::Unknown),
         ),
         (
-            "aged, fenced",
-            aged,
-            SOME,
+            "evicted, fenced",
+            evicted,
+            DIGEST,
             fenced,
             "refusal",
-            known(RefusalCode::OutcomeUnknown, RunState::Unknown),
+            refused_as(RefusalCode::OutcomeUnknown, RunState::Unknown),
         ),
         (
             "too large to keep",
             huge,
-            SOME,
+            DIGEST,
             None,
             "refusal",
-            known(RefusalCode::OutcomeUnknown, RunState::Unknown),
+            refused_as(RefusalCode::OutcomeUnknown, RunState::Unknown),
         ),
     ];
-    for (name, prepare, digest, gate, expected, refused) in cases {
+    for (name, prepare, digest, new_work_refusal, expected, refused) in cases {
         let mut table = OutcomeTable::new();
         prepare(&mut table);
-        let verdict = table.begin(1, digest, SECOND, gate);
+        let verdict = table.begin(1, digest, SECOND_WAITER, new_work_refusal);
         let (kind, code) = match &verdict {
             BeginVerdict::Execute => ("execute", None),
             BeginVerdict::Joined => ("join", None),
@@ -181,17 +188,17 @@
 }
 
 #[gtest]
-fn bounds_hold_and_aged_keys_stay_known() {
+fn limits_hold_and_evicted_keys_never_run_again() {
     let limits = OutcomeLimits {
-        window: Duration::from_mins(1),
-        count: 10,
-        bytes: 8_000,
+        ttl: Duration::from_mins(1),
+        max_outcomes: 10,
+        max_bytes: 8_000,
     };
     let mut table = OutcomeTable::new().with_limits(limits, 4);
     for sequence in 0..100 {
         let now = Duration::from_secs(sequence);
         expect_that!(
-            table.begin(sequence, SOME, FIRST, None),
+            table.begin(sequence, DIGEST, FIRST_WAITER, None),
             eq(&BeginVerdict::Execute)
         );
         table.finish(
@@ -199,16 +206,16 @@
             &Ok(answer(if sequence < 50 { 10 } else { 1_500 })),
             now,
         );
-        expect_that!(table.kept(), le(limits.count));
-        expect_that!(table.kept_bytes(), le(limits.bytes));
+        expect_that!(table.kept_count(), le(limits.max_outcomes));
+        expect_that!(table.kept_bytes(), le(limits.max_bytes));
     }
     for sequence in 0..100 {
-        let verdict = table.begin(sequence, SOME, FIRST, None);
+        let verdict = table.begin(sequence, DIGEST, FIRST_WAITER, None);
         expect_that!(verdict, not(eq(&BeginVerdict::Execute)), "{sequence}");
     }
-    let (outcomes, aged) = table.export();
+    let (outcomes, evicted) = table.export();
     expect_that!(
-        outcomes.len() as u64 + aged.ranges().next().unwrap().last + 1,
+        outcomes.len() as u64 + evicted.ranges().next().unwrap().last + 1,
         eq(100)
     );
 }
