--- a/crates/ebonyfork/src/lifecycle/fence.rs
+++ b/crates/ebonyfork/src/lifecycle/fence.rs
@@ -1,23 +1,23 @@
-//! Whether a process may believe what it holds. Pure.
+//! Fencing: decides whether a process may trust its own state enough to accept work.
 
 use std::fmt;
 use std::time::Duration;
 
-/// Where word came from.
+/// The source of a contact.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ContactSource {
-    /// The platform's service answered.
+    /// The store answered a request.
     Store,
-    /// Another process of ours was heard.
+    /// A message from another VM of this deployment arrived.
     Peer,
 }
 
 /// Why new work is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FenceCause {
-    /// The process did not run for a while.
+    /// The process did not run for a while, for example because its VM was suspended.
     Paused,
-    /// It has heard neither store nor peers for too long.
+    /// The process has had no contact with store or peers for too long.
     CutOff,
 }
 
@@ -30,88 +30,90 @@
     }
 }
 
-/// Times of fencing.
+/// Time limits of fencing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FenceLimits {
-    /// Without word from store and peers for this long, the process is cut off.
-    pub cut_off: Duration,
-    /// Word that comes sooner than this after a pause may have waited in a socket, and proves nothing.
-    pub settle: Duration,
+    /// Longest time without contact with store or peers before the process counts as cut off.
+    pub contact_timeout: Duration,
+    /// Time after a pause in which a contact doesn't lift the fence: the message may have waited in a socket buffer.
+    pub settle_time: Duration,
 }
 
 impl Default for FenceLimits {
     fn default() -> Self {
         Self {
-            cut_off: Duration::from_secs(5),
-            settle: Duration::from_millis(500),
+            contact_timeout: Duration::from_secs(5),
+            settle_time: Duration::from_millis(500),
         }
     }
 }
 
+/// The fence in force: its cause, and the contact that lifts it.
 #[derive(Debug, Clone, Copy)]
 struct ActiveFence {
     cause: FenceCause,
-    /// Word from this time on is fresh.
-    fresh: Duration,
+    /// A contact from this time on lifts the fence.
+    lifted_from: Duration,
 }
 
-/// Fenced or not, and since when word counts as fresh.
+/// Decides whether the process is fenced, from pauses and from contacts with store and peers.
 #[derive(Debug, Clone)]
 pub struct FenceState {
     limits: FenceLimits,
-    /// The newest word from anyone; the start counts as such.
-    heard: Duration,
-    has_peers: bool,
+    /// Time of the newest contact, at first the start of the process.
+    last_contact: Duration,
+    peer_known: bool,
     fence: Option<ActiveFence>,
 }
 
 impl FenceState {
-    /// Starts unfenced at `now`.
+    /// Creates an unfenced state at `now`.
     pub fn new(limits: FenceLimits, now: Duration) -> Self {
         Self {
             limits,
-            heard: now,
-            has_peers: false,
+            last_contact: now,
+            peer_known: false,
             fence: None,
         }
     }
 
-    /// Notes that another VM is known. A process that has never known one is not fenced for being cut off: there is
-    /// nobody it could differ from, and a lone VM must outlive an outage of the store.
-    pub fn note_peer_known(&mut self) {
-        self.has_peers = true;
+    /// Records that another VM is known. A process that has never known one is not fenced for being cut off: there is
+    /// no peer whose state could differ, and a lone VM must keep serving during an outage of the store.
+    pub fn record_peer_known(&mut self) {
+        self.peer_known = true;
     }
 
-    /// Notes word from store or peers that came at `at`.
-    pub fn note_contact(&mut self, _source: ContactSource, at: Duration) {
-        self.heard = self.heard.max(at);
+    /// Records a contact with store or peers at `at`.
+    pub fn record_contact(&mut self, _source: ContactSource, at: Duration) {
+        self.last_contact = self.last_contact.max(at);
     }
 
-    /// Notes that the process was paused until `now`.
-    pub fn note_pause(&mut self, now: Duration) {
+    /// Records that the process was paused until `now`, and fences it.
+    pub fn record_pause(&mut self, now: Duration) {
         self.fence = Some(ActiveFence {
             cause: FenceCause::Paused,
-            fresh: now + self.limits.settle,
+            lifted_from: now + self.limits.settle_time,
         });
     }
 
-    /// Decides at `now`. A fence is lifted by fresh word, provided that everything learnt from it is held by now.
+    /// Updates the fence at `now` and returns its cause, if any. A fence is lifted by a contact that is late enough,
+    /// and only if the process is `caught_up`, that is, holds the newest state it knows of.
     pub fn evaluate(&mut self, now: Duration, caught_up: bool) -> Option<FenceCause> {
-        let lifted = |fence: &ActiveFence| caught_up && self.heard >= fence.fresh;
-        if self.fence.as_ref().is_some_and(lifted) {
+        let is_lifted = |fence: &ActiveFence| caught_up && self.last_contact >= fence.lifted_from;
+        if self.fence.as_ref().is_some_and(is_lifted) {
             self.fence = None;
         }
-        let silent = now.saturating_sub(self.heard) > self.limits.cut_off;
-        if self.fence.is_none() && self.has_peers && silent {
+        let is_cut_off = now.saturating_sub(self.last_contact) > self.limits.contact_timeout;
+        if self.fence.is_none() && self.peer_known && is_cut_off {
             self.fence = Some(ActiveFence {
                 cause: FenceCause::CutOff,
-                fresh: now,
+                lifted_from: now,
             });
         }
         self.cause()
     }
 
-    /// Why new work is refused, as decided last.
+    /// Returns why new work is refused, as of the last [`FenceState::evaluate`] or pause.
     pub fn cause(&self) -> Option<FenceCause> {
         self.fence.map(|fence| fence.cause)
     }
--- a/crates/ebonyfork/src/lifecycle/handle.rs
+++ b/crates/ebonyfork/src/lifecycle/handle.rs
@@ -1,4 +1,4 @@
-//! The running part: looks at the clocks, writes the readiness, counts what is in flight, runs the planned stop.
+//! Handle of the lifecycle: reads the clocks, publishes the readiness, counts requests and performs the planned stop.
 
 use std::fmt;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -20,22 +20,23 @@
 use crate::query::{QueryOutcome, QueryRefusal, RefusalCode};
 use crate::views::{NodeReadiness, NodeViews};
 
+/// Log target of the decision log.
 const DECISION: &str = "ebonyfork::decision";
-/// Time between two looks at what is in flight during a stop.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
-/// When a caller should come back that was refused.
-const REFUSED_RETRY: Duration = Duration::from_secs(1);
-/// How long given-up requests have to write their answers.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
-
-/// How a planned stop went.
+/// Interval at which a planned stop counts the work in flight.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Retry delay given to callers whose request is refused.
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Time left for abandoned requests to write their answers before the process ends.
+const ABANDONED_ANSWER_TIME: Duration = Duration::from_millis(200);
+
+/// Result of a planned stop.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that were given up because the bound or a second signal came first.
+    /// Number of requests abandoned at the time limit or at a second signal.
     pub given_up: usize,
-    /// Time from the announcement to the end.
+    /// Time from the announcement of the stop to its end.
     pub took: Duration,
-    /// What became of the sealed outcomes; none if nobody was there to take them.
+    /// Result of the handover of sealed outcomes; `None` if there was no successor.
     pub handover: Option<HandoverReport>,
 }
 
@@ -49,16 +50,16 @@
     }
 }
 
-/// What a planned stop does at its steps, and what it looks at.
+/// Operations that a planned stop calls, and the signal that cuts it short.
 #[derive(Debug)]
 pub struct StopSteps<A, F, H> {
-    /// Tells the others that this process leaves.
+    /// Announces to the other VMs that this process is leaving.
     pub announce: A,
-    /// Counts work in flight besides the requests that [`LifecycleHandle::serve`] counts.
+    /// Returns the number of work items in flight besides the requests counted by [`LifecycleHandle::serve`].
     pub in_flight: F,
-    /// Seals and hands over.
+    /// Seals the session of this process and hands its outcomes to a successor.
     pub hand_over: H,
-    /// Cancelled by a second signal.
+    /// Cancelled by a second signal: the stop waits no longer for work in flight.
     pub hurry: CancellationToken,
 }
 
@@ -68,24 +69,30 @@
     shared: Arc<LifecycleShared>,
 }
 
+/// State shared by all clones of a [`LifecycleHandle`].
 #[derive(Debug)]
 struct LifecycleShared {
     started: Instant,
     settings: LifecycleSettings,
     views: NodeViews,
     state: Mutex<LifecycleState>,
+    /// Number of requests that are being served.
     serving: AtomicUsize,
+    /// Cancelled when the planned stop abandons the requests in flight.
     give_up: CancellationToken,
     metrics: LifecycleMetrics,
 }
 
+/// Everything that the readiness follows from, and the channel it is published on.
 #[derive(Debug)]
 struct LifecycleState {
-    detector: PauseDetector,
+    pause_detector: PauseDetector,
     fence: FenceState,
-    filled: bool,
-    stop: Option<StopPhase>,
-    writer: watch::Sender<NodeReadiness>,
+    /// Whether the views have been complete at least once.
+    views_complete: bool,
+    /// Phase of the planned stop, once it has begun.
+    stop_phase: Option<StopPhase>,
+    readiness: watch::Sender<NodeReadiness>,
 }
 
 #[derive(Debug, Default)]
@@ -95,7 +102,7 @@
     refusals: Counter,
 }
 
-/// Counts one request for as long as it lives.
+/// Decrements the number of requests being served when dropped.
 struct ServingGuard<'a>(&'a AtomicUsize);
 
 impl Drop for ServingGuard<'_> {
@@ -105,18 +112,18 @@
 }
 
 impl LifecycleHandle {
-    /// Starts to follow the views and the clocks; `writer` receives the readiness.
+    /// Starts to observe the clocks and the views; the readiness is published through `writer`.
     pub fn start(
         settings: LifecycleSettings,
         writer: watch::Sender<NodeReadiness>,
         views: NodeViews,
     ) -> Self {
         let state = LifecycleState {
-            detector: PauseDetector::new(settings.pause),
-            fence: FenceState::new(settings.limits, Duration::ZERO),
-            filled: false,
-            stop: None,
-            writer,
+            pause_detector: PauseDetector::new(settings.pause_limit),
+            fence: FenceState::new(settings.fence_limits, Duration::ZERO),
+            views_complete: false,
+            stop_phase: None,
+            readiness: writer,
         };
         let shared = LifecycleShared {
             started: Instant::now(),
@@ -128,61 +135,62 @@
             metrics: LifecycleMetrics::default(),
         };
         let shared = Arc::new(shared);
-        tokio::spawn(look_often(Arc::downgrade(&shared)));
+        tokio::spawn(update_periodically(Arc::downgrade(&shared)));
         Self { shared }
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub fn note_store_contact(&self) {
-        self.shared.note_contact(ContactSource::Store);
+        self.shared.record_contact(ContactSource::Store);
     }
 
-    /// Notes that a peer was heard.
+    /// Records that a message from a peer arrived.
     pub fn note_peer_contact(&self) {
-        self.shared.note_contact(ContactSource::Peer);
+        self.shared.record_contact(ContactSource::Peer);
     }
 
-    /// Looks at the clocks and decides. A request that arrives before the timers have found out about a pause finds out
-    /// here.
-    pub fn look(&self) -> NodeReadiness {
-        self.shared.look()
+    /// Reads the clocks, then updates and returns the readiness. Called for each request too, so that a pause is
+    /// detected even if a request arrives before the periodic update.
+    pub fn update_readiness(&self) -> NodeReadiness {
+        self.shared.update_readiness()
     }
 
-    /// Why new work is refused, if the process is fenced.
+    /// Returns why new work is refused, if the process is fenced.
     pub fn fence(&self) -> Option<FenceCause> {
         self.shared.lock().fence.cause()
     }
 
-    /// Requests that are being served.
+    /// Returns the number of requests that are being served.
     pub fn serving(&self) -> usize {
         self.shared.serving.load(Ordering::SeqCst)
     }
 
-    /// Runs a caller's request and counts it as in flight. New work is refused as not run unless the process takes work; a
-    /// request under a key passes, because it may be a resend of what ran, and whoever keeps the keys decides. When the
-    /// planned stop gives up waiting, the request is answered at once.
+    /// Runs a caller's request and counts it as in flight. While the process accepts no work, a request is refused as
+    /// not run, except one with an idempotency key: it may be a resend of a query that ran, so
+    /// [`OnceHandle`](crate::once::OnceHandle) decides. When the planned stop abandons the requests in flight, this one
+    /// is answered at once.
     pub async fn serve(
         &self,
         keyed: bool,
         run: impl Future<Output = QueryOutcome>,
     ) -> QueryOutcome {
         let serving = &self.shared.serving;
-        // Counted before the look: the stop refuses first and counts afterwards, so that no request is missed.
+        // Counted before the readiness is read: a stop changes the readiness before it counts, so it misses no request.
         serving.fetch_add(1, Ordering::SeqCst);
         let _guard = ServingGuard(serving);
-        let readiness = self.look();
+        let readiness = self.update_readiness();
         if !keyed && !readiness.takes_work() {
             self.shared.metrics.refusals.inc();
-            return Err(refusal_of(readiness));
+            return Err(readiness_refusal(readiness));
         }
         tokio::select! {
             biased;
             outcome = run => outcome,
-            () = self.shared.give_up.cancelled() => Err(given_up_refusal(keyed)),
+            () = self.shared.give_up.cancelled() => Err(abandoned_refusal(keyed)),
         }
     }
 
-    /// Stops as planned and returns when the process may end.
+    /// Performs a planned stop, and returns when the process may end.
     pub async fn stop<A, F, H, R>(&self, plan: StopPlan, steps: StopSteps<A, F, H>) -> StopReport
     where
         A: FnOnce(),
@@ -191,41 +199,41 @@
         R: Future<Output = Option<HandoverReport>>,
     {
         let mut run = StopRun::new(plan, self.shared.now());
-        self.shared.set_stop(StopPhase::Leaving);
+        self.shared.set_stop_phase(StopPhase::Leaving);
         (steps.announce)();
         log::info!(
-            "leaving: work is taken for {:?} more",
-            plan.locate_ttl + StopPlan::MARGIN
+            "leaving: work is accepted for {:?} more",
+            plan.locate_ttl + StopPlan::LOCATE_MARGIN
         );
         loop {
             let in_flight = self.serving() + (steps.in_flight)();
-            let hurry = steps.hurry.is_cancelled();
-            let phase = run.advance(self.shared.now(), in_flight, hurry);
-            self.shared.set_stop(phase);
+            let skip_waiting = steps.hurry.is_cancelled();
+            let phase = run.advance(self.shared.now(), in_flight, skip_waiting);
+            self.shared.set_stop_phase(phase);
             if phase == StopPhase::HandingOver {
                 break;
             }
             tokio::select! {
-                () = tokio::time::sleep(LOOK_PERIOD) => {}
+                () = tokio::time::sleep(STOP_POLL_INTERVAL) => {}
                 () = steps.hurry.cancelled() => {}
             }
         }
         if run.given_up() > 0 {
-            log::warn!("{} requests in flight are given up", run.given_up());
+            log::warn!("{} requests in flight are abandoned", run.given_up());
             self.shared.give_up.cancel();
         }
         let handover = (steps.hand_over)().await;
         if run.given_up() > 0 {
-            tokio::time::sleep(ANSWER_TIME).await;
+            tokio::time::sleep(ABANDONED_ANSWER_TIME).await;
         }
         StopReport {
             given_up: run.given_up(),
-            took: run.took(self.shared.now()),
+            took: run.elapsed(self.shared.now()),
             handover,
         }
     }
 
-    /// Registers the metrics.
+    /// Registers the metrics of the lifecycle.
     pub fn register(&self, registry: &mut Registry) {
         let registry = registry.sub_registry_with_prefix("lifecycle");
         let metrics = &self.shared.metrics;
@@ -261,7 +269,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn reading(&self) -> ClockReading {
+    fn read_clocks(&self) -> ClockReading {
         let wall = SystemTime::now().duration_since(UNIX_EPOCH);
         ClockReading {
             monotonic: self.now(),
@@ -269,26 +277,26 @@
         }
     }
 
-    fn note_contact(&self, source: ContactSource) {
+    fn record_contact(&self, source: ContactSource) {
         let now = self.now();
-        self.lock().fence.note_contact(source, now);
+        self.lock().fence.record_contact(source, now);
     }
 
-    fn look(&self) -> NodeReadiness {
-        let reading = self.reading();
+    fn update_readiness(&self) -> NodeReadiness {
+        let reading = self.read_clocks();
         let now = reading.monotonic;
         let mut state = self.lock();
-        if let Some(gap) = state.detector.observe(reading) {
-            state.fence.note_pause(now);
+        if let Some(gap) = state.pause_detector.observe(reading) {
+            state.fence.record_pause(now);
             self.metrics.pauses.inc();
-            log::warn!("paused for {gap:?}: fenced until synchronised");
+            log::warn!("process was paused for {gap:?}: fenced until synchronised");
         }
-        if let Some(heard) = (self.settings.peer_contact)() {
-            let at = heard.saturating_duration_since(self.started);
-            state.fence.note_contact(ContactSource::Peer, at);
+        if let Some(contact) = (self.settings.last_peer_contact)() {
+            let at = contact.saturating_duration_since(self.started);
+            state.fence.record_contact(ContactSource::Peer, at);
         }
         if self.views.topology.borrow().vms.len() > 1 {
-            state.fence.note_peer_known();
+            state.fence.record_peer_known();
         }
         let before = state.fence.cause();
         let after = state.fence.evaluate(now, (self.settings.caught_up)());
@@ -298,31 +306,31 @@
         if before != after {
             log_fence(after);
         }
-        state.filled = state.filled || is_filled(&self.views);
-        state.write()
+        state.views_complete = state.views_complete || are_complete(&self.views);
+        state.publish()
     }
 
-    fn set_stop(&self, phase: StopPhase) {
+    fn set_stop_phase(&self, phase: StopPhase) {
         let mut state = self.lock();
-        state.stop = Some(phase);
-        state.write();
+        state.stop_phase = Some(phase);
+        state.publish();
     }
 }
 
 impl LifecycleState {
-    fn readiness(&self) -> NodeReadiness {
-        match (self.stop, self.fence.cause()) {
+    fn current_readiness(&self) -> NodeReadiness {
+        match (self.stop_phase, self.fence.cause()) {
             (Some(StopPhase::Finishing | StopPhase::HandingOver), _) => NodeReadiness::Stopping,
-            _ if !self.filled => NodeReadiness::Starting,
+            _ if !self.views_complete => NodeReadiness::Starting,
             (_, Some(_)) => NodeReadiness::Fenced,
             (Some(StopPhase::Leaving), None) => NodeReadiness::Leaving,
             (None, None) => NodeReadiness::Ready,
         }
     }
 
-    fn write(&self) -> NodeReadiness {
-        let readiness = self.readiness();
-        self.writer.send_if_modified(|current| {
+    fn publish(&self) -> NodeReadiness {
+        let readiness = self.current_readiness();
+        self.readiness.send_if_modified(|current| {
             let changed = *current != readiness;
             if changed {
                 log::info!(target: DECISION, "lifecycle readiness={readiness:?} was={current:?}");
@@ -334,8 +342,8 @@
     }
 }
 
-/// Tells whether configuration, the catalogues of all its classes and at least one upstream are known.
-fn is_filled(views: &NodeViews) -> bool {
+/// Returns whether the configuration, the catalogues of all its classes and at least one upstream are known.
+fn are_complete(views: &NodeViews) -> bool {
     let config = views.config.borrow();
     if config.revision == RevisionNumber::default() {
         return false;
@@ -346,13 +354,13 @@
         && !views.topology.borrow().upstreams.is_empty()
 }
 
-async fn look_often(shared: Weak<LifecycleShared>) {
+async fn update_periodically(shared: Weak<LifecycleShared>) {
     loop {
-        tokio::time::sleep(PauseDetector::PERIOD).await;
+        tokio::time::sleep(PauseDetector::CHECK_INTERVAL).await;
         let Some(shared) = shared.upgrade() else {
             return;
         };
-        shared.look();
+        shared.update_readiness();
     }
 }
 
@@ -363,16 +371,16 @@
     }
 }
 
-fn refusal_of(readiness: NodeReadiness) -> QueryRefusal {
+fn readiness_refusal(readiness: NodeReadiness) -> QueryRefusal {
     let (code, message) = match readiness {
         NodeReadiness::Stopping => (RefusalCode::Stopping, "this VM is stopping"),
         NodeReadiness::Fenced => (RefusalCode::NotReady, "this VM has to synchronise again"),
         _ => (RefusalCode::NotReady, "this VM has not synchronised yet"),
     };
-    QueryRefusal::new(code, RunState::NotRun, message).with_retry_after(REFUSED_RETRY)
+    QueryRefusal::new(code, RunState::NotRun, message).with_retry_after(REFUSAL_RETRY_DELAY)
 }
 
-fn given_up_refusal(keyed: bool) -> QueryRefusal {
+fn abandoned_refusal(keyed: bool) -> QueryRefusal {
     let (code, message) = if keyed {
         let message = "this VM stops before the outcome is known; send the same key to another";
         (RefusalCode::OutcomeUnknown, message)
--- a/crates/ebonyfork/src/lifecycle/handle_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/handle_tests.rs
@@ -18,7 +18,7 @@
     _catalog: CatalogWriter,
 }
 
-/// A lifecycle of a VM with one peer, all views filled.
+/// Starts the lifecycle of a VM with one peer, and fills all its views.
 fn start() -> TestLifecycle {
     let (writers, views) = view_channels();
     let ViewWriters {
@@ -42,7 +42,7 @@
         leaving: false,
     };
     let handle = LifecycleHandle::start(LifecycleSettings::new(), readiness, views.clone());
-    assert_eq!(handle.look(), NodeReadiness::Starting);
+    assert_eq!(handle.update_readiness(), NodeReadiness::Starting);
     topology.send_replace(Arc::new(TopologyView::new(vms, [upstream])));
     config.send_replace(Arc::new(DeclaredConfig {
         revision: RevisionNumber(1),
@@ -51,7 +51,7 @@
     catalog.send_replace(Arc::new(
         [("tenders".parse().unwrap(), IndexCatalog::default())].into(),
     ));
-    assert_eq!(handle.look(), NodeReadiness::Ready);
+    assert_eq!(handle.update_readiness(), NodeReadiness::Ready);
     TestLifecycle {
         handle,
         views,
@@ -70,7 +70,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn silence_fences_and_word_lifts_it() {
+async fn a_process_without_contact_is_fenced_until_the_next_contact() {
     let lifecycle = start();
     let handle = &lifecycle.handle;
     tokio::time::sleep(Duration::from_secs(6)).await;
@@ -92,12 +92,12 @@
         ok(anything())
     );
     handle.note_peer_contact();
-    expect_that!(handle.look(), eq(NodeReadiness::Ready));
+    expect_that!(handle.update_readiness(), eq(NodeReadiness::Ready));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn the_first_request_after_a_pause_finds_out() {
+async fn the_first_request_after_a_pause_is_refused() {
     let lifecycle = start();
     tokio::time::advance(Duration::from_secs(4)).await;
     let outcome = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
@@ -127,7 +127,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_stop_finishes_what_is_in_flight() {
+async fn a_planned_stop_finishes_the_requests_in_flight() {
     let lifecycle = start();
     let slow = lifecycle.handle.clone();
     let slow = tokio::spawn(async move {
@@ -137,12 +137,12 @@
         };
         slow.serve(false, run).await
     });
-    let late = async {
+    let later_requests = async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let taken = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
+        let accepted = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         (
-            taken,
+            accepted,
             lifecycle.handle.serve(false, async { Ok(answer()) }).await,
         )
     };
@@ -151,10 +151,10 @@
         Duration::from_secs(10),
         CancellationToken::new(),
     );
-    let ((report, announced), (taken, refused)) = tokio::join!(stopping, late);
+    let ((report, announced), (accepted, refused)) = tokio::join!(stopping, later_requests);
     expect_that!(announced, eq(true));
     expect_that!(report.given_up, eq(0));
-    expect_that!(taken, ok(anything()));
+    expect_that!(accepted, ok(anything()));
     expect_that!(
         refused.map_err(|refusal| refusal.code),
         err(eq(&RefusalCode::Stopping))
@@ -164,7 +164,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn what_is_given_up_is_answered_as_unknown() {
+async fn abandoned_requests_are_answered_as_unknown() {
     for (keyed, code) in [
         (false, RefusalCode::UpstreamFailed),
         (true, RefusalCode::OutcomeUnknown),
--- a/crates/ebonyfork/src/lifecycle/mod.rs
+++ b/crates/ebonyfork/src/lifecycle/mod.rs
@@ -1,11 +1,12 @@
-//! When a process takes work: readiness, fencing, the planned stop.
+//! Lifecycle of a process: readiness, fencing and the planned stop, which decide whether it accepts new work.
 //!
-//! A process takes work once its views are filled. It *fences* itself, that is refuses new work as not run, when it finds
-//! that it was paused, or when it has heard neither store nor peers for a while, until it has synchronised again. A planned
-//! stop keeps taking work until callers have forgotten the address, finishes what is in flight, hands over, and ends.
+//! A process accepts work once its views are complete. It *fences* itself, that is, refuses new work as not run, when
+//! it detects that it was paused, or when it has had no contact with store or peers for a while, until it has
+//! synchronised again. During a planned stop, it accepts work until callers no longer have its address, finishes the
+//! work in flight, hands over its outcomes, and ends.
 //!
-//! [`PauseDetector`], [`FenceState`] and [`StopRun`] decide and are pure; [`LifecycleHandle`] has the clock and writes
-//! [`NodeReadiness`](crate::views::NodeReadiness).
+//! [`PauseDetector`], [`FenceState`] and [`StopRun`] make the decisions and do no I/O; [`LifecycleHandle`] reads the
+//! clocks and publishes [`NodeReadiness`](crate::views::NodeReadiness).
 
 mod fence;
 mod handle;
--- a/crates/ebonyfork/src/lifecycle/pause.rs
+++ b/crates/ebonyfork/src/lifecycle/pause.rs
@@ -1,8 +1,8 @@
-//! Finding that the process was paused. Pure.
+//! Detects that the process was paused, from gaps between clock readings.
 
 use std::time::Duration;
 
-/// Both clocks at one moment. The monotonic clock may stand still while a VM is suspended; the wall clock then jumps.
+/// Both clocks at one moment. The monotonic clock may stop while a VM is suspended; the wall clock then jumps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockReading {
     /// Time since the process started.
@@ -11,8 +11,8 @@
     pub wall: Duration,
 }
 
-/// Compares each look at the clocks with the one before. Somebody looks every [`PauseDetector::PERIOD`]; a look that
-/// comes much later shows that the process did not run in between.
+/// Compares each clock reading with the previous one. The clocks are read every [`PauseDetector::CHECK_INTERVAL`]; a
+/// reading that comes much later shows that the process did not run in between.
 ///
 /// # Examples
 ///
@@ -32,26 +32,30 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct PauseDetector {
+    /// Gaps longer than this count as pauses.
     limit: Duration,
-    last: Option<ClockReading>,
+    last_reading: Option<ClockReading>,
 }
 
 impl PauseDetector {
-    /// Time between two looks.
-    pub const PERIOD: Duration = Duration::from_millis(100);
-    /// Usual limit: far above what a loaded machine delays a look, far below the time after which others count this
-    /// process as fenced.
-    pub const LIMIT: Duration = Duration::from_secs(2);
+    /// Interval between two clock readings.
+    pub const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+    /// Default limit: far above the delay of a reading on a loaded machine, far below the time after which other VMs
+    /// count this process as fenced.
+    pub const DEFAULT_LIMIT: Duration = Duration::from_secs(2);
 
-    /// Makes a detector of gaps beyond `limit`.
+    /// Creates a detector that reports gaps longer than `limit`.
     pub fn new(limit: Duration) -> Self {
-        Self { limit, last: None }
+        Self {
+            limit,
+            last_reading: None,
+        }
     }
 
-    /// Takes in a look; returns the gap if the process was paused since the last one. A wall clock that is set back shows
-    /// nothing; one that is set forward looks like a pause, which costs a moment of fencing.
+    /// Compares a reading with the previous one; returns the gap if the process was paused in between. A wall clock
+    /// that is set back is ignored; one that is set forward looks like a pause and fences the process for a moment.
     pub fn observe(&mut self, reading: ClockReading) -> Option<Duration> {
-        let last = self.last.replace(reading)?;
+        let last = self.last_reading.replace(reading)?;
         let monotonic = reading.monotonic.saturating_sub(last.monotonic);
         let wall = reading.wall.saturating_sub(last.wall);
         let gap = monotonic.max(wall);
--- a/crates/ebonyfork/src/lifecycle/settings.rs
+++ b/crates/ebonyfork/src/lifecycle/settings.rs
@@ -1,4 +1,4 @@
-//! What the lifecycle needs to know.
+//! Settings of the lifecycle.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,16 +9,19 @@
 use crate::lifecycle::fence::FenceLimits;
 use crate::lifecycle::pause::PauseDetector;
 
-type CheckFunction = dyn Fn() -> bool + Send + Sync;
-type ContactFunction = dyn Fn() -> Option<Instant> + Send + Sync;
+type CaughtUpFunction = dyn Fn() -> bool + Send + Sync;
+type PeerContactFunction = dyn Fn() -> Option<Instant> + Send + Sync;
 
-/// Limits of fencing, and where the lifecycle looks.
+/// Limits of fencing, and the sources that the lifecycle polls.
 #[derive(Clone)]
 pub struct LifecycleSettings {
-    pub(super) limits: FenceLimits,
-    pub(super) pause: Duration,
-    pub(super) caught_up: Arc<CheckFunction>,
-    pub(super) peer_contact: Arc<ContactFunction>,
+    pub(super) fence_limits: FenceLimits,
+    /// Gaps between clock readings longer than this count as pauses.
+    pub(super) pause_limit: Duration,
+    /// Returns whether the process holds the newest state it knows of.
+    pub(super) caught_up: Arc<CaughtUpFunction>,
+    /// Returns when a message from a peer arrived last.
+    pub(super) last_peer_contact: Arc<PeerContactFunction>,
 }
 
 impl Default for LifecycleSettings {
@@ -31,51 +34,51 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("LifecycleSettings");
         debug
-            .field("limits", &self.limits)
-            .field("pause", &self.pause)
+            .field("limits", &self.fence_limits)
+            .field("pause", &self.pause_limit)
             .finish_non_exhaustive()
     }
 }
 
 impl LifecycleSettings {
-    /// The usual limits; any word lifts a fence.
+    /// Creates settings with the default limits; any contact lifts a fence.
     pub fn new() -> Self {
         Self {
-            limits: FenceLimits::default(),
-            pause: PauseDetector::LIMIT,
+            fence_limits: FenceLimits::default(),
+            pause_limit: PauseDetector::DEFAULT_LIMIT,
             caught_up: Arc::new(|| true),
-            peer_contact: Arc::new(|| None),
+            last_peer_contact: Arc::new(|| None),
         }
     }
 
-    /// Replaces the limits of fencing.
+    /// Replaces the time limits of fencing.
     #[must_use]
-    pub fn with_limits(mut self, limits: FenceLimits) -> Self {
-        self.limits = limits;
+    pub fn with_fence_limits(mut self, fence_limits: FenceLimits) -> Self {
+        self.fence_limits = fence_limits;
         self
     }
 
-    /// Replaces the gap that counts as a pause.
+    /// Replaces the gap between clock readings beyond which a pause is detected.
     #[must_use]
-    pub fn with_pause(mut self, pause: Duration) -> Self {
-        self.pause = pause;
+    pub fn with_pause_limit(mut self, pause_limit: Duration) -> Self {
+        self.pause_limit = pause_limit;
         self
     }
 
-    /// Lifts a fence only while `caught_up` says that nothing newer is known than is held.
+    /// Lifts a fence only while `caught_up` returns that the process holds the newest state it knows of.
     #[must_use]
     pub fn with_caught_up(mut self, caught_up: impl Fn() -> bool + Send + Sync + 'static) -> Self {
         self.caught_up = Arc::new(caught_up);
         self
     }
 
-    /// Asks `contact` at each look when a peer was last heard.
+    /// Polls `last_contact` for the time at which a message from a peer arrived last.
     #[must_use]
     pub fn with_peer_contact(
         mut self,
-        contact: impl Fn() -> Option<Instant> + Send + Sync + 'static,
+        last_contact: impl Fn() -> Option<Instant> + Send + Sync + 'static,
     ) -> Self {
-        self.peer_contact = Arc::new(contact);
+        self.last_peer_contact = Arc::new(last_contact);
         self
     }
 }
--- a/crates/ebonyfork/src/lifecycle/stopping.rs
+++ b/crates/ebonyfork/src/lifecycle/stopping.rs
@@ -1,40 +1,40 @@
-//! The steps of a planned stop. Pure.
+//! Phases of a planned stop, and when it passes from one to the next.
 
 use std::time::Duration;
 
-/// What bounds a planned stop.
+/// Time limits of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopPlan {
-    /// How long callers may keep a locate answer.
+    /// How long callers may use a locate answer.
     pub locate_ttl: Duration,
-    /// Longest wait for what is in flight once new work is refused: the bound of the slowest class.
+    /// Longest wait for work in flight once new work is refused: the time limit of the slowest class.
     pub bound: Duration,
 }
 
 impl StopPlan {
-    /// Added to the time to live, for locate answers that were on their way.
-    pub const MARGIN: Duration = Duration::from_millis(500);
-    /// Nothing must have been in flight for this long: a message between two VMs is in nobody's count.
-    pub const QUIET: Duration = Duration::from_millis(100);
+    /// Added to the time to live of locate answers, for answers that are still on their way.
+    pub const LOCATE_MARGIN: Duration = Duration::from_millis(500);
+    /// How long nothing must have been in flight: a message on its way between two VMs is counted by neither.
+    pub const IDLE_TIME: Duration = Duration::from_millis(100);
 
-    /// Makes a plan.
+    /// Creates a plan with these time limits.
     pub fn new(locate_ttl: Duration, bound: Duration) -> Self {
         Self { locate_ttl, bound }
     }
 }
 
-/// Where a planned stop is.
+/// Phase of a planned stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopPhase {
-    /// Announced; work is still taken.
+    /// The stop is announced; new work is still accepted.
     Leaving,
-    /// New work is refused; what is in flight finishes.
+    /// New work is refused; work in flight finishes.
     Finishing,
-    /// What is still in flight is given up and answered as far as known; outcomes go to a successor.
+    /// Work still in flight is abandoned and its callers are answered; outcomes go to a successor.
     HandingOver,
 }
 
-/// One planned stop.
+/// Progress of one planned stop.
 ///
 /// # Examples
 ///
@@ -53,48 +53,50 @@
 #[derive(Debug, Clone)]
 pub struct StopRun {
     plan: StopPlan,
-    begun: Duration,
-    finishing: Option<Duration>,
-    quiet: Option<Duration>,
+    started_at: Duration,
+    /// When [`StopPhase::Finishing`] began.
+    finishing_since: Option<Duration>,
+    /// Since when nothing has been in flight.
+    idle_since: Option<Duration>,
     phase: StopPhase,
     given_up: usize,
 }
 
 impl StopRun {
-    /// Begins a stop.
+    /// Starts a stop at `now`.
     pub fn new(plan: StopPlan, now: Duration) -> Self {
         Self {
             plan,
-            begun: now,
-            finishing: None,
-            quiet: None,
+            started_at: now,
+            finishing_since: None,
+            idle_since: None,
             phase: StopPhase::Leaving,
             given_up: 0,
         }
     }
 
-    /// Looks at the clock and at what is in flight; `hurry` ends all waiting.
-    pub fn advance(&mut self, now: Duration, in_flight: usize, hurry: bool) -> StopPhase {
+    /// Advances to the phase for this time and number of work items in flight; `skip_waiting` ends all waiting.
+    pub fn advance(&mut self, now: Duration, in_flight: usize, skip_waiting: bool) -> StopPhase {
         if self.phase == StopPhase::Leaving {
-            let forgotten = self.begun + self.plan.locate_ttl + StopPlan::MARGIN;
-            if hurry || now >= forgotten {
+            let locate_expiry = self.started_at + self.plan.locate_ttl + StopPlan::LOCATE_MARGIN;
+            if skip_waiting || now >= locate_expiry {
                 self.phase = StopPhase::Finishing;
-                self.finishing = Some(now);
+                self.finishing_since = Some(now);
             }
         }
         if self.phase == StopPhase::Finishing {
-            self.quiet = match (in_flight, self.quiet) {
+            self.idle_since = match (in_flight, self.idle_since) {
                 (0, None) => Some(now),
                 (0, since) => since,
                 _ => None,
             };
-            let is_quiet = self
-                .quiet
-                .is_some_and(|since| now >= since + StopPlan::QUIET);
-            let overdue = self
-                .finishing
+            let is_idle = self
+                .idle_since
+                .is_some_and(|since| now >= since + StopPlan::IDLE_TIME);
+            let is_overdue = self
+                .finishing_since
                 .is_some_and(|since| now >= since + self.plan.bound);
-            if hurry || is_quiet || overdue {
+            if skip_waiting || is_idle || is_overdue {
                 self.phase = StopPhase::HandingOver;
                 self.given_up = in_flight;
             }
@@ -102,14 +104,14 @@
         self.phase
     }
 
-    /// What was in flight when waiting ended.
+    /// Returns the number of work items in flight when waiting ended, which are abandoned.
     pub fn given_up(&self) -> usize {
         self.given_up
     }
 
-    /// Time since the stop began.
-    pub fn took(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.begun)
+    /// Returns the time since the stop began.
+    pub fn elapsed(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.started_at)
     }
 }
 
--- a/crates/ebonyfork/src/lifecycle/stopping_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/stopping_tests.rs
@@ -2,9 +2,10 @@
 
 use super::*;
 
-/// In flight and hurry over time, in ms; when finishing begins, when it ends, what is given up.
+/// Checks when the phase `Finishing` begins and ends, in ms, and how much work is abandoned, given the work in flight
+/// over time and the time of a second signal.
 #[gtest]
-fn a_stop_waits_for_callers_and_for_work() {
+fn a_stop_waits_for_locate_answers_to_expire_and_for_work_in_flight() {
     type InFlight = fn(u64) -> usize;
     type StopCase = (&'static str, InFlight, u64, (u64, u64, usize));
     let never = u64::MAX;
@@ -17,12 +18,12 @@
             (5_500, 7_100, 0),
         ),
         (
-            "work comes back within the quiet time",
+            "new work within the idle time",
             |now| usize::from(now < 6_000 || now == 6_060),
             never,
             (5_500, 6_180, 0),
         ),
-        ("stuck", |_| 3, never, (5_500, 15_500, 3)),
+        ("work never finishes", |_| 3, never, (5_500, 15_500, 3)),
         (
             "second signal while leaving",
             |_| 2,
@@ -36,15 +37,19 @@
             (5_500, 6_000, 2),
         ),
     ];
-    for (name, in_flight, hurry, expected) in cases {
+    for (name, in_flight, second_signal_at, expected) in cases {
         let plan = StopPlan::new(Duration::from_secs(5), Duration::from_secs(10));
         let mut run = StopRun::new(plan, Duration::ZERO);
-        let mut finishing = None;
+        let mut finishing_at = None;
         let mut now = 0;
         loop {
-            let phase = run.advance(Duration::from_millis(now), in_flight(now), now >= hurry);
+            let phase = run.advance(
+                Duration::from_millis(now),
+                in_flight(now),
+                now >= second_signal_at,
+            );
             if phase >= StopPhase::Finishing {
-                finishing.get_or_insert(now);
+                finishing_at.get_or_insert(now);
             }
             if phase == StopPhase::HandingOver {
                 break;
@@ -52,7 +57,7 @@
             now += 20;
         }
         expect_that!(
-            (finishing.unwrap(), now, run.given_up()),
+            (finishing_at.unwrap(), now, run.given_up()),
             eq(expected),
             "{name}"
         );
--- a/crates/ebonyfork/src/operator/mod.rs
+++ b/crates/ebonyfork/src/operator/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' port: health, readiness, metrics and what this process knows.
+//! The operators' port: health, readiness, metrics and the state of this process.
 //!
-//! It stands apart from the callers' port, so that a flood of queries can't hide the state of a process from those who
-//! watch it. Everything here reads; the one change it takes is to lift a quarantine.
+//! It is separate from the callers' port, so that operators can observe a process that is flooded with queries. All
+//! requests are read-only except the one that lifts a quarantine.
 
 mod server;
 mod status;
--- a/crates/ebonyfork/src/operator/server.rs
+++ b/crates/ebonyfork/src/operator/server.rs
@@ -20,24 +20,28 @@
 use crate::ident::RequestFingerprint;
 use crate::operator::status::{NodeStatus, QuarantineStatus};
 
-/// Longest wait for the head of a request.
+/// Longest wait for the head of a request before the connection is closed.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-const OPENMETRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-const JSON: &str = "application/json";
-const TEXT: &str = "text/plain; charset=utf-8";
+/// Content type of the metrics.
+const OPENMETRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const JSON_TYPE: &str = "application/json";
+const TEXT_TYPE: &str = "text/plain; charset=utf-8";
 
 type StatusFunction = dyn Fn() -> NodeStatus + Send + Sync;
 type ListFunction = dyn Fn() -> Vec<QuarantineStatus> + Send + Sync;
 type LiftFunction = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
 type ReadyFunction = dyn Fn() -> bool + Send + Sync;
 
-/// What the operators' port answers with.
+/// Sources of the answers on the operators' port, and its one operation.
 #[derive(Clone)]
 pub struct OperatorService {
     registry: Arc<Registry>,
+    /// Returns whether the process accepts work.
     ready: Arc<ReadyFunction>,
     status: Arc<StatusFunction>,
+    /// Lists the quarantined requests.
     quarantined: Arc<ListFunction>,
+    /// Lifts a quarantine; returns false if the request is not quarantined.
     lift: Arc<LiftFunction>,
 }
 
@@ -48,7 +52,7 @@
 }
 
 impl OperatorService {
-    /// Serves metrics and the state that `status` returns.
+    /// Creates a service for the metrics in `registry`, the readiness and the status; no request is quarantined.
     pub fn new(
         registry: Registry,
         ready: impl Fn() -> bool + Send + Sync + 'static,
@@ -63,7 +67,7 @@
         }
     }
 
-    /// Lists quarantined requests and lifts them.
+    /// Sets the functions that list quarantined requests and that lift a quarantine.
     #[must_use]
     pub fn with_quarantine(
         mut self,
@@ -81,16 +85,16 @@
             return self.answer_lift(request.method(), fingerprint);
         }
         if request.method() != Method::GET {
-            return text(StatusCode::METHOD_NOT_ALLOWED, "only GET is served here\n");
+            return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET is served here\n");
         }
         match path {
-            "/healthz" => text(StatusCode::OK, "ok\n"),
-            "/readyz" if (self.ready)() => text(StatusCode::OK, "ready\n"),
-            "/readyz" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            "/healthz" => text_response(StatusCode::OK, "ok\n"),
+            "/readyz" if (self.ready)() => text_response(StatusCode::OK, "ready\n"),
+            "/readyz" => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => self.answer_metrics(),
-            "/status" => json(&(self.status)()),
-            "/quarantine" => json(&(self.quarantined)()),
-            _ => text(
+            "/status" => json_response(&(self.status)()),
+            "/quarantine" => json_response(&(self.quarantined)()),
+            _ => text_response(
                 StatusCode::NOT_FOUND,
                 "served here: /healthz /readyz /metrics /status /quarantine\n",
             ),
@@ -98,40 +102,42 @@
     }
 
     fn answer_metrics(&self) -> Response<Full<Bytes>> {
-        let mut page = String::new();
-        match prometheus_client::encoding::text::encode(&mut page, &self.registry) {
-            Ok(()) => respond(StatusCode::OK, OPENMETRICS, page),
-            Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
+        let mut metrics_text = String::new();
+        match prometheus_client::encoding::text::encode(&mut metrics_text, &self.registry) {
+            Ok(()) => response_with(StatusCode::OK, OPENMETRICS_TYPE, metrics_text),
+            Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
         }
     }
 
     fn answer_lift(&self, method: &Method, fingerprint: &str) -> Response<Full<Bytes>> {
         if method != Method::DELETE {
-            return text(
+            return text_response(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "only DELETE is served here\n",
             );
         }
         match fingerprint.parse() {
-            Ok(fingerprint) if (self.lift)(fingerprint) => text(StatusCode::OK, "lifted\n"),
-            Ok(_) => text(StatusCode::NOT_FOUND, "not quarantined here\n"),
-            Err(error) => text(StatusCode::BAD_REQUEST, format!("{error}\n")),
+            Ok(fingerprint) if (self.lift)(fingerprint) => {
+                text_response(StatusCode::OK, "lifted\n")
+            }
+            Ok(_) => text_response(StatusCode::NOT_FOUND, "not quarantined here\n"),
+            Err(error) => text_response(StatusCode::BAD_REQUEST, format!("{error}\n")),
         }
     }
 }
 
-fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    respond(status, TEXT, text)
+fn text_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    response_with(status, TEXT_TYPE, body)
 }
 
-fn json(value: &impl Serialize) -> Response<Full<Bytes>> {
+fn json_response(value: &impl Serialize) -> Response<Full<Bytes>> {
     match serde_json::to_vec(value) {
-        Ok(body) => respond(StatusCode::OK, JSON, body),
-        Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
+        Ok(body) => response_with(StatusCode::OK, JSON_TYPE, body),
+        Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
     }
 }
 
-fn respond(
+fn response_with(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
@@ -143,7 +149,7 @@
     response
 }
 
-/// Serves the operators' port until `stop` is cancelled.
+/// Serves the operators' port on `listener` until `stop` is cancelled.
 pub async fn serve_operators(
     listener: TcpListener,
     service: OperatorService,
@@ -163,7 +169,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, service: OperatorService, stop: CancellationToken) {
-    let answering = service_fn(move |request| {
+    let handler = service_fn(move |request| {
         let response = service.answer(&request);
         async move { Ok::<_, Infallible>(response) }
     });
@@ -171,10 +177,10 @@
     server
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_TIMEOUT);
-    let serving = server.serve_connection(TokioIo::new(stream), answering);
+    let serving = server.serve_connection(TokioIo::new(stream), handler);
     tokio::select! {
-        served = serving => {
-            if let Err(error) = served {
+        result = serving => {
+            if let Err(error) = result {
                 log::debug!("operator connection: {error}");
             }
         }
--- a/crates/ebonyfork/src/operator/status.rs
+++ b/crates/ebonyfork/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! What a process tells operators about itself.
+//! The status of a process as operators see it.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
@@ -8,88 +8,88 @@
     UpstreamAddress, VmAddress, ZoneName,
 };
 
-/// The state of one process.
+/// Status of one process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// Text form of its [`SessionId`].
+    /// Text form of the process's [`SessionId`].
     pub session: CompactString,
-    /// Its availability zone.
+    /// Availability zone of the process's VM.
     pub zone: ZoneName,
-    /// Its readiness, in one word.
+    /// Readiness of the process, in one word.
     pub readiness: CompactString,
-    /// The revision in force here.
+    /// Configuration revision in force in this process.
     pub revision: RevisionNumber,
-    /// The index catalogues it has read.
+    /// Index catalogues that the process has read.
     pub catalogs: Vec<CatalogStatus>,
-    /// The VMs it knows.
+    /// VMs that the process knows.
     pub vms: Vec<VmStatus>,
-    /// The upstreams it knows.
+    /// Upstreams that the process knows.
     pub upstreams: Vec<UpstreamStatus>,
-    /// Work in flight.
+    /// Work in flight in this process.
     pub in_flight: InFlightStatus,
 }
 
 /// One index as this process knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogStatus {
-    /// The index.
+    /// Name of the index.
     pub index: IndexName,
-    /// Epoch of its catalogue.
+    /// Epoch of the index's catalogue.
     pub epoch: u64,
-    /// Newest version; none if the catalogue is empty.
+    /// Newest version of the index; `None` if the catalogue is empty.
     pub newest: Option<SnapshotVersion>,
 }
 
 /// One VM as this process knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmStatus {
-    /// The VM.
+    /// Address of the VM.
     pub vm: VmAddress,
-    /// Its availability zone.
+    /// Availability zone of the VM.
     pub zone: ZoneName,
-    /// The incarnation of its process, once known, as a session.
+    /// Text form of the [`SessionId`] of the process on the VM, once its incarnation is known.
     pub session: Option<CompactString>,
-    /// Whether it leaves.
+    /// Whether the VM is leaving the deployment.
     pub leaving: bool,
 }
 
 /// One upstream as this process knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamStatus {
-    /// The upstream.
+    /// Address of the upstream.
     pub upstream: UpstreamAddress,
-    /// Its service.
+    /// Service that the upstream belongs to.
     pub service: ServiceName,
-    /// Its availability zone.
+    /// Availability zone of the upstream.
     pub zone: ZoneName,
-    /// Whether it leaves.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// The VM that owns its connections, by this process's view.
+    /// VM that owns the connections to the upstream, according to this process.
     pub owner: Option<VmAddress>,
 }
 
-/// Work that a process has not finished.
+/// Amounts of work that a process has not finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InFlightStatus {
-    /// Queries as entry.
+    /// Number of queries that the process serves as entry.
     pub queries: usize,
-    /// Non-idempotent queries of own sessions.
+    /// Number of non-idempotent queries that run under keys of the process's own session, or wait for another VM.
     pub keyed: usize,
-    /// Shard requests as relay, queued or sent.
+    /// Number of shard requests that the process has queued or sent as relay.
     pub attempts: usize,
 }
 
 /// One quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineStatus {
-    /// Fingerprint of class and selection.
+    /// Fingerprint of the request's class and selection.
     pub fingerprint: RequestFingerprint,
-    /// Seconds until it ages out.
+    /// Seconds until the quarantine expires.
     pub expires_in_s: u64,
 }
 
 impl NodeStatus {
-    /// Names the process.
+    /// Returns the text form of a session id.
     pub fn session_text(session: SessionId) -> CompactString {
         compact_str::ToCompactString::to_compact_string(&session)
     }
