--- a/crates/ebonyfork/src/finding.rs
+++ b/crates/ebonyfork/src/finding.rs
@@ -1,17 +1,17 @@
-//! Findings: everything that is wrong with an input, each with its place, reported together.
+//! Findings: all errors in an input file, each with its location, reported together.
 //!
 //! A reader of settings or declarations doesn't stop at the first error. It records a [`Finding`] with file and line,
-//! goes on, and fails at the end with a [`FindingList`], so that an operator mends all of it in one go.
+//! continues, and fails at the end with a [`FindingList`], so that an operator can fix all errors at once.
 
 use std::fmt;
 
 use compact_str::{CompactString, ToCompactString};
 use smallvec::SmallVec;
 
-/// Where a finding stands.
+/// Location of a finding.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FindingPlace {
-    /// The file, as the operator named it.
+    /// Name of the file, as the operator specified it.
     pub file: CompactString,
     /// Line in the file, counted from 1; 0 means the file as a whole.
     pub line: u32,
@@ -26,10 +26,10 @@
     }
 }
 
-/// One thing that is wrong, with its place.
+/// One error in an input file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// Where it stands.
+    /// File and line of the error.
     pub place: FindingPlace,
     /// What is wrong and what was expected.
     pub message: CompactString,
@@ -41,7 +41,7 @@
     }
 }
 
-/// All findings of one check, in the order of their places.
+/// Findings of one check; displayed in order of their locations.
 ///
 /// # Examples
 ///
@@ -58,12 +58,12 @@
 }
 
 impl FindingList {
-    /// Starts without findings.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Records a finding.
+    /// Adds a finding; `line` 0 means the file as a whole.
     pub fn push(&mut self, file: impl AsRef<str>, line: u32, message: impl ToCompactString) {
         let place = FindingPlace {
             file: CompactString::new(file),
@@ -80,19 +80,19 @@
         self.findings.extend(other.findings);
     }
 
-    /// Tells whether nothing was found.
+    /// Returns whether there are no findings.
     pub fn is_empty(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Returns the findings ordered by place.
+    /// Returns the findings ordered by location.
     pub fn sorted(&self) -> impl Iterator<Item = &Finding> {
         let mut findings: SmallVec<[&Finding; 8]> = self.findings.iter().collect();
         findings.sort_by(|a, b| a.place.cmp(&b.place));
         findings.into_iter()
     }
 
-    /// Turns the checked value into a result: the value if nothing was found, else the findings.
+    /// Returns the checked value if there are no findings, else the findings as an error.
     pub fn into_result<T>(self, value: T) -> Result<T, FindingList> {
         if self.is_empty() {
             Ok(value)
@@ -104,8 +104,8 @@
 
 impl fmt::Display for FindingList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (number, finding) in self.sorted().enumerate() {
-            if number > 0 {
+        for (index, finding) in self.sorted().enumerate() {
+            if index > 0 {
                 f.write_str("\n")?;
             }
             write!(f, "{finding}")?;
@@ -116,7 +116,7 @@
 
 impl std::error::Error for FindingList {}
 
-/// Finds the known name nearest to a misspelt one, close enough to be offered to the operator.
+/// Returns the known name closest to a misspelt one, if it is close enough to be suggested to the operator.
 ///
 /// # Examples
 ///
@@ -127,11 +127,12 @@
 /// assert_eq!(nearest_name("weight", ["zone", "port"]), None);
 /// ```
 pub fn nearest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
-    const FARTHEST: usize = 2;
+    /// Largest edit distance of a suggestion.
+    const MAX_DISTANCE: usize = 2;
     let mut nearest = None;
     for candidate in known {
         let distance = strsim::damerau_levenshtein(name, candidate);
-        if distance > FARTHEST || nearest.is_some_and(|(best, _)| best <= distance) {
+        if distance > MAX_DISTANCE || nearest.is_some_and(|(least, _)| least <= distance) {
             continue;
         }
         nearest = Some((distance, candidate));
--- a/crates/ebonyfork/src/finding_tests.rs
+++ b/crates/ebonyfork/src/finding_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn findings_are_reported_in_order_of_place() {
+fn findings_are_displayed_in_order_of_location() {
     let mut findings = FindingList::new();
     findings.push("b.ini", 1, "second");
     findings.push("a.ini", 9, "first");
--- a/crates/ebonyfork/src/http_link.rs
+++ b/crates/ebonyfork/src/http_link.rs
@@ -1,7 +1,7 @@
-//! One outgoing HTTP/1.1 connection: opened within a bound, used for one exchange at a time.
+//! An outgoing HTTP/1.1 connection, opened within a timeout and used for one exchange at a time.
 //!
-//! What matters to callers is what became of a request: [`LinkError::Unsent`] proves that not a byte of it left,
-//! anything else after that may have run.
+//! Errors tell callers whether a request may have run: [`LinkError::Unsent`] guarantees that no byte of it was sent;
+//! after any other error it may have run.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,86 +18,87 @@
 
 use crate::traffic::LinkTraffic;
 
-/// Why an exchange brought no whole answer.
+/// Why an exchange returned no complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum LinkError {
-    /// Nothing of the request was sent.
+    /// No byte of the request was sent.
     #[snafu(display("not sent: {reason}"))]
     Unsent {
-        /// The cause.
+        /// Cause of the failure, in words.
         reason: CompactString,
     },
-    /// The request was sent, at least in part, and no whole answer came.
+    /// The request was sent at least in part, and no complete answer arrived.
     #[snafu(display("lost: {reason}"))]
     Lost {
-        /// The cause.
+        /// Cause of the failure, in words.
         reason: CompactString,
     },
 }
 
-/// The body of an answer, as far as it was read.
+/// The body of an answer, at least its beginning.
 #[derive(Debug)]
 pub struct LinkBody {
-    /// Its beginning, or all of it.
+    /// Beginning of the body, or all of it.
     pub begun: Bytes,
-    /// What is still to come, if it is longer than was to be read. The connection takes no other request meanwhile.
+    /// Unread remainder of a body longer than the limit. Until it is read, the connection takes no other request.
     pub rest: Option<Incoming>,
 }
 
-/// An open connection.
+/// An open HTTP/1.1 connection.
 #[derive(Debug)]
 pub struct HttpLink {
     sender: SendRequest<Full<Bytes>>,
 }
 
 impl HttpLink {
-    /// Connects to an address.
-    pub async fn open(address: SocketAddr, within: Duration) -> Result<Self, LinkError> {
-        match tokio::time::timeout(within, Self::connect(address)).await {
+    /// Opens a connection to an address; fails after the timeout `timeout`.
+    pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, LinkError> {
+        match tokio::time::timeout(timeout, Self::connect(address)).await {
             Ok(opened) => opened,
-            Err(_elapsed) => Err(unsent(format_compact!(
+            Err(_elapsed) => Err(unsent_error(format_compact!(
                 "no connection within {} ms",
-                within.as_millis()
+                timeout.as_millis()
             ))),
         }
     }
 
     async fn connect(address: SocketAddr) -> Result<Self, LinkError> {
-        let stream = TcpStream::connect(address).await.map_err(unsent)?;
-        stream.set_nodelay(true).map_err(unsent)?;
+        let stream = TcpStream::connect(address).await.map_err(unsent_error)?;
+        stream.set_nodelay(true).map_err(unsent_error)?;
         let (sender, connection) = Builder::new()
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(unsent)?;
+            .map_err(unsent_error)?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!("connection to {address}: {error}");
+                log::debug!("connection to {address} failed: {error}");
             }
         });
         Ok(Self { sender })
     }
 
-    /// Whether another request can be sent.
+    /// Returns whether another request can be sent.
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Whether the connection has ended.
+    /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Sends a request and reads the whole answer, up to `body_limit` bytes. Dropping the future ends the connection.
+    /// Sends a request and reads the whole answer, up to `body_limit` bytes. Dropping the future closes the connection.
     pub async fn exchange(
         &mut self,
         request: Request<Full<Bytes>>,
         body_limit: usize,
     ) -> Result<Response<Bytes>, LinkError> {
-        let uncounted = LinkTraffic::default();
-        self.exchange_counted(request, body_limit, &uncounted).await
+        let unused_traffic = LinkTraffic::default();
+        self.exchange_counted(request, body_limit, &unused_traffic)
+            .await
     }
 
-    /// Does an exchange and counts what comes in of the answer's body.
+    /// Like [`HttpLink::exchange`], and counts the received bytes of the body in `traffic`.
     pub async fn exchange_counted(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -106,25 +107,27 @@
     ) -> Result<Response<Bytes>, LinkError> {
         let response = self.send(request).await?;
         let (head, body) = response.into_parts();
-        let body = begin_body(body, body_limit, traffic).await?;
+        let body = read_body(body, body_limit, traffic).await?;
         let response = Response::from_parts(head, body);
         let (head, body) = response.into_parts();
         if body.rest.is_some() {
-            return Err(lost(format_compact!("longer than {body_limit} bytes")));
+            return Err(lost_error(format_compact!(
+                "longer than {body_limit} bytes"
+            )));
         }
         Ok(Response::from_parts(head, body.begun))
     }
 
-    /// Sends a request and reads the answer whole if it has at most `whole` bytes, and its beginning otherwise. Dropping
-    /// the future ends the connection.
+    /// Sends a request and reads the whole answer if its body has at most `max_bytes` bytes, and the beginning of the
+    /// body otherwise. Dropping the future closes the connection.
     pub async fn begin_exchange(
         &mut self,
         request: Request<Full<Bytes>>,
-        whole: usize,
+        max_bytes: usize,
     ) -> Result<Response<LinkBody>, LinkError> {
         let response = self.send(request).await?;
         let (head, body) = response.into_parts();
-        let body = begin_body(body, whole, &LinkTraffic::default()).await?;
+        let body = read_body(body, max_bytes, &LinkTraffic::default()).await?;
         Ok(Response::from_parts(head, body))
     }
 
@@ -135,70 +138,71 @@
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
-                let unsent_request = error.take_message().is_some();
+                let is_unsent = error.take_message().is_some();
                 let error = error.into_error();
-                Err(if unsent_request {
-                    unsent(error)
+                Err(if is_unsent {
+                    unsent_error(error)
                 } else {
-                    lost(error)
+                    lost_error(error)
                 })
             }
         }
     }
 
-    /// Waits until the connection takes another request after an exchange; false if it has ended.
+    /// Waits until the connection accepts another request after an exchange; returns false if it is closed instead.
     pub async fn settle(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
 
-/// Reads a body up to a limit.
-async fn begin_body(
+/// Reads a body until it ends or has more than `max_bytes` bytes.
+async fn read_body(
     mut body: Incoming,
-    whole: usize,
+    max_bytes: usize,
     traffic: &LinkTraffic,
 ) -> Result<LinkBody, LinkError> {
-    let mut first = Bytes::new();
-    let mut begun = BytesMut::new();
+    let mut first_frame = Bytes::new();
+    let mut buffer = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        // What follows a body, beside its data, concerns the connection only.
-        let Ok(data) = frame.map_err(lost)?.into_data() else {
+        // Frames other than data are trailers, which aren't used.
+        let Ok(data) = frame.map_err(lost_error)?.into_data() else {
             continue;
         };
         traffic.note(data.len());
-        if first.is_empty() {
-            // Most answers come in one piece, which needs no copy.
-            first = data;
+        if first_frame.is_empty() {
+            // Most bodies arrive in one frame, which needs no copy.
+            first_frame = data;
         } else {
-            if begun.is_empty() {
-                begun.extend_from_slice(&first);
+            if buffer.is_empty() {
+                buffer.extend_from_slice(&first_frame);
             }
-            begun.extend_from_slice(&data);
+            buffer.extend_from_slice(&data);
         }
-        if first.len().max(begun.len()) > whole {
-            let begun = joined(first, begun);
+        if first_frame.len().max(buffer.len()) > max_bytes {
+            let begun = read_so_far(first_frame, buffer);
             let rest = Some(body);
             return Ok(LinkBody { begun, rest });
         }
     }
-    let begun = joined(first, begun);
+    let begun = read_so_far(first_frame, buffer);
     Ok(LinkBody { begun, rest: None })
 }
 
-fn joined(first: Bytes, begun: BytesMut) -> Bytes {
-    if begun.is_empty() {
-        first
+/// Returns the bytes read so far: `buffer` contains the first frame too, unless it is empty.
+fn read_so_far(first_frame: Bytes, buffer: BytesMut) -> Bytes {
+    if buffer.is_empty() {
+        first_frame
     } else {
-        begun.freeze()
+        buffer.freeze()
     }
 }
 
-fn unsent(reason: impl ToCompactString) -> LinkError {
+fn unsent_error(reason: impl ToCompactString) -> LinkError {
     let reason = reason.to_compact_string();
     LinkError::Unsent { reason }
 }
 
-fn lost(reason: impl ToCompactString) -> LinkError {
+fn lost_error(reason: impl ToCompactString) -> LinkError {
     let reason = reason.to_compact_string();
     LinkError::Lost { reason }
 }
--- a/crates/ebonyfork/src/ident.rs
+++ b/crates/ebonyfork/src/ident.rs
@@ -1,8 +1,8 @@
-//! Identities and quantities that travel through the whole tier.
+//! Identifiers used throughout the tier.
 //!
-//! Every identifier is a newtype with a text form that reads back: what `Display` prints, `FromStr` accepts. Names
-//! are short lower-case texts ([`ServiceName`], [`ZoneName`] and so on); numbers carry their role in their type, so
-//! that a revision can't be passed where a snapshot version is meant.
+//! Every identifier is a newtype whose text form round-trips: `FromStr` accepts what `Display` prints. Names are short
+//! lower-case texts ([`ServiceName`], [`ZoneName`] and so on). Numbers have a type for each role, so that a revision
+//! can't be passed where a snapshot version is expected.
 
 use std::fmt;
 use std::net::{IpAddr, SocketAddr};
@@ -12,25 +12,25 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// Longest accepted name, in bytes.
-pub const NAME_LIMIT: usize = 64;
+/// Longest valid name, in bytes.
+pub const MAX_NAME_BYTES: usize = 64;
 
-/// A text that is not a valid identifier.
+/// Error for a text that is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("`{text}` is not a valid {kind}: expected {expected}"))]
 pub struct IdentError {
-    /// The rejected text, shortened to [`NAME_LIMIT`] characters.
+    /// The rejected text, shortened to [`MAX_NAME_BYTES`] characters.
     pub text: CompactString,
-    /// What was being read.
+    /// Kind of the expected identifier, in words.
     pub kind: &'static str,
-    /// The accepted form, in words.
+    /// Description of the valid form.
     pub expected: &'static str,
 }
 
 impl IdentError {
-    /// Describes a rejected text.
+    /// Creates an error for a rejected text.
     pub fn new(text: impl AsRef<str>, kind: &'static str, expected: &'static str) -> Self {
-        let text = text.as_ref().chars().take(NAME_LIMIT).collect();
+        let text = text.as_ref().chars().take(MAX_NAME_BYTES).collect();
         Self {
             text,
             kind,
@@ -63,7 +63,7 @@
             type Err = IdentError;
 
             fn from_str(text: &str) -> Result<Self, IdentError> {
-                if !is_name(text) {
+                if !is_valid_name(text) {
                     return Err(IdentError::new(text, $kind, NAME_FORM));
                 }
                 Ok(Self(CompactString::new(text)))
@@ -86,14 +86,15 @@
     };
 }
 
+/// Valid form of a name, for error messages.
 const NAME_FORM: &str = "1 to 64 of a-z, 0-9, `-`, `_` and `.`, starting with a letter or digit";
 
-fn is_name(text: &str) -> bool {
-    let inner = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
+fn is_valid_name(text: &str) -> bool {
+    let is_allowed = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
     let Some(first) = text.bytes().next() else {
         return false;
     };
-    text.len() <= NAME_LIMIT && first.is_ascii_alphanumeric() && text.bytes().all(inner)
+    text.len() <= MAX_NAME_BYTES && first.is_ascii_alphanumeric() && text.bytes().all(is_allowed)
 }
 
 name_type!(
@@ -109,7 +110,7 @@
     IndexName, "index name"
 );
 name_type!(
-    /// Name of a class of work.
+    /// Name of a class of queries.
     ClassName, "class name"
 );
 name_type!(
@@ -152,11 +153,12 @@
     ShardNumber(u32), "shard number"
 );
 number_type!(
-    /// Revision of the operators' configuration; only grows.
+    /// Revision of the operators' configuration; it never decreases.
     RevisionNumber(u64), "revision"
 );
 number_type!(
-    /// One life of a process: the milliseconds since the Unix epoch at its start; only grows per VM.
+    /// Incarnation of a VM's process: the milliseconds from the Unix epoch to its start. It increases with each
+    /// restart.
     IncarnationNumber(u64), "incarnation"
 );
 
@@ -185,15 +187,15 @@
 }
 
 address_type!(
-    /// One of our VMs, by its IP address.
+    /// IP address of a VM of this deployment.
     VmAddress(IpAddr), "VM address", "an IP address"
 );
 address_type!(
-    /// One upstream server, by its IP address and port.
+    /// IP address and port of an upstream.
     UpstreamAddress(SocketAddr), "upstream address", "IP:PORT"
 );
 
-/// Identity of one process incarnation, which alone may run the keys of its sessions.
+/// Identifies one incarnation of a process, the only one that may run queries with this session's idempotency keys.
 ///
 /// # Examples
 ///
@@ -206,14 +208,14 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SessionId {
-    /// The VM the process runs on.
+    /// VM that the process runs on.
     pub vm: VmAddress,
-    /// The life of the process.
+    /// Incarnation of the process on its VM.
     pub incarnation: IncarnationNumber,
 }
 
 impl SessionId {
-    /// Names the incarnation of one process.
+    /// Creates the id of one incarnation of a VM's process.
     pub fn new(vm: VmAddress, incarnation: IncarnationNumber) -> Self {
         Self { vm, incarnation }
     }
@@ -237,7 +239,7 @@
     }
 }
 
-/// Key of one non-idempotent request: the session that may run it, and the caller's sequence number in it.
+/// Idempotency key of a non-idempotent request: the session that may run it, and a sequence number within the session.
 ///
 /// # Examples
 ///
@@ -250,9 +252,9 @@
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct IdempotencyKey {
-    /// The only process incarnation that may run the request.
+    /// Session of the only process incarnation that may run the request.
     pub session: SessionId,
-    /// Chosen by the caller, unique within the session.
+    /// Sequence number chosen by the caller, unique within the session.
     pub sequence: u64,
 }
 
@@ -274,12 +276,12 @@
     }
 }
 
-/// Identity of one query within the tier: unique for an entry's incarnation.
+/// Identifies a query by the session of its entry and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct QueryId {
-    /// The entry that serves the query.
+    /// Session of the entry that serves the query.
     pub session: SessionId,
-    /// Counted up by that entry.
+    /// Number of the query, incremented by that entry.
     pub number: u64,
 }
 
@@ -301,14 +303,14 @@
     }
 }
 
-/// One try of one shard request, unique for an entry's incarnation.
+/// Identifies one attempt of a shard request.
 ///
-/// Hedges and retries of the same shard are attempts of their own, so that a late reply can't be taken for another's.
+/// Hedges and retries for the same shard are separate attempts, so that a late reply can't be mistaken for another's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct AttemptId {
-    /// The query that the attempt belongs to.
+    /// Query that the attempt belongs to.
     pub query: QueryId,
-    /// Counted up within the query.
+    /// Number of the attempt, incremented within the query.
     pub number: u32,
 }
 
@@ -330,7 +332,7 @@
     }
 }
 
-/// Fingerprint of a request's class and body; the same request sent again has the same one.
+/// Fingerprint of a request's class and selection; equal for equal requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestFingerprint(pub u64);
@@ -375,15 +377,15 @@
     }
 }
 
-/// Whether a request took effect at an upstream, as far as the tier can truthfully say.
+/// Whether a request ran at an upstream, as far as the tier can guarantee it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// No upstream has run or will run it.
+    /// No upstream has run the request or will run it.
     NotRun,
-    /// An upstream ran it.
+    /// An upstream ran the request.
     Ran,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
--- a/crates/ebonyfork/src/ident_tests.rs
+++ b/crates/ebonyfork/src/ident_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn names_keep_to_their_form() {
+fn only_texts_of_the_valid_form_parse_as_names() {
     for text in [
         "",
         "A",
@@ -11,7 +11,7 @@
         "-a",
         "a/b",
         "ä",
-        &"a".repeat(NAME_LIMIT + 1),
+        &"a".repeat(MAX_NAME_BYTES + 1),
     ] {
         expect_that!(text.parse::<ServiceName>(), err(anything()), "{text}");
     }
@@ -24,7 +24,7 @@
 }
 
 #[gtest]
-fn attempts_read_back() {
+fn attempt_ids_round_trip_through_text() {
     let session = SessionId::new(VmAddress("::1".parse().unwrap()), IncarnationNumber(9));
     let query = QueryId { session, number: 3 };
     let attempt = AttemptId { query, number: 4 };
--- a/crates/ebonyfork/src/ini.rs
+++ b/crates/ebonyfork/src/ini.rs
@@ -1,7 +1,7 @@
-//! Reading INI text with places, for settings, declarations and scenarios alike.
+//! INI reader that keeps line numbers, for settings, declarations and scenarios.
 //!
-//! `ini_core` splits the lines; this module keeps the line of every section and property, takes typed values out and
-//! records a finding for whatever is missing, malformed, doubled or unknown. A section header is a kind with an
+//! `ini_core` splits the lines. This module records the line of every section and property, parses typed values and
+//! adds a finding for everything that is missing, malformed, duplicated or unknown. A section header is a kind with an
 //! optional name: `[node]`, `[class tender-search]`. Comments start with `;`, at a line's start or after white space.
 
 use std::collections::hash_map::Entry;
@@ -18,38 +18,38 @@
 /// One `key = value` line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniProperty {
-    /// Key, without surrounding white space.
+    /// Key, trimmed.
     pub key: CompactString,
-    /// Value, without surrounding white space.
+    /// Value, trimmed and without comment.
     pub value: CompactString,
-    /// Line, counted from 1.
+    /// Line number, counted from 1.
     pub line: u32,
 }
 
 /// One section with its properties.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniSection {
-    /// First word of the header.
+    /// Kind of the section: the first word of the header.
     pub kind: CompactString,
-    /// The rest of the header; empty if there is none.
+    /// Name of the section: the rest of the header, or empty.
     pub name: CompactString,
-    /// Line of the header, counted from 1.
+    /// Line number of the header, counted from 1.
     pub line: u32,
-    /// Properties in order.
+    /// Properties in file order.
     pub properties: Vec<IniProperty>,
 }
 
 /// A parsed INI text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct IniDocument {
-    /// The file, as the operator named it.
+    /// Name of the file, as the operator specified it.
     pub file: CompactString,
-    /// Sections in order.
+    /// Sections in file order.
     pub sections: Vec<IniSection>,
 }
 
 impl IniDocument {
-    /// Splits a text into sections and records what is not INI.
+    /// Parses a text into sections; lines that are not valid INI are reported as findings.
     ///
     /// # Examples
     ///
@@ -68,12 +68,12 @@
         let mut parser = Parser::new(text).auto_trim(true);
         while let Some(item) = parser.next() {
             let line = parser.line();
-            builder.take_item(item, line, findings);
+            builder.add_item(item, line, findings);
         }
         builder.document
     }
 
-    /// Reports every section that has a name or whose kind is not among the known ones.
+    /// Reports every section that has a name or an unknown kind.
     pub fn check_sections(&self, known: &[&str], findings: &mut FindingList) {
         for section in &self.sections {
             if known.contains(&section.kind.as_str()) && section.name.is_empty() {
@@ -84,12 +84,12 @@
         }
     }
 
-    /// The first section of a kind.
+    /// Returns the first section of a kind.
     pub fn find_section(&self, kind: &str) -> Option<&IniSection> {
         self.sections.iter().find(|section| section.kind == kind)
     }
 
-    /// The first section of a kind; its absence is a finding.
+    /// Returns the first section of a kind; reports a finding if there is none.
     pub fn needed_section(&self, kind: &str, findings: &mut FindingList) -> Option<&IniSection> {
         let section = self.find_section(kind);
         if section.is_none() {
@@ -99,10 +99,10 @@
     }
 }
 
-/// Builds a document line by line.
+/// Builds an [`IniDocument`] line by line.
 struct DocumentBuilder {
     document: IniDocument,
-    /// Line of each header seen, so that a doubled one is found without a search.
+    /// Line of each section header so far, by kind and name, to detect duplicates.
     headers: FxHashMap<(CompactString, CompactString), u32>,
 }
 
@@ -118,10 +118,10 @@
         }
     }
 
-    fn take_item(&mut self, item: Item<'_>, line: u32, findings: &mut FindingList) {
+    fn add_item(&mut self, item: Item<'_>, line: u32, findings: &mut FindingList) {
         match item {
             Item::Section(header) => self.open_section(header, line, findings),
-            Item::Property(key, value) => self.take_property(key, value, line, findings),
+            Item::Property(key, value) => self.add_property(key, value, line, findings),
             Item::Error(text) => {
                 let message = format!("malformed section header `{text}`");
                 findings.push(&self.document.file, line, message);
@@ -150,7 +150,7 @@
         });
     }
 
-    fn take_property(
+    fn add_property(
         &mut self,
         key: &str,
         value: Option<&str>,
@@ -178,12 +178,12 @@
             );
             return;
         };
-        if let Some(twin) = section.properties.iter().find(|other| other.key == key) {
-            let first = twin.line;
+        if let Some(duplicate) = section.properties.iter().find(|other| other.key == key) {
+            let first_line = duplicate.line;
             findings.push(
                 &self.document.file,
                 line,
-                format!("`{key}` already stands at line {first}"),
+                format!("`{key}` already stands at line {first_line}"),
             );
             return;
         }
@@ -195,29 +195,30 @@
     }
 }
 
-/// Cuts off a comment at a value's end: a `;` after white space.
+/// Removes a comment at the end of a value: a `;` after white space, and all that follows.
 fn strip_comment(value: &str) -> &str {
-    let mut earlier = ' ';
-    for (place, letter) in value.char_indices() {
-        if letter == ';' && earlier.is_ascii_whitespace() {
-            return value[..place].trim_end();
+    let mut previous = ' ';
+    for (index, character) in value.char_indices() {
+        if character == ';' && previous.is_ascii_whitespace() {
+            return value[..index].trim_end();
         }
-        earlier = letter;
+        previous = character;
     }
     value
 }
 
-/// Takes typed values out of one section and records findings.
+/// Parses the values of one section and reports findings.
 #[derive(Debug)]
 pub struct SectionReader<'a> {
     file: &'a str,
     section: &'a IniSection,
     findings: &'a mut FindingList,
+    /// Keys read so far; any other key in the section is unknown.
     known: SmallVec<[&'static str; 16]>,
 }
 
 impl<'a> SectionReader<'a> {
-    /// Starts to read a section.
+    /// Creates a reader for a section.
     pub fn new(file: &'a str, section: &'a IniSection, findings: &'a mut FindingList) -> Self {
         Self {
             file,
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Takes a value that may be missing.
+    /// Parses an optional value; a malformed one is reported as a finding.
     pub fn optional<T>(&mut self, key: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -244,7 +245,7 @@
         }
     }
 
-    /// Takes a value that must be there.
+    /// Parses a required value; a missing or malformed one is reported as a finding.
     pub fn required<T>(&mut self, key: &'static str) -> Option<T>
     where
         T: FromStr,
@@ -262,7 +263,7 @@
         self.optional(key)
     }
 
-    /// Takes a comma-separated list; missing means empty.
+    /// Parses a comma-separated list, empty if the key is missing; malformed items are reported as findings.
     pub fn list<T>(&mut self, key: &'static str) -> Vec<T>
     where
         T: FromStr,
@@ -284,15 +285,15 @@
         values
     }
 
-    /// Takes one of a fixed set of words.
+    /// Parses a value that must be one of the given words; any other word is reported as a finding.
     pub fn choice<T: Copy>(
         &mut self,
         key: &'static str,
         choices: &[(&'static str, T)],
     ) -> Option<T> {
         let property = self.property(key)?;
-        let chosen = choices.iter().find(|(word, _)| *word == property.value);
-        if chosen.is_none() {
+        let selected = choices.iter().find(|(word, _)| *word == property.value);
+        if selected.is_none() {
             let words: SmallVec<[&str; 4]> = choices.iter().map(|(word, _)| *word).collect();
             let message = format!(
                 "{key}: `{}` is not one of `{}`",
@@ -301,10 +302,10 @@
             );
             self.findings.push(self.file, property.line, message);
         }
-        chosen.map(|(_, value)| *value)
+        selected.map(|(_, value)| *value)
     }
 
-    /// Records a finding at a key's line, or at the section's header if the key is missing.
+    /// Reports a finding at a key's line, or at the section's header if the key is missing.
     pub fn report(&mut self, key: &'static str, message: impl Display) {
         let line = self
             .property(key)
@@ -313,7 +314,7 @@
             .push(self.file, line, format!("{key}: {message}"));
     }
 
-    /// Ends the section: every key that was never asked for is a finding, with the nearest known key.
+    /// Ends the section: reports each key that was never read as unknown, with the closest known key.
     pub fn finish(self) {
         for property in &self.section.properties {
             let key = property.key.as_str();
@@ -336,7 +337,7 @@
     }
 }
 
-/// Words a finding about an unknown name, offering the nearest known one or else all of them.
+/// Returns the message for an unknown name; it suggests the closest known name, or else lists all known names.
 pub fn unknown_message(role: &str, name: &str, known: &[&str]) -> String {
     match nearest_name(name, known.iter().copied()) {
         Some(nearest) => format!("unknown {role} `{name}`, did you mean `{nearest}`?"),
--- a/crates/ebonyfork/src/ini_tests.rs
+++ b/crates/ebonyfork/src/ini_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn findings_carry_their_lines() {
+fn each_finding_has_the_line_of_its_error() {
     let text = "stray = 1\n[node]\nport = x\nport = 2\nzome = a\n[broken\nword\n# note = 1\n";
     let mut findings = FindingList::new();
     let document = IniDocument::parse("n.ini", text, &mut findings);
--- a/crates/ebonyfork/src/lib.rs
+++ b/crates/ebonyfork/src/lib.rs
@@ -1,11 +1,12 @@
 //! ebonyfork: a query tier over many shards.
 //!
 //! Callers send a query to an *entry*. The entry pins one version of the index, plans one request per shard and sends
-//! them in batches to *relays*, which own the connections to the upstreams. Every process plays both roles. The entry
-//! gathers the shards' rows into one answer that says truthfully which snapshot it reflects and how much it covers.
+//! the requests in batches to *relays*, which own the connections to the upstreams. Every process has both roles. The
+//! entry gathers the shards' rows into one answer, which states the snapshot it reflects and how much of it it covers.
 //!
-//! One module per duty. In each, the decisions are plain code over values: they take the time, a seeded random source
-//! and messages, and return what is to be done. A thin actor beside them owns sockets and timers.
+//! Each module has one responsibility and separates decisions from I/O. The decisions are deterministic: they take the
+//! time, a seeded random source and messages as inputs, and return actions. An actor owns the sockets and timers and
+//! performs the actions.
 
 pub mod caller;
 pub mod catalog;
--- a/crates/ebonyfork/src/quantity.rs
+++ b/crates/ebonyfork/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Quantities with units: what settings and declarations state, and what reports print.
+//! Quantities with units, as written in settings and declarations and printed in reports.
 
 use std::fmt;
 use std::str::FromStr;
@@ -28,7 +28,7 @@
 #[serde(transparent)]
 pub struct TimeSpan(pub Duration);
 
-/// Units of [`TimeSpan`] with their microseconds, largest first.
+/// Units of [`TimeSpan`] and their length in microseconds, largest first.
 const TIME_UNITS: [(&str, u64); 5] = [
     ("h", 3_600_000_000),
     ("min", 60_000_000),
@@ -59,8 +59,8 @@
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = text.split_at(digits);
         let number: u64 = number.parse().map_err(|_error| error())?;
-        let known = TIME_UNITS.into_iter().find(|(name, _)| *name == unit);
-        let (_, size) = known.ok_or_else(error)?;
+        let matching_unit = TIME_UNITS.into_iter().find(|(name, _)| *name == unit);
+        let (_, size) = matching_unit.ok_or_else(error)?;
         let micros = number.checked_mul(size).ok_or_else(error)?;
         Ok(Self(Duration::from_micros(micros)))
     }
@@ -84,7 +84,7 @@
 #[serde(transparent)]
 pub struct ByteSize(pub u64);
 
-/// Units of [`ByteSize`] with their bytes, largest first; the plain number comes last.
+/// Units of [`ByteSize`] and their size in bytes, largest first; the last one has no suffix.
 const BYTE_UNITS: [(&str, u64); 4] = [
     ("GiB", 1 << 30),
     ("MiB", 1 << 20),
@@ -118,8 +118,8 @@
         let digits = text.bytes().take_while(u8::is_ascii_digit).count();
         let (number, unit) = text.split_at(digits);
         let number: u64 = number.parse().map_err(|_error| error())?;
-        let known = BYTE_UNITS.into_iter().find(|(name, _)| *name == unit);
-        let (_, size) = known.ok_or_else(error)?;
+        let matching_unit = BYTE_UNITS.into_iter().find(|(name, _)| *name == unit);
+        let (_, size) = matching_unit.ok_or_else(error)?;
         number.checked_mul(size).map(Self).ok_or_else(error)
     }
 }
--- a/crates/ebonyfork/src/quantity_tests.rs
+++ b/crates/ebonyfork/src/quantity_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn spans_and_sizes_read_back() {
+fn time_spans_and_byte_sizes_round_trip_through_text() {
     for text in ["1us", "300ms", "5s", "10min", "2h", "0ms"] {
         expect_that!(
             text.parse::<TimeSpan>().map(|span| span.to_string()),
--- a/crates/ebonyfork/src/query.rs
+++ b/crates/ebonyfork/src/query.rs
@@ -1,7 +1,7 @@
-//! A caller's query and what comes of it: the values that pass between the caller's border and the entry.
+//! A caller's query and its outcome, as passed between the callers' port and the entry.
 //!
-//! They are also what one VM hands to another when a non-idempotent query belongs to that VM's session, so they have a
-//! wire form. Every outcome says whether the query ran.
+//! A non-idempotent query that belongs to the session of another VM is forwarded to that VM, so these types are also
+//! sent between VMs. Every outcome says whether the query ran.
 
 use std::fmt;
 use std::time::Duration;
@@ -16,46 +16,46 @@
 
 /// Largest selection, in bytes.
 pub const SELECTION_LIMIT: usize = 64 << 10;
-/// Longest record name that selects the shard of a one-shard class, in bytes.
+/// Longest record name, in bytes. The record selects the shard for a class whose queries go to one shard.
 pub const RECORD_LIMIT: usize = 256;
 
-/// One caller's query, with bounds already checked.
+/// One caller's query, with all sizes already checked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryRequest {
-    /// Class of work.
+    /// Class of the query, which sets its targets.
     pub class: ClassName,
-    /// The organisation it is for.
+    /// Organisation on whose behalf the query is sent.
     pub organisation: OrganisationName,
-    /// The caller's own bound; it can only tighten the class's.
+    /// The caller's own time limit; it can only shorten the time limit of the class.
     pub deadline: Option<Duration>,
-    /// Selects the shard of a one-shard class.
+    /// Record that selects the shard, for a class whose queries go to one shard.
     pub record: Option<CompactString>,
-    /// What every shard is asked, opaque to the tier.
+    /// Request body sent to every shard, opaque to the tier.
     pub selection: Bytes,
-    /// Key of a non-idempotent query.
+    /// Idempotency key of a non-idempotent query.
     pub key: Option<IdempotencyKey>,
-    /// The caller's own name for the query, echoed in answer and logs.
+    /// The caller's own id of the query, repeated in the answer and in logs.
     pub caller_id: Option<CompactString>,
 }
 
 /// How much of the index an answer covers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryCoverage {
-    /// Shards whose rows are in the answer.
+    /// Number of shards whose rows are in the answer.
     pub answered: u32,
-    /// Shards of the pinned version that the query needs.
+    /// Number of shards of the pinned index version that the query needs.
     pub total: u32,
-    /// Shards without rows, ascending.
+    /// Shards whose rows are missing, in ascending order.
     pub missing: Vec<ShardNumber>,
 }
 
 impl QueryCoverage {
-    /// Tells whether any shard is missing.
+    /// Returns whether any shard is missing.
     pub fn is_thin(&self) -> bool {
         self.answered < self.total
     }
 
-    /// The answered share, 0 to 1; an empty index is covered whole.
+    /// Returns the fraction of shards that answered, from 0 to 1; it is 1 for an empty index.
     pub fn share(&self) -> f64 {
         if self.total == 0 {
             1.0
@@ -74,17 +74,17 @@
 /// The answer to one query, from one snapshot of the index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryAnswer {
-    /// The tier's name for the query: a `QueryId`, or the caller's own.
+    /// Id of the query: the caller's own, or else the text form of its `QueryId`.
     pub query: CompactString,
-    /// The snapshot that every row reflects.
+    /// Index version that every row reflects.
     pub snapshot: SnapshotVersion,
-    /// How much is covered.
+    /// How much of the index the answer covers.
     pub coverage: QueryCoverage,
-    /// Per answered shard, in shard order, the JSON text `{"rows":[…]}` of its upstream.
+    /// JSON text `{"rows":[…]}` from the upstream of each shard that answered, in shard order.
     pub bodies: Vec<Bytes>,
 }
 
-/// Stable code of an outcome without an answer.
+/// Stable code that tells callers why a query was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusalCode {
@@ -94,30 +94,30 @@
     UnknownOrganisation,
     /// The class is not declared.
     UnknownClass,
-    /// There is nothing at this path.
+    /// The HTTP path does not exist.
     NotFound,
-    /// The outcome of this key can no longer be known.
+    /// The outcome of this idempotency key can't be determined.
     OutcomeUnknown,
-    /// A header or the body exceeds its bound.
+    /// A header or the body exceeds its size limit.
     TooLarge,
-    /// The request has crashed upstreams.
+    /// The request is quarantined because it has crashed upstreams.
     Quarantined,
-    /// Upstreams failed.
+    /// Upstreams failed to answer.
     UpstreamFailed,
-    /// The target can't be met at the present load.
+    /// The class's target can't be met at the current load.
     Overloaded,
     /// This VM has not synchronised yet, or is fenced.
     NotReady,
     /// This VM is stopping.
     Stopping,
-    /// No upstream can take the work.
+    /// No upstream is available for the query.
     NoUpstream,
-    /// No answer good enough in time.
+    /// No answer with sufficient coverage was ready in time.
     Deadline,
 }
 
 impl RefusalCode {
-    /// The code's text form, as callers see it.
+    /// Returns the code as callers see it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad-request",
@@ -143,7 +143,7 @@
     }
 }
 
-/// An outcome without an answer.
+/// The outcome of a query without an answer: it was refused, or it failed.
 ///
 /// # Examples
 ///
@@ -159,20 +159,20 @@
 /// ```
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueryRefusal {
-    /// Why.
+    /// Reason of the refusal.
     pub code: RefusalCode,
-    /// Whether it ran.
+    /// Whether the query ran.
     pub ran: RunState,
-    /// In words.
+    /// Explanation for the caller.
     pub message: CompactString,
-    /// The malformed field.
+    /// Name of the malformed field, if that is the reason.
     pub field: Option<CompactString>,
-    /// When to come back.
+    /// Delay after which the caller may retry, if known.
     pub retry_after: Option<Duration>,
 }
 
 impl QueryRefusal {
-    /// Makes a refusal.
+    /// Creates a refusal without field and retry delay.
     pub fn new(code: RefusalCode, ran: RunState, message: impl ToCompactString) -> Self {
         let message = message.to_compact_string();
         Self {
@@ -184,17 +184,17 @@
         }
     }
 
-    /// Names the malformed field.
+    /// Sets the name of the malformed field.
     #[must_use]
     pub fn with_field(mut self, field: impl ToCompactString) -> Self {
         self.field = Some(field.to_compact_string());
         self
     }
 
-    /// Tells when to come back.
+    /// Sets the delay after which the caller may retry.
     #[must_use]
-    pub fn with_retry_after(mut self, after: Duration) -> Self {
-        self.retry_after = Some(after);
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 }
@@ -207,5 +207,5 @@
 
 impl std::error::Error for QueryRefusal {}
 
-/// What comes of a query.
+/// Outcome of a query: an answer or a refusal.
 pub type QueryOutcome = Result<QueryAnswer, QueryRefusal>;
--- a/crates/ebonyfork/src/settings/mod.rs
+++ b/crates/ebonyfork/src/settings/mod.rs
@@ -1,7 +1,8 @@
-//! Settings of one process: built from INI, checked, then frozen into [`NodeSettings`] and passed along.
+//! Settings of one process: read from INI and checked once, then immutable as [`NodeSettings`].
 //!
-//! Settings say where a process runs and how it reaches the platform. They never steer work: that is done by the
-//! targets in the declarations. The section `[experiment]` switches mechanisms off for side-by-side measurements.
+//! Settings define where a process runs and how it reaches the platform. They don't control how work is scheduled; that
+//! follows from the targets in the declarations. The section `[experiment]` switches mechanisms off for comparative
+//! measurements.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -13,50 +14,50 @@
 use crate::ini::{IniDocument, SectionReader};
 use crate::quantity::TimeSpan;
 
-/// Who holds the connections to an upstream.
+/// Which VMs hold the connections to an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum OwnershipMode {
     /// One owner VM per upstream, chosen by rendezvous hashing.
     #[default]
     Owner,
-    /// Every VM connects for itself with an equal static share: the baseline of the measurements.
+    /// Every VM connects by itself and has an equal static share of the connections: the baseline for measurements.
     Direct,
 }
 
-/// In which order a relay sends queued shard requests.
+/// Order in which a relay sends queued shard requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum QueueOrder {
-    /// Least slack first, fair between organisations.
+    /// Least slack first, with fair shares for organisations.
     #[default]
     Slack,
-    /// In order of arrival: the baseline of the measurements.
+    /// In order of arrival: the baseline for measurements.
     Arrival,
 }
 
-/// How a relay finds the concurrency limit of an upstream.
+/// How a relay determines the concurrency limit of an upstream.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LimitMode {
-    /// Learnt from the upstream's answers.
+    /// Estimated from the upstream's answers.
     #[default]
     Adaptive,
-    /// The connection share alone: the baseline of the measurements.
+    /// Only limited by the connection share: the baseline for measurements.
     Static,
 }
 
-/// Mechanisms that measurements switch off one by one.
+/// Mechanisms that can be switched off one by one for measurements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExperimentSwitches {
-    /// Who holds the connections.
+    /// Which VMs hold the connections to an upstream.
     pub ownership: OwnershipMode,
-    /// The order of a relay's queue.
+    /// Order in which a relay sends queued shard requests.
     pub queue: QueueOrder,
-    /// How the concurrency limit is found.
+    /// How a relay determines the concurrency limit of an upstream.
     pub limit: LimitMode,
-    /// Whether stragglers are hedged.
+    /// Whether hedges are sent for straggling shard requests.
     pub hedge: bool,
-    /// Whether queries are refused by predicted finish.
+    /// Whether a query is refused if it is predicted to finish too late.
     pub admission: bool,
-    /// Whether a tight class that misses its target clamps looser ones (io.latency).
+    /// Whether a class that misses its target clamps classes with longer targets, as io.latency in Linux does.
     pub clamp: bool,
 }
 
@@ -74,7 +75,7 @@
 }
 
 impl ExperimentSwitches {
-    /// Reads the switches that a section states; the others keep their value.
+    /// Reads the switches that a section contains; the others keep their value.
     #[must_use]
     pub fn read(mut self, reader: &mut SectionReader<'_>) -> Self {
         let ownership = [
@@ -94,23 +95,23 @@
             ("static", LimitMode::Static),
         ];
         self.limit = reader.choice("limit", &limit).unwrap_or(self.limit);
-        self.hedge = reader.choice("hedge", &SWITCH).unwrap_or(self.hedge);
+        self.hedge = reader.choice("hedge", &ON_OFF).unwrap_or(self.hedge);
         self.admission = reader
-            .choice("admission", &SWITCH)
+            .choice("admission", &ON_OFF)
             .unwrap_or(self.admission);
-        self.clamp = reader.choice("clamp", &SWITCH).unwrap_or(self.clamp);
+        self.clamp = reader.choice("clamp", &ON_OFF).unwrap_or(self.clamp);
         self
     }
 }
 
-/// Where and how much a process logs.
+/// Log level, contents and destination.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Least severe level that is written.
+    /// Least severe level that is logged.
     pub level: log::LevelFilter,
-    /// Whether each routing and placement decision is written.
+    /// Whether each routing and placement decision is logged.
     pub decisions: bool,
-    /// File to write to; standard output if none.
+    /// Log file; standard output if `None`.
     pub file: Option<CompactString>,
 }
 
@@ -125,7 +126,7 @@
 }
 
 impl LogSettings {
-    /// Reads the section `[log]`; whatever it doesn't state keeps its default.
+    /// Reads the section `[log]`; missing keys keep their defaults.
     pub fn read(document: &IniDocument, findings: &mut FindingList) -> Self {
         let mut log = Self::default();
         let Some(section) = document.find_section("log") else {
@@ -133,7 +134,7 @@
         };
         let mut reader = SectionReader::new(&document.file, section, findings);
         log.level = reader.optional("level").unwrap_or(log.level);
-        log.decisions = reader.choice("decisions", &SWITCH).unwrap_or(log.decisions);
+        log.decisions = reader.choice("decisions", &ON_OFF).unwrap_or(log.decisions);
         log.file = reader.optional("file");
         reader.finish();
         log
@@ -143,25 +144,25 @@
 /// Checked settings of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// This VM's address.
+    /// Address of this VM.
     pub vm: VmAddress,
-    /// The availability zone this VM is in.
+    /// Availability zone of this VM.
     pub zone: ZoneName,
     /// TCP port for callers; the same on every VM of the deployment.
     pub caller_port: u16,
-    /// TCP and UDP port for our own processes; the same on every VM.
+    /// TCP and UDP port for messages between VMs; the same on every VM.
     pub peer_port: u16,
     /// TCP port for operators and metrics; the same on every VM.
     pub operator_port: u16,
     /// Address of the store.
     pub platform: SocketAddr,
-    /// Longest wait for one answer of the store.
+    /// Longest wait for an answer from the store.
     pub platform_timeout: Duration,
-    /// How long a caller may keep a locate answer.
+    /// How long a caller may use a locate answer.
     pub locate_ttl: Duration,
-    /// Logging.
+    /// Log settings.
     pub log: LogSettings,
-    /// Mechanisms that measurements switch off.
+    /// Mechanisms that can be switched off for measurements.
     pub experiment: ExperimentSwitches,
 }
 
@@ -170,11 +171,13 @@
 /// Default of [`NodeSettings::locate_ttl`].
 pub const LOCATE_TTL: Duration = Duration::from_secs(5);
 
-const SECTIONS: [&str; 5] = ["node", "platform", "locate", "log", "experiment"];
-const SWITCH: [(&str, bool); 2] = [("on", true), ("off", false)];
+/// Sections of a settings file.
+const KNOWN_SECTIONS: [&str; 5] = ["node", "platform", "locate", "log", "experiment"];
+/// Values of a key that switches something on or off.
+const ON_OFF: [(&str, bool); 2] = [("on", true), ("off", false)];
 
 impl NodeSettings {
-    /// Settings with defaults for everything that has one.
+    /// Creates settings with defaults for everything that has one; `ports` are for callers, peers and operators.
     pub fn new(vm: VmAddress, zone: ZoneName, ports: [u16; 3], platform: SocketAddr) -> Self {
         let [caller_port, peer_port, operator_port] = ports;
         Self {
@@ -198,7 +201,7 @@
         self
     }
 
-    /// Reads settings from INI text and reports every finding at once.
+    /// Reads settings from INI text. Returns all findings together if there are any.
     ///
     /// # Examples
     ///
@@ -215,29 +218,29 @@
         let file = file.as_ref();
         let mut findings = FindingList::new();
         let document = IniDocument::parse(file, text, &mut findings);
-        document.check_sections(&SECTIONS, &mut findings);
-        let draft = SettingsDraft::read(&document, &mut findings);
-        match draft {
+        document.check_sections(&KNOWN_SECTIONS, &mut findings);
+        let settings = SettingsReader::read(&document, &mut findings);
+        match settings {
             Some(settings) => findings.into_result(settings),
             None => Err(findings),
         }
     }
 
-    /// The caller address of a VM.
+    /// Returns the address of a VM for callers.
     pub fn caller_address(&self, vm: VmAddress) -> SocketAddr {
         SocketAddr::new(vm.0, self.caller_port)
     }
 
-    /// The peer address of a VM.
+    /// Returns the address of a VM for messages between VMs.
     pub fn peer_address(&self, vm: VmAddress) -> SocketAddr {
         SocketAddr::new(vm.0, self.peer_port)
     }
 }
 
-/// Reads the sections one by one; whatever is missing has become a finding.
-struct SettingsDraft;
+/// Reads the sections of a settings file; each missing section or key is reported as a finding.
+struct SettingsReader;
 
-impl SettingsDraft {
+impl SettingsReader {
     fn read(document: &IniDocument, findings: &mut FindingList) -> Option<NodeSettings> {
         let node = Self::read_node(document, findings);
         let platform = Self::read_platform(document, findings);
@@ -268,14 +271,14 @@
         let peer = reader.required("peer-port");
         let operator = reader.required("operator-port");
         let ports = [caller, peer, operator];
-        for (number, key) in ["caller-port", "peer-port", "operator-port"]
+        for (index, key) in ["caller-port", "peer-port", "operator-port"]
             .into_iter()
             .enumerate()
         {
-            if ports[number] == Some(0) {
+            if ports[index] == Some(0) {
                 reader.report(key, "port 0 can't be reached by others");
             }
-            if number > 0 && ports[number].is_some() && ports[..number].contains(&ports[number]) {
+            if index > 0 && ports[index].is_some() && ports[..index].contains(&ports[index]) {
                 reader.report(key, "the three ports must differ");
             }
         }
--- a/crates/ebonyfork/src/settings/settings_tests.rs
+++ b/crates/ebonyfork/src/settings/settings_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[gtest]
-fn every_finding_is_reported_at_once() {
+fn all_findings_of_a_settings_file_are_reported_together() {
     let text = "[node]\nvm = here\nzone = A\ncaller-port = 1\npeer-port = 1\noperator-port = 0\n\
                 [logs]\n[experiment]\nhedge = maybe\n";
     let findings = NodeSettings::parse("n.ini", text).unwrap_err().to_string();
--- a/crates/ebonyfork/src/traffic.rs
+++ b/crates/ebonyfork/src/traffic.rs
@@ -1,7 +1,7 @@
-//! What has come in from elsewhere, counted before whole messages can be made of it.
+//! Counts bytes received on a connection, before they form complete messages.
 //!
-//! A long message is silent to its receiver until its last byte is there. The count tells a peer that sends it slowly from
-//! one that sends nothing.
+//! A receiver sees a long message only once its last byte has arrived. The count distinguishes a peer that is sending
+//! slowly from one that sends nothing.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Counts the bytes that have come in. Clones share the count.
+/// Counts received bytes. Clones share the count.
 ///
 /// # Examples
 ///
@@ -28,18 +28,18 @@
 }
 
 impl LinkTraffic {
-    /// Bytes received so far.
+    /// Returns the number of bytes received so far.
     pub fn received(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
-    /// Counts some bytes more.
+    /// Adds `bytes` to the count.
     pub fn note(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-/// A reader that counts what it reads.
+/// Reader that counts the bytes it reads in a [`LinkTraffic`].
 #[derive(Debug)]
 pub(crate) struct CountedReader<R> {
     reader: R,
--- a/crates/ebonyfork/src/views.rs
+++ b/crates/ebonyfork/src/views.rs
@@ -1,7 +1,7 @@
-//! What the parts of one process share: views that are replaced as a whole.
+//! Views shared by the components of one process. A view is always replaced as a whole.
 //!
-//! Each view has one writer, named below, and any number of readers. A reader takes the current value once per decision
-//! and works on that; it never sees half of a change.
+//! Each view has one writer, documented at its field, and any number of readers. A reader takes the current value once
+//! per decision, so it never sees a partial change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,59 +13,59 @@
 use crate::ident::IndexName;
 use crate::topology::TopologyView;
 
-/// The catalogues of all indexes that this process has read.
+/// Catalogues of all indexes that this process has read.
 pub type CatalogSet = BTreeMap<IndexName, IndexCatalog>;
 
-/// Whether a process may take new work.
+/// Readiness of a process, which decides whether it accepts new work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum NodeReadiness {
-    /// It has not yet read configuration, catalogue and VM list.
+    /// The process has not yet read configuration, catalogues and VM list.
     #[default]
     Starting,
-    /// It takes work.
+    /// The process accepts new work.
     Ready,
-    /// It was paused, or reaches neither store nor peers: it refuses new work until it has synchronised.
+    /// The process was paused, or reaches neither store nor peers; it refuses new work until it has synchronised.
     Fenced,
-    /// A planned stop has been announced; work is still taken until callers have forgotten the address.
+    /// A planned stop is announced; new work is accepted until callers no longer use this VM's address.
     Leaving,
-    /// Work in flight is finished; new work is refused.
+    /// A planned stop finishes the work in flight; new work is refused.
     Stopping,
 }
 
 impl NodeReadiness {
-    /// Tells whether new work is taken.
+    /// Returns whether new work is accepted.
     pub fn takes_work(self) -> bool {
         matches!(self, Self::Ready | Self::Leaving)
     }
 }
 
-/// The reading side of all views. Cheap to clone.
+/// Receivers of all views. Cheap to clone.
 #[derive(Debug, Clone)]
 pub struct NodeViews {
-    /// Written by the topology feed.
+    /// Topology of VMs and upstreams, written by the topology feed.
     pub topology: watch::Receiver<Arc<TopologyView>>,
-    /// Written by the revision feed.
+    /// Declared configuration in force, written by the revision feed.
     pub config: watch::Receiver<Arc<DeclaredConfig>>,
-    /// Written by the catalogue feed.
+    /// Index catalogues, written by the catalogue feed.
     pub catalog: watch::Receiver<Arc<CatalogSet>>,
-    /// Written by the lifecycle.
+    /// Readiness of this process, written by the lifecycle.
     pub readiness: watch::Receiver<NodeReadiness>,
 }
 
-/// The writing side of all views.
+/// Senders of all views.
 #[derive(Debug)]
 pub struct ViewWriters {
-    /// Taken by the topology feed.
+    /// Sender of the topology, for the topology feed.
     pub topology: watch::Sender<Arc<TopologyView>>,
-    /// Taken by the revision feed.
+    /// Sender of the declared configuration, for the revision feed.
     pub config: watch::Sender<Arc<DeclaredConfig>>,
-    /// Taken by the catalogue feed.
+    /// Sender of the index catalogues, for the catalogue feed.
     pub catalog: watch::Sender<Arc<CatalogSet>>,
-    /// Taken by the lifecycle.
+    /// Sender of the readiness, for the lifecycle.
     pub readiness: watch::Sender<NodeReadiness>,
 }
 
-/// Makes empty views.
+/// Creates all views with default values.
 ///
 /// # Examples
 ///
