--- a/crates/ebonyfork/src/lifecycle/handle.rs
+++ b/crates/ebonyfork/src/lifecycle/handle.rs
@@ -60,7 +60,7 @@
     /// Seals the session of this process and hands its outcomes to a successor.
     pub hand_over: H,
     /// Cancelled by a second signal: the stop waits no longer for work in flight.
-    pub hurry: CancellationToken,
+    pub skip_waiting: CancellationToken,
 }
 
 /// Readiness, fencing and the planned stop of one process. Cheap to clone.
@@ -140,12 +140,12 @@
     }
 
     /// Records that the store answered.
-    pub fn note_store_contact(&self) {
+    pub fn record_store_contact(&self) {
         self.shared.record_contact(ContactSource::Store);
     }
 
     /// Records that a message from a peer arrived.
-    pub fn note_peer_contact(&self) {
+    pub fn record_peer_contact(&self) {
         self.shared.record_contact(ContactSource::Peer);
     }
 
@@ -207,7 +207,7 @@
         );
         loop {
             let in_flight = self.serving() + (steps.in_flight)();
-            let skip_waiting = steps.hurry.is_cancelled();
+            let skip_waiting = steps.skip_waiting.is_cancelled();
             let phase = run.advance(self.shared.now(), in_flight, skip_waiting);
             self.shared.set_stop_phase(phase);
             if phase == StopPhase::HandingOver {
@@ -215,7 +215,7 @@
             }
             tokio::select! {
                 () = tokio::time::sleep(STOP_POLL_INTERVAL) => {}
-                () = steps.hurry.cancelled() => {}
+                () = steps.skip_waiting.cancelled() => {}
             }
         }
         if run.given_up() > 0 {
--- a/crates/ebonyfork/src/lifecycle/handle_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/handle_tests.rs
@@ -91,7 +91,7 @@
         handle.serve(true, async { Ok(answer()) }).await,
         ok(anything())
     );
-    handle.note_peer_contact();
+    handle.record_peer_contact();
     expect_that!(handle.update_readiness(), eq(NodeReadiness::Ready));
 }
 
@@ -111,14 +111,14 @@
 async fn stop(
     lifecycle: &TestLifecycle,
     bound: Duration,
-    hurry: CancellationToken,
+    skip_waiting: CancellationToken,
 ) -> (StopReport, bool) {
     let announced = AtomicBool::new(false);
     let steps = StopSteps {
         announce: || announced.store(true, Ordering::Relaxed),
         in_flight: || 0,
         hand_over: || async { None },
-        hurry,
+        skip_waiting,
     };
     let plan = StopPlan::new(Duration::from_secs(1), bound);
     let report = lifecycle.handle.stop(plan, steps).await;
@@ -173,9 +173,9 @@
         let stuck = lifecycle.handle.clone();
         let stuck = tokio::spawn(async move { stuck.serve(keyed, std::future::pending()).await });
         tokio::task::yield_now().await;
-        let hurry = CancellationToken::new();
-        hurry.cancel();
-        let (report, _) = stop(&lifecycle, Duration::from_secs(10), hurry).await;
+        let skip_waiting = CancellationToken::new();
+        skip_waiting.cancel();
+        let (report, _) = stop(&lifecycle, Duration::from_secs(10), skip_waiting).await;
         expect_that!(report.given_up, eq(1));
         let refusal = stuck.await.unwrap().unwrap_err();
         expect_that!((refusal.code, refusal.ran), eq((code, RunState::Unknown)));
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -99,7 +99,7 @@
                 let successor = session_successor(&views.topology.borrow(), *session)?;
                 Some(dispatch.once.hand_over(successor).await)
             },
-            hurry: self.hurry.clone(),
+            skip_waiting: self.hurry.clone(),
         };
         let report = self.lifecycle.stop(plan, steps).await;
         self.stop.cancel();
@@ -251,7 +251,7 @@
             let (client, lifecycle) = (client.clone(), lifecycle.clone());
             Box::pin(async move {
                 let records = read_vm_list(&client).await?;
-                lifecycle.note_store_contact();
+                lifecycle.record_store_contact();
                 Ok::<_, StoreError>(records)
             })
         };
--- a/crates/ebonyfork/src/node/dispatch.rs
+++ b/crates/ebonyfork/src/node/dispatch.rs
@@ -30,7 +30,7 @@
             LinkEvent::Down { vm, unsent } => {
                 let is_keyed = |message: &PeerMessage| matches!(message, PeerMessage::Once(_));
                 let (keyed, unsent) = unsent.into_iter().partition(is_keyed);
-                self.once.link_down(vm, keyed).await;
+                self.once.handle_link_down(vm, keyed).await;
                 self.entry.link_down(vm, unsent).await;
             }
         }
@@ -46,7 +46,7 @@
             }
             PeerMessage::Revision(message) => self.revision.take_message(from, message).await,
             PeerMessage::Catalog(message) => self.catalog.take_message(from, message).await,
-            PeerMessage::Once(message) => self.once.take_message(from, message).await,
+            PeerMessage::Once(message) => self.once.handle_message(from, message).await,
             PeerMessage::Partial(_)
             | PeerMessage::Mirror(_)
             | PeerMessage::RouteCheck(_)
--- a/crates/ebonyfork/src/once/handle.rs
+++ b/crates/ebonyfork/src/once/handle.rs
@@ -122,14 +122,14 @@
     }
 
     /// Handles a message from a peer.
-    pub async fn take_message(&self, from: LinkSender, message: OnceMessage) {
+    pub async fn handle_message(&self, from: LinkSender, message: OnceMessage) {
         // Sending fails only if the actor has ended with the process; the message can be dropped then.
         let _ended = self.actor.send(HandlePeerMessage { from, message }).await;
     }
 
     /// Handles a broken link to a VM. Unsent forwards are repeated like unanswered ones, so `unsent` is not examined: a
     /// forward that was never sent doesn't prove that an earlier send of its key did not run.
-    pub async fn link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
+    pub async fn handle_link_down(&self, vm: VmAddress, unsent: VecDeque<PeerMessage>) {
         drop(unsent);
         let _ended = self.actor.send(LinkDown(vm)).await;
     }
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -69,9 +69,9 @@
                             from,
                             message: PeerMessage::Once(message),
                         } => {
-                            once.take_message(from, message).await;
+                            once.handle_message(from, message).await;
                         }
-                        LinkEvent::Down { vm, unsent } => once.link_down(vm, unsent).await,
+                        LinkEvent::Down { vm, unsent } => once.handle_link_down(vm, unsent).await,
                         LinkEvent::Message { .. } => {}
                     }
                 })
