--- a/crates/ebonyfork-lab/src/soak/callers.rs
+++ b/crates/ebonyfork-lab/src/soak/callers.rs
@@ -139,7 +139,7 @@
                 Ok(Err(LinkError::Lost { reason })) => (CallEnd::Broken(reason.to_string()), false),
                 Err(_elapsed) => (CallEnd::Silent, false),
             };
-            if keep && link.settle().await {
+            if keep && link.wait_until_ready().await {
                 self.link = Some((vm, link));
             }
             let record = CallRecord {
--- a/crates/ebonyfork/src/gateway/delegate.rs
+++ b/crates/ebonyfork/src/gateway/delegate.rs
@@ -98,7 +98,7 @@
     /// Returns the number of bytes received on the link to a VM, including incomplete messages.
     pub fn received_bytes(&self, vm: VmAddress) -> u64 {
         let traffic = self.pool.get().and_then(|pool| pool.traffic(vm));
-        traffic.map_or(0, |traffic| traffic.received())
+        traffic.map_or(0, |traffic| traffic.received_bytes())
     }
 
     /// Chooses the VM with the shortest expected latency; `None` if all of them are overdue or unhealthy.
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -326,10 +326,11 @@
             if reusable {
                 upstream.release(active, keep_alive);
             }
-            ReplyBody::Whole(body.begun)
+            ReplyBody::Whole(body.beginning)
         }
         (Some(rest), Some(idle_timeout)) if !declined => {
-            let mut stream = AnswerStream::new((body.begun, rest), active, upstream, idle_timeout);
+            let mut stream =
+                AnswerStream::new((body.beginning, rest), active, upstream, idle_timeout);
             if reusable {
                 stream = stream.with_reuse(keep_alive);
             }
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -192,7 +192,7 @@
                     return;
                 }
             }
-            let mut received_bytes = traffic.received();
+            let mut received_bytes = traffic.received_bytes();
             let age = self.core.relay.copy_age().unwrap_or(self.timings.max_age);
             if age > self.timings.full_read_age {
                 feed.read_anew();
@@ -209,7 +209,7 @@
                     () = tokio::time::sleep_until(next_wake) => {
                         next_check = now() + self.timings.poll_interval;
                         self.report_age(ChangeSource::Store);
-                        let bytes_before = std::mem::replace(&mut received_bytes, traffic.received());
+                        let bytes_before = std::mem::replace(&mut received_bytes, traffic.received_bytes());
                         // Another source would have to send again, from the start, what the store is sending now.
                         let is_receiving = received_bytes > bytes_before;
                         if !is_receiving && self.select_source(ChangeSource::Store) != ChangeSource::Store {
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -262,7 +262,7 @@
             while remaining_bytes > 0 {
                 let chunk_bytes = remaining_bytes.min(RESPONSE_CHUNK_BYTES);
                 link.receive_direction.transmit(chunk_bytes).await;
-                self.traffic.note(chunk_bytes);
+                self.traffic.add(chunk_bytes);
                 remaining_bytes -= chunk_bytes;
             }
         }
--- a/crates/ebonyfork/src/http_link.rs
+++ b/crates/ebonyfork/src/http_link.rs
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 pub struct LinkBody {
     /// Beginning of the body, or all of it.
-    pub begun: Bytes,
+    pub beginning: Bytes,
     /// Unread remainder of a body longer than the limit. Until it is read, the connection takes no other request.
     pub rest: Option<Incoming>,
 }
@@ -115,7 +115,7 @@
                 "longer than {body_limit} bytes"
             )));
         }
-        Ok(Response::from_parts(head, body.begun))
+        Ok(Response::from_parts(head, body.beginning))
     }
 
     /// Sends a request and reads the whole answer if its body has at most `max_bytes` bytes, and the beginning of the
@@ -150,7 +150,7 @@
     }
 
     /// Waits until the connection accepts another request after an exchange; returns false if it is closed instead.
-    pub async fn settle(&mut self) -> bool {
+    pub async fn wait_until_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
@@ -168,7 +168,7 @@
         let Ok(data) = frame.map_err(lost_error)?.into_data() else {
             continue;
         };
-        traffic.note(data.len());
+        traffic.add(data.len());
         if first_frame.is_empty() {
             // Most bodies arrive in one frame, which needs no copy.
             first_frame = data;
@@ -179,13 +179,16 @@
             buffer.extend_from_slice(&data);
         }
         if first_frame.len().max(buffer.len()) > max_bytes {
-            let begun = read_so_far(first_frame, buffer);
+            let beginning = read_so_far(first_frame, buffer);
             let rest = Some(body);
-            return Ok(LinkBody { begun, rest });
+            return Ok(LinkBody { beginning, rest });
         }
     }
-    let begun = read_so_far(first_frame, buffer);
-    Ok(LinkBody { begun, rest: None })
+    let beginning = read_so_far(first_frame, buffer);
+    Ok(LinkBody {
+        beginning,
+        rest: None,
+    })
 }
 
 /// Returns the bytes read so far: `buffer` contains the first frame too, unless it is empty.
--- a/crates/ebonyfork/src/store/mod.rs
+++ b/crates/ebonyfork/src/store/mod.rs
@@ -313,10 +313,10 @@
     tokio::pin!(call);
     let mut wait = bound;
     loop {
-        let before = traffic.received();
+        let before = traffic.received_bytes();
         match tokio::time::timeout(wait, &mut call).await {
             Ok(result) => return result,
-            Err(_elapsed) if traffic.received() == before => return Err(unanswered(wait)),
+            Err(_elapsed) if traffic.received_bytes() == before => return Err(unanswered(wait)),
             Err(_elapsed) => wait = silence,
         }
     }
--- a/crates/ebonyfork/src/traffic.rs
+++ b/crates/ebonyfork/src/traffic.rs
@@ -19,8 +19,8 @@
 /// use ebonyfork::traffic::LinkTraffic;
 ///
 /// let traffic = LinkTraffic::default();
-/// traffic.clone().note(1_400);
-/// assert_eq!(traffic.received(), 1_400); // bytes
+/// traffic.clone().add(1_400);
+/// assert_eq!(traffic.received_bytes(), 1_400);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct LinkTraffic {
@@ -29,12 +29,12 @@
 
 impl LinkTraffic {
     /// Returns the number of bytes received so far.
-    pub fn received(&self) -> u64 {
+    pub fn received_bytes(&self) -> u64 {
         self.received.load(Ordering::Relaxed)
     }
 
     /// Adds `bytes` to the count.
-    pub fn note(&self, bytes: usize) {
+    pub fn add(&self, bytes: usize) {
         self.received.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
@@ -60,7 +60,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.reader).poll_read(cx, buf);
-        self.traffic.note(buf.filled().len() - before);
+        self.traffic.add(buf.filled().len() - before);
         polled
     }
 }
