--- a/crates/ebonyfork-lab/src/experiment/summary.rs
+++ b/crates/ebonyfork-lab/src/experiment/summary.rs
@@ -65,7 +65,7 @@
         match &last.outcome {
             TryOutcome::Answered(answer) => {
                 report.answered += 1;
-                report.thin += u64::from(answer.coverage.is_thin());
+                report.thin += u64::from(answer.coverage.is_incomplete());
                 let share = answer.coverage.share();
                 self.coverage += share;
                 let latency = request.latency();
--- a/crates/ebonyfork-lab/src/upstream/server.rs
+++ b/crates/ebonyfork-lab/src/upstream/server.rs
@@ -7,7 +7,7 @@
 
 use ebonyfork::catalog::IndexCatalog;
 use ebonyfork::ident::{IndexName, ServiceName, ShardNumber, SnapshotVersion, UpstreamAddress};
-use ebonyfork::query::SELECTION_LIMIT;
+use ebonyfork::query::MAX_SELECTION_BYTES;
 use http::{Method, Request, StatusCode};
 use hyper::body::Incoming;
 use tokio::net::{TcpListener, TcpStream};
@@ -322,7 +322,7 @@
 ) -> Result<StandInReply, BrokenConnection> {
     let arrived = shared.clock.now();
     let (parts, body) = request.into_parts();
-    let Some(selection) = read_body(body, SELECTION_LIMIT).await else {
+    let Some(selection) = read_body(body, MAX_SELECTION_BYTES).await else {
         return Ok(empty_reply(StatusCode::PAYLOAD_TOO_LARGE));
     };
     let path = parts.uri.path().trim_start_matches("/v1/shard/");
--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -9,7 +9,7 @@
 use http::HeaderMap;
 
 use crate::ident::{ClassName, OrganisationName, RunState};
-use crate::query::{QueryRefusal, QueryRequest, RECORD_LIMIT, RefusalCode};
+use crate::query::{MAX_RECORD_BYTES, QueryRefusal, QueryRequest, RefusalCode};
 
 /// Header that names the organisation.
 pub const ORGANISATION_HEADER: &str = "x-organisation";
@@ -40,7 +40,7 @@
         class,
         organisation,
         deadline: read_deadline(headers)?,
-        record: read_text(headers, RECORD_HEADER, RECORD_LIMIT)?,
+        record: read_text(headers, RECORD_HEADER, MAX_RECORD_BYTES)?,
         selection,
         key: read_parsed(headers, KEY_HEADER)?,
         caller_id: read_text(headers, QUERY_HEADER, QUERY_ID_LIMIT)?,
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -17,7 +17,7 @@
 use super::request::{KEY_HEADER, QUERY_HEADER, caller_id, read_organisation, read_query};
 use crate::ident::{OrganisationName, RunState};
 use crate::query::{
-    QueryAnswer, QueryOutcome, QueryRefusal, QueryRequest, RefusalCode, SELECTION_LIMIT,
+    MAX_SELECTION_BYTES, QueryAnswer, QueryOutcome, QueryRefusal, QueryRequest, RefusalCode,
 };
 use crate::views::{NodeReadiness, NodeViews};
 
@@ -119,7 +119,7 @@
 
     fn check_ready(&self) -> Result<(), QueryRefusal> {
         let readiness = *self.views.readiness.borrow();
-        if readiness.takes_work() {
+        if readiness.accepts_work() {
             return Ok(());
         }
         let refusal = match readiness {
@@ -131,7 +131,7 @@
 }
 
 async fn read_selection(body: Incoming) -> Result<Bytes, QueryRefusal> {
-    let reading = Limited::new(body, SELECTION_LIMIT).collect();
+    let reading = Limited::new(body, MAX_SELECTION_BYTES).collect();
     let read = match tokio::time::timeout(BODY_TIMEOUT, reading).await {
         Ok(read) => read,
         Err(_elapsed) => return Err(bad_body("the body did not come in time")),
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -103,7 +103,7 @@
         let labels = class_labels(class);
         match outcome {
             Ok(answer) => {
-                let kind = if answer.coverage.is_thin() {
+                let kind = if answer.coverage.is_incomplete() {
                     "thin"
                 } else {
                     "whole"
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -479,7 +479,7 @@
         match outcome {
             Ok(answer) => {
                 result.latencies.push(took);
-                result.thin += u32::from(answer.coverage.is_thin());
+                result.thin += u32::from(answer.coverage.is_incomplete());
                 let covered = answer.coverage.share() >= self.class.coverage;
                 result.good += u32::from(covered && took <= self.class.latency);
             }
--- a/crates/ebonyfork/src/lifecycle/handle.rs
+++ b/crates/ebonyfork/src/lifecycle/handle.rs
@@ -179,7 +179,7 @@
         serving.fetch_add(1, Ordering::SeqCst);
         let _guard = ServingGuard(serving);
         let readiness = self.update_readiness();
-        if !keyed && !readiness.takes_work() {
+        if !keyed && !readiness.accepts_work() {
             self.shared.metrics.refusals.inc();
             return Err(readiness_refusal(readiness));
         }
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -79,7 +79,9 @@
     pub async fn ready(&self) {
         let mut readiness = self.views.readiness.clone();
         // The writer lives as long as the node, so that the wait can only end in readiness.
-        let _found = readiness.wait_for(|readiness| readiness.takes_work()).await;
+        let _found = readiness
+            .wait_for(|readiness| readiness.accepts_work())
+            .await;
     }
 
     /// Stops as planned: tells callers to go elsewhere, finishes what is in flight, then ends.
@@ -413,7 +415,7 @@
         let (listing, lifting) = (self.quarantine.clone(), self.quarantine.clone());
         let service = OperatorService::new(
             registry,
-            move || readiness.borrow().takes_work(),
+            move || readiness.borrow().accepts_work(),
             move || reader.read(),
         )
         .with_quarantine(
--- a/crates/ebonyfork/src/query.rs
+++ b/crates/ebonyfork/src/query.rs
@@ -15,9 +15,9 @@
 };
 
 /// Largest selection, in bytes.
-pub const SELECTION_LIMIT: usize = 64 << 10;
+pub const MAX_SELECTION_BYTES: usize = 64 << 10;
 /// Longest record name, in bytes. The record selects the shard for a class whose queries go to one shard.
-pub const RECORD_LIMIT: usize = 256;
+pub const MAX_RECORD_BYTES: usize = 256;
 
 /// One caller's query, with all sizes already checked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,7 +51,7 @@
 
 impl QueryCoverage {
     /// Returns whether any shard is missing.
-    pub fn is_thin(&self) -> bool {
+    pub fn is_incomplete(&self) -> bool {
         self.answered < self.total
     }
 
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -197,7 +197,7 @@
 
     /// Returns why a whole batch has to be refused, if there is a reason.
     fn refusal_reason(&self, link: &LinkSender, batch: &SubmitBatch) -> Option<RefusalReason> {
-        if link.peer().is_none() || !self.settings.views.readiness.borrow().takes_work() {
+        if link.peer().is_none() || !self.settings.views.readiness.borrow().accepts_work() {
             return Some(RefusalReason::NotReady);
         }
         if (self.settings.refuses)(batch.fingerprint) {
--- a/crates/ebonyfork/src/settings/mod.rs
+++ b/crates/ebonyfork/src/settings/mod.rs
@@ -167,9 +167,9 @@
 }
 
 /// Default of [`NodeSettings::platform_timeout`].
-pub const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
+pub const DEFAULT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Default of [`NodeSettings::locate_ttl`].
-pub const LOCATE_TTL: Duration = Duration::from_secs(5);
+pub const DEFAULT_LOCATE_TTL: Duration = Duration::from_secs(5);
 
 /// Sections of a settings file.
 const KNOWN_SECTIONS: [&str; 5] = ["node", "platform", "locate", "log", "experiment"];
@@ -187,8 +187,8 @@
             peer_port,
             operator_port,
             platform,
-            platform_timeout: PLATFORM_TIMEOUT,
-            locate_ttl: LOCATE_TTL,
+            platform_timeout: DEFAULT_PLATFORM_TIMEOUT,
+            locate_ttl: DEFAULT_LOCATE_TTL,
             log: LogSettings::default(),
             experiment: ExperimentSwitches::default(),
         }
@@ -295,17 +295,20 @@
         let address = reader.required("address");
         let timeout = reader.optional::<TimeSpan>("timeout");
         reader.finish();
-        Some((address?, timeout.map_or(PLATFORM_TIMEOUT, |span| span.0)))
+        Some((
+            address?,
+            timeout.map_or(DEFAULT_PLATFORM_TIMEOUT, |span| span.0),
+        ))
     }
 
     fn read_locate(document: &IniDocument, findings: &mut FindingList) -> Duration {
         let Some(section) = document.find_section("locate") else {
-            return LOCATE_TTL;
+            return DEFAULT_LOCATE_TTL;
         };
         let mut reader = SectionReader::new(&document.file, section, findings);
         let ttl = reader.optional::<TimeSpan>("ttl");
         reader.finish();
-        ttl.map_or(LOCATE_TTL, |span| span.0)
+        ttl.map_or(DEFAULT_LOCATE_TTL, |span| span.0)
     }
 
     fn read_experiment(document: &IniDocument, findings: &mut FindingList) -> ExperimentSwitches {
--- a/crates/ebonyfork/src/views.rs
+++ b/crates/ebonyfork/src/views.rs
@@ -34,7 +34,7 @@
 
 impl NodeReadiness {
     /// Returns whether new work is accepted.
-    pub fn takes_work(self) -> bool {
+    pub fn accepts_work(self) -> bool {
         matches!(self, Self::Ready | Self::Leaving)
     }
 }
@@ -74,7 +74,7 @@
 ///
 /// let (writers, views) = view_channels();
 /// writers.readiness.send_replace(NodeReadiness::Ready);
-/// assert!(views.readiness.borrow().takes_work());
+/// assert!(views.readiness.borrow().accepts_work());
 /// ```
 pub fn view_channels() -> (ViewWriters, NodeViews) {
     let (topology, topology_view) = watch::channel(Arc::default());
