--- a/crates/ebonyfork/src/finding.rs
+++ b/crates/ebonyfork/src/finding.rs
@@ -10,14 +10,14 @@
 
 /// Location of a finding.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct FindingPlace {
+pub struct FindingLocation {
     /// Name of the file, as the operator specified it.
     pub file: CompactString,
     /// Line in the file, counted from 1; 0 means the file as a whole.
     pub line: u32,
 }
 
-impl fmt::Display for FindingPlace {
+impl fmt::Display for FindingLocation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.line {
             0 => f.write_str(&self.file),
@@ -30,14 +30,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
     /// File and line of the error.
-    pub place: FindingPlace,
+    pub location: FindingLocation,
     /// What is wrong and what was expected.
     pub message: CompactString,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.message)
+        write!(f, "{}: {}", self.location, self.message)
     }
 }
 
@@ -65,12 +65,12 @@
 
     /// Adds a finding; `line` 0 means the file as a whole.
     pub fn push(&mut self, file: impl AsRef<str>, line: u32, message: impl ToCompactString) {
-        let place = FindingPlace {
+        let location = FindingLocation {
             file: CompactString::new(file),
             line,
         };
         self.findings.push(Finding {
-            place,
+            location,
             message: message.to_compact_string(),
         });
     }
@@ -88,7 +88,7 @@
     /// Returns the findings ordered by location.
     pub fn sorted(&self) -> impl Iterator<Item = &Finding> {
         let mut findings: SmallVec<[&Finding; 8]> = self.findings.iter().collect();
-        findings.sort_by(|a, b| a.place.cmp(&b.place));
+        findings.sort_by(|a, b| a.location.cmp(&b.location));
         findings.into_iter()
     }
 
--- a/crates/ebonyfork/src/gateway/settings.rs
+++ b/crates/ebonyfork/src/gateway/settings.rs
@@ -154,7 +154,7 @@
 }
 
 fn read_place(document: &IniDocument, findings: &mut FindingList) -> Option<NodePlace> {
-    let section = document.needed_section("node", findings)?;
+    let section = document.required_section("node", findings)?;
     let mut reader = SectionReader::new(&document.file, section, findings);
     let name = reader.required("name");
     let address = reader.required("address");
@@ -163,7 +163,7 @@
     let share = read_positive(&mut reader, "cpu-share");
     let cores = read_positive(&mut reader, "cpu-cores");
     reader.finish();
-    let zones = document.needed_section("zones", findings)?;
+    let zones = document.required_section("zones", findings)?;
     Some(NodePlace {
         name: name?,
         address: address?,
@@ -185,7 +185,7 @@
 }
 
 fn read_listen(document: &IniDocument, findings: &mut FindingList) -> Option<ListenAddresses> {
-    let section = document.needed_section("listen", findings)?;
+    let section = document.required_section("listen", findings)?;
     let mut reader = SectionReader::new(&document.file, section, findings);
     let callers = reader.required("callers");
     let ready = reader.required("ready");
@@ -203,7 +203,7 @@
 }
 
 fn read_store(document: &IniDocument, findings: &mut FindingList) -> Option<SocketAddr> {
-    let section = document.needed_section("store", findings)?;
+    let section = document.required_section("store", findings)?;
     let mut reader = SectionReader::new(&document.file, section, findings);
     let address = reader.required("address");
     reader.finish();
@@ -219,7 +219,7 @@
 }
 
 fn read_bounds(document: &IniDocument, findings: &mut FindingList) -> Option<BoundsSection> {
-    let section = document.needed_section("bounds", findings)?;
+    let section = document.required_section("bounds", findings)?;
     let mut reader = SectionReader::new(&document.file, section, findings);
     let grace = read_seconds(&mut reader, "grace-s");
     let config = read_change_bound(&mut reader, "config-in-force-ms");
--- a/crates/ebonyfork/src/ini.rs
+++ b/crates/ebonyfork/src/ini.rs
@@ -90,7 +90,7 @@
     }
 
     /// Returns the first section of a kind; reports a finding if there is none.
-    pub fn needed_section(&self, kind: &str, findings: &mut FindingList) -> Option<&IniSection> {
+    pub fn required_section(&self, kind: &str, findings: &mut FindingList) -> Option<&IniSection> {
         let section = self.find_section(kind);
         if section.is_none() {
             findings.push(&self.file, 0, format!("lacks the section [{kind}]"));
--- a/crates/ebonyfork/src/settings/mod.rs
+++ b/crates/ebonyfork/src/settings/mod.rs
@@ -263,7 +263,7 @@
         document: &IniDocument,
         findings: &mut FindingList,
     ) -> Option<(VmAddress, ZoneName, [u16; 3])> {
-        let section = document.needed_section("node", findings)?;
+        let section = document.required_section("node", findings)?;
         let mut reader = SectionReader::new(&document.file, section, findings);
         let vm = reader.required::<IpAddr>("vm");
         let zone = reader.required("zone");
@@ -290,7 +290,7 @@
         document: &IniDocument,
         findings: &mut FindingList,
     ) -> Option<(SocketAddr, Duration)> {
-        let section = document.needed_section("platform", findings)?;
+        let section = document.required_section("platform", findings)?;
         let mut reader = SectionReader::new(&document.file, section, findings);
         let address = reader.required("address");
         let timeout = reader.optional::<TimeSpan>("timeout");
--- a/crates/ebonyforkctl/src/command.rs
+++ b/crates/ebonyforkctl/src/command.rs
@@ -53,8 +53,8 @@
             .sorted()
             .map(|finding| {
                 serde_json::json!({
-                    "file": finding.place.file,
-                    "line": finding.place.line,
+                    "file": finding.location.file,
+                    "line": finding.location.line,
                     "message": finding.message,
                 })
             })
