--- a/crates/ebonyfork/benches/fleet.rs
+++ b/crates/ebonyfork/benches/fleet.rs
@@ -1,4 +1,4 @@
-//! Cost of what grows with the fleet: snapshots, topology views and locate answers, up to the size that is designed for.
+//! Benchmarks of operations whose cost grows with the number of VMs: membership, topology views and locate answers.
 
 use std::hint::black_box;
 use std::net::Ipv4Addr;
@@ -18,24 +18,27 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-const SIZES: [u32; 4] = [9, 100, 1_000, 4_900];
-const ZONES: u32 = 10;
-/// Upstream servers for each VM, as at the size that is designed for.
-const SERVERS_EACH: u32 = 6;
+/// Numbers of VMs; the largest is the design size.
+const FLEET_SIZES: [u32; 4] = [9, 100, 1_000, 4_900];
+const ZONE_COUNT: u32 = 10;
+/// Number of upstreams per VM, as at the design size.
+const UPSTREAMS_PER_VM: u32 = 6;
 
 fn vm(number: u32) -> VmAddress {
     VmAddress(Ipv4Addr::from(0x0a00_0000 + number).into())
 }
 
 fn zone(number: u32) -> ZoneName {
-    format!("zone-{}", number % ZONES).parse().expect("a name")
+    format!("zone-{}", number % ZONE_COUNT)
+        .parse()
+        .expect("a name")
 }
 
 fn session(number: u32) -> SessionId {
     SessionId::new(vm(number), IncarnationNumber(1_700_000_000_000))
 }
 
-fn snapshot(size: u32) -> MemberSnapshot {
+fn member_snapshot(size: u32) -> MemberSnapshot {
     MemberSnapshot::new((0..size).map(|number| MemberEntry {
         vm: vm(number),
         zone: zone(number),
@@ -45,41 +48,41 @@
     }))
 }
 
-fn list(size: u32) -> Vec<VmRecord> {
-    let own = (0..size).map(|number| VmRecord {
+fn vm_records(size: u32) -> Vec<VmRecord> {
+    let own_vms = (0..size).map(|number| VmRecord {
         ip: vm(number).0,
         port: None,
         zone: zone(number),
         group: OWN_GROUP.into(),
         state: VmState::Live,
     });
-    let servers = (0..size * SERVERS_EACH).map(|number| VmRecord {
+    let upstreams = (0..size * UPSTREAMS_PER_VM).map(|number| VmRecord {
         ip: Ipv4Addr::from(0x0b00_0000 + number).into(),
         port: Some(80),
         zone: zone(number),
         group: format!("service-{}", number / 2).into(),
         state: VmState::Live,
     });
-    own.chain(servers).collect()
+    own_vms.chain(upstreams).collect()
 }
 
-fn join(size: u32) -> TopologyJoin {
-    let mut join = TopologyJoin::new(session(0), zone(0));
-    join.take_list(Duration::ZERO, list(size));
-    join.take_members(Arc::new(snapshot(size)));
-    join
+fn topology_join(size: u32) -> TopologyJoin {
+    let mut topology_join = TopologyJoin::new(session(0), zone(0));
+    topology_join.take_list(Duration::ZERO, vm_records(size));
+    topology_join.take_members(Arc::new(member_snapshot(size)));
+    topology_join
 }
 
-/// One new view after a change, and one locate answer out of it.
-fn views(criterion: &mut Criterion) {
+/// Measures building a topology view and answering one locate request from it.
+fn bench_topology(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("fleet");
-    for size in SIZES {
-        let join = join(size);
+    for size in FLEET_SIZES {
+        let topology_join = topology_join(size);
         group.bench_function(BenchmarkId::new("view", size), |bencher| {
-            bencher.iter(|| black_box(join.view(Duration::from_secs(1))));
+            bencher.iter(|| black_box(topology_join.view(Duration::from_secs(1))));
         });
-        let view = join.view(Duration::from_secs(1));
-        let members = snapshot(size);
+        let view = topology_join.view(Duration::from_secs(1));
+        let members = member_snapshot(size);
         let settings = LocateSettings {
             own: session(0),
             zone: zone(0),
@@ -97,7 +100,7 @@
     group.finish();
 }
 
-fn header(number: u32) -> SenderHeader {
+fn sender_header(number: u32) -> SenderHeader {
     SenderHeader {
         vm: vm(number),
         life: MemberLife {
@@ -111,18 +114,18 @@
     }
 }
 
-/// A protocol that knows `size` members.
-fn protocol(size: u32) -> MemberProtocol {
-    let mut protocol = MemberProtocol::new(Duration::ZERO, session(0), zone(0), 0, 1);
-    let mut out = Vec::new();
+/// Returns the protocol state of a member that knows `size` members.
+fn member_protocol(size: u32) -> MemberProtocol {
+    let mut member_protocol = MemberProtocol::new(Duration::ZERO, session(0), zone(0), 0, 1);
+    let mut outgoing = Vec::new();
     let mut number = 1;
     while number < size {
         let message = MemberMessage::Page { next: None };
-        let mut writer = DatagramWriter::new(0, DATAGRAM_LIMIT, &header(1), message);
+        let mut writer = DatagramWriter::new(0, DATAGRAM_LIMIT, &sender_header(1), message);
         while number < size {
             let update = MemberUpdate {
                 vm: vm(number),
-                life: header(number).life,
+                life: sender_header(number).life,
                 health: MemberHealth::Alive,
                 leaving: false,
                 age_ds: 0,
@@ -133,33 +136,33 @@
             }
             number += 1;
         }
-        protocol.take_datagram(Duration::ZERO, vm(1), &writer.finish(), &mut out);
+        member_protocol.take_datagram(Duration::ZERO, vm(1), &writer.finish(), &mut outgoing);
     }
-    protocol
+    member_protocol
 }
 
-/// One snapshot, one tick, one full datagram of digests.
-fn protocols(criterion: &mut Criterion) {
+/// Measures one membership snapshot, one tick, and one full datagram of digests.
+fn bench_membership(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("member");
-    for size in SIZES {
-        let mut protocol = protocol(size);
+    for size in FLEET_SIZES {
+        let mut member_protocol = member_protocol(size);
         group.bench_function(BenchmarkId::new("snapshot", size), |bencher| {
-            bencher.iter(|| black_box(protocol.snapshot()));
+            bencher.iter(|| black_box(member_protocol.snapshot()));
         });
         let mut now = Duration::ZERO;
-        let mut out = Vec::new();
+        let mut outgoing = Vec::new();
         group.bench_function(BenchmarkId::new("tick", size), |bencher| {
             bencher.iter(|| {
                 now += Duration::from_millis(100);
-                out.clear();
-                protocol.tick(now, &mut out);
+                outgoing.clear();
+                member_protocol.tick(now, &mut outgoing);
             });
         });
         let mut stamp = 1;
         let mut datagrams = Vec::new();
         for _datagram in 0..64 {
             let mut writer =
-                DatagramWriter::new(0, DATAGRAM_LIMIT, &header(1), MemberMessage::Gossip);
+                DatagramWriter::new(0, DATAGRAM_LIMIT, &sender_header(1), MemberMessage::Gossip);
             let mut number = 1;
             loop {
                 stamp += 1;
@@ -175,17 +178,17 @@
             }
             datagrams.push(writer.finish());
         }
-        let mut next = 0;
+        let mut next_datagram = 0;
         group.bench_function(BenchmarkId::new("datagram", size), |bencher| {
             bencher.iter(|| {
-                next = (next + 1) % datagrams.len();
-                out.clear();
-                protocol.take_datagram(now, vm(1), &datagrams[next], &mut out);
+                next_datagram = (next_datagram + 1) % datagrams.len();
+                outgoing.clear();
+                member_protocol.take_datagram(now, vm(1), &datagrams[next_datagram], &mut outgoing);
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, views, protocols);
+criterion_group!(benches, bench_topology, bench_membership);
 criterion_main!(benches);
--- a/crates/ebonyfork/benches/query.rs
+++ b/crates/ebonyfork/benches/query.rs
@@ -1,6 +1,7 @@
-//! Cost of one query on the entry: plan (until the batches are ready), gather (outcomes until the answer), by shards.
+//! Benchmarks of one query on the entry, by number of shards: planning (until the batches are ready) and gathering
+//! (from the relays' outcomes to the answer).
 //!
-//! Also prints the allocations of a whole query, counted by the allocator.
+//! Also prints the number of allocations per query.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -22,19 +23,20 @@
 use ebonyfork::topology::{TopologyView, UpstreamEntry, VmEntry};
 use ebonyfork::wire::PeerMessage;
 
-const SIZES: [u32; 4] = [20, 70, 210, 420];
-const VMS: u8 = 9;
+/// Numbers of shards per query.
+const SHARD_COUNTS: [u32; 4] = [20, 70, 210, 420];
+const VM_COUNT: u8 = 9;
 
-/// Counts allocations, so that a bench can say how many a query takes.
+/// Allocator that counts allocations.
 struct CountingAllocator;
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: every call goes to the system's allocator unchanged.
+// SAFETY: every call is passed unchanged to the system allocator.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract of `alloc`.
+        // SAFETY: the caller upholds the contract of `alloc`.
         unsafe { System.alloc(layout) }
     }
 
@@ -78,7 +80,7 @@
         .organisations
         .insert(organisation.name.clone(), organisation);
     let zone = |number: u32| format!("zone-{}", number % 3).parse().unwrap();
-    let vms = (1..=VMS).map(|number| VmEntry {
+    let vms = (1..=VM_COUNT).map(|number| VmEntry {
         vm: vm(number),
         zone: zone(number.into()),
         incarnation: None,
@@ -107,12 +109,12 @@
     }
 }
 
-/// One entry, with the batches of the query in flight.
+/// An entry and the batches that it has sent for the query in flight.
 struct QueryBench {
     core: EntryCore,
     now: Duration,
     sent: Vec<(VmAddress, SubmitBatch)>,
-    answers: u32,
+    answered_shards: u32,
 }
 
 impl QueryBench {
@@ -125,9 +127,9 @@
             core,
             now: Duration::from_secs(1),
             sent: Vec::new(),
-            answers: 0,
+            answered_shards: 0,
         };
-        // The first query goes ahead with a canary; from then on the request is known.
+        // The first query of a new request sends a canary first; complete it before the measurement.
         bench.plan();
         while !bench.sent.is_empty() {
             let replies = bench.replies();
@@ -148,10 +150,10 @@
         };
         self.now += Duration::from_millis(5);
         black_box(self.core.start(self.now, request));
-        self.drain();
+        self.perform_actions();
     }
 
-    fn drain(&mut self) {
+    fn perform_actions(&mut self) {
         while let Some(action) = self.core.next_action() {
             match action {
                 EntryAction::Send { vm, message } => {
@@ -161,13 +163,13 @@
                 }
                 EntryAction::Finish { outcome, .. } => {
                     let answer = black_box(outcome).expect("a whole answer");
-                    self.answers += answer.coverage.answered;
+                    self.answered_shards += answer.coverage.answered;
                 }
             }
         }
     }
 
-    /// The relays' replies, one batch each.
+    /// Returns the relays' replies to the batches sent, one batch each.
     fn replies(&mut self) -> Vec<(VmAddress, OutcomeBatch)> {
         let reply = |(vm, batch): (VmAddress, SubmitBatch)| (vm, reply_batch(&batch));
         self.sent.drain(..).map(reply).collect()
@@ -177,7 +179,7 @@
         self.now += Duration::from_millis(12);
         for (vm, batch) in replies {
             self.core.take_outcomes(self.now, vm, batch);
-            self.drain();
+            self.perform_actions();
         }
         self.core.wake(self.now);
     }
@@ -216,7 +218,7 @@
 
 fn bench_phase(criterion: &mut Criterion, name: &str, phase: Phase) {
     let mut group = criterion.benchmark_group(name);
-    for shards in SIZES {
+    for shards in SHARD_COUNTS {
         group.throughput(Throughput::Elements(shards.into()));
         group.bench_function(BenchmarkId::from_parameter(shards), |bencher| {
             let mut bench = QueryBench::new(shards);
@@ -254,7 +256,7 @@
 
 fn print_allocations() {
     const ROUNDS: u64 = 200;
-    for shards in SIZES {
+    for shards in SHARD_COUNTS {
         let mut bench = QueryBench::new(shards);
         let (mut planned, mut gathered) = (0, 0);
         for round in 0..ROUNDS * 2 {
--- a/crates/ebonyfork/benches/relay.rs
+++ b/crates/ebonyfork/benches/relay.rs
@@ -1,4 +1,4 @@
-//! Cost of the relay's decisions: the queue and the concurrency limit.
+//! Benchmarks of the relay's queue and concurrency limit.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -9,21 +9,22 @@
 };
 use ebonyfork::settings::{LimitMode, QueueOrder};
 
-const WAITING: u32 = 512;
+/// Attempts that wait in the queue during a measurement.
+const QUEUED: u32 = 512;
 
-fn entry(work: u32, organisations: u32, now: Duration) -> QueueEntry {
-    // Deadlines between 60 and 316 ms from now, in no order.
-    let spread = u64::from(work.wrapping_mul(2_654_435_761) >> 24);
+fn queue_entry(work: u32, organisations: u32, now: Duration) -> QueueEntry {
+    // Deadlines are spread from 60 to 315 ms from now by a multiplicative hash.
+    let spread_ms = u64::from(work.wrapping_mul(2_654_435_761) >> 24);
     QueueEntry {
         work: WorkId::from_u32(work),
         organisation: OrganisationId::from_u32(work % organisations),
         class: ClassId::from_u32(0),
-        deadline: now + Duration::from_millis(60 + spread),
+        deadline: now + Duration::from_millis(60 + spread_ms),
         cost: Duration::from_millis(8),
     }
 }
 
-/// One attempt in and one out, with 512 waiting.
+/// Measures adding one attempt to the queue and removing one, with [`QUEUED`] attempts queued.
 fn push_and_pop(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue/push+pop");
     for organisations in [1, 8, 64, 256] {
@@ -31,15 +32,15 @@
             let mut queue = RelayQueue::new(QueueOrder::Slack);
             let mut expired = Vec::new();
             let mut now = Duration::ZERO;
-            for work in 0..WAITING {
-                queue.push(entry(work, organisations, now));
+            for work in 0..QUEUED {
+                queue.push(queue_entry(work, organisations, now));
             }
-            let mut spare = WorkId::from_u32(WAITING);
+            let mut next_work = WorkId::from_u32(QUEUED);
             bencher.iter(|| {
                 now += Duration::from_micros(100);
-                queue.push(entry(spare.as_u32(), organisations, now));
+                queue.push(queue_entry(next_work.as_u32(), organisations, now));
                 let popped = queue.pop(now, usize::MAX, |_| true, &mut expired);
-                spare = popped.or_else(|| expired.pop()).unwrap_or(spare);
+                next_work = popped.or_else(|| expired.pop()).unwrap_or(next_work);
                 expired.clear();
             });
         });
@@ -47,21 +48,22 @@
     group.finish();
 }
 
-/// One attempt in and the same out again, with 512 waiting.
+/// Measures adding one attempt to the queue and cancelling it, with [`QUEUED`] attempts queued.
 fn push_and_cancel(criterion: &mut Criterion) {
     criterion.bench_function("queue/push+cancel", |bencher| {
         let mut queue = RelayQueue::new(QueueOrder::Slack);
-        for work in 0..WAITING {
-            queue.push(entry(work, 64, Duration::ZERO));
+        for work in 0..QUEUED {
+            queue.push(queue_entry(work, 64, Duration::ZERO));
         }
-        let spare = entry(WAITING, 64, Duration::ZERO);
+        let new_entry = queue_entry(QUEUED, 64, Duration::ZERO);
         bencher.iter(|| {
-            queue.push(black_box(spare));
-            queue.cancel(black_box(spare.work))
+            queue.push(black_box(new_entry));
+            queue.cancel(black_box(new_entry.work))
         });
     });
 }
 
+/// Measures recording one answer in the concurrency limit.
 fn record_sample(criterion: &mut Criterion) {
     criterion.bench_function("limit/record", |bencher| {
         let mut limit = ConcurrencyLimit::new(LimitMode::Adaptive, 7);
--- a/crates/ebonyfork/benches/relay_load.rs
+++ b/crates/ebonyfork/benches/relay_load.rs
@@ -1,6 +1,6 @@
-//! Shard requests per second through a whole relay, with the processor time of its threads.
+//! Measures the shard requests per second through a whole relay, and the processor time of its threads.
 //!
-//! The relay has a runtime of its own; upstreams that answer at once run beside it in the same process on other threads.
+//! The relay has its own runtime. Upstreams that answer at once run in the same process, on other threads.
 //! `cargo bench -p ebonyfork --bench relay_load`.
 
 use std::sync::Arc;
@@ -30,26 +30,28 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-const UPSTREAMS: usize = 8;
-/// Attempts of one query that go to one relay.
-const BATCH: u32 = 4;
-/// Queries kept outstanding.
-const OUTSTANDING: u64 = 48;
-const WARM_UP: Duration = Duration::from_secs(1);
-const MEASURED: Duration = Duration::from_secs(5);
+const UPSTREAM_COUNT: usize = 8;
+/// Number of attempts in the batch of one query.
+const ATTEMPTS_PER_BATCH: u32 = 4;
+/// Number of queries in flight at any time.
+const QUERIES_IN_FLIGHT: u64 = 48;
+const WARM_UP_TIME: Duration = Duration::from_secs(1);
+/// Length of the measurement after the warm-up.
+const MEASURE_TIME: Duration = Duration::from_secs(5);
 const RELAY_THREADS: usize = 4;
-const RELAY_NAME: &str = "relay-under-test";
+/// Name of the relay's threads.
+const RELAY_THREAD_NAME: &str = "relay-under-test";
 
 fn main() {
     if !std::env::args().any(|argument| argument == "--bench") {
         return;
     }
-    let others = runtime("others", 4);
-    let upstreams: Vec<UpstreamAddress> = (0..UPSTREAMS)
-        .map(|_| others.block_on(start_upstream()))
+    let upstream_runtime = runtime("others", 4);
+    let upstreams: Vec<UpstreamAddress> = (0..UPSTREAM_COUNT)
+        .map(|_| upstream_runtime.block_on(start_upstream()))
         .collect();
-    let relay = runtime(RELAY_NAME, RELAY_THREADS);
-    relay.block_on(drive(&upstreams));
+    let relay = runtime(RELAY_THREAD_NAME, RELAY_THREADS);
+    relay.block_on(measure(&upstreams));
 }
 
 fn runtime(name: &str, threads: usize) -> Runtime {
@@ -83,12 +85,16 @@
     Ok(response)
 }
 
-async fn drive(upstreams: &[UpstreamAddress]) {
+async fn measure(upstreams: &[UpstreamAddress]) {
     let (writers, views) = view_channels();
-    publish(&writers, upstreams);
-    let done = Arc::new(AtomicU64::new(0));
-    let failed = Arc::new(AtomicU64::new(0));
-    let (link, mut finished, _pool) = link(Arc::clone(&done), Arc::clone(&failed)).await;
+    publish_views(&writers, upstreams);
+    let finished_attempts = Arc::new(AtomicU64::new(0));
+    let attempts_without_rows = Arc::new(AtomicU64::new(0));
+    let (link, mut outcome_events, _pool) = link(
+        Arc::clone(&finished_attempts),
+        Arc::clone(&attempts_without_rows),
+    )
+    .await;
     let switches = ExperimentSwitches {
         limit: LimitMode::Static,
         ..Default::default()
@@ -96,40 +102,45 @@
     let settings = RelaySettings::new(vm(), zone(), views).with_experiment(switches);
     let relay = RelayHandle::start(settings);
     let started = Instant::now();
-    let (mut query, mut base) = (0, None);
-    while started.elapsed() < WARM_UP + MEASURED {
-        if base.is_none() && started.elapsed() >= WARM_UP {
-            base = Some((Instant::now(), done.load(Ordering::Relaxed), relay_time()));
+    let (mut query, mut measurement_start) = (0, None);
+    while started.elapsed() < WARM_UP_TIME + MEASURE_TIME {
+        if measurement_start.is_none() && started.elapsed() >= WARM_UP_TIME {
+            measurement_start = Some((
+                Instant::now(),
+                finished_attempts.load(Ordering::Relaxed),
+                relay_cpu_seconds(),
+            ));
         }
-        while query * u64::from(BATCH)
-            < done.load(Ordering::Relaxed) + OUTSTANDING * u64::from(BATCH)
+        while query * u64::from(ATTEMPTS_PER_BATCH)
+            < finished_attempts.load(Ordering::Relaxed)
+                + QUERIES_IN_FLIGHT * u64::from(ATTEMPTS_PER_BATCH)
         {
             let batch = batch(query, upstreams);
             relay.submit(link.clone(), batch).await;
             query += 1;
         }
-        finished.recv().await;
+        outcome_events.recv().await;
     }
-    let (since, before, cpu) = base.unwrap();
-    let taken = since.elapsed().as_secs_f64();
-    let count = (done.load(Ordering::Relaxed) - before) as f64;
-    let cpu = relay_time() - cpu;
+    let (started_measuring, attempts_before, cpu_s) = measurement_start.unwrap();
+    let elapsed_s = started_measuring.elapsed().as_secs_f64();
+    let attempt_count = (finished_attempts.load(Ordering::Relaxed) - attempts_before) as f64;
+    let cpu_s = relay_cpu_seconds() - cpu_s;
     println!(
         "{:.0} shard requests/s, {:.2} cores of the relay's threads, {:.1} us each, {} without rows",
-        count / taken,
-        cpu / taken,
-        cpu / count * 1e6,
-        failed.load(Ordering::Relaxed)
+        attempt_count / elapsed_s,
+        cpu_s / elapsed_s,
+        cpu_s / attempt_count * 1e6,
+        attempts_without_rows.load(Ordering::Relaxed)
     );
 }
 
-/// A link to the process itself, so that outcomes come back without a socket between.
+/// Opens a link from the process to itself, so that outcomes come back without a socket.
 async fn link(
-    done: Arc<AtomicU64>,
-    failed: Arc<AtomicU64>,
+    finished_attempts: Arc<AtomicU64>,
+    attempts_without_rows: Arc<AtomicU64>,
 ) -> (LinkSender, mpsc::UnboundedReceiver<()>, PeerPool) {
     let (links, mut opened) = mpsc::unbounded_channel();
-    let (finish, finished) = mpsc::unbounded_channel();
+    let (outcome_sender, outcome_events) = mpsc::unbounded_channel();
     let settings = PoolSettings::new(SessionId::new(vm(), IncarnationNumber(1)), 1);
     let pool = PeerPool::new(settings, CancellationToken::new(), move |event| {
         match event {
@@ -137,14 +148,15 @@
                 message: PeerMessage::Outcomes(batch),
                 ..
             } => {
-                let rows = |verdict: &ShardVerdict| matches!(verdict, ShardVerdict::Rows { .. });
-                let lost = batch
+                let has_rows =
+                    |verdict: &ShardVerdict| matches!(verdict, ShardVerdict::Rows { .. });
+                let without_rows = batch
                     .outcomes
                     .iter()
-                    .filter(|outcome| !rows(&outcome.verdict));
-                failed.fetch_add(lost.count() as u64, Ordering::Relaxed);
-                done.fetch_add(batch.outcomes.len() as u64, Ordering::Relaxed);
-                let _sent = finish.send(());
+                    .filter(|outcome| !has_rows(&outcome.verdict));
+                attempts_without_rows.fetch_add(without_rows.count() as u64, Ordering::Relaxed);
+                finished_attempts.fetch_add(batch.outcomes.len() as u64, Ordering::Relaxed);
+                let _sent = outcome_sender.send(());
             }
             LinkEvent::Message { from, .. } => {
                 let _sent = links.send(from);
@@ -153,9 +165,9 @@
         }
         Box::pin(std::future::ready(()))
     });
-    let hello = PeerMessage::Submit(batch(0, &[]));
-    pool.send(vm(), hello).unwrap();
-    (opened.recv().await.unwrap(), finished, pool)
+    let first_message = PeerMessage::Submit(batch(0, &[]));
+    pool.send(vm(), first_message).unwrap();
+    (opened.recv().await.unwrap(), outcome_events, pool)
 }
 
 fn batch(query: u64, upstreams: &[UpstreamAddress]) -> SubmitBatch {
@@ -165,7 +177,11 @@
         upstream: upstreams[(query as usize + number as usize) % upstreams.len()],
         purpose: AttemptPurpose::First,
     };
-    let targets = if upstreams.is_empty() { 0 } else { BATCH };
+    let targets = if upstreams.is_empty() {
+        0
+    } else {
+        ATTEMPTS_PER_BATCH
+    };
     SubmitBatch {
         query,
         class: "search".parse().unwrap(),
@@ -181,8 +197,8 @@
     }
 }
 
-fn publish(writers: &ViewWriters, upstreams: &[UpstreamAddress]) {
-    let own = VmEntry {
+fn publish_views(writers: &ViewWriters, upstreams: &[UpstreamAddress]) {
+    let vm_entry = VmEntry {
         vm: vm(),
         zone: zone(),
         incarnation: None,
@@ -195,14 +211,14 @@
         service: service.clone(),
         leaving: false,
     };
-    let topology = TopologyView::new([own], upstreams.iter().map(entry));
+    let topology = TopologyView::new([vm_entry], upstreams.iter().map(entry));
     let mut config = DeclaredConfig::default();
-    let declared = ServiceEntry {
+    let service_entry = ServiceEntry {
         name: service.clone(),
         connections: 45,
         drain: Duration::from_secs(1),
     };
-    config.services.insert(service.clone(), declared);
+    config.services.insert(service.clone(), service_entry);
     writers.config.send_replace(Arc::new(config));
     writers.topology.send_replace(Arc::new(topology));
     writers.readiness.send_replace(NodeReadiness::Ready);
@@ -216,14 +232,14 @@
     "zone-a".parse().unwrap()
 }
 
-/// Processor time of the relay's threads so far, in seconds.
-fn relay_time() -> f64 {
+/// Returns the processor time that the relay's threads have used so far, in seconds.
+fn relay_cpu_seconds() -> f64 {
     let mut ticks = 0;
     for task in std::fs::read_dir("/proc/self/task").unwrap() {
         let path = task.unwrap().path();
         let name = std::fs::read_to_string(path.join("comm")).unwrap_or_default();
-        // The kernel keeps 15 characters of a thread's name.
-        if !RELAY_NAME.starts_with(name.trim()) {
+        // The kernel truncates thread names to 15 characters.
+        if !RELAY_THREAD_NAME.starts_with(name.trim()) {
             continue;
         }
         let stat = std::fs::read_to_string(path.join("stat")).unwrap_or_default();
@@ -236,6 +252,6 @@
                 .unwrap_or(0_u64);
         }
     }
-    // The kernel counts in hundredths of a second.
+    // The kernel reports ticks of 1/100 s.
     ticks as f64 / 100.0
 }
--- a/crates/ebonyfork/benches/support/codec_messages.rs
+++ b/crates/ebonyfork/benches/support/codec_messages.rs
@@ -1,4 +1,4 @@
-//! Messages between entry and relay of a chosen size, for the codec's bench and the slopes example alike.
+//! Messages between entry and relay with a given number of attempts, for the bench `wire` and the example `slopes`.
 
 use bytes::Bytes;
 use ebonyfork::ident::{RequestFingerprint, ShardNumber, SnapshotVersion, UpstreamAddress};
@@ -11,7 +11,7 @@
 const SELECTION_BYTES: usize = 200;
 const ROWS_BYTES: usize = 300;
 
-/// An upstream's address by number.
+/// Returns the address of an upstream by its number.
 pub fn upstream(number: u32) -> UpstreamAddress {
     UpstreamAddress(
         (
@@ -22,7 +22,7 @@
     )
 }
 
-/// A batch of attempts of one query.
+/// Returns a message that submits a batch of `targets` attempts of one query.
 pub fn submit(targets: u32) -> PeerMessage {
     let class = "tender-search".parse().expect("a valid name");
     let selection = Bytes::from(vec![b'x'; SELECTION_BYTES]);
@@ -47,7 +47,7 @@
     })
 }
 
-/// Verdicts with rows, and the loads that a relay sends with them.
+/// Returns a message with `count` outcomes that contain rows, and with as many upstream loads.
 pub fn outcomes(count: u32) -> PeerMessage {
     let outcome = |attempt| ShardOutcome {
         query: 1_000_000,
--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -1,8 +1,8 @@
-//! Measures what membership costs one node against the number of members, on real loopback sockets.
+//! Measures the cost of membership per member as the number of members grows, on real loopback sockets.
 //!
-//! `member_slope run SIZE` runs that many members in this process, without any query load: a steady state, then a tenth
-//! of them stops at once. It prints one line of figures. `member_slope fit FILE` fits a line through each figure over
-//! the sizes in FILE and extrapolates to the size that the design is for.
+//! `member_slope run SIZE` runs that many members in this process without query load, first in a steady state, then
+//! after a tenth of them has stopped at once. It prints one line of measurements. `member_slope fit FILE` fits a line
+//! to each measurement over the sizes in FILE and extrapolates it to the design size.
 
 use std::net::{IpAddr, Ipv4Addr};
 use std::sync::Arc;
@@ -16,25 +16,25 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
 
-/// Zones that the members are spread over.
-const ZONES: usize = 3;
-/// Members on the VM list that each member starts with.
-const SEEDS: usize = 8;
-/// Longest wait until all members know each other.
+/// Number of zones that the members are spread over.
+const ZONE_COUNT: usize = 3;
+/// Number of members on the VM list that each member starts with.
+const SEED_COUNT: usize = 8;
+/// Longest wait until every member knows all others.
 const SETTLE_LIMIT: Duration = Duration::from_secs(15);
-/// Rest after that, in which the news of the start dies down.
-const REST: Duration = Duration::from_secs(16);
-/// More of it for each member.
-const REST_EACH: Duration = Duration::from_millis(100);
+/// Pause after that, in which the gossip about the start subsides.
+const SETTLE_PAUSE: Duration = Duration::from_secs(16);
+/// Additional pause per member.
+const SETTLE_PAUSE_PER_MEMBER: Duration = Duration::from_millis(100);
 /// Length of each measured phase.
-const PHASE: Duration = Duration::from_secs(12);
-/// The size that the design is for.
-const TARGET_SIZE: f64 = 4_900.0;
-/// Bytes of a page of memory.
-const PAGE_SIZE: u64 = 4_096;
-/// Clock ticks a second in `/proc`.
-const CLOCK_TICKS: f64 = 100.0;
-/// Figures in the order of a line's columns, behind the size.
+const PHASE_TIME: Duration = Duration::from_secs(12);
+/// Number of members at the design size.
+const DESIGN_SIZE: f64 = 4_900.0;
+/// Size of a memory page in bytes.
+const PAGE_BYTES: u64 = 4_096;
+/// Clock ticks per second in `/proc`.
+const CLOCK_TICKS_PER_SECOND: f64 = 100.0;
+/// Names of the measurements, in the order of the columns after the size.
 const COLUMNS: [&str; 10] = [
     "steady_bytes/s",
     "steady_datagrams/s",
@@ -68,6 +68,7 @@
     runtime.block_on(measure(size));
 }
 
+/// All members of one measurement.
 struct Fleet {
     members: Vec<(VmAddress, MemberHandle)>,
     _seeds: watch::Sender<Arc<[VmAddress]>>,
@@ -79,17 +80,19 @@
 
 impl Fleet {
     async fn start(size: usize) -> Self {
-        let listed: Vec<VmAddress> = (0..size.min(SEEDS)).map(vm).collect();
-        let (sender, seeds) = watch::channel(Arc::from(listed));
+        let seed_vms: Vec<VmAddress> = (0..size.min(SEED_COUNT)).map(vm).collect();
+        let (sender, seeds) = watch::channel(Arc::from(seed_vms));
         let mut port = 0;
         let mut members = Vec::with_capacity(size);
         for index in 0..size {
             let vm = vm(index);
             let socket = UdpSocket::bind((vm.0, port)).await.expect("free port");
             port = socket.local_addr().expect("bound").port();
-            let own = SessionId::new(vm, IncarnationNumber(1_700_000_000_000));
-            let zone = format!("zone-{}", index % ZONES).parse().expect("name");
-            let settings = MemberSettings::new(own, zone, port, index as u64);
+            let session = SessionId::new(vm, IncarnationNumber(1_700_000_000_000));
+            let zone = format!("zone-{}", index % ZONE_COUNT)
+                .parse()
+                .expect("name");
+            let settings = MemberSettings::new(session, zone, port, index as u64);
             let handle = MemberHandle::start(settings, socket, seeds.clone());
             handle.set_digest(MemberDigest {
                 revision: RevisionNumber(1),
@@ -116,14 +119,14 @@
         })
     }
 
-    /// Runs one phase with changing loads; returns the traffic, and how often a running member was held failed.
-    async fn phase(&self) -> PhaseFigures {
-        let before = self.totals();
-        let processor = processor_time();
+    /// Runs one phase with changing loads; returns traffic and processor time per member, and the false failures.
+    async fn run_phase(&self) -> PhaseMeasurements {
+        let before = self.total_traffic();
+        let processor_before = processor_time();
         let start = Instant::now();
         let mut false_failures = 0;
         let mut round = 0_u16;
-        while start.elapsed() < PHASE {
+        while start.elapsed() < PHASE_TIME {
             round += 1;
             for (index, (_, handle)) in self.members.iter().enumerate() {
                 let load = (index as u16).wrapping_mul(31).wrapping_add(round * 7) % 1_000;
@@ -134,29 +137,30 @@
             false_failures += self.false_failures();
         }
         let seconds = start.elapsed().as_secs_f64();
-        let after = self.totals();
-        let each = |total: u64| total as f64 / seconds / self.members.len() as f64;
-        PhaseFigures {
-            bytes: each(after.0 - before.0),
-            datagrams: each(after.1 - before.1),
-            processor_us: (processor_time() - processor) * 1e6
+        let after = self.total_traffic();
+        let per_member_second = |total: u64| total as f64 / seconds / self.members.len() as f64;
+        PhaseMeasurements {
+            bytes: per_member_second(after.0 - before.0),
+            datagrams: per_member_second(after.1 - before.1),
+            processor_us: (processor_time() - processor_before) * 1e6
                 / seconds
                 / self.members.len() as f64,
             false_failures,
         }
     }
 
-    /// Bytes and datagrams of all members, sent and received.
-    fn totals(&self) -> (u64, u64) {
-        let mut totals = (0, 0);
+    /// Returns the bytes and datagrams that all members have sent and received.
+    fn total_traffic(&self) -> (u64, u64) {
+        let mut total_traffic = (0, 0);
         for (_, handle) in &self.members {
             let MemberFigures { counters, .. } = handle.figures();
-            totals.0 += counters.sent_bytes + counters.received_bytes;
-            totals.1 += counters.sent_datagrams + counters.received_datagrams;
+            total_traffic.0 += counters.sent_bytes + counters.received_bytes;
+            total_traffic.1 += counters.sent_datagrams + counters.received_datagrams;
         }
-        totals
+        total_traffic
     }
 
+    /// Counts the pairs of running members of which one holds the other for failed.
     fn false_failures(&self) -> usize {
         let mut count = 0;
         for (_, handle) in &self.members {
@@ -172,8 +176,9 @@
     }
 }
 
+/// Measurements of one phase, per member and second.
 #[derive(Debug)]
-struct PhaseFigures {
+struct PhaseMeasurements {
     bytes: f64,
     datagrams: f64,
     processor_us: f64,
@@ -181,36 +186,43 @@
 }
 
 async fn measure(size: usize) {
-    let empty = resident_kb();
+    let memory_before = resident_kb();
     let mut fleet = Fleet::start(size).await;
     let start = Instant::now();
     while !fleet.knows_all() && start.elapsed() < SETTLE_LIMIT {
         sleep(Duration::from_millis(100)).await;
     }
-    let settled = start.elapsed().as_secs_f64();
-    let known = fleet.knows_all();
-    eprintln!("# {size} members settled: {known} after {settled:.1} s");
-    sleep(REST + REST_EACH * size as u32).await;
-    let steady = fleet.phase().await;
-    let memory = (resident_kb() - empty) as f64 / size as f64;
-    let stopped = fleet.members.split_off(size - (size / 10).max(1));
-    let gone: Arc<[VmAddress]> = stopped.iter().map(|(vm, _)| *vm).collect();
-    drop(stopped);
-    let stop = Instant::now();
+    let settle_seconds = start.elapsed().as_secs_f64();
+    let all_known = fleet.knows_all();
+    eprintln!("# {size} members settled: {all_known} after {settle_seconds:.1} s");
+    sleep(SETTLE_PAUSE + SETTLE_PAUSE_PER_MEMBER * size as u32).await;
+    let steady = fleet.run_phase().await;
+    let memory = (resident_kb() - memory_before) as f64 / size as f64;
+    let stopped_members = fleet.members.split_off(size - (size / 10).max(1));
+    let stopped_vms: Arc<[VmAddress]> = stopped_members.iter().map(|(vm, _)| *vm).collect();
+    drop(stopped_members);
+    let stopped_at = Instant::now();
     let watchers: Vec<_> = fleet
         .members
         .iter()
-        .map(|(_, handle)| tokio::spawn(watch_failures(handle.clone(), Arc::clone(&gone), stop)))
+        .map(|(_, handle)| {
+            tokio::spawn(watch_failures(
+                handle.clone(),
+                Arc::clone(&stopped_vms),
+                stopped_at,
+            ))
+        })
         .collect();
-    let churn = fleet.phase().await;
-    let mut learnt = Vec::new();
+    let churn = fleet.run_phase().await;
+    let mut detection_times = Vec::new();
     for watcher in watchers {
-        learnt.extend(watcher.await.expect("watcher"));
+        detection_times.extend(watcher.await.expect("watcher"));
     }
-    learnt.sort_unstable_by(f64::total_cmp);
-    let expected = gone.len() * fleet.members.len();
-    eprintln!("# {} of {expected} failures learnt", learnt.len());
-    let quantile = |share: f64| learnt[((learnt.len() - 1) as f64 * share) as usize];
+    detection_times.sort_unstable_by(f64::total_cmp);
+    let expected = stopped_vms.len() * fleet.members.len();
+    eprintln!("# {} of {expected} failures learnt", detection_times.len());
+    let quantile =
+        |share: f64| detection_times[((detection_times.len() - 1) as f64 * share) as usize];
     println!(
         "{size}\t{:.0}\t{:.1}\t{:.0}\t{:.0}\t{:.1}\t{:.0}\t{memory:.0}\t{:.2}\t{:.2}\t{}",
         steady.bytes,
@@ -225,29 +237,33 @@
     );
 }
 
-/// Seconds after `stop` at which one member held each of `gone` for failed.
-async fn watch_failures(handle: MemberHandle, gone: Arc<[VmAddress]>, stop: Instant) -> Vec<f64> {
+/// Returns the seconds after `stopped_at` at which one member detected the failure of each of the VMs in `stopped_vms`.
+async fn watch_failures(
+    handle: MemberHandle,
+    stopped_vms: Arc<[VmAddress]>,
+    stopped_at: Instant,
+) -> Vec<f64> {
     let mut snapshots = handle.snapshot();
-    let mut left: Vec<VmAddress> = gone.to_vec();
-    let mut learnt = Vec::new();
-    while !left.is_empty() && stop.elapsed() < PHASE {
+    let mut undetected: Vec<VmAddress> = stopped_vms.to_vec();
+    let mut detection_times = Vec::new();
+    while !undetected.is_empty() && stopped_at.elapsed() < PHASE_TIME {
         {
             let snapshot = snapshots.borrow_and_update();
-            left.retain(|vm| {
+            undetected.retain(|vm| {
                 let member = snapshot.get(*vm);
                 let failed = member.is_some_and(|member| member.state == MemberState::Failed);
                 if failed {
-                    learnt.push(stop.elapsed().as_secs_f64());
+                    detection_times.push(stopped_at.elapsed().as_secs_f64());
                 }
                 !failed
             });
         };
         let _elapsed = tokio::time::timeout(Duration::from_secs(1), snapshots.changed()).await;
     }
-    learnt
+    detection_times
 }
 
-/// Seconds of processor time that this process has used.
+/// Returns the processor time that this process has used, in seconds.
 fn processor_time() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").expect("/proc");
     let fields = text.rsplit_once(')').expect("a name in brackets").1;
@@ -255,21 +271,21 @@
     let ticks: f64 = ticks
         .map(|ticks| ticks.parse::<f64>().expect("number"))
         .sum();
-    ticks / CLOCK_TICKS
+    ticks / CLOCK_TICKS_PER_SECOND
 }
 
-/// Kilobytes of memory that this process holds.
+/// Returns the resident memory of this process in KiB.
 fn resident_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").expect("/proc");
     let pages = text
         .split_ascii_whitespace()
         .nth(1)
         .expect("resident pages");
-    pages.parse::<u64>().expect("number") * PAGE_SIZE / 1_024
+    pages.parse::<u64>().expect("number") * PAGE_BYTES / 1_024
 }
 
-/// Fits a line through each figure by least squares: over the size, or over its logarithm for the times of learning,
-/// which follow the time of a suspicion.
+/// Fits a line to each measurement by least squares: over the size, or over its logarithm for the detection times,
+/// which grow with the duration of a suspicion.
 fn fit(text: &str) {
     let rows: Vec<Vec<f64>> = text
         .lines()
@@ -281,7 +297,7 @@
         })
         .filter(|row: &Vec<f64>| row.len() == COLUMNS.len() + 1)
         .collect();
-    println!("figure\tbase\tper member or doubling\tlargest residual\tat {TARGET_SIZE}");
+    println!("figure\tbase\tper member or doubling\tlargest residual\tat {DESIGN_SIZE}");
     for (column, name) in COLUMNS.iter().enumerate() {
         let scale = |size: f64| {
             if name.starts_with("learnt") {
@@ -297,9 +313,9 @@
         let (base, slope) = least_squares(&points);
         let residual = points
             .iter()
-            .map(|(size, figure)| (figure - base - slope * size).abs())
+            .map(|(size, measurement)| (measurement - base - slope * size).abs())
             .fold(0.0, f64::max);
-        let target = base + slope * scale(TARGET_SIZE);
+        let target = base + slope * scale(DESIGN_SIZE);
         println!("{name}\t{base:.2}\t{slope:.4}\t{residual:.2}\t{target:.1}");
     }
 }
--- a/crates/ebonyfork/examples/slopes.rs
+++ b/crates/ebonyfork/examples/slopes.rs
@@ -20,12 +20,12 @@
 
 use codec_messages::{outcomes, submit, upstream};
 
-/// Time that each point is measured for.
-const POINT_TIME: Duration = Duration::from_millis(120);
-/// Availability zones at the size that the design is for.
-const ZONES: usize = 10;
+/// Measuring time of each point.
+const TIME_PER_POINT: Duration = Duration::from_millis(120);
+/// Number of availability zones at the design size.
+const ZONE_COUNT: usize = 10;
 
-/// A line fitted through measured points.
+/// A line fitted to measured points.
 struct FittedLine {
     intercept: f64,
     slope: f64,
@@ -33,7 +33,7 @@
 }
 
 impl FittedLine {
-    /// Fits by least squares.
+    /// Fits a line to points by least squares.
     fn new(points: &[(f64, f64)]) -> Self {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|point| point.0).sum::<f64>() / count;
@@ -46,11 +46,11 @@
         }
         let slope = covariance / variance;
         let intercept = mean_y - slope * mean_x;
-        let mut squares = 0.0;
+        let mut squared_deviations = 0.0;
         for (x, y) in points {
-            squares += (intercept + slope * x - y).powi(2);
+            squared_deviations += (intercept + slope * x - y).powi(2);
         }
-        let residual_percent = (squares / count).sqrt() / mean_y * 100.0;
+        let residual_percent = (squared_deviations / count).sqrt() / mean_y * 100.0;
         Self {
             intercept,
             slope,
@@ -59,39 +59,40 @@
     }
 }
 
+/// Measures a quantity at each size, and prints the points and the fitted line as a table row.
 fn report(name: &str, unit: &str, sizes: &[u32], measure: impl Fn(u32) -> f64) {
     let mut points = Vec::new();
     for size in sizes {
         points.push((f64::from(*size), measure(*size)));
     }
     let line = FittedLine::new(&points);
-    let shown: Vec<String> = points
+    let point_texts: Vec<String> = points
         .iter()
         .map(|(size, cost)| format!("{size}: {cost:.0}"))
         .collect();
     println!(
         "| {name} | {} | {:.1} | {:.3} | {:.0} % | {unit} |",
-        shown.join(", "),
+        point_texts.join(", "),
         line.intercept,
         line.slope,
         line.residual_percent
     );
 }
 
-/// Nanoseconds of one call, the fastest of several rounds.
-fn nanoseconds<T>(mut call: impl FnMut() -> T) -> f64 {
+/// Returns the duration of one call in nanoseconds, as the fastest of several rounds.
+fn nanoseconds_per_call<T>(mut call: impl FnMut() -> T) -> f64 {
     const ROUNDS: u32 = 5;
-    let mut best = f64::MAX;
+    let mut fastest_ns = f64::MAX;
     for _ in 0..ROUNDS {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut calls = 0_u32;
-        while begun.elapsed() < POINT_TIME / ROUNDS {
+        while started.elapsed() < TIME_PER_POINT / ROUNDS {
             black_box(call());
             calls += 1;
         }
-        best = best.min(begun.elapsed().as_nanos() as f64 / f64::from(calls));
+        fastest_ns = fastest_ns.min(started.elapsed().as_nanos() as f64 / f64::from(calls));
     }
-    best
+    fastest_ns
 }
 
 fn vm(number: u32) -> VmAddress {
@@ -113,7 +114,7 @@
         &SIZES,
         |size| {
             let message = message(size);
-            nanoseconds(|| encode(&message))
+            nanoseconds_per_call(|| encode(&message))
         },
     );
     report(
@@ -122,23 +123,26 @@
         &SIZES,
         |size| {
             let bytes = encode(&message(size));
-            nanoseconds(|| postcard::from_bytes::<PeerMessage>(&bytes))
+            nanoseconds_per_call(|| postcard::from_bytes::<PeerMessage>(&bytes))
         },
     );
 }
 
-/// A view of ten availability zones: VMs of ours dealt to them in turn, all upstreams in the first.
+/// Returns a topology with VMs spread evenly over ten availability zones and all upstreams in the first zone.
 fn view(vms: u32, upstreams: u32) -> TopologyView {
     let zone: ebonyfork::ident::ZoneName = "zone-a".parse().expect("a valid name");
-    let entry = |number| VmEntry {
+    let vm_entry = |number| VmEntry {
         vm: vm(number),
-        zone: format!("zone-{}", b"abcdefghij"[number as usize % ZONES] as char)
-            .parse()
-            .expect("a valid name"),
+        zone: format!(
+            "zone-{}",
+            b"abcdefghij"[number as usize % ZONE_COUNT] as char
+        )
+        .parse()
+        .expect("a valid name"),
         incarnation: None,
         leaving: false,
     };
-    let served = |number: u32| UpstreamEntry {
+    let upstream_entry = |number: u32| UpstreamEntry {
         upstream: upstream(number),
         zone: zone.clone(),
         service: format!("service-{}", number / 2)
@@ -146,7 +150,7 @@
             .expect("a valid name"),
         leaving: false,
     };
-    TopologyView::new((0..vms).map(entry), (0..upstreams).map(served))
+    TopologyView::new((0..vms).map(vm_entry), (0..upstreams).map(upstream_entry))
 }
 
 fn report_topology() {
@@ -156,14 +160,14 @@
         &[100, 500, 1_500, 4_900],
         |vms| {
             let view = view(vms, 1);
-            nanoseconds(|| owner_pair(&view, upstream(0)))
+            nanoseconds_per_call(|| owner_pair(&view, upstream(0)))
         },
     );
     report(
         "topology view: rebuilt, by upstreams",
         "ns",
         &[500, 2_000, 8_000, 31_000],
-        |count| nanoseconds(|| view(100, count)),
+        |count| nanoseconds_per_call(|| view(100, count)),
     );
 }
 
@@ -201,7 +205,7 @@
         &SIZES,
         |shards| {
             let bytes = serde_json::to_vec(&catalog(shards)).expect("a catalogue encodes");
-            nanoseconds(|| serde_json::from_slice::<IndexCatalog>(&bytes))
+            nanoseconds_per_call(|| serde_json::from_slice::<IndexCatalog>(&bytes))
         },
     );
 }
@@ -234,7 +238,7 @@
         &SIZES,
         |organisations| {
             let files = [declarations(organisations)];
-            nanoseconds(|| DeclaredConfig::parse(&files, RevisionNumber(1)))
+            nanoseconds_per_call(|| DeclaredConfig::parse(&files, RevisionNumber(1)))
         },
     );
 }
--- a/crates/ebonyfork/tests/malformed.rs
+++ b/crates/ebonyfork/tests/malformed.rs
@@ -1,5 +1,5 @@
-//! Malformed declarations and settings, each with the finding that it must get and its place; and text that is no INI
-//! at all, which must never do more than produce findings.
+//! Tests that each malformed declaration or setting gets the expected finding with its location, and that arbitrary
+//! text never does more than produce findings.
 
 use ebonyfork::declaration::{DeclaredConfig, DeclaredFile};
 use ebonyfork::ident::RevisionNumber;
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-/// A class without findings; cases change or add a line.
-const CLASS: &str = "[class c]\nindex = i\nscope = all\nlatency = 300ms\npercentile = 99\ncoverage = 0.9\n\
+/// A valid class declaration, which the cases modify.
+const VALID_CLASS: &str = "[class c]\nindex = i\nscope = all\nlatency = 300ms\npercentile = 99\ncoverage = 0.9\n\
                      gives-way = latency\nbound = 2s\nidempotent = yes\n";
-/// Settings without findings.
-const SETTINGS: &str = "[node]\nvm = 10.0.0.1\nzone = zone-a\ncaller-port = 7100\npeer-port = 7101\n\
+/// Valid settings, which the cases modify.
+const VALID_SETTINGS: &str = "[node]\nvm = 10.0.0.1\nzone = zone-a\ncaller-port = 7100\npeer-port = 7101\n\
                         operator-port = 7102\n[platform]\naddress = 10.0.0.9:7000\n";
 
-/// What is replaced in the valid text, by what, and the finding that must stand alone: place and message's start.
+/// Text to replace in the valid text, its replacement, and the beginning of the expected finding.
 type ReplaceCase = (&'static str, &'static str, &'static str);
 
 const CLASS_CASES: [ReplaceCase; 27] = [
@@ -156,10 +156,10 @@
     ),
 ];
 
-/// A whole text and its one finding.
-type TextCase = (&'static str, &'static str);
+/// A whole declaration text, and the beginning of its only finding.
+type DeclarationCase = (&'static str, &'static str);
 
-const TEXT_CASES: [TextCase; 21] = [
+const DECLARATION_CASES: [DeclarationCase; 21] = [
     (
         "[service s]\ndrain = 1s\n",
         "a.ini:1: [service s] lacks the key `connections`",
@@ -332,22 +332,26 @@
 }
 
 #[gtest]
-fn the_valid_texts_have_no_findings() {
-    expect_that!(declaration_findings(CLASS), is_empty());
-    expect_that!(settings_findings(SETTINGS), is_empty());
+fn valid_texts_have_no_findings() {
+    expect_that!(declaration_findings(VALID_CLASS), is_empty());
+    expect_that!(settings_findings(VALID_SETTINGS), is_empty());
 }
 
 #[gtest]
 fn each_malformed_class_gets_its_finding() {
-    for (from, to, expected) in CLASS_CASES {
-        let findings = declaration_findings(&CLASS.replacen(from, to, 1));
-        expect_that!(findings, elements_are![starts_with(expected)], "{to}");
+    for (from, replacement, expected) in CLASS_CASES {
+        let findings = declaration_findings(&VALID_CLASS.replacen(from, replacement, 1));
+        expect_that!(
+            findings,
+            elements_are![starts_with(expected)],
+            "{replacement}"
+        );
     }
 }
 
 #[gtest]
-fn each_malformed_text_gets_its_finding() {
-    for (text, expected) in TEXT_CASES {
+fn each_malformed_declaration_gets_its_finding() {
+    for (text, expected) in DECLARATION_CASES {
         let findings = declaration_findings(text);
         expect_that!(findings, elements_are![starts_with(expected)], "{text}");
     }
@@ -355,23 +359,23 @@
 
 #[gtest]
 fn each_malformed_setting_gets_its_finding() {
-    for (from, to, expected) in SETTINGS_CASES {
-        let findings = settings_findings(&SETTINGS.replacen(from, to, 1));
-        // A misspelt section or key is found from both sides.
+    for (from, replacement, expected) in SETTINGS_CASES {
+        let findings = settings_findings(&VALID_SETTINGS.replacen(from, replacement, 1));
+        // A misspelt section or key gets two findings: the unknown name and the missing one.
         expect_that!(
             findings,
             contains(starts_with(expected)),
-            "{to}: {findings:?}"
+            "{replacement}: {findings:?}"
         );
-        expect_that!(findings.len(), le(2), "{to}: {findings:?}");
+        expect_that!(findings.len(), le(2), "{replacement}: {findings:?}");
     }
 }
 
 #[gtest]
-fn files_are_checked_against_each_other() {
+fn findings_across_several_files_are_reported() {
     let files = [
-        DeclaredFile::new("classes.ini", CLASS),
-        DeclaredFile::new("more.ini", CLASS),
+        DeclaredFile::new("classes.ini", VALID_CLASS),
+        DeclaredFile::new("more.ini", VALID_CLASS),
         DeclaredFile::new("organisations.ini", "[organisation k]\nclasses = c, d, c\n"),
     ];
     let findings = DeclaredConfig::parse(&files, RevisionNumber(1)).unwrap_err();
@@ -386,7 +390,7 @@
     );
 }
 
-fn fixed_seed() -> Config {
+fn fixed_seed_config() -> Config {
     Config {
         cases: 2_000,
         rng_seed: RngSeed::Fixed(7),
@@ -395,8 +399,8 @@
     }
 }
 
-/// Lines that are nearly right, in any order.
-fn near_line() -> impl Strategy<Value = String> {
+/// Generates lines that resemble valid ones, many of them malformed.
+fn nearly_valid_line() -> impl Strategy<Value = String> {
     prop_oneof![
         "\\[(service|class|organisation|node|platform)( [a-z;=\\[\\]]{0,6})?\\]?",
         "(latency|coverage|idempotent|drain|vm|zone) ?=? ?(300ms|0.9|yes|-1|NaN|1e999|[ -~]{0,12}) ?(; x)?",
@@ -405,17 +409,17 @@
 }
 
 proptest! {
-    #![proptest_config(fixed_seed())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
-    fn no_text_makes_a_reader_panic(text in "\\PC{0,200}") {
+    fn arbitrary_text_never_makes_a_reader_panic(text in "\\PC{0,200}") {
         declaration_findings(&text);
         settings_findings(&text);
     }
 
     #[test]
-    fn nearly_right_lines_never_make_a_reader_panic(
-        lines in prop::collection::vec(near_line(), 0..20)
+    fn nearly_valid_lines_never_make_a_reader_panic(
+        lines in prop::collection::vec(nearly_valid_line(), 0..20)
     ) {
         let text = lines.join("\n");
         declaration_findings(&text);
--- a/crates/ebonyfork/tests/relay.rs
+++ b/crates/ebonyfork/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay against a small HTTP server on loopback.
+//! Tests of the relay against a fake upstream, a small HTTP server on loopback.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -27,42 +27,44 @@
 use tokio::sync::mpsc;
 use tokio_util::sync::CancellationToken;
 
-/// What the server has seen: paths in order, and connections accepted.
+/// Requests and connections that a [`FakeUpstream`] has received.
 #[derive(Debug, Default)]
-struct SeenCalls {
+struct ReceivedRequests {
+    /// Paths of the requests, in order of arrival.
     paths: Vec<String>,
     headers: Vec<http::HeaderMap>,
+    /// Number of accepted connections.
     connections: usize,
 }
 
-/// An upstream whose answer is chosen by the shard's number.
+/// An upstream that answers each shard request according to the shard's number.
 struct FakeUpstream {
     address: UpstreamAddress,
-    seen: Arc<Mutex<SeenCalls>>,
+    received: Arc<Mutex<ReceivedRequests>>,
 }
 
 impl FakeUpstream {
     async fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = UpstreamAddress(listener.local_addr().unwrap());
-        let seen = Arc::new(Mutex::new(SeenCalls::default()));
-        tokio::spawn(accept_all(listener, Arc::clone(&seen)));
-        Self { address, seen }
+        let received = Arc::new(Mutex::new(ReceivedRequests::default()));
+        tokio::spawn(accept_all(listener, Arc::clone(&received)));
+        Self { address, received }
     }
 
     fn paths(&self) -> Vec<String> {
-        self.seen.lock().unwrap().paths.clone()
+        self.received.lock().unwrap().paths.clone()
     }
 }
 
-async fn accept_all(listener: TcpListener, seen: Arc<Mutex<SeenCalls>>) {
+async fn accept_all(listener: TcpListener, received: Arc<Mutex<ReceivedRequests>>) {
     while let Ok((stream, _from)) = listener.accept().await {
-        seen.lock().unwrap().connections += 1;
-        let seen = Arc::clone(&seen);
-        let service = service_fn(move |request| answer(request, Arc::clone(&seen)));
+        received.lock().unwrap().connections += 1;
+        let received = Arc::clone(&received);
+        let service = service_fn(move |request| answer(request, Arc::clone(&received)));
         tokio::spawn(async move {
             let builder = hyper::server::conn::http1::Builder::new();
-            // A broken connection is what some cases are about.
+            // Some tests break the connection on purpose.
             let _served = builder
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -70,6 +72,7 @@
     }
 }
 
+/// Error that makes the server close the connection without an answer.
 #[derive(Debug)]
 struct CloseConnection;
 
@@ -83,13 +86,13 @@
 
 async fn answer(
     request: Request<Incoming>,
-    seen: Arc<Mutex<SeenCalls>>,
+    received: Arc<Mutex<ReceivedRequests>>,
 ) -> std::result::Result<Response<Full<Bytes>>, CloseConnection> {
     let path = request.uri().path().to_owned();
     if path == "/v1/status" {
         return Ok(reply(200, &[], r#"{"state":"ready","load":0.0}"#));
     }
-    note_call(&seen, &request);
+    record_request(&received, &request);
     let version = ("x-index-version", "17");
     let rows = r#"{"rows":["a"]}"#;
     match path.rsplit('/').next().unwrap_or_default() {
@@ -110,10 +113,10 @@
     }
 }
 
-fn note_call(seen: &Mutex<SeenCalls>, request: &Request<Incoming>) {
-    let mut seen = seen.lock().unwrap();
-    seen.paths.push(request.uri().path().to_owned());
-    seen.headers.push(request.headers().clone());
+fn record_request(received: &Mutex<ReceivedRequests>, request: &Request<Incoming>) {
+    let mut received = received.lock().unwrap();
+    received.paths.push(request.uri().path().to_owned());
+    received.headers.push(request.headers().clone());
 }
 
 fn reply(status: u16, headers: &[(&str, &str)], body: &str) -> Response<Full<Bytes>> {
@@ -126,9 +129,9 @@
         .unwrap()
 }
 
-/// A relay with its link and views.
-struct RelayBench {
-    relay: RelayHandle,
+/// A relay with the link that it answers on, and everything it has reported.
+struct TestRelay {
+    handle: RelayHandle,
     link: LinkSender,
     outcomes: mpsc::UnboundedReceiver<ShardOutcome>,
     losses: Arc<Mutex<Vec<UpstreamLoss>>>,
@@ -141,8 +144,8 @@
     "127.0.0.1".parse().unwrap()
 }
 
-fn publish(writers: &ViewWriters, upstream: UpstreamAddress) {
-    let own = VmEntry {
+fn publish_views(writers: &ViewWriters, upstream: UpstreamAddress) {
+    let vm_entry = VmEntry {
         vm: vm(),
         zone: "zone-a".parse().unwrap(),
         incarnation: None,
@@ -156,21 +159,21 @@
         leaving: false,
     };
     let mut config = DeclaredConfig::default();
-    let declared = ServiceEntry {
+    let service_entry = ServiceEntry {
         name: service.clone(),
         connections: 25,
         drain: Duration::from_secs(1),
     };
-    config.services.insert(service, declared);
+    config.services.insert(service, service_entry);
     writers.config.send_replace(Arc::new(config));
-    let topology = TopologyView::new([own], [entry]);
+    let topology = TopologyView::new([vm_entry], [entry]);
     writers.topology.send_replace(Arc::new(topology));
     writers.readiness.send_replace(NodeReadiness::Ready);
 }
 
-/// A link of the process to itself: what is sent back on it comes out of the handler.
+/// Opens a link from the process to itself; returns it with the messages that arrive on it.
 async fn local_link() -> (PeerPool, LinkSender, mpsc::UnboundedReceiver<PeerMessage>) {
-    let (events, mut seen) = mpsc::unbounded_channel();
+    let (events, mut received) = mpsc::unbounded_channel();
     let settings = PoolSettings::new(SessionId::new(vm(), IncarnationNumber(1)), 1);
     let pool = PeerPool::new(settings, CancellationToken::new(), move |event| {
         let _sent = events.send(event);
@@ -181,33 +184,33 @@
         attempts: smallvec::smallvec![],
     };
     pool.send(vm(), PeerMessage::Cancel(cancel)).unwrap();
-    let Some(LinkEvent::Message { from, .. }) = seen.recv().await else {
-        panic!("no link");
+    let Some(LinkEvent::Message { from, .. }) = received.recv().await else {
+        panic!("the link delivered no message");
     };
-    let (messages, back) = mpsc::unbounded_channel();
+    let (messages, incoming) = mpsc::unbounded_channel();
     tokio::spawn(async move {
-        while let Some(LinkEvent::Message { message, .. }) = seen.recv().await {
+        while let Some(LinkEvent::Message { message, .. }) = received.recv().await {
             let _sent = messages.send(message);
         }
     });
-    (pool, from, back)
+    (pool, from, incoming)
 }
 
-impl RelayBench {
+impl TestRelay {
     async fn start(upstream: UpstreamAddress) -> Self {
         let (writers, views) = view_channels();
-        publish(&writers, upstream);
+        publish_views(&writers, upstream);
         let (pool, link, mut messages) = local_link().await;
         let losses = Arc::new(Mutex::new(Vec::new()));
         let leaving = Arc::new(Mutex::new(Vec::new()));
-        let (lost, left) = (Arc::clone(&losses), Arc::clone(&leaving));
+        let (loss_sink, leaving_sink) = (Arc::clone(&losses), Arc::clone(&leaving));
         let settings = RelaySettings::new(vm(), "zone-a".parse().unwrap(), views)
             .with_quarantine(
                 |fingerprint| fingerprint.0 == 666,
-                move |loss| lost.lock().unwrap().push(loss),
+                move |loss| loss_sink.lock().unwrap().push(loss),
             )
-            .with_leaving_report(move |upstream| left.lock().unwrap().push(upstream));
-        let relay = RelayHandle::start(settings);
+            .with_leaving_report(move |upstream| leaving_sink.lock().unwrap().push(upstream));
+        let handle = RelayHandle::start(settings);
         let (sender, outcomes) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Some(message) = messages.recv().await {
@@ -220,7 +223,7 @@
             }
         });
         Self {
-            relay,
+            handle,
             link,
             outcomes,
             losses,
@@ -235,24 +238,28 @@
         query: u64,
         upstream: UpstreamAddress,
         shards: &[u32],
-        within: Duration,
+        timeout: Duration,
     ) {
-        let batch = batch(query, upstream, shards, within);
-        self.relay.submit(self.link.clone(), batch).await;
+        let batch = batch(query, upstream, shards, timeout);
+        self.handle.submit(self.link.clone(), batch).await;
     }
 
     async fn outcomes(&mut self, count: usize) -> BTreeMap<u32, ShardVerdict> {
         let mut verdicts = BTreeMap::new();
         while verdicts.len() < count {
             let outcome = self.outcomes.recv().await.unwrap();
-            let twin = verdicts.insert(outcome.attempt, outcome.verdict);
-            assert_eq!(twin, None, "attempt {} came back twice", outcome.attempt);
+            let previous = verdicts.insert(outcome.attempt, outcome.verdict);
+            assert_eq!(
+                previous, None,
+                "attempt {} has two outcomes",
+                outcome.attempt
+            );
         }
         verdicts
     }
 }
 
-fn batch(query: u64, upstream: UpstreamAddress, shards: &[u32], within: Duration) -> SubmitBatch {
+fn batch(query: u64, upstream: UpstreamAddress, shards: &[u32], timeout: Duration) -> SubmitBatch {
     let target = |shard: &u32| ShardTarget {
         attempt: *shard,
         shard: ShardNumber(*shard),
@@ -265,7 +272,7 @@
         organisation: "roofers".parse().unwrap(),
         index: "tenders".parse().unwrap(),
         version: SnapshotVersion(17),
-        remaining_us: within.as_micros() as u64,
+        remaining_us: timeout.as_micros() as u64,
         fingerprint: RequestFingerprint(query),
         idempotent: true,
         key: None,
@@ -274,7 +281,8 @@
     }
 }
 
-const SOON: Duration = Duration::from_secs(5);
+/// Time limit that no attempt reaches.
+const LONG_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn rows(version: u64) -> ShardVerdict {
     ShardVerdict::Rows {
@@ -290,12 +298,14 @@
 
 #[gtest]
 #[tokio::test]
-async fn each_answer_gets_its_verdict() {
+async fn each_upstream_answer_gets_its_verdict() {
     let upstream = FakeUpstream::start().await;
-    let mut bench = RelayBench::start(upstream.address).await;
+    let mut relay = TestRelay::start(upstream.address).await;
     let shards = [0, 1, 2, 3, 4, 5, 7];
-    bench.submit(1, upstream.address, &shards, SOON).await;
-    let verdicts = bench.outcomes(shards.len()).await;
+    relay
+        .submit(1, upstream.address, &shards, LONG_TIMEOUT)
+        .await;
+    let verdicts = relay.outcomes(shards.len()).await;
     expect_that!(verdicts[&0], eq(&rows(17)));
     let newest = SnapshotVersion(18);
     expect_that!(verdicts[&1], eq(&ShardVerdict::VersionGone { newest }));
@@ -305,15 +315,15 @@
     expect_that!(verdicts[&4], eq(&unknown(FailureReason::Status)));
     expect_that!(verdicts[&5], eq(&unknown(FailureReason::Broken)));
     expect_that!(verdicts[&7], eq(&rows(16)));
-    expect_that!(bench.losses.lock().unwrap().len(), eq(1));
-    expect_that!(bench.relay.in_flight(), eq(0));
-    let seen = upstream.seen.lock().unwrap();
+    expect_that!(relay.losses.lock().unwrap().len(), eq(1));
+    expect_that!(relay.handle.in_flight(), eq(0));
+    let received = upstream.received.lock().unwrap();
     expect_that!(
-        seen.headers[0]["x-attempt"].to_str().unwrap(),
+        received.headers[0]["x-attempt"].to_str().unwrap(),
         eq("127.0.0.1-1.q1.a0")
     );
     expect_that!(
-        seen.headers[0]["x-index-version"].to_str().unwrap(),
+        received.headers[0]["x-index-version"].to_str().unwrap(),
         eq("17")
     );
 }
@@ -322,21 +332,23 @@
 #[tokio::test]
 async fn connections_are_reused_and_bounded() {
     let upstream = FakeUpstream::start().await;
-    let mut bench = RelayBench::start(upstream.address).await;
+    let mut relay = TestRelay::start(upstream.address).await;
     for query in 0..20 {
-        bench.submit(query, upstream.address, &[0, 9], SOON).await;
-        bench.outcomes(2).await;
+        relay
+            .submit(query, upstream.address, &[0, 9], LONG_TIMEOUT)
+            .await;
+        relay.outcomes(2).await;
     }
-    expect_that!(upstream.seen.lock().unwrap().connections, le(7));
+    expect_that!(upstream.received.lock().unwrap().connections, le(7));
 }
 
 #[gtest]
 #[tokio::test]
-async fn cancelled_and_overdue_attempts_end_at_once() {
+async fn cancelled_and_timed_out_attempts_end_at_once() {
     let upstream = FakeUpstream::start().await;
-    let mut bench = RelayBench::start(upstream.address).await;
-    let within = Duration::from_millis(60);
-    bench.submit(1, upstream.address, &[6], SOON).await;
+    let mut relay = TestRelay::start(upstream.address).await;
+    let timeout = Duration::from_millis(60);
+    relay.submit(1, upstream.address, &[6], LONG_TIMEOUT).await;
     while upstream.paths().is_empty() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -344,8 +356,8 @@
         query: 1,
         attempts: smallvec::smallvec![6],
     };
-    bench.relay.cancel(&bench.link, cancel).await;
-    let verdicts = bench.outcomes(1).await;
+    relay.handle.cancel(&relay.link, cancel).await;
+    let verdicts = relay.outcomes(1).await;
     expect_that!(verdicts[&6], eq(&unknown(FailureReason::Cancelled)));
     let cancelled = "/v1/cancel/127.0.0.1-1.q1.a6".to_owned();
     while !upstream.paths().contains(&cancelled) {
@@ -357,70 +369,73 @@
         .filter(|path| **path == cancelled)
         .count();
     expect_that!(calls, eq(1));
-    bench.submit(2, upstream.address, &[6], within).await;
-    let verdicts = bench.outcomes(1).await;
+    relay.submit(2, upstream.address, &[6], timeout).await;
+    let verdicts = relay.outcomes(1).await;
     expect_that!(verdicts[&6], eq(&unknown(FailureReason::Timeout)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn refusals_are_truthful() {
+async fn refused_attempts_are_not_sent_to_the_upstream() {
     let upstream = FakeUpstream::start().await;
-    let mut bench = RelayBench::start(upstream.address).await;
-    let stranger = "127.0.0.1:1".parse().unwrap();
-    bench.submit(1, stranger, &[0], SOON).await;
-    let verdict = bench.outcomes(1).await.remove(&0);
+    let mut relay = TestRelay::start(upstream.address).await;
+    let unknown_upstream = "127.0.0.1:1".parse().unwrap();
+    relay.submit(1, unknown_upstream, &[0], LONG_TIMEOUT).await;
+    let verdict = relay.outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Leaving)))
     );
-    bench.submit(666, upstream.address, &[0], SOON).await;
-    let verdict = bench.outcomes(1).await.remove(&0);
+    relay
+        .submit(666, upstream.address, &[0], LONG_TIMEOUT)
+        .await;
+    let verdict = relay.outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Quarantined)))
     );
-    bench.submit(2, upstream.address, &[8], SOON).await;
-    expect_that!(bench.outcomes(1).await.remove(&8), eq(&Some(rows(17))));
-    bench.submit(3, upstream.address, &[0], SOON).await;
-    let verdict = bench.outcomes(1).await.remove(&0);
+    relay.submit(2, upstream.address, &[8], LONG_TIMEOUT).await;
+    expect_that!(relay.outcomes(1).await.remove(&8), eq(&Some(rows(17))));
+    relay.submit(3, upstream.address, &[0], LONG_TIMEOUT).await;
+    let verdict = relay.outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Leaving)))
     );
-    expect_that!(*bench.leaving.lock().unwrap(), eq(&vec![upstream.address]));
+    expect_that!(*relay.leaving.lock().unwrap(), eq(&vec![upstream.address]));
     expect_that!(upstream.paths().len(), eq(1));
 }
 
 #[gtest]
 #[tokio::test]
-async fn refused_connection_is_not_run() {
-    // An address that no other test listens on, so that nobody takes the port once it is free.
-    let closed = TcpListener::bind("127.0.0.91:0").await.unwrap();
-    let address = UpstreamAddress(closed.local_addr().unwrap());
-    drop(closed);
-    let mut bench = RelayBench::start(address).await;
-    bench.submit(1, address, &[0], SOON).await;
-    let verdict = bench.outcomes(1).await.remove(&0);
+async fn an_attempt_whose_connection_is_refused_has_not_run() {
+    // No other test listens on this address, so no other test takes the port after it is closed.
+    let listener = TcpListener::bind("127.0.0.91:0").await.unwrap();
+    let address = UpstreamAddress(listener.local_addr().unwrap());
+    drop(listener);
+    let mut relay = TestRelay::start(address).await;
+    relay.submit(1, address, &[0], LONG_TIMEOUT).await;
+    let verdict = relay.outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Unreachable)))
     );
 }
 
-/// An upstream beyond its connection limit accepts and closes at once: that is no crash, and nothing ran.
+/// An upstream at its connection limit accepts a connection and closes it at once. That is not a crash, and the request
+/// did not run.
 #[gtest]
 #[tokio::test]
-async fn connection_closed_at_once_is_not_run() {
+async fn an_attempt_whose_connection_is_closed_at_once_has_not_run() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = UpstreamAddress(listener.local_addr().unwrap());
     tokio::spawn(async move { while listener.accept().await.is_ok() {} });
-    let mut bench = RelayBench::start(address).await;
-    bench.submit(1, address, &[0], SOON).await;
-    let verdict = bench.outcomes(1).await.remove(&0);
+    let mut relay = TestRelay::start(address).await;
+    relay.submit(1, address, &[0], LONG_TIMEOUT).await;
+    let verdict = relay.outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Unreachable)))
     );
-    expect_that!(bench.losses.lock().unwrap().len(), eq(0));
+    expect_that!(relay.losses.lock().unwrap().len(), eq(0));
 }
