--- a/crates/ebonyfork/benches/query.rs
+++ b/crates/ebonyfork/benches/query.rs
@@ -113,7 +113,7 @@
 struct QueryBench {
     core: EntryCore,
     now: Duration,
-    sent: Vec<(VmAddress, SubmitBatch)>,
+    sent_batches: Vec<(VmAddress, SubmitBatch)>,
     answered_shards: u32,
 }
 
@@ -126,12 +126,12 @@
         let mut bench = Self {
             core,
             now: Duration::from_secs(1),
-            sent: Vec::new(),
+            sent_batches: Vec::new(),
             answered_shards: 0,
         };
         // The first query of a new request sends a canary first; complete it before the measurement.
         bench.plan();
-        while !bench.sent.is_empty() {
+        while !bench.sent_batches.is_empty() {
             let replies = bench.replies();
             bench.gather(replies);
         }
@@ -158,7 +158,7 @@
             match action {
                 EntryAction::Send { vm, message } => {
                     if let PeerMessage::Submit(batch) = message {
-                        self.sent.push((vm, batch));
+                        self.sent_batches.push((vm, batch));
                     }
                 }
                 EntryAction::Finish { outcome, .. } => {
@@ -171,8 +171,8 @@
 
     /// Returns the relays' replies to the batches sent, one batch each.
     fn replies(&mut self) -> Vec<(VmAddress, OutcomeBatch)> {
-        let reply = |(vm, batch): (VmAddress, SubmitBatch)| (vm, reply_batch(&batch));
-        self.sent.drain(..).map(reply).collect()
+        let to_reply = |(vm, batch): (VmAddress, SubmitBatch)| (vm, reply_batch(&batch));
+        self.sent_batches.drain(..).map(to_reply).collect()
     }
 
     fn gather(&mut self, replies: Vec<(VmAddress, OutcomeBatch)>) {
@@ -223,7 +223,7 @@
         group.bench_function(BenchmarkId::from_parameter(shards), |bencher| {
             let mut bench = QueryBench::new(shards);
             bencher.iter_custom(|rounds| {
-                let mut measured = Duration::ZERO;
+                let mut measured_time = Duration::ZERO;
                 for _ in 0..rounds {
                     let started = Instant::now();
                     bench.plan();
@@ -232,13 +232,13 @@
                     let started = Instant::now();
                     bench.gather(replies);
                     let gathered = started.elapsed();
-                    measured += if phase == Phase::Plan {
+                    measured_time += if phase == Phase::Plan {
                         planned
                     } else {
                         gathered
                     };
                 }
-                measured
+                measured_time
             });
         });
     }
@@ -260,15 +260,15 @@
         let mut bench = QueryBench::new(shards);
         let (mut planned, mut gathered) = (0, 0);
         for round in 0..ROUNDS * 2 {
-            let before = ALLOCATIONS.load(Ordering::Relaxed);
+            let allocations_before_plan = ALLOCATIONS.load(Ordering::Relaxed);
             bench.plan();
-            let middle = ALLOCATIONS.load(Ordering::Relaxed);
+            let allocations_after_plan = ALLOCATIONS.load(Ordering::Relaxed);
             let replies = bench.replies();
-            let after = ALLOCATIONS.load(Ordering::Relaxed);
+            let allocations_before_gather = ALLOCATIONS.load(Ordering::Relaxed);
             bench.gather(replies);
             if round >= ROUNDS {
-                planned += middle - before;
-                gathered += ALLOCATIONS.load(Ordering::Relaxed) - after;
+                planned += allocations_after_plan - allocations_before_plan;
+                gathered += ALLOCATIONS.load(Ordering::Relaxed) - allocations_before_gather;
             }
         }
         println!(
--- a/crates/ebonyfork/benches/relay_load.rs
+++ b/crates/ebonyfork/benches/relay_load.rs
@@ -90,7 +90,7 @@
     publish_views(&writers, upstreams);
     let finished_attempts = Arc::new(AtomicU64::new(0));
     let attempts_without_rows = Arc::new(AtomicU64::new(0));
-    let (link, mut outcome_events, _pool) = link(
+    let (link, mut outcome_events, _pool) = open_local_link(
         Arc::clone(&finished_attempts),
         Arc::clone(&attempts_without_rows),
     )
@@ -99,7 +99,7 @@
         limit: LimitMode::Static,
         ..Default::default()
     };
-    let settings = RelaySettings::new(vm(), zone(), views).with_experiment(switches);
+    let settings = RelaySettings::new(own_vm(), own_zone(), views).with_experiment(switches);
     let relay = RelayHandle::start(settings);
     let started = Instant::now();
     let (mut query, mut measurement_start) = (0, None);
@@ -135,13 +135,13 @@
 }
 
 /// Opens a link from the process to itself, so that outcomes come back without a socket.
-async fn link(
+async fn open_local_link(
     finished_attempts: Arc<AtomicU64>,
     attempts_without_rows: Arc<AtomicU64>,
 ) -> (LinkSender, mpsc::UnboundedReceiver<()>, PeerPool) {
-    let (links, mut opened) = mpsc::unbounded_channel();
+    let (link_sender, mut opened_links) = mpsc::unbounded_channel();
     let (outcome_sender, outcome_events) = mpsc::unbounded_channel();
-    let settings = PoolSettings::new(SessionId::new(vm(), IncarnationNumber(1)), 1);
+    let settings = PoolSettings::new(SessionId::new(own_vm(), IncarnationNumber(1)), 1);
     let pool = PeerPool::new(settings, CancellationToken::new(), move |event| {
         match event {
             LinkEvent::Message {
@@ -159,15 +159,15 @@
                 let _sent = outcome_sender.send(());
             }
             LinkEvent::Message { from, .. } => {
-                let _sent = links.send(from);
+                let _sent = link_sender.send(from);
             }
             LinkEvent::Down { .. } => {}
         }
         Box::pin(std::future::ready(()))
     });
     let first_message = PeerMessage::Submit(batch(0, &[]));
-    pool.send(vm(), first_message).unwrap();
-    (opened.recv().await.unwrap(), outcome_events, pool)
+    pool.send(own_vm(), first_message).unwrap();
+    (opened_links.recv().await.unwrap(), outcome_events, pool)
 }
 
 fn batch(query: u64, upstreams: &[UpstreamAddress]) -> SubmitBatch {
@@ -199,15 +199,15 @@
 
 fn publish_views(writers: &ViewWriters, upstreams: &[UpstreamAddress]) {
     let vm_entry = VmEntry {
-        vm: vm(),
-        zone: zone(),
+        vm: own_vm(),
+        zone: own_zone(),
         incarnation: None,
         leaving: false,
     };
     let service: ServiceName = "tender-00".parse().unwrap();
     let entry = |upstream: &UpstreamAddress| UpstreamEntry {
         upstream: *upstream,
-        zone: zone(),
+        zone: own_zone(),
         service: service.clone(),
         leaving: false,
     };
@@ -224,11 +224,11 @@
     writers.readiness.send_replace(NodeReadiness::Ready);
 }
 
-fn vm() -> VmAddress {
+fn own_vm() -> VmAddress {
     "127.0.0.1".parse().unwrap()
 }
 
-fn zone() -> ZoneName {
+fn own_zone() -> ZoneName {
     "zone-a".parse().unwrap()
 }
 
@@ -244,9 +244,9 @@
         }
         let stat = std::fs::read_to_string(path.join("stat")).unwrap_or_default();
         let fields = stat.rsplit(')').next().unwrap_or_default();
-        let mut times = fields.split_whitespace().skip(11);
+        let mut cpu_times = fields.split_whitespace().skip(11);
         for _mode in 0..2 {
-            ticks += times
+            ticks += cpu_times
                 .next()
                 .and_then(|text| text.parse().ok())
                 .unwrap_or(0_u64);
--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -51,15 +51,15 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.as_slice() {
-        [mode, size] if mode == "run" => run(size.parse().expect("SIZE is a number")),
+        [mode, size] if mode == "run" => run_measurement(size.parse().expect("SIZE is a number")),
         [mode, file] if mode == "fit" => {
-            fit(&std::fs::read_to_string(file).expect("readable FILE"));
+            print_fitted_lines(&std::fs::read_to_string(file).expect("readable FILE"));
         }
         _ => eprintln!("usage: member_slope run SIZE | member_slope fit FILE"),
     }
 }
 
-fn run(size: usize) {
+fn run_measurement(size: usize) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(4)
         .enable_all()
@@ -121,12 +121,12 @@
 
     /// Runs one phase with changing loads; returns traffic and processor time per member, and the false failures.
     async fn run_phase(&self) -> PhaseMeasurements {
-        let before = self.total_traffic();
+        let traffic_before = self.total_traffic();
         let processor_before = processor_time();
-        let start = Instant::now();
+        let started_at = Instant::now();
         let mut false_failures = 0;
         let mut round = 0_u16;
-        while start.elapsed() < PHASE_TIME {
+        while started_at.elapsed() < PHASE_TIME {
             round += 1;
             for (index, (_, handle)) in self.members.iter().enumerate() {
                 let load = (index as u16).wrapping_mul(31).wrapping_add(round * 7) % 1_000;
@@ -136,12 +136,12 @@
             sleep(Duration::from_secs(1)).await;
             false_failures += self.false_failures();
         }
-        let seconds = start.elapsed().as_secs_f64();
-        let after = self.total_traffic();
+        let seconds = started_at.elapsed().as_secs_f64();
+        let traffic_after = self.total_traffic();
         let per_member_second = |total: u64| total as f64 / seconds / self.members.len() as f64;
         PhaseMeasurements {
-            bytes: per_member_second(after.0 - before.0),
-            datagrams: per_member_second(after.1 - before.1),
+            bytes: per_member_second(traffic_after.0 - traffic_before.0),
+            datagrams: per_member_second(traffic_after.1 - traffic_before.1),
             processor_us: (processor_time() - processor_before) * 1e6
                 / seconds
                 / self.members.len() as f64,
@@ -188,16 +188,16 @@
 async fn measure(size: usize) {
     let memory_before = resident_kb();
     let mut fleet = Fleet::start(size).await;
-    let start = Instant::now();
-    while !fleet.knows_all() && start.elapsed() < SETTLE_LIMIT {
+    let started_at = Instant::now();
+    while !fleet.knows_all() && started_at.elapsed() < SETTLE_LIMIT {
         sleep(Duration::from_millis(100)).await;
     }
-    let settle_seconds = start.elapsed().as_secs_f64();
+    let settle_seconds = started_at.elapsed().as_secs_f64();
     let all_known = fleet.knows_all();
     eprintln!("# {size} members settled: {all_known} after {settle_seconds:.1} s");
     sleep(SETTLE_PAUSE + SETTLE_PAUSE_PER_MEMBER * size as u32).await;
     let steady = fleet.run_phase().await;
-    let memory = (resident_kb() - memory_before) as f64 / size as f64;
+    let memory_per_member_kb = (resident_kb() - memory_before) as f64 / size as f64;
     let stopped_members = fleet.members.split_off(size - (size / 10).max(1));
     let stopped_vms: Arc<[VmAddress]> = stopped_members.iter().map(|(vm, _)| *vm).collect();
     drop(stopped_members);
@@ -224,7 +224,7 @@
     let quantile =
         |share: f64| detection_times[((detection_times.len() - 1) as f64 * share) as usize];
     println!(
-        "{size}\t{:.0}\t{:.1}\t{:.0}\t{:.0}\t{:.1}\t{:.0}\t{memory:.0}\t{:.2}\t{:.2}\t{}",
+        "{size}\t{:.0}\t{:.1}\t{:.0}\t{:.0}\t{:.1}\t{:.0}\t{memory_per_member_kb:.0}\t{:.2}\t{:.2}\t{}",
         steady.bytes,
         steady.datagrams,
         steady.processor_us,
@@ -286,7 +286,7 @@
 
 /// Fits a line to each measurement by least squares: over the size, or over its logarithm for the detection times,
 /// which grow with the duration of a suspicion.
-fn fit(text: &str) {
+fn print_fitted_lines(text: &str) {
     let rows: Vec<Vec<f64>> = text
         .lines()
         .filter(|line| !line.starts_with('#'))
--- a/crates/ebonyfork/examples/slopes.rs
+++ b/crates/ebonyfork/examples/slopes.rs
@@ -60,7 +60,7 @@
 }
 
 /// Measures a quantity at each size, and prints the points and the fitted line as a table row.
-fn report(name: &str, unit: &str, sizes: &[u32], measure: impl Fn(u32) -> f64) {
+fn report_slope(name: &str, unit: &str, sizes: &[u32], measure: impl Fn(u32) -> f64) {
     let mut points = Vec::new();
     for size in sizes {
         points.push((f64::from(*size), measure(*size)));
@@ -105,10 +105,10 @@
 
 fn report_codec(name: &str, message: impl Fn(u32) -> PeerMessage) {
     const SIZES: [u32; 5] = [1, 4, 16, 64, 210];
-    report(&format!("{name}: bytes by attempts"), "B", &SIZES, |size| {
+    report_slope(&format!("{name}: bytes by attempts"), "B", &SIZES, |size| {
         encode(&message(size)).len() as f64
     });
-    report(
+    report_slope(
         &format!("{name}: encode by attempts"),
         "ns",
         &SIZES,
@@ -117,7 +117,7 @@
             nanoseconds_per_call(|| encode(&message))
         },
     );
-    report(
+    report_slope(
         &format!("{name}: decode by attempts"),
         "ns",
         &SIZES,
@@ -129,7 +129,7 @@
 }
 
 /// Returns a topology with VMs spread evenly over ten availability zones and all upstreams in the first zone.
-fn view(vms: u32, upstreams: u32) -> TopologyView {
+fn topology(vms: u32, upstreams: u32) -> TopologyView {
     let zone: ebonyfork::ident::ZoneName = "zone-a".parse().expect("a valid name");
     let vm_entry = |number| VmEntry {
         vm: vm(number),
@@ -154,20 +154,20 @@
 }
 
 fn report_topology() {
-    report(
+    report_slope(
         "ownership: one upstream, by VMs of ten zones",
         "ns",
         &[100, 500, 1_500, 4_900],
         |vms| {
-            let view = view(vms, 1);
-            nanoseconds_per_call(|| owner_pair(&view, upstream(0)))
+            let topology = topology(vms, 1);
+            nanoseconds_per_call(|| owner_pair(&topology, upstream(0)))
         },
     );
-    report(
+    report_slope(
         "topology view: rebuilt, by upstreams",
         "ns",
         &[500, 2_000, 8_000, 31_000],
-        |count| nanoseconds_per_call(|| view(100, count)),
+        |count| nanoseconds_per_call(|| topology(100, count)),
     );
 }
 
@@ -189,7 +189,7 @@
 
 fn report_catalog() {
     const SIZES: [u32; 4] = [20, 210, 1_000, 5_000];
-    report(
+    report_slope(
         "index catalogue: bytes by shards of a version",
         "B",
         &SIZES,
@@ -199,7 +199,7 @@
                 .len() as f64
         },
     );
-    report(
+    report_slope(
         "index catalogue: read by shards of a version",
         "ns",
         &SIZES,
@@ -226,13 +226,13 @@
 
 fn report_declarations() {
     const SIZES: [u32; 4] = [50, 250, 1_000, 4_000];
-    report(
+    report_slope(
         "declarations: bytes by organisations",
         "B",
         &SIZES,
         |organisations| declarations(organisations).text.len() as f64,
     );
-    report(
+    report_slope(
         "declarations: parsed and checked by organisations",
         "ns",
         &SIZES,
--- a/crates/ebonyfork/src/finding.rs
+++ b/crates/ebonyfork/src/finding.rs
@@ -126,11 +126,14 @@
 /// assert_eq!(nearest_name("zome", ["zone", "port"]), Some("zone"));
 /// assert_eq!(nearest_name("weight", ["zone", "port"]), None);
 /// ```
-pub fn nearest_name<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
+pub fn nearest_name<'a>(
+    name: &str,
+    known_names: impl IntoIterator<Item = &'a str>,
+) -> Option<&'a str> {
     /// Largest edit distance of a suggestion.
     const MAX_DISTANCE: usize = 2;
     let mut nearest = None;
-    for candidate in known {
+    for candidate in known_names {
         let distance = strsim::damerau_levenshtein(name, candidate);
         if distance > MAX_DISTANCE || nearest.is_some_and(|(least, _)| least <= distance) {
             continue;
--- a/crates/ebonyfork/src/http_link.rs
+++ b/crates/ebonyfork/src/http_link.rs
@@ -47,7 +47,7 @@
 /// An open HTTP/1.1 connection.
 #[derive(Debug)]
 pub struct HttpLink {
-    sender: SendRequest<Full<Bytes>>,
+    request_sender: SendRequest<Full<Bytes>>,
 }
 
 impl HttpLink {
@@ -65,7 +65,7 @@
     async fn connect(address: SocketAddr) -> Result<Self, LinkError> {
         let stream = TcpStream::connect(address).await.map_err(unsent_error)?;
         stream.set_nodelay(true).map_err(unsent_error)?;
-        let (sender, connection) = Builder::new()
+        let (request_sender, connection) = Builder::new()
             .handshake(TokioIo::new(stream))
             .await
             .map_err(unsent_error)?;
@@ -74,17 +74,17 @@
                 log::debug!("connection to {address} failed: {error}");
             }
         });
-        Ok(Self { sender })
+        Ok(Self { request_sender })
     }
 
     /// Returns whether another request can be sent.
     pub fn is_ready(&self) -> bool {
-        self.sender.is_ready()
+        self.request_sender.is_ready()
     }
 
     /// Returns whether the connection is closed.
     pub fn is_closed(&self) -> bool {
-        self.sender.is_closed()
+        self.request_sender.is_closed()
     }
 
     /// Sends a request and reads the whole answer, up to `body_limit` bytes. Dropping the future closes the connection.
@@ -135,7 +135,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, LinkError> {
-        match self.sender.try_send_request(request).await {
+        match self.request_sender.try_send_request(request).await {
             Ok(response) => Ok(response),
             Err(mut error) => {
                 let is_unsent = error.take_message().is_some();
@@ -151,7 +151,7 @@
 
     /// Waits until the connection accepts another request after an exchange; returns false if it is closed instead.
     pub async fn wait_until_ready(&mut self) -> bool {
-        self.sender.ready().await.is_ok()
+        self.request_sender.ready().await.is_ok()
     }
 }
 
--- a/crates/ebonyfork/src/ident.rs
+++ b/crates/ebonyfork/src/ident.rs
@@ -352,10 +352,10 @@
     /// # Ok::<(), ebonyfork::ident::IdentError>(())
     /// ```
     pub fn new(class: &ClassName, selection: impl AsRef<[u8]>) -> Self {
-        let seed = xxhash_rust::xxh3::xxh3_64(class.as_str().as_bytes());
+        let class_hash = xxhash_rust::xxh3::xxh3_64(class.as_str().as_bytes());
         Self(xxhash_rust::xxh3::xxh3_64_with_seed(
             selection.as_ref(),
-            seed,
+            class_hash,
         ))
     }
 }
--- a/crates/ebonyfork/src/ini.rs
+++ b/crates/ebonyfork/src/ini.rs
@@ -74,12 +74,12 @@
     }
 
     /// Reports every section that has a name or an unknown kind.
-    pub fn check_sections(&self, known: &[&str], findings: &mut FindingList) {
+    pub fn check_sections(&self, known_kinds: &[&str], findings: &mut FindingList) {
         for section in &self.sections {
-            if known.contains(&section.kind.as_str()) && section.name.is_empty() {
+            if known_kinds.contains(&section.kind.as_str()) && section.name.is_empty() {
                 continue;
             }
-            let message = unknown_message("section", &section.kind, known);
+            let message = unknown_message("section", &section.kind, known_kinds);
             findings.push(&self.file, section.line, message);
         }
     }
@@ -214,7 +214,7 @@
     section: &'a IniSection,
     findings: &'a mut FindingList,
     /// Keys read so far; any other key in the section is unknown.
-    known: SmallVec<[&'static str; 16]>,
+    read_keys: SmallVec<[&'static str; 16]>,
 }
 
 impl<'a> SectionReader<'a> {
@@ -224,7 +224,7 @@
             file,
             section,
             findings,
-            known: SmallVec::new(),
+            read_keys: SmallVec::new(),
         }
     }
 
@@ -234,7 +234,7 @@
         T: FromStr,
         T::Err: Display,
     {
-        let property = self.property(key)?;
+        let property = self.find_property(key)?;
         match property.value.parse() {
             Ok(value) => Some(value),
             Err(error) => {
@@ -251,7 +251,7 @@
         T: FromStr,
         T::Err: Display,
     {
-        if self.property(key).is_none() {
+        if self.find_property(key).is_none() {
             let IniSection {
                 kind, name, line, ..
             } = self.section;
@@ -269,12 +269,12 @@
         T: FromStr,
         T::Err: Display,
     {
-        let Some(property) = self.property(key) else {
+        let Some(property) = self.find_property(key) else {
             return Vec::new();
         };
         let mut values = Vec::new();
-        for text in property.value.split(',') {
-            match text.trim().parse() {
+        for item in property.value.split(',') {
+            match item.trim().parse() {
                 Ok(value) => values.push(value),
                 Err(error) => {
                     self.findings
@@ -291,7 +291,7 @@
         key: &'static str,
         choices: &[(&'static str, T)],
     ) -> Option<T> {
-        let property = self.property(key)?;
+        let property = self.find_property(key)?;
         let selected = choices.iter().find(|(word, _)| *word == property.value);
         if selected.is_none() {
             let words: SmallVec<[&str; 4]> = choices.iter().map(|(word, _)| *word).collect();
@@ -308,7 +308,7 @@
     /// Reports a finding at a key's line, or at the section's header if the key is missing.
     pub fn report(&mut self, key: &'static str, message: impl Display) {
         let line = self
-            .property(key)
+            .find_property(key)
             .map_or(self.section.line, |property| property.line);
         self.findings
             .push(self.file, line, format!("{key}: {message}"));
@@ -318,17 +318,17 @@
     pub fn finish(self) {
         for property in &self.section.properties {
             let key = property.key.as_str();
-            if self.known.contains(&key) {
+            if self.read_keys.contains(&key) {
                 continue;
             }
-            let message = unknown_message("key", key, &self.known);
+            let message = unknown_message("key", key, &self.read_keys);
             self.findings.push(self.file, property.line, message);
         }
     }
 
-    fn property(&mut self, key: &'static str) -> Option<&'a IniProperty> {
-        if !self.known.contains(&key) {
-            self.known.push(key);
+    fn find_property(&mut self, key: &'static str) -> Option<&'a IniProperty> {
+        if !self.read_keys.contains(&key) {
+            self.read_keys.push(key);
         }
         self.section
             .properties
@@ -338,12 +338,12 @@
 }
 
 /// Returns the message for an unknown name; it suggests the closest known name, or else lists all known names.
-pub fn unknown_message(role: &str, name: &str, known: &[&str]) -> String {
-    match nearest_name(name, known.iter().copied()) {
-        Some(nearest) => format!("unknown {role} `{name}`, did you mean `{nearest}`?"),
+pub fn unknown_message(category: &str, name: &str, known_names: &[&str]) -> String {
+    match nearest_name(name, known_names.iter().copied()) {
+        Some(nearest) => format!("unknown {category} `{name}`, did you mean `{nearest}`?"),
         None => format!(
-            "unknown {role} `{name}`, expected one of `{}`",
-            known.join("`, `")
+            "unknown {category} `{name}`, expected one of `{}`",
+            known_names.join("`, `")
         ),
     }
 }
--- a/crates/ebonyfork/src/lifecycle/fence.rs
+++ b/crates/ebonyfork/src/lifecycle/fence.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The source of a contact.
+/// Source of a contact: the store, or another VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ContactSource {
     /// The store answered a request.
@@ -12,7 +12,7 @@
     Peer,
 }
 
-/// Why new work is refused.
+/// Cause of a fence, for which new work is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum FenceCause {
     /// The process did not run for a while, for example because its VM was suspended.
--- a/crates/ebonyfork/src/lifecycle/handle.rs
+++ b/crates/ebonyfork/src/lifecycle/handle.rs
@@ -21,7 +21,7 @@
 use crate::views::{NodeReadiness, NodeViews};
 
 /// Log target of the decision log.
-const DECISION: &str = "ebonyfork::decision";
+const DECISION_LOG: &str = "ebonyfork::decision";
 /// Interval at which a planned stop counts the work in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Retry delay given to callers whose request is refused.
@@ -72,7 +72,7 @@
 /// State shared by all clones of a [`LifecycleHandle`].
 #[derive(Debug)]
 struct LifecycleShared {
-    started: Instant,
+    started_at: Instant,
     settings: LifecycleSettings,
     views: NodeViews,
     state: Mutex<LifecycleState>,
@@ -126,7 +126,7 @@
             readiness: writer,
         };
         let shared = LifecycleShared {
-            started: Instant::now(),
+            started_at: Instant::now(),
             settings,
             views,
             state: Mutex::new(state),
@@ -262,7 +262,7 @@
 
 impl LifecycleShared {
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     fn lock(&self) -> MutexGuard<'_, LifecycleState> {
@@ -270,10 +270,10 @@
     }
 
     fn read_clocks(&self) -> ClockReading {
-        let wall = SystemTime::now().duration_since(UNIX_EPOCH);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         ClockReading {
             monotonic: self.now(),
-            wall: wall.unwrap_or_default(),
+            wall: since_epoch.unwrap_or_default(),
         }
     }
 
@@ -292,21 +292,21 @@
             log::warn!("process was paused for {gap:?}: fenced until synchronised");
         }
         if let Some(contact) = (self.settings.last_peer_contact)() {
-            let at = contact.saturating_duration_since(self.started);
+            let at = contact.saturating_duration_since(self.started_at);
             state.fence.record_contact(ContactSource::Peer, at);
         }
         if self.views.topology.borrow().vms.len() > 1 {
             state.fence.record_peer_known();
         }
-        let before = state.fence.cause();
-        let after = state.fence.evaluate(now, (self.settings.caught_up)());
-        if before.is_none() && after == Some(FenceCause::CutOff) {
+        let previous_cause = state.fence.cause();
+        let new_cause = state.fence.evaluate(now, (self.settings.caught_up)());
+        if previous_cause.is_none() && new_cause == Some(FenceCause::CutOff) {
             self.metrics.cut_offs.inc();
         }
-        if before != after {
-            log_fence(after);
+        if previous_cause != new_cause {
+            log_fence(new_cause);
         }
-        state.views_complete = state.views_complete || are_complete(&self.views);
+        state.views_complete = state.views_complete || views_are_complete(&self.views);
         state.publish()
     }
 
@@ -333,7 +333,7 @@
         self.readiness.send_if_modified(|current| {
             let changed = *current != readiness;
             if changed {
-                log::info!(target: DECISION, "lifecycle readiness={readiness:?} was={current:?}");
+                log::info!(target: DECISION_LOG, "lifecycle readiness={readiness:?} was={current:?}");
             }
             *current = readiness;
             changed
@@ -343,7 +343,7 @@
 }
 
 /// Returns whether the configuration, the catalogues of all its classes and at least one upstream are known.
-fn are_complete(views: &NodeViews) -> bool {
+fn views_are_complete(views: &NodeViews) -> bool {
     let config = views.config.borrow();
     if config.revision == RevisionNumber::default() {
         return false;
@@ -366,8 +366,8 @@
 
 fn log_fence(cause: Option<FenceCause>) {
     match cause {
-        Some(cause) => log::warn!(target: DECISION, "lifecycle fence cause={cause}"),
-        None => log::info!(target: DECISION, "lifecycle unfence"),
+        Some(cause) => log::warn!(target: DECISION_LOG, "lifecycle fence cause={cause}"),
+        None => log::info!(target: DECISION_LOG, "lifecycle unfence"),
     }
 }
 
--- a/crates/ebonyfork/src/lifecycle/handle_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/handle_tests.rs
@@ -19,7 +19,7 @@
 }
 
 /// Starts the lifecycle of a VM with one peer, and fills all its views.
-fn start() -> TestLifecycle {
+fn start_lifecycle() -> TestLifecycle {
     let (writers, views) = view_channels();
     let ViewWriters {
         topology,
@@ -28,8 +28,8 @@
         readiness,
     } = writers;
     let zone: ZoneName = "zone-a".parse().unwrap();
-    let vms = [1, 2].map(|last| VmEntry {
-        vm: VmAddress([10, 0, 0, last].into()),
+    let vms = [1, 2].map(|last_octet| VmEntry {
+        vm: VmAddress([10, 0, 0, last_octet].into()),
         zone: zone.clone(),
         incarnation: None,
         leaving: false,
@@ -71,7 +71,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_process_without_contact_is_fenced_until_the_next_contact() {
-    let lifecycle = start();
+    let lifecycle = start_lifecycle();
     let handle = &lifecycle.handle;
     tokio::time::sleep(Duration::from_secs(6)).await;
     expect_that!(
@@ -98,7 +98,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn the_first_request_after_a_pause_is_refused() {
-    let lifecycle = start();
+    let lifecycle = start_lifecycle();
     tokio::time::advance(Duration::from_secs(4)).await;
     let outcome = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
     expect_that!(
@@ -128,14 +128,14 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_planned_stop_finishes_the_requests_in_flight() {
-    let lifecycle = start();
-    let slow = lifecycle.handle.clone();
-    let slow = tokio::spawn(async move {
-        let run = async {
+    let lifecycle = start_lifecycle();
+    let slow_request = lifecycle.handle.clone();
+    let slow_request = tokio::spawn(async move {
+        let slow_run = async {
             tokio::time::sleep(Duration::from_secs(3)).await;
             Ok(answer())
         };
-        slow.serve(false, run).await
+        slow_request.serve(false, slow_run).await
     });
     let later_requests = async {
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -146,12 +146,12 @@
             lifecycle.handle.serve(false, async { Ok(answer()) }).await,
         )
     };
-    let stopping = stop(
+    let stop_future = stop(
         &lifecycle,
         Duration::from_secs(10),
         CancellationToken::new(),
     );
-    let ((report, announced), (accepted, refused)) = tokio::join!(stopping, later_requests);
+    let ((report, announced), (accepted, refused)) = tokio::join!(stop_future, later_requests);
     expect_that!(announced, eq(true));
     expect_that!(report.given_up, eq(0));
     expect_that!(accepted, ok(anything()));
@@ -159,7 +159,7 @@
         refused.map_err(|refusal| refusal.code),
         err(eq(&RefusalCode::Stopping))
     );
-    expect_that!(slow.await.unwrap(), ok(anything()));
+    expect_that!(slow_request.await.unwrap(), ok(anything()));
 }
 
 #[gtest]
@@ -169,15 +169,16 @@
         (false, RefusalCode::UpstreamFailed),
         (true, RefusalCode::OutcomeUnknown),
     ] {
-        let lifecycle = start();
-        let stuck = lifecycle.handle.clone();
-        let stuck = tokio::spawn(async move { stuck.serve(keyed, std::future::pending()).await });
+        let lifecycle = start_lifecycle();
+        let stuck_request = lifecycle.handle.clone();
+        let stuck_request =
+            tokio::spawn(async move { stuck_request.serve(keyed, std::future::pending()).await });
         tokio::task::yield_now().await;
         let skip_waiting = CancellationToken::new();
         skip_waiting.cancel();
         let (report, _) = stop(&lifecycle, Duration::from_secs(10), skip_waiting).await;
         expect_that!(report.given_up, eq(1));
-        let refusal = stuck.await.unwrap().unwrap_err();
+        let refusal = stuck_request.await.unwrap().unwrap_err();
         expect_that!((refusal.code, refusal.ran), eq((code, RunState::Unknown)));
     }
 }
--- a/crates/ebonyfork/src/lifecycle/pause_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/pause_tests.rs
@@ -21,14 +21,14 @@
             Some(4_000),
         ),
     ];
-    for (name, (monotonic, wall), gap) in cases {
+    for (name, (monotonic, wall), expected_gap) in cases {
         let mut detector = PauseDetector::new(PauseDetector::DEFAULT_LIMIT);
         let reading = |monotonic: u64, wall: u64| ClockReading {
             monotonic: Duration::from_millis(monotonic),
             wall: Duration::from_millis(1_700_000_000_000 + wall),
         };
         expect_that!(detector.observe(reading(1_000, 1_000)), none(), "{name}");
-        let found = detector.observe(reading(monotonic, wall));
-        expect_that!(found, eq(gap.map(Duration::from_millis)), "{name}");
+        let gap = detector.observe(reading(monotonic, wall));
+        expect_that!(gap, eq(expected_gap.map(Duration::from_millis)), "{name}");
     }
 }
--- a/crates/ebonyfork/src/lifecycle/stopping_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/stopping_tests.rs
@@ -13,13 +13,13 @@
         ("idle", |_| 0, never, (5_500, 5_600, 0)),
         (
             "work until 7 s",
-            |now| usize::from(now < 7_000),
+            |now_ms| usize::from(now_ms < 7_000),
             never,
             (5_500, 7_100, 0),
         ),
         (
             "new work within the idle time",
-            |now| usize::from(now < 6_000 || now == 6_060),
+            |now_ms| usize::from(now_ms < 6_000 || now_ms == 6_060),
             never,
             (5_500, 6_180, 0),
         ),
@@ -41,23 +41,23 @@
         let plan = StopPlan::new(Duration::from_secs(5), Duration::from_secs(10));
         let mut run = StopRun::new(plan, Duration::ZERO);
         let mut finishing_at = None;
-        let mut now = 0;
+        let mut now_ms = 0;
         loop {
             let phase = run.advance(
-                Duration::from_millis(now),
-                in_flight(now),
-                now >= second_signal_at,
+                Duration::from_millis(now_ms),
+                in_flight(now_ms),
+                now_ms >= second_signal_at,
             );
             if phase >= StopPhase::Finishing {
-                finishing_at.get_or_insert(now);
+                finishing_at.get_or_insert(now_ms);
             }
             if phase == StopPhase::HandingOver {
                 break;
             }
-            now += 20;
+            now_ms += 20;
         }
         expect_that!(
-            (finishing_at.unwrap(), now, run.given_up()),
+            (finishing_at.unwrap(), now_ms, run.given_up()),
             eq(expected),
             "{name}"
         );
--- a/crates/ebonyfork/src/once/actor.rs
+++ b/crates/ebonyfork/src/once/actor.rs
@@ -23,7 +23,7 @@
 use crate::wire::{LinkError, LinkSender, PeerMessage};
 
 /// Log target of the decision log.
-const DECISION: &str = "ebonyfork::decision";
+const DECISION_LOG: &str = "ebonyfork::decision";
 
 /// Runs a query; the outcome must say correctly whether it ran.
 pub(super) type ExecuteFunction =
@@ -54,7 +54,7 @@
 /// A handover that the successor has not yet confirmed in full.
 struct PendingHandover {
     unconfirmed: BTreeSet<SessionId>,
-    confirmed: Option<oneshot::Sender<()>>,
+    on_confirmed: Option<oneshot::Sender<()>>,
 }
 
 #[derive(xtra::Actor)]
@@ -62,12 +62,12 @@
     state: OnceState,
     views: NodeViews,
     execute: Arc<ExecuteFunction>,
-    send: Arc<SendFunction>,
+    send_to_vm: Arc<SendFunction>,
     receivers: FxHashMap<WaiterId, OutcomeReceiver>,
     next_waiter: u64,
-    started: Instant,
+    started_at: Instant,
     metrics: Arc<OnceMetrics>,
-    handover: Option<PendingHandover>,
+    pending_handover: Option<PendingHandover>,
 }
 
 /// Message to the actor: submit a caller's query with an idempotency key.
@@ -96,14 +96,14 @@
 /// Message to the actor: seal the own session and send all outcomes to a successor.
 pub(super) struct StartHandover {
     pub(super) successor: VmAddress,
-    pub(super) confirmed: oneshot::Sender<()>,
+    pub(super) on_confirmed: oneshot::Sender<()>,
 }
 
 /// Counts of what was sent to a successor.
 pub(super) struct SentHandover {
-    pub(super) sessions: usize,
-    pub(super) outcomes: usize,
-    pub(super) abandoned: usize,
+    pub(super) session_count: usize,
+    pub(super) outcome_count: usize,
+    pub(super) abandoned_runs: usize,
 }
 
 /// Message to the actor: remove expired outcomes, sessions and receivers.
@@ -114,24 +114,24 @@
         own_session: SessionId,
         views: NodeViews,
         execute: Arc<ExecuteFunction>,
-        send: Arc<SendFunction>,
+        send_to_vm: Arc<SendFunction>,
         metrics: Arc<OnceMetrics>,
     ) -> Self {
         Self {
             state: OnceState::new(own_session),
             views,
             execute,
-            send,
+            send_to_vm,
             receivers: FxHashMap::default(),
             next_waiter: 0,
-            started: Instant::now(),
+            started_at: Instant::now(),
             metrics,
-            handover: None,
+            pending_handover: None,
         }
     }
 
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     fn add_receiver(&mut self, receiver: OutcomeReceiver) -> WaiterId {
@@ -141,7 +141,7 @@
         waiter
     }
 
-    fn view(&self) -> Arc<TopologyView> {
+    fn topology(&self) -> Arc<TopologyView> {
         let view = self.views.topology.borrow();
         Arc::clone(&view)
     }
@@ -155,12 +155,12 @@
     }
 
     /// Applies `decide` to the state and performs the actions it returns.
-    fn decide(
+    fn apply_to_state(
         &mut self,
         own_address: &WeakAddress<Self>,
         decide: impl FnOnce(&mut OnceState, &OnceContext<'_>) -> OnceActions,
     ) {
-        let view = self.view();
+        let view = self.topology();
         let context = OnceContext {
             now: self.now(),
             view: &view,
@@ -193,11 +193,11 @@
             return;
         };
         self.metrics.runs.inc();
-        log::info!(target: DECISION, "once run key={key} class={}", request.class);
-        let run = tokio::spawn((self.execute)(request));
+        log::info!(target: DECISION_LOG, "once run key={key} class={}", request.class);
+        let run_task = tokio::spawn((self.execute)(request));
         let own_address = own_address.clone();
         tokio::spawn(async move {
-            let outcome = run.await.unwrap_or_else(|error| {
+            let outcome = run_task.await.unwrap_or_else(|error| {
                 log::error!("run of key {key} failed: {error}");
                 let message = "the run broke off";
                 Err(QueryRefusal::new(
@@ -244,10 +244,10 @@
         };
         let ticket = *ticket;
         if let Some(key) = request.key {
-            log::info!(target: DECISION, "once forward key={key} vm={vm} ticket={ticket}");
+            log::info!(target: DECISION_LOG, "once forward key={key} vm={vm} ticket={ticket}");
         }
         self.metrics.forwards.inc();
-        match (self.send)(vm, PeerMessage::Once(message)) {
+        match (self.send_to_vm)(vm, PeerMessage::Once(message)) {
             Ok(()) => OnceActions::new(),
             Err(error) => {
                 log::debug!("could not forward to {vm}: {error}");
@@ -265,15 +265,15 @@
     }
 
     fn record_confirmation(&mut self, session: SessionId) {
-        let Some(pending) = &mut self.handover else {
+        let Some(pending) = &mut self.pending_handover else {
             return;
         };
         pending.unconfirmed.remove(&session);
         if pending.unconfirmed.is_empty()
-            && let Some(confirmed) = pending.confirmed.take()
+            && let Some(on_confirmed) = pending.on_confirmed.take()
         {
             // The requester may have timed out.
-            let _gone = confirmed.send(());
+            let _gone = on_confirmed.send(());
         }
     }
 }
@@ -291,7 +291,7 @@
         let own_address = ctx.mailbox().address();
         let waiter = self.add_receiver(OutcomeReceiver::Caller(message.reply));
         let expires_at = self.now() + message.timeout;
-        self.decide(&own_address, |state, context| {
+        self.apply_to_state(&own_address, |state, context| {
             state.submit(waiter, message.key, message.request, expires_at, context)
         });
     }
@@ -307,23 +307,23 @@
             OnceMessage::Forward { ticket, request } => {
                 let receiver = OutcomeReceiver::Peer { link: from, ticket };
                 let waiter = self.add_receiver(receiver);
-                self.decide(&own_address, |state, context| {
+                self.apply_to_state(&own_address, |state, context| {
                     state.handle_forward(waiter, request, context)
                 });
             }
             OnceMessage::Outcome { ticket, outcome } => {
-                self.decide(&own_address, |state, context| {
+                self.apply_to_state(&own_address, |state, context| {
                     state.handle_outcome(ticket, outcome, context)
                 });
             }
             // A process that has handed over must not adopt further sessions: they would be lost when it ends.
-            OnceMessage::Handover(_) if self.handover.is_some() => {}
+            OnceMessage::Handover(_) if self.pending_handover.is_some() => {}
             OnceMessage::Handover(part) => {
                 let session = part.session;
                 let now = self.now();
                 if self.state.add_part(part, now) {
                     self.metrics.adopted_sessions.inc();
-                    log::info!(target: DECISION, "once adopt session={session}");
+                    log::info!(target: DECISION_LOG, "once adopt session={session}");
                     reply_peer(&from, OnceMessage::HandoverConfirmed { session });
                 }
             }
@@ -337,7 +337,7 @@
 
     async fn handle(&mut self, LinkDown(vm): LinkDown, ctx: &mut Context<Self>) {
         let own_address = ctx.mailbox().address();
-        self.decide(&own_address, |state, context| {
+        self.apply_to_state(&own_address, |state, context| {
             state.handle_link_down(vm, context)
         });
     }
@@ -349,7 +349,7 @@
     async fn handle(&mut self, message: FinishRun, ctx: &mut Context<Self>) {
         let own_address = ctx.mailbox().address();
         let FinishRun { key, outcome } = message;
-        self.decide(&own_address, |state, context| {
+        self.apply_to_state(&own_address, |state, context| {
             state.finish(key.sequence, outcome, context.now)
         });
     }
@@ -361,12 +361,12 @@
     async fn handle(&mut self, message: StartHandover, _: &mut Context<Self>) -> SentHandover {
         let parts = self.state.seal();
         let mut sessions = BTreeSet::new();
-        let mut outcomes = 0;
+        let mut outcome_count = 0;
         for part in parts {
             sessions.insert(part.session);
-            outcomes += part.outcomes.len();
+            outcome_count += part.outcomes.len();
             let part = PeerMessage::Once(OnceMessage::Handover(part));
-            if let Err(error) = (self.send)(message.successor, part) {
+            if let Err(error) = (self.send_to_vm)(message.successor, part) {
                 log::warn!(
                     "could not send a handover part to {}: {error}",
                     message.successor
@@ -374,13 +374,13 @@
             }
         }
         let sent = SentHandover {
-            sessions: sessions.len(),
-            outcomes,
-            abandoned: self.state.running_count(),
+            session_count: sessions.len(),
+            outcome_count,
+            abandoned_runs: self.state.running_count(),
         };
-        self.handover = Some(PendingHandover {
+        self.pending_handover = Some(PendingHandover {
             unconfirmed: sessions,
-            confirmed: Some(message.confirmed),
+            on_confirmed: Some(message.on_confirmed),
         });
         sent
     }
--- a/crates/ebonyfork/src/once/adopted.rs
+++ b/crates/ebonyfork/src/once/adopted.rs
@@ -39,8 +39,9 @@
     outcomes: FxHashMap<u64, SealedOutcome>,
     evicted: EvictedKeys,
     /// Whether each part has arrived, by its index.
-    parts: Vec<bool>,
-    bytes: usize,
+    arrived_parts: Vec<bool>,
+    /// Total size of `outcomes`.
+    kept_bytes: usize,
 }
 
 impl AdoptedSession {
@@ -49,14 +50,14 @@
             transfer: part.transfer,
             outcomes: FxHashMap::default(),
             evicted: EvictedKeys::new(),
-            parts: vec![false; part.count as usize],
-            bytes: 0,
+            arrived_parts: vec![false; part.count as usize],
+            kept_bytes: 0,
         }
     }
 
     /// Adds a part; keys whose outcomes would exceed `max_bytes` bytes are recorded as evicted.
     fn add_part(&mut self, part: HandoverPart, max_bytes: usize) {
-        let Some(arrived) = self.parts.get_mut(part.number as usize) else {
+        let Some(arrived) = self.arrived_parts.get_mut(part.number as usize) else {
             return;
         };
         if std::mem::replace(arrived, true) {
@@ -65,19 +66,20 @@
         for range in part.evicted {
             self.evicted.insert_range(range);
         }
-        for sealed in part.outcomes {
-            let bytes = outcome_bytes(&sealed.outcome);
-            if self.bytes + bytes > max_bytes {
-                self.evicted.insert(sealed.sequence);
+        for sealed_outcome in part.outcomes {
+            let bytes = outcome_bytes(&sealed_outcome.outcome);
+            if self.kept_bytes + bytes > max_bytes {
+                self.evicted.insert(sealed_outcome.sequence);
                 continue;
             }
-            self.bytes += bytes;
-            self.outcomes.insert(sealed.sequence, sealed);
+            self.kept_bytes += bytes;
+            self.outcomes
+                .insert(sealed_outcome.sequence, sealed_outcome);
         }
     }
 
     fn is_complete(&self) -> bool {
-        self.parts.iter().all(|arrived| *arrived)
+        self.arrived_parts.iter().all(|arrived| *arrived)
     }
 }
 
@@ -87,7 +89,8 @@
     sessions: FxHashMap<SessionId, AdoptedSession>,
     /// Arrival time of the first part of each session, oldest first.
     arrival_order: VecDeque<(Duration, SessionId)>,
-    bytes: usize,
+    /// Total size of the outcomes of all sessions.
+    total_bytes: usize,
 }
 
 impl AdoptedSessions {
@@ -121,9 +124,9 @@
         let Some(adopted) = self.sessions.get_mut(&session) else {
             return false;
         };
-        let other_bytes = self.bytes - adopted.bytes;
+        let other_bytes = self.total_bytes - adopted.kept_bytes;
         adopted.add_part(part, MAX_ADOPTED_BYTES - other_bytes);
-        self.bytes = other_bytes + adopted.bytes;
+        self.total_bytes = other_bytes + adopted.kept_bytes;
         adopted.is_complete()
     }
 
@@ -135,11 +138,11 @@
         digest: RequestDigest,
     ) -> Option<QueryOutcome> {
         let adopted = self.sessions.get(&session)?;
-        if let Some(sealed) = adopted.outcomes.get(&sequence) {
-            if sealed.digest != digest {
+        if let Some(sealed_outcome) = adopted.outcomes.get(&sequence) {
+            if sealed_outcome.digest != digest {
                 return Some(Err(mismatch_refusal()));
             }
-            return Some(sealed.outcome.clone());
+            return Some(sealed_outcome.outcome.clone());
         }
         if adopted.evicted.contains(sequence) {
             return Some(Err(evicted_key_refusal()));
@@ -211,7 +214,7 @@
         self.arrival_order
             .retain(|(_first_part_at, other)| *other != session);
         if let Some(adopted) = self.sessions.remove(&session) {
-            self.bytes -= adopted.bytes;
+            self.total_bytes -= adopted.kept_bytes;
         }
     }
 }
@@ -236,10 +239,10 @@
     let mut parts = Vec::new();
     let mut part = new_part();
     let mut part_bytes = 0;
-    for sealed in outcomes {
-        let bytes = outcome_bytes(&sealed.outcome);
+    for sealed_outcome in outcomes {
+        let bytes = outcome_bytes(&sealed_outcome.outcome);
         if bytes > MAX_PART_BYTES {
-            evicted.insert(sealed.sequence);
+            evicted.insert(sealed_outcome.sequence);
             continue;
         }
         if part_bytes + bytes > MAX_PART_BYTES {
@@ -247,7 +250,7 @@
             part_bytes = 0;
         }
         part_bytes += bytes;
-        part.outcomes.push(sealed);
+        part.outcomes.push(sealed_outcome);
     }
     for range in evicted.ranges() {
         if part.evicted.len() == MAX_PART_RANGES {
--- a/crates/ebonyfork/src/once/adopted_tests.rs
+++ b/crates/ebonyfork/src/once/adopted_tests.rs
@@ -94,25 +94,25 @@
 
 #[gtest]
 fn parts_of_two_transfers_are_never_mixed() {
-    let first = split_session(
+    let first_transfer = split_session(
         session(1),
         transfer(0),
         sealed_outcomes(0..10, 200_000),
         &EvictedKeys::new(),
     );
-    let second = split_session(
+    let second_transfer = split_session(
         session(1),
         transfer(1),
         sealed_outcomes(0..11, 150_000),
         &EvictedKeys::new(),
     );
     let mut adopted = AdoptedSessions::new();
-    let mut complete = adopted.add_part(first[0].clone(), NOW);
-    for part in &second[1..] {
-        complete |= adopted.add_part(part.clone(), NOW);
+    let mut is_complete = adopted.add_part(first_transfer[0].clone(), NOW);
+    for part in &second_transfer[1..] {
+        is_complete |= adopted.add_part(part.clone(), NOW);
     }
-    expect_that!(complete, eq(false));
-    expect_that!(adopted.add_part(second[0].clone(), NOW), eq(true));
+    expect_that!(is_complete, eq(false));
+    expect_that!(adopted.add_part(second_transfer[0].clone(), NOW), eq(true));
     for sequence in 0..11 {
         expect_that!(refusal_of(&adopted, sequence), none(), "{sequence}");
     }
@@ -131,7 +131,7 @@
         ) {
             adopted.add_part(part, NOW);
         }
-        expect_that!(adopted.bytes, le(MAX_ADOPTED_BYTES));
+        expect_that!(adopted.total_bytes, le(MAX_ADOPTED_BYTES));
     }
     expect_that!(adopted.len(), le(MAX_ADOPTED_SESSIONS));
 }
--- a/crates/ebonyfork/src/once/aged.rs
+++ b/crates/ebonyfork/src/once/aged.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Default for the largest number of ranges. A caller that numbers its keys consecutively takes up one range.
+/// Default limit on the number of ranges. A caller that numbers its keys consecutively takes up one range.
 const MAX_RANGES: usize = 65_536;
 
 /// Sequence numbers from `first` to `last`, both included.
--- a/crates/ebonyfork/src/once/aged_tests.rs
+++ b/crates/ebonyfork/src/once/aged_tests.rs
@@ -8,7 +8,7 @@
 
 #[gtest]
 fn no_number_is_lost_and_ranges_never_touch() {
-    for (seed, span, max_ranges) in [
+    for (seed, max_number, max_ranges) in [
         (1, 200, 1_000),
         (2, 5_000, 64),
         (3, u64::MAX, 64),
@@ -18,7 +18,7 @@
         let mut evicted = EvictedKeys::new().with_max_ranges(max_ranges);
         let mut inserted = BTreeSet::new();
         for _ in 0..1_000 {
-            let first = rng.random_range(0..span);
+            let first = rng.random_range(0..max_number);
             let last = first.saturating_add(rng.random_range(0..3));
             evicted.insert_range(SequenceRange { first, last });
             inserted.extend(first..=last);
@@ -35,9 +35,9 @@
             "{seed}"
         );
         if max_ranges == 1_000 {
-            let exact = (0..span)
+            let is_exact = (0..max_number)
                 .all(|sequence| evicted.contains(sequence) == inserted.contains(&sequence));
-            expect_that!(exact, eq(true));
+            expect_that!(is_exact, eq(true));
         }
     }
 }
--- a/crates/ebonyfork/src/once/handle.rs
+++ b/crates/ebonyfork/src/once/handle.rs
@@ -112,8 +112,8 @@
     /// most once, by the session that the key names. The run continues if this future is dropped, and a resend gets its
     /// outcome.
     pub async fn run(&self, request: QueryRequest) -> QueryOutcome {
-        let target = self.idempotent_and_bound(&request);
-        match (target, request.key) {
+        let class_info = self.idempotent_and_bound(&request);
+        match (class_info, request.key) {
             (Some((true, _)), _) | (None, None) => (self.execute)(request).await,
             (Some((false, _)), None) => Err(missing_key_refusal()),
             (Some((false, bound)), Some(key)) => self.run_keyed(key, request, bound).await,
@@ -139,25 +139,25 @@
     pub async fn hand_over(&self, successor: VmAddress) -> HandoverReport {
         let mut report = self.hand_over_to(successor).await;
         let view = self.views.topology.borrow().clone();
-        for next in session_successors(&view, self.own_session) {
+        for next_successor in session_successors(&view, self.own_session) {
             if report.taken {
                 break;
             }
-            if next != successor {
-                log::warn!("handover failed: {report}; trying {next}");
-                report = self.hand_over_to(next).await;
+            if next_successor != successor {
+                log::warn!("handover failed: {report}; trying {next_successor}");
+                report = self.hand_over_to(next_successor).await;
             }
         }
         report
     }
 
     async fn hand_over_to(&self, successor: VmAddress) -> HandoverReport {
-        let (confirmed, confirmation) = oneshot::channel();
+        let (on_confirmed, confirmation) = oneshot::channel();
         let sent = self
             .actor
             .send(StartHandover {
                 successor,
-                confirmed,
+                on_confirmed,
             })
             .await;
         let Ok(sent) = sent else {
@@ -170,9 +170,9 @@
         };
         let confirmation = tokio::time::timeout(HANDOVER_TIMEOUT, confirmation).await;
         HandoverReport {
-            sessions: sent.sessions,
-            outcomes: sent.outcomes,
-            abandoned: sent.abandoned,
+            sessions: sent.session_count,
+            outcomes: sent.outcome_count,
+            abandoned: sent.abandoned_runs,
             taken: matches!(confirmation, Ok(Ok(()))),
         }
     }
@@ -228,13 +228,13 @@
             .map_or(bound, |deadline| deadline.min(bound));
         let timeout = bound + TIMEOUT_MARGIN;
         let (reply, outcome) = oneshot::channel();
-        let submit = SubmitQuery {
+        let message = SubmitQuery {
             key,
             request,
             timeout,
             reply,
         };
-        if self.actor.send(submit).await.is_err() {
+        if self.actor.send(message).await.is_err() {
             return Err(process_ending_refusal());
         }
         match tokio::time::timeout(timeout, outcome).await {
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -22,8 +22,8 @@
     writers: ViewWriters,
 }
 
-fn address(last: u8) -> VmAddress {
-    VmAddress([127, 0, 9, last].into())
+fn vm_address(last_octet: u8) -> VmAddress {
+    VmAddress([127, 0, 9, last_octet].into())
 }
 
 fn config() -> DeclaredConfig {
@@ -47,8 +47,8 @@
 
 impl TestNode {
     /// Starts a node whose queries take 20 ms each and are counted.
-    fn start(last: u8, listener: TcpListener, view: &TopologyView) -> Self {
-        let session = SessionId::new(address(last), IncarnationNumber(1));
+    fn start(last_octet: u8, listener: TcpListener, view: &TopologyView) -> Self {
+        let session = SessionId::new(vm_address(last_octet), IncarnationNumber(1));
         let (writers, views) = view_channels();
         writers.config.send_replace(Arc::new(config()));
         writers.topology.send_replace(Arc::new(view.clone()));
@@ -113,8 +113,8 @@
 
 /// Starts nodes 1 to 3 on one port, each with a topology that lists all three.
 async fn start_nodes() -> [TestNode; 3] {
-    let entries = [1, 2, 3].map(|last| VmEntry {
-        vm: address(last),
+    let entries = [1, 2, 3].map(|last_octet| VmEntry {
+        vm: vm_address(last_octet),
         zone: "zone-a".parse().unwrap(),
         incarnation: Some(IncarnationNumber(1)),
         leaving: false,
@@ -122,14 +122,14 @@
     let view = TopologyView::new(entries, []);
     let mut listeners = Vec::new();
     let mut port = 0;
-    for last in 1..=3 {
-        let bound = TcpListener::bind(SocketAddr::new(address(last).0, port)).await;
+    for last_octet in 1..=3 {
+        let bound = TcpListener::bind(SocketAddr::new(vm_address(last_octet).0, port)).await;
         let listener = bound.unwrap();
         port = listener.local_addr().unwrap().port();
         listeners.push(listener);
     }
     let mut listeners = listeners.into_iter();
-    [1, 2, 3].map(|last| TestNode::start(last, listeners.next().unwrap(), &view))
+    [1, 2, 3].map(|last_octet| TestNode::start(last_octet, listeners.next().unwrap(), &view))
 }
 
 fn request(class: &str, key: Option<IdempotencyKey>) -> QueryRequest {
@@ -213,8 +213,8 @@
         session: nodes[0].session,
         sequence: 7,
     };
-    let dropped = nodes[1].once.run(request("deferral", Some(key)));
-    let timed_out = tokio::time::timeout(Duration::from_millis(1), dropped).await;
+    let dropped_call = nodes[1].once.run(request("deferral", Some(key)));
+    let timed_out = tokio::time::timeout(Duration::from_millis(1), dropped_call).await;
     expect_that!(timed_out.is_err(), eq(true));
     let again = nodes[2].once.run(request("deferral", Some(key))).await;
     expect_that!(again, ok(anything()));
--- a/crates/ebonyfork/src/once/message.rs
+++ b/crates/ebonyfork/src/once/message.rs
@@ -88,6 +88,6 @@
     pub count: u32,
     /// Outcomes that the sender has kept.
     pub outcomes: Vec<SealedOutcome>,
-    /// Keys that ran, or may have run, and whose outcomes are no longer kept.
+    /// Sequence numbers of keys that ran, or may have run, and whose outcomes are not kept.
     pub evicted: Vec<SequenceRange>,
 }
--- a/crates/ebonyfork/src/once/model_tests.rs
+++ b/crates/ebonyfork/src/once/model_tests.rs
@@ -215,15 +215,15 @@
         if self.vms[vm].paused {
             return;
         }
-        let recent = self.sessions.len().saturating_sub(VM_COUNT + 2);
-        let session = self.sessions[self.rng.random_range(recent..self.sessions.len())];
+        let first_recent = self.sessions.len().saturating_sub(VM_COUNT + 2);
+        let session = self.sessions[self.rng.random_range(first_recent..self.sessions.len())];
         let sequence = self.rng.random_range(0..KEYS_PER_SESSION);
         let key = IdempotencyKey { session, sequence };
         let variant = u64::from(self.rng.random_range(0..20) == 0);
         let request = request(key, variant);
         let waiter = self.add_receiver(vm, OutcomeReceiver::Caller, &request);
         let expires_at = self.now + Duration::from_secs(5);
-        self.decide(vm, tally, |state, context| {
+        self.apply_to_state(vm, tally, |state, context| {
             state.submit(waiter, key, request, expires_at, context)
         });
     }
@@ -242,7 +242,7 @@
         waiter
     }
 
-    fn decide(
+    fn apply_to_state(
         &mut self,
         vm: usize,
         tally: &mut Tally,
@@ -316,7 +316,7 @@
         let index = self.rng.random_range(0..self.vms[vm].unfinished_runs.len());
         let (sequence, outcome) = self.vms[vm].unfinished_runs.swap_remove(index);
         let now = self.now;
-        self.decide(vm, tally, |state, _context| {
+        self.apply_to_state(vm, tally, |state, _context| {
             state.finish(sequence, outcome, now)
         });
     }
@@ -432,13 +432,13 @@
             OnceMessage::Forward { ticket, request } => {
                 let waiter =
                     self.add_receiver(vm, OutcomeReceiver::Peer { link, ticket }, &request);
-                self.decide(vm, tally, |state, context| {
+                self.apply_to_state(vm, tally, |state, context| {
                     state.handle_forward(waiter, request, context)
                 });
             }
             OnceMessage::Outcome { ticket, outcome } => {
                 self.outcome_is_relayed = matches!(outcome, OnceOutcome::Known(_));
-                self.decide(vm, tally, |state, context| {
+                self.apply_to_state(vm, tally, |state, context| {
                     state.handle_outcome(ticket, outcome, context)
                 });
                 self.outcome_is_relayed = false;
@@ -470,7 +470,7 @@
         let (opener, incarnation) = self.links[link].ends[0];
         let (to, _incarnation) = self.links[link].ends[1];
         if self.vms[opener].incarnation() == incarnation {
-            self.decide(opener, tally, |state, context| {
+            self.apply_to_state(opener, tally, |state, context| {
                 state.handle_link_down(address(to), context)
             });
         }
--- a/crates/ebonyfork/src/once/state.rs
+++ b/crates/ebonyfork/src/once/state.rs
@@ -75,7 +75,7 @@
 pub struct OnceState {
     own_session: SessionId,
     table: OutcomeTable,
-    adopted: AdoptedSessions,
+    adopted_sessions: AdoptedSessions,
     pending_forwards: FxHashMap<u64, PendingForward>,
     next_ticket: u64,
     next_transfer: u64,
@@ -87,7 +87,7 @@
         Self {
             own_session,
             table: OutcomeTable::new(),
-            adopted: AdoptedSessions::new(),
+            adopted_sessions: AdoptedSessions::new(),
             pending_forwards: FxHashMap::default(),
             next_ticket: 0,
             next_transfer: 0,
@@ -114,7 +114,10 @@
         if key.session == self.own_session {
             return self.begin(waiter, key, digest, request, context);
         }
-        if let Some(outcome) = self.adopted.outcome(key.session, key.sequence, digest) {
+        if let Some(outcome) = self
+            .adopted_sessions
+            .outcome(key.session, key.sequence, digest)
+        {
             return answer(waiter, OnceOutcome::Known(outcome));
         }
         let mut candidates = session_candidates(context.view, key.session);
@@ -146,7 +149,9 @@
         if key.session == self.own_session {
             return self.begin(waiter, key, digest, request, context);
         }
-        let outcome = self.adopted.outcome(key.session, key.sequence, digest);
+        let outcome = self
+            .adopted_sessions
+            .outcome(key.session, key.sequence, digest);
         answer(
             waiter,
             outcome.map_or(OnceOutcome::NotHeld, OnceOutcome::Known),
@@ -212,7 +217,7 @@
 
     /// Adds a part of a sealed session; returns true if the session is complete.
     pub fn add_part(&mut self, part: HandoverPart, now: Duration) -> bool {
-        part.session != self.own_session && self.adopted.add_part(part, now)
+        part.session != self.own_session && self.adopted_sessions.add_part(part, now)
     }
 
     /// Seals the own session: from now on, no further key starts to run here. Returns the parts that a successor needs
@@ -226,14 +231,14 @@
         self.next_transfer += 1;
         let (outcomes, evicted) = self.table.export();
         let mut parts = split_session(self.own_session, transfer, outcomes, &evicted);
-        parts.extend(self.adopted.export(transfer));
+        parts.extend(self.adopted_sessions.export(transfer));
         parts
     }
 
     /// Removes outcomes and adopted sessions beyond their lifetime, and forwards whose caller no longer waits.
     pub fn expire(&mut self, now: Duration) {
         self.table.expire(now);
-        self.adopted.expire(now);
+        self.adopted_sessions.expire(now);
         self.pending_forwards
             .retain(|_ticket, pending| pending.expires_at > now);
     }
--- a/crates/ebonyfork/src/once/table.rs
+++ b/crates/ebonyfork/src/once/table.rs
@@ -16,9 +16,9 @@
 
 /// How long an outcome is kept by default.
 pub const OUTCOME_TTL: Duration = Duration::from_mins(10);
-/// Default for the largest number of kept outcomes.
+/// Default limit on the number of kept outcomes.
 pub const MAX_KEPT_OUTCOMES: usize = 65_536;
-/// Default for the largest total size of kept outcomes, in bytes.
+/// Default limit on the total size of kept outcomes, in bytes.
 pub const MAX_KEPT_BYTES: usize = 16 << 20;
 /// An outcome larger than the byte limit divided by this is delivered to its waiters, but not kept.
 const LARGE_OUTCOME_DIVISOR: usize = 4;
@@ -27,7 +27,7 @@
 /// Retry delay for callers that a stopping or fenced process refuses.
 const NEW_WORK_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Limits of an [`OutcomeTable`]. Keys whose outcome exceeds them are recorded as evicted.
+/// Limits of an [`OutcomeTable`]. Outcomes beyond them are removed, and their keys recorded as evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutcomeLimits {
     /// How long an outcome is kept.
@@ -87,7 +87,7 @@
 
 /// The request that one key was used for, and its state.
 #[derive(Debug)]
-struct OnceEntry {
+struct KeyEntry {
     digest: RequestDigest,
     state: EntryState,
 }
@@ -104,7 +104,7 @@
 #[derive(Debug, Default)]
 pub struct OutcomeTable {
     limits: OutcomeLimits,
-    entries: FxHashMap<u64, OnceEntry>,
+    entries: FxHashMap<u64, KeyEntry>,
     /// Finish time and sequence number of each key with a kept outcome, oldest first.
     finish_order: VecDeque<(Duration, u64)>,
     evicted: EvictedKeys,
@@ -151,7 +151,7 @@
             return BeginVerdict::Answer(Err(no_new_work_refusal(code)));
         }
         let state = EntryState::Running(SmallVec::from_iter([waiter]));
-        self.entries.insert(sequence, OnceEntry { digest, state });
+        self.entries.insert(sequence, KeyEntry { digest, state });
         self.running_count += 1;
         BeginVerdict::Execute
     }
@@ -197,7 +197,7 @@
                 break;
             }
             self.finish_order.pop_front();
-            if let Some(OnceEntry {
+            if let Some(KeyEntry {
                 state: EntryState::Done { bytes, .. },
                 ..
             }) = self.entries.remove(&sequence)
@@ -259,7 +259,7 @@
     }
 }
 
-impl OnceEntry {
+impl KeyEntry {
     fn handle_resend(&mut self, digest: RequestDigest, waiter: WaiterId) -> BeginVerdict {
         if self.digest != digest {
             return BeginVerdict::Answer(Err(mismatch_refusal()));
--- a/crates/ebonyfork/src/operator/server.rs
+++ b/crates/ebonyfork/src/operator/server.rs
@@ -28,21 +28,21 @@
 const TEXT_TYPE: &str = "text/plain; charset=utf-8";
 
 type StatusFunction = dyn Fn() -> NodeStatus + Send + Sync;
-type ListFunction = dyn Fn() -> Vec<QuarantineStatus> + Send + Sync;
-type LiftFunction = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
-type ReadyFunction = dyn Fn() -> bool + Send + Sync;
+type ListQuarantinedFunction = dyn Fn() -> Vec<QuarantineStatus> + Send + Sync;
+type LiftQuarantineFunction = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
+type IsReadyFunction = dyn Fn() -> bool + Send + Sync;
 
 /// Sources of the answers on the operators' port, and its one operation.
 #[derive(Clone)]
 pub struct OperatorService {
     registry: Arc<Registry>,
     /// Returns whether the process accepts work.
-    ready: Arc<ReadyFunction>,
+    is_ready: Arc<IsReadyFunction>,
     status: Arc<StatusFunction>,
     /// Lists the quarantined requests.
-    quarantined: Arc<ListFunction>,
+    list_quarantined: Arc<ListQuarantinedFunction>,
     /// Lifts a quarantine; returns false if the request is not quarantined.
-    lift: Arc<LiftFunction>,
+    lift: Arc<LiftQuarantineFunction>,
 }
 
 impl fmt::Debug for OperatorService {
@@ -55,14 +55,14 @@
     /// Creates a service for the metrics in `registry`, the readiness and the status; no request is quarantined.
     pub fn new(
         registry: Registry,
-        ready: impl Fn() -> bool + Send + Sync + 'static,
+        is_ready: impl Fn() -> bool + Send + Sync + 'static,
         status: impl Fn() -> NodeStatus + Send + Sync + 'static,
     ) -> Self {
         Self {
             registry: Arc::new(registry),
-            ready: Arc::new(ready),
+            is_ready: Arc::new(is_ready),
             status: Arc::new(status),
-            quarantined: Arc::new(Vec::new),
+            list_quarantined: Arc::new(Vec::new),
             lift: Arc::new(|_fingerprint| false),
         }
     }
@@ -71,10 +71,10 @@
     #[must_use]
     pub fn with_quarantine(
         mut self,
-        quarantined: impl Fn() -> Vec<QuarantineStatus> + Send + Sync + 'static,
+        list_quarantined: impl Fn() -> Vec<QuarantineStatus> + Send + Sync + 'static,
         lift: impl Fn(RequestFingerprint) -> bool + Send + Sync + 'static,
     ) -> Self {
-        self.quarantined = Arc::new(quarantined);
+        self.list_quarantined = Arc::new(list_quarantined);
         self.lift = Arc::new(lift);
         self
     }
@@ -89,11 +89,11 @@
         }
         match path {
             "/healthz" => text_response(StatusCode::OK, "ok\n"),
-            "/readyz" if (self.ready)() => text_response(StatusCode::OK, "ready\n"),
+            "/readyz" if (self.is_ready)() => text_response(StatusCode::OK, "ready\n"),
             "/readyz" => text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => self.answer_metrics(),
             "/status" => json_response(&(self.status)()),
-            "/quarantine" => json_response(&(self.quarantined)()),
+            "/quarantine" => json_response(&(self.list_quarantined)()),
             _ => text_response(
                 StatusCode::NOT_FOUND,
                 "served here: /healthz /readyz /metrics /status /quarantine\n",
@@ -173,13 +173,13 @@
         let response = service.answer(&request);
         async move { Ok::<_, Infallible>(response) }
     });
-    let mut server = http1::Builder::new();
-    server
+    let mut builder = http1::Builder::new();
+    builder
         .timer(TokioTimer::new())
         .header_read_timeout(HEADER_TIMEOUT);
-    let serving = server.serve_connection(TokioIo::new(stream), handler);
+    let connection = builder.serve_connection(TokioIo::new(stream), handler);
     tokio::select! {
-        result = serving => {
+        result = connection => {
             if let Err(error) = result {
                 log::debug!("operator connection: {error}");
             }
--- a/crates/ebonyfork/src/quantity.rs
+++ b/crates/ebonyfork/src/quantity.rs
@@ -56,8 +56,8 @@
     fn from_str(text: &str) -> Result<Self, IdentError> {
         let error =
             || IdentError::new(text, "time span", "a whole number with us, ms, s, min or h");
-        let digits = text.bytes().take_while(u8::is_ascii_digit).count();
-        let (number, unit) = text.split_at(digits);
+        let digit_count = text.bytes().take_while(u8::is_ascii_digit).count();
+        let (number, unit) = text.split_at(digit_count);
         let number: u64 = number.parse().map_err(|_error| error())?;
         let matching_unit = TIME_UNITS.into_iter().find(|(name, _)| *name == unit);
         let (_, size) = matching_unit.ok_or_else(error)?;
@@ -115,8 +115,8 @@
                 "a whole number of bytes, or with KiB, MiB or GiB",
             )
         };
-        let digits = text.bytes().take_while(u8::is_ascii_digit).count();
-        let (number, unit) = text.split_at(digits);
+        let digit_count = text.bytes().take_while(u8::is_ascii_digit).count();
+        let (number, unit) = text.split_at(digit_count);
         let number: u64 = number.parse().map_err(|_error| error())?;
         let matching_unit = BYTE_UNITS.into_iter().find(|(name, _)| *name == unit);
         let (_, size) = matching_unit.ok_or_else(error)?;
--- a/crates/ebonyfork/src/settings/mod.rs
+++ b/crates/ebonyfork/src/settings/mod.rs
@@ -78,23 +78,23 @@
     /// Reads the switches that a section contains; the others keep their value.
     #[must_use]
     pub fn read(mut self, reader: &mut SectionReader<'_>) -> Self {
-        let ownership = [
+        let ownership_choices = [
             ("owner", OwnershipMode::Owner),
             ("direct", OwnershipMode::Direct),
         ];
         self.ownership = reader
-            .choice("ownership", &ownership)
+            .choice("ownership", &ownership_choices)
             .unwrap_or(self.ownership);
-        let order = [
+        let queue_choices = [
             ("slack", QueueOrder::Slack),
             ("arrival", QueueOrder::Arrival),
         ];
-        self.queue = reader.choice("queue", &order).unwrap_or(self.queue);
-        let limit = [
+        self.queue = reader.choice("queue", &queue_choices).unwrap_or(self.queue);
+        let limit_choices = [
             ("adaptive", LimitMode::Adaptive),
             ("static", LimitMode::Static),
         ];
-        self.limit = reader.choice("limit", &limit).unwrap_or(self.limit);
+        self.limit = reader.choice("limit", &limit_choices).unwrap_or(self.limit);
         self.hedge = reader.choice("hedge", &ON_OFF).unwrap_or(self.hedge);
         self.admission = reader
             .choice("admission", &ON_OFF)
@@ -267,10 +267,10 @@
         let mut reader = SectionReader::new(&document.file, section, findings);
         let vm = reader.required::<IpAddr>("vm");
         let zone = reader.required("zone");
-        let caller = reader.required("caller-port");
-        let peer = reader.required("peer-port");
-        let operator = reader.required("operator-port");
-        let ports = [caller, peer, operator];
+        let caller_port = reader.required("caller-port");
+        let peer_port = reader.required("peer-port");
+        let operator_port = reader.required("operator-port");
+        let ports = [caller_port, peer_port, operator_port];
         for (index, key) in ["caller-port", "peer-port", "operator-port"]
             .into_iter()
             .enumerate()
@@ -283,7 +283,11 @@
             }
         }
         reader.finish();
-        Some((VmAddress(vm?), zone?, [caller?, peer?, operator?]))
+        Some((
+            VmAddress(vm?),
+            zone?,
+            [caller_port?, peer_port?, operator_port?],
+        ))
     }
 
     fn read_platform(
--- a/crates/ebonyfork/src/traffic.rs
+++ b/crates/ebonyfork/src/traffic.rs
@@ -24,18 +24,19 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct LinkTraffic {
-    received: Arc<AtomicU64>,
+    received_bytes: Arc<AtomicU64>,
 }
 
 impl LinkTraffic {
     /// Returns the number of bytes received so far.
     pub fn received_bytes(&self) -> u64 {
-        self.received.load(Ordering::Relaxed)
+        self.received_bytes.load(Ordering::Relaxed)
     }
 
     /// Adds `bytes` to the count.
     pub fn add(&self, bytes: usize) {
-        self.received.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.received_bytes
+            .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
@@ -58,9 +59,9 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let polled = Pin::new(&mut self.reader).poll_read(cx, buf);
-        self.traffic.add(buf.filled().len() - before);
-        polled
+        let filled_before = buf.filled().len();
+        let poll_result = Pin::new(&mut self.reader).poll_read(cx, buf);
+        self.traffic.add(buf.filled().len() - filled_before);
+        poll_result
     }
 }
--- a/crates/ebonyfork/tests/malformed.rs
+++ b/crates/ebonyfork/tests/malformed.rs
@@ -339,8 +339,8 @@
 
 #[gtest]
 fn each_malformed_class_gets_its_finding() {
-    for (from, replacement, expected) in CLASS_CASES {
-        let findings = declaration_findings(&VALID_CLASS.replacen(from, replacement, 1));
+    for (original, replacement, expected) in CLASS_CASES {
+        let findings = declaration_findings(&VALID_CLASS.replacen(original, replacement, 1));
         expect_that!(
             findings,
             elements_are![starts_with(expected)],
@@ -359,8 +359,8 @@
 
 #[gtest]
 fn each_malformed_setting_gets_its_finding() {
-    for (from, replacement, expected) in SETTINGS_CASES {
-        let findings = settings_findings(&VALID_SETTINGS.replacen(from, replacement, 1));
+    for (original, replacement, expected) in SETTINGS_CASES {
+        let findings = settings_findings(&VALID_SETTINGS.replacen(original, replacement, 1));
         // A misspelt section or key gets two findings: the unknown name and the missing one.
         expect_that!(
             findings,
--- a/crates/ebonyfork/tests/relay.rs
+++ b/crates/ebonyfork/tests/relay.rs
@@ -61,7 +61,7 @@
     while let Ok((stream, _from)) = listener.accept().await {
         received.lock().unwrap().connections += 1;
         let received = Arc::clone(&received);
-        let service = service_fn(move |request| answer(request, Arc::clone(&received)));
+        let service = service_fn(move |request| answer_request(request, Arc::clone(&received)));
         tokio::spawn(async move {
             let builder = hyper::server::conn::http1::Builder::new();
             // Some tests break the connection on purpose.
@@ -84,32 +84,32 @@
 
 impl std::error::Error for CloseConnection {}
 
-async fn answer(
+async fn answer_request(
     request: Request<Incoming>,
     received: Arc<Mutex<ReceivedRequests>>,
 ) -> std::result::Result<Response<Full<Bytes>>, CloseConnection> {
     let path = request.uri().path().to_owned();
     if path == "/v1/status" {
-        return Ok(reply(200, &[], r#"{"state":"ready","load":0.0}"#));
+        return Ok(build_response(200, &[], r#"{"state":"ready","load":0.0}"#));
     }
     record_request(&received, &request);
     let version = ("x-index-version", "17");
     let rows = r#"{"rows":["a"]}"#;
     match path.rsplit('/').next().unwrap_or_default() {
-        "0" => Ok(reply(200, &[version], rows)),
-        "1" => Ok(reply(409, &[("x-index-version", "18")], "")),
-        "2" => Ok(reply(421, &[("x-moved-to", "notice-01")], "")),
-        "3" => Ok(reply(503, &[("x-not-run", "1")], "")),
-        "4" => Ok(reply(500, &[], "")),
+        "0" => Ok(build_response(200, &[version], rows)),
+        "1" => Ok(build_response(409, &[("x-index-version", "18")], "")),
+        "2" => Ok(build_response(421, &[("x-moved-to", "notice-01")], "")),
+        "3" => Ok(build_response(503, &[("x-not-run", "1")], "")),
+        "4" => Ok(build_response(500, &[], "")),
         "5" => Err(CloseConnection),
         "6" => std::future::pending().await,
-        "7" => Ok(reply(200, &[("x-index-version", "16")], rows)),
-        "8" => Ok(reply(200, &[version, ("x-draining", "1")], rows)),
+        "7" => Ok(build_response(200, &[("x-index-version", "16")], rows)),
+        "8" => Ok(build_response(200, &[version, ("x-draining", "1")], rows)),
         "9" => {
             tokio::time::sleep(Duration::from_millis(20)).await;
-            Ok(reply(200, &[version], rows))
+            Ok(build_response(200, &[version], rows))
         }
-        _ => Ok(reply(204, &[], "")),
+        _ => Ok(build_response(204, &[], "")),
     }
 }
 
@@ -119,7 +119,7 @@
     received.headers.push(request.headers().clone());
 }
 
-fn reply(status: u16, headers: &[(&str, &str)], body: &str) -> Response<Full<Bytes>> {
+fn build_response(status: u16, headers: &[(&str, &str)], body: &str) -> Response<Full<Bytes>> {
     let mut builder = Response::builder().status(status);
     for (name, value) in headers {
         builder = builder.header(*name, *value);
@@ -140,19 +140,19 @@
     _pool: PeerPool,
 }
 
-fn vm() -> VmAddress {
+fn own_vm() -> VmAddress {
     "127.0.0.1".parse().unwrap()
 }
 
 fn publish_views(writers: &ViewWriters, upstream: UpstreamAddress) {
     let vm_entry = VmEntry {
-        vm: vm(),
+        vm: own_vm(),
         zone: "zone-a".parse().unwrap(),
         incarnation: None,
         leaving: false,
     };
     let service: ServiceName = "tender-00".parse().unwrap();
-    let entry = UpstreamEntry {
+    let upstream_entry = UpstreamEntry {
         upstream,
         zone: "zone-a".parse().unwrap(),
         service: service.clone(),
@@ -166,7 +166,7 @@
     };
     config.services.insert(service, service_entry);
     writers.config.send_replace(Arc::new(config));
-    let topology = TopologyView::new([vm_entry], [entry]);
+    let topology = TopologyView::new([vm_entry], [upstream_entry]);
     writers.topology.send_replace(Arc::new(topology));
     writers.readiness.send_replace(NodeReadiness::Ready);
 }
@@ -174,7 +174,7 @@
 /// Opens a link from the process to itself; returns it with the messages that arrive on it.
 async fn local_link() -> (PeerPool, LinkSender, mpsc::UnboundedReceiver<PeerMessage>) {
     let (events, mut received) = mpsc::unbounded_channel();
-    let settings = PoolSettings::new(SessionId::new(vm(), IncarnationNumber(1)), 1);
+    let settings = PoolSettings::new(SessionId::new(own_vm(), IncarnationNumber(1)), 1);
     let pool = PeerPool::new(settings, CancellationToken::new(), move |event| {
         let _sent = events.send(event);
         Box::pin(std::future::ready(()))
@@ -183,7 +183,7 @@
         query: 0,
         attempts: smallvec::smallvec![],
     };
-    pool.send(vm(), PeerMessage::Cancel(cancel)).unwrap();
+    pool.send(own_vm(), PeerMessage::Cancel(cancel)).unwrap();
     let Some(LinkEvent::Message { from, .. }) = received.recv().await else {
         panic!("the link delivered no message");
     };
@@ -204,7 +204,7 @@
         let losses = Arc::new(Mutex::new(Vec::new()));
         let leaving = Arc::new(Mutex::new(Vec::new()));
         let (loss_sink, leaving_sink) = (Arc::clone(&losses), Arc::clone(&leaving));
-        let settings = RelaySettings::new(vm(), "zone-a".parse().unwrap(), views)
+        let settings = RelaySettings::new(own_vm(), "zone-a".parse().unwrap(), views)
             .with_quarantine(
                 |fingerprint| fingerprint.0 == 666,
                 move |loss| loss_sink.lock().unwrap().push(loss),
@@ -214,10 +214,10 @@
         let (sender, outcomes) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             while let Some(message) = messages.recv().await {
-                let PeerMessage::Outcomes(batch) = message else {
+                let PeerMessage::Outcomes(outcome_batch) = message else {
                     continue;
                 };
-                for outcome in batch.outcomes {
+                for outcome in outcome_batch.outcomes {
                     let _sent = sender.send(outcome);
                 }
             }
@@ -240,11 +240,11 @@
         shards: &[u32],
         timeout: Duration,
     ) {
-        let batch = batch(query, upstream, shards, timeout);
-        self.handle.submit(self.link.clone(), batch).await;
+        let submit_batch = submit_batch(query, upstream, shards, timeout);
+        self.handle.submit(self.link.clone(), submit_batch).await;
     }
 
-    async fn outcomes(&mut self, count: usize) -> BTreeMap<u32, ShardVerdict> {
+    async fn wait_for_outcomes(&mut self, count: usize) -> BTreeMap<u32, ShardVerdict> {
         let mut verdicts = BTreeMap::new();
         while verdicts.len() < count {
             let outcome = self.outcomes.recv().await.unwrap();
@@ -259,7 +259,12 @@
     }
 }
 
-fn batch(query: u64, upstream: UpstreamAddress, shards: &[u32], timeout: Duration) -> SubmitBatch {
+fn submit_batch(
+    query: u64,
+    upstream: UpstreamAddress,
+    shards: &[u32],
+    timeout: Duration,
+) -> SubmitBatch {
     let target = |shard: &u32| ShardTarget {
         attempt: *shard,
         shard: ShardNumber(*shard),
@@ -284,14 +289,14 @@
 /// Time limit that no attempt reaches.
 const LONG_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn rows(version: u64) -> ShardVerdict {
+fn rows_verdict(version: u64) -> ShardVerdict {
     ShardVerdict::Rows {
         version: SnapshotVersion(version),
         body: Bytes::from_static(br#"{"rows":["a"]}"#),
     }
 }
 
-fn unknown(reason: FailureReason) -> ShardVerdict {
+fn unknown_failure(reason: FailureReason) -> ShardVerdict {
     let ran = RunState::Unknown;
     ShardVerdict::Failed { ran, reason }
 }
@@ -305,16 +310,16 @@
     relay
         .submit(1, upstream.address, &shards, LONG_TIMEOUT)
         .await;
-    let verdicts = relay.outcomes(shards.len()).await;
-    expect_that!(verdicts[&0], eq(&rows(17)));
+    let verdicts = relay.wait_for_outcomes(shards.len()).await;
+    expect_that!(verdicts[&0], eq(&rows_verdict(17)));
     let newest = SnapshotVersion(18);
     expect_that!(verdicts[&1], eq(&ShardVerdict::VersionGone { newest }));
     let service = "notice-01".parse().unwrap();
     expect_that!(verdicts[&2], eq(&ShardVerdict::Moved { service }));
     expect_that!(verdicts[&3], eq(&ShardVerdict::NotRun(RefusalReason::Shed)));
-    expect_that!(verdicts[&4], eq(&unknown(FailureReason::Status)));
-    expect_that!(verdicts[&5], eq(&unknown(FailureReason::Broken)));
-    expect_that!(verdicts[&7], eq(&rows(16)));
+    expect_that!(verdicts[&4], eq(&unknown_failure(FailureReason::Status)));
+    expect_that!(verdicts[&5], eq(&unknown_failure(FailureReason::Broken)));
+    expect_that!(verdicts[&7], eq(&rows_verdict(16)));
     expect_that!(relay.losses.lock().unwrap().len(), eq(1));
     expect_that!(relay.handle.in_flight(), eq(0));
     let received = upstream.received.lock().unwrap();
@@ -337,7 +342,7 @@
         relay
             .submit(query, upstream.address, &[0, 9], LONG_TIMEOUT)
             .await;
-        relay.outcomes(2).await;
+        relay.wait_for_outcomes(2).await;
     }
     expect_that!(upstream.received.lock().unwrap().connections, le(7));
 }
@@ -357,21 +362,21 @@
         attempts: smallvec::smallvec![6],
     };
     relay.handle.cancel(&relay.link, cancel).await;
-    let verdicts = relay.outcomes(1).await;
-    expect_that!(verdicts[&6], eq(&unknown(FailureReason::Cancelled)));
-    let cancelled = "/v1/cancel/127.0.0.1-1.q1.a6".to_owned();
-    while !upstream.paths().contains(&cancelled) {
+    let verdicts = relay.wait_for_outcomes(1).await;
+    expect_that!(verdicts[&6], eq(&unknown_failure(FailureReason::Cancelled)));
+    let cancel_path = "/v1/cancel/127.0.0.1-1.q1.a6".to_owned();
+    while !upstream.paths().contains(&cancel_path) {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
-    let calls = upstream
+    let cancel_count = upstream
         .paths()
         .iter()
-        .filter(|path| **path == cancelled)
+        .filter(|path| **path == cancel_path)
         .count();
-    expect_that!(calls, eq(1));
+    expect_that!(cancel_count, eq(1));
     relay.submit(2, upstream.address, &[6], timeout).await;
-    let verdicts = relay.outcomes(1).await;
-    expect_that!(verdicts[&6], eq(&unknown(FailureReason::Timeout)));
+    let verdicts = relay.wait_for_outcomes(1).await;
+    expect_that!(verdicts[&6], eq(&unknown_failure(FailureReason::Timeout)));
 }
 
 #[gtest]
@@ -381,7 +386,7 @@
     let mut relay = TestRelay::start(upstream.address).await;
     let unknown_upstream = "127.0.0.1:1".parse().unwrap();
     relay.submit(1, unknown_upstream, &[0], LONG_TIMEOUT).await;
-    let verdict = relay.outcomes(1).await.remove(&0);
+    let verdict = relay.wait_for_outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Leaving)))
@@ -389,15 +394,18 @@
     relay
         .submit(666, upstream.address, &[0], LONG_TIMEOUT)
         .await;
-    let verdict = relay.outcomes(1).await.remove(&0);
+    let verdict = relay.wait_for_outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Quarantined)))
     );
     relay.submit(2, upstream.address, &[8], LONG_TIMEOUT).await;
-    expect_that!(relay.outcomes(1).await.remove(&8), eq(&Some(rows(17))));
+    expect_that!(
+        relay.wait_for_outcomes(1).await.remove(&8),
+        eq(&Some(rows_verdict(17)))
+    );
     relay.submit(3, upstream.address, &[0], LONG_TIMEOUT).await;
-    let verdict = relay.outcomes(1).await.remove(&0);
+    let verdict = relay.wait_for_outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Leaving)))
@@ -415,7 +423,7 @@
     drop(listener);
     let mut relay = TestRelay::start(address).await;
     relay.submit(1, address, &[0], LONG_TIMEOUT).await;
-    let verdict = relay.outcomes(1).await.remove(&0);
+    let verdict = relay.wait_for_outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Unreachable)))
@@ -432,7 +440,7 @@
     tokio::spawn(async move { while listener.accept().await.is_ok() {} });
     let mut relay = TestRelay::start(address).await;
     relay.submit(1, address, &[0], LONG_TIMEOUT).await;
-    let verdict = relay.outcomes(1).await.remove(&0);
+    let verdict = relay.wait_for_outcomes(1).await.remove(&0);
     expect_that!(
         verdict,
         eq(&Some(ShardVerdict::NotRun(RefusalReason::Unreachable)))
