--- a/crates/ebonyfork/benches/query.rs
+++ b/crates/ebonyfork/benches/query.rs
@@ -129,7 +129,7 @@
             sent_batches: Vec::new(),
             answered_shards: 0,
         };
-        // The first query of a new request sends a canary first; complete it before the measurement.
+        // The first query of a request sends a canary attempt first. Complete it here, so that it isn't measured.
         bench.plan();
         while !bench.sent_batches.is_empty() {
             let replies = bench.replies();
--- a/crates/ebonyfork/benches/relay.rs
+++ b/crates/ebonyfork/benches/relay.rs
@@ -10,7 +10,7 @@
 use ebonyfork::settings::{LimitMode, QueueOrder};
 
 /// Attempts that wait in the queue during a measurement.
-const QUEUED: u32 = 512;
+const QUEUED_ATTEMPTS: u32 = 512;
 
 fn queue_entry(work: u32, organisations: u32, now: Duration) -> QueueEntry {
     // Deadlines are spread from 60 to 315 ms from now by a multiplicative hash.
@@ -24,7 +24,7 @@
     }
 }
 
-/// Measures adding one attempt to the queue and removing one, with [`QUEUED`] attempts queued.
+/// Measures adding one attempt to the queue and removing one, with [`QUEUED_ATTEMPTS`] attempts queued.
 fn push_and_pop(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("queue/push+pop");
     for organisations in [1, 8, 64, 256] {
@@ -32,10 +32,10 @@
             let mut queue = RelayQueue::new(QueueOrder::Slack);
             let mut expired = Vec::new();
             let mut now = Duration::ZERO;
-            for work in 0..QUEUED {
+            for work in 0..QUEUED_ATTEMPTS {
                 queue.push(queue_entry(work, organisations, now));
             }
-            let mut next_work = WorkId::from_u32(QUEUED);
+            let mut next_work = WorkId::from_u32(QUEUED_ATTEMPTS);
             bencher.iter(|| {
                 now += Duration::from_micros(100);
                 queue.push(queue_entry(next_work.as_u32(), organisations, now));
@@ -48,14 +48,14 @@
     group.finish();
 }
 
-/// Measures adding one attempt to the queue and cancelling it, with [`QUEUED`] attempts queued.
+/// Measures adding one attempt to the queue and cancelling it, with [`QUEUED_ATTEMPTS`] attempts queued.
 fn push_and_cancel(criterion: &mut Criterion) {
     criterion.bench_function("queue/push+cancel", |bencher| {
         let mut queue = RelayQueue::new(QueueOrder::Slack);
-        for work in 0..QUEUED {
+        for work in 0..QUEUED_ATTEMPTS {
             queue.push(queue_entry(work, 64, Duration::ZERO));
         }
-        let new_entry = queue_entry(QUEUED, 64, Duration::ZERO);
+        let new_entry = queue_entry(QUEUED_ATTEMPTS, 64, Duration::ZERO);
         bencher.iter(|| {
             queue.push(black_box(new_entry));
             queue.cancel(black_box(new_entry.work))
--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -22,9 +22,9 @@
 const SEED_COUNT: usize = 8;
 /// Longest wait until every member knows all others.
 const SETTLE_LIMIT: Duration = Duration::from_secs(15);
-/// Pause after that, in which the gossip about the start subsides.
+/// Pause after all members know each other, in which the gossip about the start subsides.
 const SETTLE_PAUSE: Duration = Duration::from_secs(16);
-/// Additional pause per member.
+/// Additional length of [`SETTLE_PAUSE`] per member.
 const SETTLE_PAUSE_PER_MEMBER: Duration = Duration::from_millis(100);
 /// Length of each measured phase.
 const PHASE_TIME: Duration = Duration::from_secs(12);
@@ -237,7 +237,7 @@
     );
 }
 
-/// Returns the seconds after `stopped_at` at which one member detected the failure of each of the VMs in `stopped_vms`.
+/// Returns the seconds from `stopped_at` until one member detected the failure of each of the `stopped_vms`.
 async fn watch_failures(
     handle: MemberHandle,
     stopped_vms: Arc<[VmAddress]>,
--- a/crates/ebonyfork/src/http_link.rs
+++ b/crates/ebonyfork/src/http_link.rs
@@ -51,7 +51,7 @@
 }
 
 impl HttpLink {
-    /// Opens a connection to an address; fails after the timeout `timeout`.
+    /// Opens a connection to an address; fails if this takes longer than `timeout`.
     pub async fn open(address: SocketAddr, timeout: Duration) -> Result<Self, LinkError> {
         match tokio::time::timeout(timeout, Self::connect(address)).await {
             Ok(opened) => opened,
--- a/crates/ebonyfork/src/once/table_tests.rs
+++ b/crates/ebonyfork/src/once/table_tests.rs
@@ -43,7 +43,7 @@
             Duration::from_secs(1),
         );
     };
-    let broken: Prepare = |table| {
+    let broken_off: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(
             1,
@@ -56,7 +56,7 @@
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
         table.expire(Duration::from_secs(1) + OUTCOME_TTL);
     };
-    let huge: Prepare = |table| {
+    let too_large: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(MAX_KEPT_BYTES / 2)), Duration::from_secs(1));
     };
@@ -70,14 +70,14 @@
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.seal();
     };
-    let nothing: Prepare = |_table| {};
+    let never_sent: Prepare = |_table| {};
     let refused_as = |code, ran| Some((code, ran));
     let (stopping, fenced) = (Some(RefusalCode::Stopping), Some(RefusalCode::NotReady));
     let cases = [
-        ("new", nothing, DIGEST, None, "execute", None),
+        ("new", never_sent, DIGEST, None, "execute", None),
         (
             "new, fenced",
-            nothing,
+            never_sent,
             DIGEST,
             fenced,
             "refusal",
@@ -85,7 +85,7 @@
         ),
         (
             "new, stopping",
-            nothing,
+            never_sent,
             DIGEST,
             stopping,
             "refusal",
@@ -139,7 +139,7 @@
         ),
         (
             "broke off",
-            broken,
+            broken_off,
             DIGEST,
             None,
             "refusal",
@@ -163,7 +163,7 @@
         ),
         (
             "too large to keep",
-            huge,
+            too_large,
             DIGEST,
             None,
             "refusal",
