--- a/crates/ebonyfork/benches/query.rs
+++ b/crates/ebonyfork/benches/query.rs
@@ -227,15 +227,15 @@
                 for _ in 0..rounds {
                     let started = Instant::now();
                     bench.plan();
-                    let planned = started.elapsed();
+                    let plan_cost = started.elapsed();
                     let replies = bench.replies();
                     let started = Instant::now();
                     bench.gather(replies);
-                    let gathered = started.elapsed();
+                    let gather_cost = started.elapsed();
                     measured_time += if phase == Phase::Plan {
-                        planned
+                        plan_cost
                     } else {
-                        gathered
+                        gather_cost
                     };
                 }
                 measured_time
@@ -258,7 +258,7 @@
     const ROUNDS: u64 = 200;
     for shards in SHARD_COUNTS {
         let mut bench = QueryBench::new(shards);
-        let (mut planned, mut gathered) = (0, 0);
+        let (mut plan_cost, mut gather_cost) = (0, 0);
         for round in 0..ROUNDS * 2 {
             let allocations_before_plan = ALLOCATIONS.load(Ordering::Relaxed);
             bench.plan();
@@ -267,14 +267,14 @@
             let allocations_before_gather = ALLOCATIONS.load(Ordering::Relaxed);
             bench.gather(replies);
             if round >= ROUNDS {
-                planned += allocations_after_plan - allocations_before_plan;
-                gathered += ALLOCATIONS.load(Ordering::Relaxed) - allocations_before_gather;
+                plan_cost += allocations_after_plan - allocations_before_plan;
+                gather_cost += ALLOCATIONS.load(Ordering::Relaxed) - allocations_before_gather;
             }
         }
         println!(
             "allocations per query of {shards} shards: plan {:.1}, gather {:.1}",
-            planned as f64 / ROUNDS as f64,
-            gathered as f64 / ROUNDS as f64
+            plan_cost as f64 / ROUNDS as f64,
+            gather_cost as f64 / ROUNDS as f64
         );
     }
 }
--- a/crates/ebonyfork/src/lifecycle/fence_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/fence_tests.rs
@@ -21,12 +21,12 @@
 }
 
 /// Applies the events, evaluates every 100 ms, and returns each change of the fence's cause with its time in ms.
-fn cause_changes(events: &[FenceEvent], end: u64) -> Vec<(u64, Option<FenceCause>)> {
+fn cause_changes(events: &[FenceEvent], end_ms: u64) -> Vec<(u64, Option<FenceCause>)> {
     let mut state = FenceState::new(FenceLimits::default(), Duration::ZERO);
     let mut caught_up_at = 0;
     let mut changes = Vec::new();
     let mut previous = None;
-    for now in (0..=end).step_by(100) {
+    for now in (0..=end_ms).step_by(100) {
         for event in events {
             match *event {
                 StoreContact(at) if at == now => state.record_contact(ContactSource::Store, ms(at)),
@@ -141,8 +141,8 @@
             &[(1_000, Some(Paused)), (30_000, None)],
         ),
     ];
-    for (name, events, end, expected) in cases {
-        let changes = cause_changes(events, *end);
+    for (name, events, end_ms, expected) in cases {
+        let changes = cause_changes(events, *end_ms);
         expect_that!(changes, eq(&expected.to_vec()), "{name}");
     }
 }
--- a/crates/ebonyfork/src/lifecycle/handle.rs
+++ b/crates/ebonyfork/src/lifecycle/handle.rs
@@ -198,7 +198,7 @@
         H: FnOnce() -> R,
         R: Future<Output = Option<HandoverReport>>,
     {
-        let mut run = StopRun::new(plan, self.shared.now());
+        let mut stop_run = StopRun::new(plan, self.shared.now());
         self.shared.set_stop_phase(StopPhase::Leaving);
         (steps.announce)();
         log::info!(
@@ -208,7 +208,7 @@
         loop {
             let in_flight = self.serving() + (steps.in_flight)();
             let skip_waiting = steps.skip_waiting.is_cancelled();
-            let phase = run.advance(self.shared.now(), in_flight, skip_waiting);
+            let phase = stop_run.advance(self.shared.now(), in_flight, skip_waiting);
             self.shared.set_stop_phase(phase);
             if phase == StopPhase::HandingOver {
                 break;
@@ -218,17 +218,17 @@
                 () = steps.skip_waiting.cancelled() => {}
             }
         }
-        if run.given_up() > 0 {
-            log::warn!("{} requests in flight are abandoned", run.given_up());
+        if stop_run.given_up() > 0 {
+            log::warn!("{} requests in flight are abandoned", stop_run.given_up());
             self.shared.give_up.cancel();
         }
         let handover = (steps.hand_over)().await;
-        if run.given_up() > 0 {
+        if stop_run.given_up() > 0 {
             tokio::time::sleep(ABANDONED_ANSWER_TIME).await;
         }
         StopReport {
-            given_up: run.given_up(),
-            took: run.elapsed(self.shared.now()),
+            given_up: stop_run.given_up(),
+            took: stop_run.elapsed(self.shared.now()),
             handover,
         }
     }
@@ -283,17 +283,17 @@
     }
 
     fn update_readiness(&self) -> NodeReadiness {
-        let reading = self.read_clocks();
-        let now = reading.monotonic;
+        let clock_reading = self.read_clocks();
+        let now = clock_reading.monotonic;
         let mut state = self.lock();
-        if let Some(gap) = state.pause_detector.observe(reading) {
+        if let Some(gap) = state.pause_detector.observe(clock_reading) {
             state.fence.record_pause(now);
             self.metrics.pauses.inc();
             log::warn!("process was paused for {gap:?}: fenced until synchronised");
         }
         if let Some(contact) = (self.settings.last_peer_contact)() {
-            let at = contact.saturating_duration_since(self.started_at);
-            state.fence.record_contact(ContactSource::Peer, at);
+            let contact_at = contact.saturating_duration_since(self.started_at);
+            state.fence.record_contact(ContactSource::Peer, contact_at);
         }
         if self.views.topology.borrow().vms.len() > 1 {
             state.fence.record_peer_known();
--- a/crates/ebonyfork/src/once/actor.rs
+++ b/crates/ebonyfork/src/once/actor.rs
@@ -53,7 +53,7 @@
 
 /// A handover that the successor has not yet confirmed in full.
 struct PendingHandover {
-    unconfirmed: BTreeSet<SessionId>,
+    unconfirmed_sessions: BTreeSet<SessionId>,
     on_confirmed: Option<oneshot::Sender<()>>,
 }
 
@@ -265,12 +265,12 @@
     }
 
     fn record_confirmation(&mut self, session: SessionId) {
-        let Some(pending) = &mut self.pending_handover else {
+        let Some(pending_handover) = &mut self.pending_handover else {
             return;
         };
-        pending.unconfirmed.remove(&session);
-        if pending.unconfirmed.is_empty()
-            && let Some(on_confirmed) = pending.on_confirmed.take()
+        pending_handover.unconfirmed_sessions.remove(&session);
+        if pending_handover.unconfirmed_sessions.is_empty()
+            && let Some(on_confirmed) = pending_handover.on_confirmed.take()
         {
             // The requester may have timed out.
             let _gone = on_confirmed.send(());
@@ -379,7 +379,7 @@
             abandoned_runs: self.state.running_count(),
         };
         self.pending_handover = Some(PendingHandover {
-            unconfirmed: sessions,
+            unconfirmed_sessions: sessions,
             on_confirmed: Some(message.on_confirmed),
         });
         sent
--- a/crates/ebonyfork/src/once/adopted.rs
+++ b/crates/ebonyfork/src/once/adopted.rs
@@ -37,7 +37,7 @@
 struct AdoptedSession {
     transfer: TransferId,
     outcomes: FxHashMap<u64, SealedOutcome>,
-    evicted: EvictedKeys,
+    evicted_keys: EvictedKeys,
     /// Whether each part has arrived, by its index.
     arrived_parts: Vec<bool>,
     /// Total size of `outcomes`.
@@ -49,7 +49,7 @@
         Self {
             transfer: part.transfer,
             outcomes: FxHashMap::default(),
-            evicted: EvictedKeys::new(),
+            evicted_keys: EvictedKeys::new(),
             arrived_parts: vec![false; part.count as usize],
             kept_bytes: 0,
         }
@@ -63,13 +63,13 @@
         if std::mem::replace(arrived, true) {
             return;
         }
-        for range in part.evicted {
-            self.evicted.insert_range(range);
+        for range in part.evicted_keys {
+            self.evicted_keys.insert_range(range);
         }
         for sealed_outcome in part.outcomes {
             let bytes = outcome_bytes(&sealed_outcome.outcome);
             if self.kept_bytes + bytes > max_bytes {
-                self.evicted.insert(sealed_outcome.sequence);
+                self.evicted_keys.insert(sealed_outcome.sequence);
                 continue;
             }
             self.kept_bytes += bytes;
@@ -144,7 +144,7 @@
             }
             return Some(sealed_outcome.outcome.clone());
         }
-        if adopted.evicted.contains(sequence) {
+        if adopted.evicted_keys.contains(sequence) {
             return Some(Err(evicted_key_refusal()));
         }
         let refusal = if adopted.is_complete() {
@@ -182,7 +182,7 @@
                 *session,
                 transfer,
                 outcomes,
-                &adopted.evicted,
+                &adopted.evicted_keys,
             ));
         }
         parts
@@ -225,7 +225,7 @@
     session: SessionId,
     transfer: TransferId,
     outcomes: Vec<SealedOutcome>,
-    evicted: &EvictedKeys,
+    evicted_keys: &EvictedKeys,
 ) -> Vec<HandoverPart> {
     let new_part = || HandoverPart {
         session,
@@ -233,16 +233,16 @@
         number: 0,
         count: 0,
         outcomes: Vec::new(),
-        evicted: Vec::new(),
+        evicted_keys: Vec::new(),
     };
-    let mut evicted = evicted.clone();
+    let mut evicted_keys = evicted_keys.clone();
     let mut parts = Vec::new();
     let mut part = new_part();
     let mut part_bytes = 0;
     for sealed_outcome in outcomes {
         let bytes = outcome_bytes(&sealed_outcome.outcome);
         if bytes > MAX_PART_BYTES {
-            evicted.insert(sealed_outcome.sequence);
+            evicted_keys.insert(sealed_outcome.sequence);
             continue;
         }
         if part_bytes + bytes > MAX_PART_BYTES {
@@ -252,11 +252,11 @@
         part_bytes += bytes;
         part.outcomes.push(sealed_outcome);
     }
-    for range in evicted.ranges() {
-        if part.evicted.len() == MAX_PART_RANGES {
+    for range in evicted_keys.ranges() {
+        if part.evicted_keys.len() == MAX_PART_RANGES {
             parts.push(std::mem::replace(&mut part, new_part()));
         }
-        part.evicted.push(range);
+        part.evicted_keys.push(range);
     }
     parts.push(part);
     let count = parts.len() as u32;
--- a/crates/ebonyfork/src/once/adopted_tests.rs
+++ b/crates/ebonyfork/src/once/adopted_tests.rs
@@ -57,13 +57,13 @@
 
 #[gtest]
 fn a_key_is_reported_as_not_run_only_once_every_part_has_arrived() {
-    let mut evicted = EvictedKeys::new();
-    evicted.insert(7);
+    let mut evicted_keys = EvictedKeys::new();
+    evicted_keys.insert(7);
     let parts = split_session(
         session(1),
         transfer(0),
         sealed_outcomes(10..20, 200_000),
-        &evicted,
+        &evicted_keys,
     );
     assert_that!(parts.len(), gt(2));
     let mut adopted = AdoptedSessions::new();
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -77,16 +77,16 @@
                 })
             },
         );
-        let acceptor = pool.clone();
-        tokio::spawn(async move { acceptor.accept(listener).await });
+        let accepting_pool = pool.clone();
+        tokio::spawn(async move { accepting_pool.accept(listener).await });
         let runs = Arc::new(AtomicU32::new(0));
-        let counter = Arc::clone(&runs);
+        let run_counter = Arc::clone(&runs);
         let execute = move |request: QueryRequest| -> BoxFuture<'static, QueryOutcome> {
-            let run = counter.fetch_add(1, Ordering::Relaxed);
+            let run_number = run_counter.fetch_add(1, Ordering::Relaxed);
             Box::pin(async move {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 Ok(QueryAnswer {
-                    query: format!("run {run}").into(),
+                    query: format!("run {run_number}").into(),
                     snapshot: SnapshotVersion(1),
                     coverage: QueryCoverage::default(),
                     bodies: vec![request.selection],
@@ -123,8 +123,8 @@
     let mut listeners = Vec::new();
     let mut port = 0;
     for last_octet in 1..=3 {
-        let bound = TcpListener::bind(SocketAddr::new(vm_address(last_octet).0, port)).await;
-        let listener = bound.unwrap();
+        let bind_result = TcpListener::bind(SocketAddr::new(vm_address(last_octet).0, port)).await;
+        let listener = bind_result.unwrap();
         port = listener.local_addr().unwrap().port();
         listeners.push(listener);
     }
@@ -172,10 +172,10 @@
         sequence: 7,
     };
     let send = |node: usize| nodes[node].once.run(request("deferral", Some(key)));
-    let (first, second, third) = tokio::join!(send(0), send(1), send(2));
-    expect_that!(first, ok(anything()));
-    expect_that!(second, eq(&first));
-    expect_that!(third, eq(&first));
+    let (first_outcome, second_outcome, third_outcome) = tokio::join!(send(0), send(1), send(2));
+    expect_that!(first_outcome, ok(anything()));
+    expect_that!(second_outcome, eq(&first_outcome));
+    expect_that!(third_outcome, eq(&first_outcome));
     expect_that!(nodes[0].runs(), eq(1));
     expect_that!(nodes[0].once.in_flight(), eq(0));
 
@@ -194,11 +194,11 @@
     nodes[0].stop.cancel();
     let new_key = IdempotencyKey { sequence: 8, ..key };
     for node in &nodes[1..] {
-        let again = node.once.run(request("deferral", Some(key))).await;
-        expect_that!(again, eq(&first));
-        let new = node.once.run(request("deferral", Some(new_key))).await;
+        let resend_outcome = node.once.run(request("deferral", Some(key))).await;
+        expect_that!(resend_outcome, eq(&first_outcome));
+        let new_key_outcome = node.once.run(request("deferral", Some(new_key))).await;
         expect_that!(
-            refusal_of(&new),
+            refusal_of(&new_key_outcome),
             some(eq((RefusalCode::Stopping, RunState::NotRun)))
         );
     }
@@ -216,12 +216,12 @@
     let dropped_call = nodes[1].once.run(request("deferral", Some(key)));
     let timed_out = tokio::time::timeout(Duration::from_millis(1), dropped_call).await;
     expect_that!(timed_out.is_err(), eq(true));
-    let again = nodes[2].once.run(request("deferral", Some(key))).await;
-    expect_that!(again, ok(anything()));
+    let resend_outcome = nodes[2].once.run(request("deferral", Some(key))).await;
+    expect_that!(resend_outcome, ok(anything()));
     nodes[0].stop.cancel();
-    let lost = nodes[2].once.run(request("deferral", Some(key))).await;
+    let outcome_after_crash = nodes[2].once.run(request("deferral", Some(key))).await;
     expect_that!(
-        refusal_of(&lost),
+        refusal_of(&outcome_after_crash),
         some(eq((RefusalCode::OutcomeUnknown, RunState::Unknown)))
     );
     expect_that!(nodes[0].runs() + nodes[1].runs() + nodes[2].runs(), eq(1));
@@ -235,22 +235,22 @@
         session: nodes[0].session,
         sequence: 7,
     };
-    let first = nodes[0].once.run(request("deferral", Some(key))).await;
+    let first_outcome = nodes[0].once.run(request("deferral", Some(key))).await;
     let view = nodes[0].once.views.topology.borrow().clone();
     let successors = session_successors(&view, key.session);
     let node_index = |vm: VmAddress| nodes.iter().position(|node| node.session.vm == vm);
-    let (stopping, staying) = (
+    let (stopping_node, staying_node) = (
         node_index(successors[0]).unwrap(),
         node_index(successors[1]).unwrap(),
     );
-    nodes[stopping].once.hand_over(successors[1]).await;
+    nodes[stopping_node].once.hand_over(successors[1]).await;
     let report = nodes[0].once.hand_over(successors[0]).await;
     expect_that!(report.taken, eq(true), "{report}");
     nodes[0].stop.cancel();
-    nodes[stopping].stop.cancel();
-    let again = nodes[staying]
+    nodes[stopping_node].stop.cancel();
+    let resend_outcome = nodes[staying_node]
         .once
         .run(request("deferral", Some(key)))
         .await;
-    expect_that!(again, eq(&first));
+    expect_that!(resend_outcome, eq(&first_outcome));
 }
--- a/crates/ebonyfork/src/once/message.rs
+++ b/crates/ebonyfork/src/once/message.rs
@@ -89,5 +89,5 @@
     /// Outcomes that the sender has kept.
     pub outcomes: Vec<SealedOutcome>,
     /// Sequence numbers of keys that ran, or may have run, and whose outcomes are not kept.
-    pub evicted: Vec<SequenceRange>,
+    pub evicted_keys: Vec<SequenceRange>,
 }
--- a/crates/ebonyfork/src/once/model_tests.rs
+++ b/crates/ebonyfork/src/once/model_tests.rs
@@ -184,7 +184,7 @@
         let vm = self.rng.random_range(0..VM_COUNT);
         match self.rng.random_range(0..100) {
             0..25 => self.send_query(vm, tally),
-            25..60 => self.deliver(tally),
+            25..60 => self.deliver_random_message(tally),
             60..75 => self.finish_run(vm, tally),
             75..80 => self.vms[vm].paused = !self.vms[vm].paused,
             80..84 => self.vms[vm].view = self.actual_view(),
@@ -336,7 +336,7 @@
     }
 
     fn check_outcome(&mut self, request: &QueryRequest, outcome: &QueryOutcome, tally: &mut Tally) {
-        let relayed = self.outcome_is_relayed;
+        let is_relayed = self.outcome_is_relayed;
         let key = request.key.unwrap();
         let ground_truth = self.ground_truth.entry(key).or_default();
         match outcome {
@@ -357,7 +357,7 @@
                 RunState::Unknown => tally.unknown_outcomes += 1,
                 RunState::Ran => assert_eq!(ground_truth.runs, 1, "{key} did not run"),
                 // A relayed refusal was checked on the VM that gave it; a later send may have run the key since.
-                RunState::NotRun if relayed => {}
+                RunState::NotRun if is_relayed => {}
                 RunState::NotRun => {
                     assert_eq!(ground_truth.runs, 0, "{key} ran: {refusal}");
                     if refusal.code == RefusalCode::Stopping {
@@ -398,12 +398,12 @@
         }
     }
 
-    fn deliver(&mut self, tally: &mut Tally) {
-        let waiting: Vec<(usize, usize)> = self.waiting_queues();
-        if waiting.is_empty() {
+    fn deliver_random_message(&mut self, tally: &mut Tally) {
+        let deliverable: Vec<(usize, usize)> = self.deliverable_queues();
+        if deliverable.is_empty() {
             return;
         }
-        let (link, direction) = waiting[self.rng.random_range(0..waiting.len())];
+        let (link, direction) = deliverable[self.rng.random_range(0..deliverable.len())];
         let (to, incarnation) = self.links[link].ends[1 - direction];
         let Some(message) = self.links[link].queues[direction].pop_front() else {
             return;
@@ -413,17 +413,17 @@
         }
     }
 
-    fn waiting_queues(&self) -> Vec<(usize, usize)> {
-        let mut waiting = Vec::new();
+    fn deliverable_queues(&self) -> Vec<(usize, usize)> {
+        let mut deliverable = Vec::new();
         for (index, link) in self.links.iter().enumerate() {
             for direction in 0..2 {
                 let (to, _incarnation) = link.ends[1 - direction];
                 if !link.queues[direction].is_empty() && !self.vms[to].paused {
-                    waiting.push((index, direction));
+                    deliverable.push((index, direction));
                 }
             }
         }
-        waiting
+        deliverable
     }
 
     fn handle_message(&mut self, vm: usize, link: usize, message: OnceMessage, tally: &mut Tally) {
@@ -464,8 +464,8 @@
             return;
         }
         for queue in &mut self.links[link].queues {
-            let arriving = self.rng.random_range(0..=queue.len());
-            queue.truncate(arriving);
+            let arriving_count = self.rng.random_range(0..=queue.len());
+            queue.truncate(arriving_count);
         }
         let (opener, incarnation) = self.links[link].ends[0];
         let (to, _incarnation) = self.links[link].ends[1];
--- a/crates/ebonyfork/src/once/state.rs
+++ b/crates/ebonyfork/src/once/state.rs
@@ -67,7 +67,7 @@
     asked_vm: VmAddress,
     owner_attempts: u8,
     /// VMs not yet asked that may hold the session's sealed outcomes, most likely last.
-    candidates: SmallVec<[VmAddress; 4]>,
+    candidate_vms: SmallVec<[VmAddress; 4]>,
 }
 
 /// Idempotency keys known to one process, and queries forwarded to other VMs.
@@ -118,21 +118,21 @@
             .adopted_sessions
             .outcome(key.session, key.sequence, digest)
         {
-            return answer(waiter, OnceOutcome::Known(outcome));
+            return answer_action(waiter, OnceOutcome::Known(outcome));
         }
-        let mut candidates = session_candidates(context.view, key.session);
-        candidates.retain(|vm| *vm != self.own_session.vm);
-        candidates.reverse();
-        let pending = PendingForward {
+        let mut candidate_vms = session_candidates(context.view, key.session);
+        candidate_vms.retain(|vm| *vm != self.own_session.vm);
+        candidate_vms.reverse();
+        let pending_forward = PendingForward {
             waiter,
             request,
             session: key.session,
             expires_at,
             asked_vm: key.session.vm,
             owner_attempts: 0,
-            candidates,
+            candidate_vms,
         };
-        self.forward_to_next(pending, context)
+        self.forward_to_next(pending_forward, context)
     }
 
     /// Handles a query that a peer forwarded; it is never forwarded again.
@@ -143,7 +143,7 @@
         context: &OnceContext<'_>,
     ) -> OnceActions {
         let Some(key) = request.key else {
-            return answer(waiter, OnceOutcome::NotHeld);
+            return answer_action(waiter, OnceOutcome::NotHeld);
         };
         let digest = RequestDigest::new(&request);
         if key.session == self.own_session {
@@ -152,7 +152,7 @@
         let outcome = self
             .adopted_sessions
             .outcome(key.session, key.sequence, digest);
-        answer(
+        answer_action(
             waiter,
             outcome.map_or(OnceOutcome::NotHeld, OnceOutcome::Known),
         )
@@ -165,18 +165,18 @@
         outcome: OnceOutcome,
         context: &OnceContext<'_>,
     ) -> OnceActions {
-        let Some(pending) = self.pending_forwards.remove(&ticket) else {
+        let Some(pending_forward) = self.pending_forwards.remove(&ticket) else {
             return OnceActions::new();
         };
         match outcome {
-            OnceOutcome::Known(_) => answer(pending.waiter, outcome),
+            OnceOutcome::Known(_) => answer_action(pending_forward.waiter, outcome),
             OnceOutcome::NotHeld => {
-                let mut pending = pending;
+                let mut pending_forward = pending_forward;
                 // The VM runs another process than the session's, so asking it again is useless.
-                if pending.asked_vm == pending.session.vm {
-                    pending.owner_attempts = MAX_OWNER_ATTEMPTS;
+                if pending_forward.asked_vm == pending_forward.session.vm {
+                    pending_forward.owner_attempts = MAX_OWNER_ATTEMPTS;
                 }
-                self.forward_to_next(pending, context)
+                self.forward_to_next(pending_forward, context)
             }
         }
     }
@@ -184,7 +184,7 @@
     /// Handles a forward that could not be sent: asks the next VM.
     pub fn handle_send_failure(&mut self, ticket: u64, context: &OnceContext<'_>) -> OnceActions {
         match self.pending_forwards.remove(&ticket) {
-            Some(pending) => self.forward_to_next(pending, context),
+            Some(pending_forward) => self.forward_to_next(pending_forward, context),
             None => OnceActions::new(),
         }
     }
@@ -192,8 +192,8 @@
     /// Handles a broken link to a VM: forwards to it are repeated, to the same VM or to others.
     pub fn handle_link_down(&mut self, vm: VmAddress, context: &OnceContext<'_>) -> OnceActions {
         let mut tickets: SmallVec<[u64; 16]> = SmallVec::new();
-        for (ticket, pending) in &self.pending_forwards {
-            if pending.asked_vm == vm {
+        for (ticket, pending_forward) in &self.pending_forwards {
+            if pending_forward.asked_vm == vm {
                 tickets.push(*ticket);
             }
         }
@@ -229,8 +229,8 @@
             number: self.next_transfer,
         };
         self.next_transfer += 1;
-        let (outcomes, evicted) = self.table.export();
-        let mut parts = split_session(self.own_session, transfer, outcomes, &evicted);
+        let (outcomes, evicted_keys) = self.table.export();
+        let mut parts = split_session(self.own_session, transfer, outcomes, &evicted_keys);
         parts.extend(self.adopted_sessions.export(transfer));
         parts
     }
@@ -240,7 +240,7 @@
         self.table.expire(now);
         self.adopted_sessions.expire(now);
         self.pending_forwards
-            .retain(|_ticket, pending| pending.expires_at > now);
+            .retain(|_ticket, pending_forward| pending_forward.expires_at > now);
     }
 
     /// Returns the number of keys whose query is running.
@@ -273,42 +273,42 @@
         {
             BeginVerdict::Execute => SmallVec::from_iter([OnceAction::Execute(request)]),
             BeginVerdict::Joined => OnceActions::new(),
-            BeginVerdict::Answer(outcome) => answer(waiter, OnceOutcome::Known(outcome)),
+            BeginVerdict::Answer(outcome) => answer_action(waiter, OnceOutcome::Known(outcome)),
         }
     }
 
     /// Forwards to the session's own process while it may be running, then to the VMs that may hold its outcomes.
     fn forward_to_next(
         &mut self,
-        pending: PendingForward,
+        pending_forward: PendingForward,
         context: &OnceContext<'_>,
     ) -> OnceActions {
-        let mut pending = pending;
-        let owner = pending.session.vm;
-        let may_be_running = self.may_be_running(pending.session, context.view);
-        if may_be_running && pending.owner_attempts < MAX_OWNER_ATTEMPTS {
-            pending.owner_attempts += 1;
-            return self.forward_to(pending, owner);
+        let mut pending_forward = pending_forward;
+        let owner_vm = pending_forward.session.vm;
+        let may_be_running = self.may_be_running(pending_forward.session, context.view);
+        if may_be_running && pending_forward.owner_attempts < MAX_OWNER_ATTEMPTS {
+            pending_forward.owner_attempts += 1;
+            return self.forward_to(pending_forward, owner_vm);
         }
-        while let Some(vm) = pending.candidates.pop() {
-            if vm == owner && pending.owner_attempts > 0 {
+        while let Some(vm) = pending_forward.candidate_vms.pop() {
+            if vm == owner_vm && pending_forward.owner_attempts > 0 {
                 continue;
             }
-            return self.forward_to(pending, vm);
+            return self.forward_to(pending_forward, vm);
         }
-        let refusal = unknown_refusal(may_be_running);
-        answer(pending.waiter, OnceOutcome::Known(Err(refusal)))
+        let refusal = unknown_outcome_refusal(may_be_running);
+        answer_action(pending_forward.waiter, OnceOutcome::Known(Err(refusal)))
     }
 
-    fn forward_to(&mut self, pending: PendingForward, vm: VmAddress) -> OnceActions {
+    fn forward_to(&mut self, pending_forward: PendingForward, vm: VmAddress) -> OnceActions {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
-        let request = pending.request.clone();
-        let pending = PendingForward {
+        let request = pending_forward.request.clone();
+        let pending_forward = PendingForward {
             asked_vm: vm,
-            ..pending
+            ..pending_forward
         };
-        self.pending_forwards.insert(ticket, pending);
+        self.pending_forwards.insert(ticket, pending_forward);
         let message = OnceMessage::Forward { ticket, request };
         SmallVec::from_iter([OnceAction::Send { vm, message }])
     }
@@ -327,20 +327,20 @@
     }
 }
 
-fn answer(waiter: WaiterId, outcome: OnceOutcome) -> OnceActions {
+fn answer_action(waiter: WaiterId, outcome: OnceOutcome) -> OnceActions {
     SmallVec::from_iter([OnceAction::Answer { waiter, outcome }])
 }
 
 /// Creates the refusal for a key whose outcome no reachable VM knows. It reports the run state as unknown even if this
 /// request was never sent, because an earlier send of the key may have run.
-fn unknown_refusal(may_be_running: bool) -> QueryRefusal {
-    let unknown =
+fn unknown_outcome_refusal(may_be_running: bool) -> QueryRefusal {
+    let refuse =
         |message| QueryRefusal::new(RefusalCode::OutcomeUnknown, RunState::Unknown, message);
     if may_be_running {
         let message = "the key's process can't be reached; send the same key again";
-        unknown(message).with_retry_after(OWNER_RETRY_DELAY)
+        refuse(message).with_retry_after(OWNER_RETRY_DELAY)
     } else {
-        unknown("the key's process is gone and nobody holds its outcomes")
+        refuse("the key's process is gone and nobody holds its outcomes")
     }
 }
 
--- a/crates/ebonyfork/src/once/state_tests.rs
+++ b/crates/ebonyfork/src/once/state_tests.rs
@@ -163,15 +163,15 @@
         new_work_refusal: None,
     };
     let mut states = [1, 2, 3].map(|number| OnceState::new(session(number, 9)));
-    let first = session(1, 9);
-    expect_that!(submit(&mut states[0], first, &context).len(), eq(1));
+    let first_session = session(1, 9);
+    expect_that!(submit(&mut states[0], first_session, &context).len(), eq(1));
     let refusal = QueryRefusal::new(RefusalCode::UpstreamFailed, RunState::Ran, "failed");
     states[0].finish(5, Err(refusal), NOW);
     for (from, to) in [(0, 1), (1, 2)] {
         for part in states[from].seal() {
             states[to].add_part(part, NOW);
         }
-        let actions = submit(&mut states[to], first, &context);
+        let actions = submit(&mut states[to], first_session, &context);
         expect_that!(
             refusal_and_retry(&actions),
             some(eq((RefusalCode::UpstreamFailed, false)))
--- a/crates/ebonyfork/src/once/table.rs
+++ b/crates/ebonyfork/src/once/table.rs
@@ -107,7 +107,7 @@
     entries: FxHashMap<u64, KeyEntry>,
     /// Finish time and sequence number of each key with a kept outcome, oldest first.
     finish_order: VecDeque<(Duration, u64)>,
-    evicted: EvictedKeys,
+    evicted_keys: EvictedKeys,
     kept_bytes: usize,
     running_count: usize,
     sealed: bool,
@@ -123,7 +123,7 @@
     #[must_use]
     pub fn with_limits(mut self, limits: OutcomeLimits, max_evicted_ranges: usize) -> Self {
         self.limits = limits;
-        self.evicted = EvictedKeys::new().with_max_ranges(max_evicted_ranges);
+        self.evicted_keys = EvictedKeys::new().with_max_ranges(max_evicted_ranges);
         self
     }
 
@@ -136,7 +136,7 @@
         waiter: WaiterId,
         new_work_refusal: Option<RefusalCode>,
     ) -> BeginVerdict {
-        if self.evicted.contains(sequence) {
+        if self.evicted_keys.contains(sequence) {
             return BeginVerdict::Answer(Err(evicted_key_refusal()));
         }
         if let Some(entry) = self.entries.get_mut(&sequence) {
@@ -177,7 +177,7 @@
             self.entries.remove(&sequence);
         } else if bytes > self.limits.max_bytes / LARGE_OUTCOME_DIVISOR {
             self.entries.remove(&sequence);
-            self.evicted.insert(sequence);
+            self.evicted_keys.insert(sequence);
         } else {
             let outcome = outcome.clone();
             entry.state = EntryState::Done { outcome, bytes };
@@ -204,7 +204,7 @@
             {
                 self.kept_bytes -= bytes;
             }
-            self.evicted.insert(sequence);
+            self.evicted_keys.insert(sequence);
         }
     }
 
@@ -222,7 +222,7 @@
     /// the successor reports its outcome as unknown.
     pub fn export(&self) -> (Vec<SealedOutcome>, EvictedKeys) {
         let mut outcomes = Vec::with_capacity(self.finish_order.len());
-        let mut evicted = self.evicted.clone();
+        let mut evicted_keys = self.evicted_keys.clone();
         for (_finished_at, sequence) in &self.finish_order {
             let Some(entry) = self.entries.get(sequence) else {
                 continue;
@@ -237,10 +237,10 @@
         }
         for (sequence, entry) in &self.entries {
             if matches!(entry.state, EntryState::Running(_)) {
-                evicted.insert(*sequence);
+                evicted_keys.insert(*sequence);
             }
         }
-        (outcomes, evicted)
+        (outcomes, evicted_keys)
     }
 
     /// Returns the number of keys whose query is running.
@@ -281,14 +281,14 @@
 
 /// Estimates the memory that a kept outcome takes, in bytes.
 pub(super) fn outcome_bytes(outcome: &QueryOutcome) -> usize {
-    let content = match outcome {
+    let content_bytes = match outcome {
         Ok(answer) => {
-            let bodies: usize = answer.bodies.iter().map(|body| body.len() + 32).sum();
-            bodies + answer.coverage.missing.len() * 4 + answer.query.len()
+            let body_bytes: usize = answer.bodies.iter().map(|body| body.len() + 32).sum();
+            body_bytes + answer.coverage.missing.len() * 4 + answer.query.len()
         }
         Err(refusal) => refusal.message.len(),
     };
-    content + ENTRY_OVERHEAD_BYTES
+    content_bytes + ENTRY_OVERHEAD_BYTES
 }
 
 pub(super) fn evicted_key_refusal() -> QueryRefusal {
--- a/crates/ebonyfork/src/once/table_tests.rs
+++ b/crates/ebonyfork/src/once/table_tests.rs
@@ -51,7 +51,7 @@
             Duration::ZERO,
         );
     };
-    let evicted: Prepare = |table| {
+    let evicted_key: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
         table.expire(Duration::from_secs(1) + OUTCOME_TTL);
@@ -72,14 +72,14 @@
     };
     let never_sent: Prepare = |_table| {};
     let refused_as = |code, ran| Some((code, ran));
-    let (stopping, fenced) = (Some(RefusalCode::Stopping), Some(RefusalCode::NotReady));
+    let (stopping_code, fenced_code) = (Some(RefusalCode::Stopping), Some(RefusalCode::NotReady));
     let cases = [
         ("new", never_sent, DIGEST, None, "execute", None),
         (
             "new, fenced",
             never_sent,
             DIGEST,
-            fenced,
+            fenced_code,
             "refusal",
             refused_as(RefusalCode::NotReady, RunState::NotRun),
         ),
@@ -87,7 +87,7 @@
             "new, stopping",
             never_sent,
             DIGEST,
-            stopping,
+            stopping_code,
             "refusal",
             refused_as(RefusalCode::Stopping, RunState::NotRun),
         ),
@@ -100,7 +100,14 @@
             refused_as(RefusalCode::Stopping, RunState::NotRun),
         ),
         ("running", running, DIGEST, None, "join", None),
-        ("running, fenced", running, DIGEST, fenced, "join", None),
+        (
+            "running, fenced",
+            running,
+            DIGEST,
+            fenced_code,
+            "join",
+            None,
+        ),
         (
             "running, sealed",
             sealed_running,
@@ -118,7 +125,7 @@
             refused_as(RefusalCode::BadRequest, RunState::NotRun),
         ),
         ("ran", ran, DIGEST, None, "answer", None),
-        ("ran, stopping", ran, DIGEST, stopping, "answer", None),
+        ("ran, stopping", ran, DIGEST, stopping_code, "answer", None),
         ("ran, sealed", sealed_ran, DIGEST, None, "answer", None),
         (
             "ran, another request",
@@ -147,7 +154,7 @@
         ),
         (
             "evicted",
-            evicted,
+            evicted_key,
             DIGEST,
             None,
             "refusal",
@@ -155,9 +162,9 @@
         ),
         (
             "evicted, fenced",
-            evicted,
+            evicted_key,
             DIGEST,
-            fenced,
+            fenced_code,
             "refusal",
             refused_as(RefusalCode::OutcomeUnknown, RunState::Unknown),
         ),
@@ -170,7 +177,7 @@
             refused_as(RefusalCode::OutcomeUnknown, RunState::Unknown),
         ),
     ];
-    for (name, prepare, digest, new_work_refusal, expected, refused) in cases {
+    for (name, prepare, digest, new_work_refusal, expected, expected_refusal) in cases {
         let mut table = OutcomeTable::new();
         prepare(&mut table);
         let verdict = table.begin(1, digest, SECOND_WAITER, new_work_refusal);
@@ -180,7 +187,7 @@
             BeginVerdict::Answer(Ok(_)) => ("answer", None),
             BeginVerdict::Answer(Err(refusal)) => ("refusal", Some((refusal.code, refusal.ran))),
         };
-        expect_that!((kind, code), eq((expected, refused)), "{name}");
+        expect_that!((kind, code), eq((expected, expected_refusal)), "{name}");
         if verdict == BeginVerdict::Joined {
             expect_that!(table.finish(1, &Ok(answer(3)), now).len(), eq(2), "{name}");
         }
@@ -213,9 +220,9 @@
         let verdict = table.begin(sequence, DIGEST, FIRST_WAITER, None);
         expect_that!(verdict, not(eq(&BeginVerdict::Execute)), "{sequence}");
     }
-    let (outcomes, evicted) = table.export();
+    let (outcomes, evicted_keys) = table.export();
     expect_that!(
-        outcomes.len() as u64 + evicted.ranges().next().unwrap().last + 1,
+        outcomes.len() as u64 + evicted_keys.ranges().next().unwrap().last + 1,
         eq(100)
     );
 }
