--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -10,7 +10,7 @@
 use http::HeaderMap;
 
 use crate::ident::{ClassName, OrganisationName, RunState};
-use crate::query::{QueryRefusal, QueryRequest, RECORD_LIMIT, RefusalCode};
+use crate::query::{MAX_RECORD_BYTES, QueryRefusal, QueryRequest, RefusalCode};
 
 /// Header with the name of the organisation.
 pub const ORGANISATION_HEADER: &str = "x-organisation";
@@ -44,7 +44,7 @@
         class,
         organisation,
         deadline: read_deadline(headers)?,
-        record: read_bounded_header(headers, RECORD_HEADER, RECORD_LIMIT)?,
+        record: read_bounded_header(headers, RECORD_HEADER, MAX_RECORD_BYTES)?,
         selection,
         key: parse_header(headers, IDEMPOTENCY_KEY_HEADER)?,
         caller_id: read_bounded_header(headers, QUERY_ID_HEADER, MAX_QUERY_ID_BYTES)?,
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -19,7 +19,7 @@
 };
 use crate::ident::{OrganisationName, RunState};
 use crate::query::{
-    QueryAnswer, QueryOutcome, QueryRefusal, QueryRequest, RefusalCode, SELECTION_LIMIT,
+    MAX_SELECTION_BYTES, QueryAnswer, QueryOutcome, QueryRefusal, QueryRequest, RefusalCode,
 };
 use crate::views::{NodeReadiness, NodeViews};
 
@@ -125,7 +125,7 @@
 
     fn check_ready(&self) -> Result<(), QueryRefusal> {
         let readiness = *self.views.readiness.borrow();
-        if readiness.takes_work() {
+        if readiness.accepts_work() {
             return Ok(());
         }
         let refusal = match readiness {
@@ -139,7 +139,7 @@
 }
 
 async fn read_selection(body: Incoming) -> Result<Bytes, QueryRefusal> {
-    let body_future = Limited::new(body, SELECTION_LIMIT).collect();
+    let body_future = Limited::new(body, MAX_SELECTION_BYTES).collect();
     let read_result = match tokio::time::timeout(BODY_TIMEOUT, body_future).await {
         Ok(read_result) => read_result,
         Err(_elapsed) => return Err(bad_body_refusal("the body did not come in time")),
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -108,7 +108,7 @@
         let labels = class_labels(class);
         match outcome {
             Ok(answer) => {
-                let outcome_kind = if answer.coverage.is_thin() {
+                let outcome_kind = if answer.coverage.is_incomplete() {
                     "thin"
                 } else {
                     "whole"
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -513,7 +513,7 @@
         match outcome {
             Ok(answer) => {
                 result.latencies.push(duration);
-                result.thin_answers += u32::from(answer.coverage.is_thin());
+                result.thin_answers += u32::from(answer.coverage.is_incomplete());
                 let met_coverage = answer.coverage.share() >= self.class.coverage;
                 result.good_answers += u32::from(met_coverage && duration <= self.class.latency);
             }
--- a/crates/ebonyfork/src/gateway/exchange.rs
+++ b/crates/ebonyfork/src/gateway/exchange.rs
@@ -334,11 +334,11 @@
             if is_reusable {
                 upstream.release(active_link, keep_alive);
             }
-            ReplyBody::Whole(body.begun)
+            ReplyBody::Whole(body.beginning)
         }
         (Some(rest), Some(idle_timeout)) if !is_declined => {
             let mut stream =
-                AnswerStream::new((body.begun, rest), active_link, upstream, idle_timeout);
+                AnswerStream::new((body.beginning, rest), active_link, upstream, idle_timeout);
             if is_reusable {
                 stream = stream.with_reuse(keep_alive);
             }
--- a/crates/ebonyfork/src/lifecycle/handle_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/handle_tests.rs
@@ -18,8 +18,8 @@
     _catalog: CatalogWriter,
 }
 
-/// A lifecycle of a VM with one peer, all views filled.
-fn start() -> TestLifecycle {
+/// Starts the lifecycle of a VM with one peer, and fills all its views.
+fn start_lifecycle() -> TestLifecycle {
     let (writers, views) = view_channels();
     let ViewWriters {
         topology,
@@ -28,8 +28,8 @@
         readiness,
     } = writers;
     let zone: ZoneName = "zone-a".parse().unwrap();
-    let vms = [1, 2].map(|last| VmEntry {
-        vm: VmAddress([10, 0, 0, last].into()),
+    let vms = [1, 2].map(|last_octet| VmEntry {
+        vm: VmAddress([10, 0, 0, last_octet].into()),
         zone: zone.clone(),
         incarnation: None,
         leaving: false,
@@ -42,7 +42,7 @@
         leaving: false,
     };
     let handle = LifecycleHandle::start(LifecycleSettings::new(), readiness, views.clone());
-    assert_eq!(handle.look(), NodeReadiness::Starting);
+    assert_eq!(handle.update_readiness(), NodeReadiness::Starting);
     topology.send_replace(Arc::new(TopologyView::new(vms, [upstream])));
     config.send_replace(Arc::new(DeclaredConfig {
         revision: RevisionNumber(1),
@@ -51,7 +51,7 @@
     catalog.send_replace(Arc::new(
         [("tenders".parse().unwrap(), IndexCatalog::default())].into(),
     ));
-    assert_eq!(handle.look(), NodeReadiness::Ready);
+    assert_eq!(handle.update_readiness(), NodeReadiness::Ready);
     TestLifecycle {
         handle,
         views,
@@ -70,8 +70,8 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn silence_fences_and_word_lifts_it() {
-    let lifecycle = start();
+async fn a_process_without_contact_is_fenced_until_the_next_contact() {
+    let lifecycle = start_lifecycle();
     let handle = &lifecycle.handle;
     tokio::time::sleep(Duration::from_secs(6)).await;
     expect_that!(
@@ -91,14 +91,14 @@
         handle.serve(true, async { Ok(answer()) }).await,
         ok(anything())
     );
-    handle.note_peer_contact();
-    expect_that!(handle.look(), eq(NodeReadiness::Ready));
+    handle.record_peer_contact();
+    expect_that!(handle.update_readiness(), eq(NodeReadiness::Ready));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn the_first_request_after_a_pause_finds_out() {
-    let lifecycle = start();
+async fn the_first_request_after_a_pause_is_refused() {
+    let lifecycle = start_lifecycle();
     tokio::time::advance(Duration::from_secs(4)).await;
     let outcome = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
     expect_that!(
@@ -111,14 +111,14 @@
 async fn stop(
     lifecycle: &TestLifecycle,
     bound: Duration,
-    hurry: CancellationToken,
+    skip_waiting: CancellationToken,
 ) -> (StopReport, bool) {
     let announced = AtomicBool::new(false);
     let steps = StopSteps {
         announce: || announced.store(true, Ordering::Relaxed),
         in_flight: || 0,
         hand_over: || async { None },
-        hurry,
+        skip_waiting,
     };
     let plan = StopPlan::new(Duration::from_secs(1), bound);
     let report = lifecycle.handle.stop(plan, steps).await;
@@ -127,57 +127,58 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_stop_finishes_what_is_in_flight() {
-    let lifecycle = start();
-    let slow = lifecycle.handle.clone();
-    let slow = tokio::spawn(async move {
-        let run = async {
+async fn a_planned_stop_finishes_the_requests_in_flight() {
+    let lifecycle = start_lifecycle();
+    let slow_request = lifecycle.handle.clone();
+    let slow_request = tokio::spawn(async move {
+        let slow_run = async {
             tokio::time::sleep(Duration::from_secs(3)).await;
             Ok(answer())
         };
-        slow.serve(false, run).await
+        slow_request.serve(false, slow_run).await
     });
-    let late = async {
+    let later_requests = async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let taken = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
+        let accepted = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         (
-            taken,
+            accepted,
             lifecycle.handle.serve(false, async { Ok(answer()) }).await,
         )
     };
-    let stopping = stop(
+    let stop_future = stop(
         &lifecycle,
         Duration::from_secs(10),
         CancellationToken::new(),
     );
-    let ((report, announced), (taken, refused)) = tokio::join!(stopping, late);
+    let ((report, announced), (accepted, refused)) = tokio::join!(stop_future, later_requests);
     expect_that!(announced, eq(true));
     expect_that!(report.given_up, eq(0));
-    expect_that!(taken, ok(anything()));
+    expect_that!(accepted, ok(anything()));
     expect_that!(
         refused.map_err(|refusal| refusal.code),
         err(eq(&RefusalCode::Stopping))
     );
-    expect_that!(slow.await.unwrap(), ok(anything()));
+    expect_that!(slow_request.await.unwrap(), ok(anything()));
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn what_is_given_up_is_answered_as_unknown() {
+async fn abandoned_requests_are_answered_as_unknown() {
     for (keyed, code) in [
         (false, RefusalCode::UpstreamFailed),
         (true, RefusalCode::OutcomeUnknown),
     ] {
-        let lifecycle = start();
-        let stuck = lifecycle.handle.clone();
-        let stuck = tokio::spawn(async move { stuck.serve(keyed, std::future::pending()).await });
+        let lifecycle = start_lifecycle();
+        let stuck_request = lifecycle.handle.clone();
+        let stuck_request =
+            tokio::spawn(async move { stuck_request.serve(keyed, std::future::pending()).await });
         tokio::task::yield_now().await;
-        let hurry = CancellationToken::new();
-        hurry.cancel();
-        let (report, _) = stop(&lifecycle, Duration::from_secs(10), hurry).await;
+        let skip_waiting = CancellationToken::new();
+        skip_waiting.cancel();
+        let (report, _) = stop(&lifecycle, Duration::from_secs(10), skip_waiting).await;
         expect_that!(report.given_up, eq(1));
-        let refusal = stuck.await.unwrap().unwrap_err();
+        let refusal = stuck_request.await.unwrap().unwrap_err();
         expect_that!((refusal.code, refusal.ran), eq((code, RunState::Unknown)));
     }
 }
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -83,7 +83,9 @@
     pub async fn ready(&self) {
         let mut readiness = self.views.readiness.clone();
         // The writer lives as long as the node, so the wait can't end with an error.
-        let _ready = readiness.wait_for(|readiness| readiness.takes_work()).await;
+        let _ready = readiness
+            .wait_for(|readiness| readiness.accepts_work())
+            .await;
     }
 
     /// Performs a planned stop: announces that the node is leaving, finishes the work in flight, then stops all
@@ -104,7 +106,7 @@
                 let successor = session_successor(&views.topology.borrow(), *session)?;
                 Some(dispatch.once.hand_over(successor).await)
             },
-            hurry: self.hurry.clone(),
+            skip_waiting: self.hurry.clone(),
         };
         let report = self.lifecycle.stop(plan, steps).await;
         self.stop.cancel();
@@ -263,7 +265,7 @@
             let (client, lifecycle) = (client.clone(), lifecycle.clone());
             Box::pin(async move {
                 let records = read_vm_list(&client).await?;
-                lifecycle.note_store_contact();
+                lifecycle.record_store_contact();
                 Ok::<_, StoreError>(records)
             })
         };
@@ -436,7 +438,7 @@
         let (for_list, for_lift) = (self.quarantine.clone(), self.quarantine.clone());
         let service = OperatorService::new(
             registry,
-            move || readiness.borrow().takes_work(),
+            move || readiness.borrow().accepts_work(),
             move || reader.read(),
         )
         .with_quarantine(
--- a/crates/ebonyfork/src/node/dispatch.rs
+++ b/crates/ebonyfork/src/node/dispatch.rs
@@ -30,7 +30,7 @@
             LinkEvent::Down { vm, unsent } => {
                 let is_keyed = |message: &PeerMessage| matches!(message, PeerMessage::Once(_));
                 let (keyed, unsent) = unsent.into_iter().partition(is_keyed);
-                self.once.link_down(vm, keyed).await;
+                self.once.handle_link_down(vm, keyed).await;
                 self.entry.handle_link_down(vm, unsent).await;
             }
         }
@@ -47,7 +47,7 @@
             }
             PeerMessage::Revision(message) => self.revision.handle_message(from, message).await,
             PeerMessage::Catalog(message) => self.catalog.handle_message(from, message).await,
-            PeerMessage::Once(message) => self.once.take_message(from, message).await,
+            PeerMessage::Once(message) => self.once.handle_message(from, message).await,
             PeerMessage::Partial(_)
             | PeerMessage::Mirror(_)
             | PeerMessage::RouteCheck(_)
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -22,8 +22,8 @@
     writers: ViewWriters,
 }
 
-fn address(last: u8) -> VmAddress {
-    VmAddress([127, 0, 9, last].into())
+fn vm_address(last_octet: u8) -> VmAddress {
+    VmAddress([127, 0, 9, last_octet].into())
 }
 
 fn config() -> DeclaredConfig {
@@ -46,47 +46,47 @@
 }
 
 impl TestNode {
-    /// Starts a node whose runs take a moment and count.
-    fn start(last: u8, listener: TcpListener, view: &TopologyView) -> Self {
-        let session = SessionId::new(address(last), IncarnationNumber(1));
+    /// Starts a node whose queries take 20 ms each and are counted.
+    fn start(last_octet: u8, listener: TcpListener, view: &TopologyView) -> Self {
+        let session = SessionId::new(vm_address(last_octet), IncarnationNumber(1));
         let (writers, views) = view_channels();
         writers.config.send_replace(Arc::new(config()));
         writers.topology.send_replace(Arc::new(view.clone()));
         writers.readiness.send_replace(NodeReadiness::Ready);
         let port = listener.local_addr().unwrap().port();
         let stop = CancellationToken::new();
-        let slot: Arc<std::sync::OnceLock<OnceHandle>> = Arc::default();
-        let own = Arc::clone(&slot);
+        let handle_cell: Arc<std::sync::OnceLock<OnceHandle>> = Arc::default();
+        let own_handle = Arc::clone(&handle_cell);
         let pool = PeerPool::new(
             PoolSettings::new(session, port),
             stop.clone(),
             move |event| {
-                let own = Arc::clone(&own);
+                let own_handle = Arc::clone(&own_handle);
                 Box::pin(async move {
-                    let Some(once) = own.get() else { return };
+                    let Some(once) = own_handle.get() else { return };
                     match event {
                         LinkEvent::Message {
                             from,
                             message: PeerMessage::Once(message),
                         } => {
-                            once.take_message(from, message).await;
+                            once.handle_message(from, message).await;
                         }
-                        LinkEvent::Down { vm, unsent } => once.link_down(vm, unsent).await,
+                        LinkEvent::Down { vm, unsent } => once.handle_link_down(vm, unsent).await,
                         LinkEvent::Message { .. } => {}
                     }
                 })
             },
         );
-        let acceptor = pool.clone();
-        tokio::spawn(async move { acceptor.accept(listener).await });
+        let accepting_pool = pool.clone();
+        tokio::spawn(async move { accepting_pool.accept(listener).await });
         let runs = Arc::new(AtomicU32::new(0));
-        let counter = Arc::clone(&runs);
+        let run_counter = Arc::clone(&runs);
         let execute = move |request: QueryRequest| -> BoxFuture<'static, QueryOutcome> {
-            let run = counter.fetch_add(1, Ordering::Relaxed);
+            let run_number = run_counter.fetch_add(1, Ordering::Relaxed);
             Box::pin(async move {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 Ok(QueryAnswer {
-                    query: format!("run {run}").into(),
+                    query: format!("run {run_number}").into(),
                     snapshot: SnapshotVersion(1),
                     coverage: QueryCoverage::default(),
                     bodies: vec![request.selection],
@@ -96,7 +96,7 @@
         let once = OnceHandle::start(session, views, execute, move |vm, message| {
             pool.send(vm, message)
         });
-        slot.set(once.clone()).unwrap();
+        handle_cell.set(once.clone()).unwrap();
         Self {
             once,
             session,
@@ -111,10 +111,10 @@
     }
 }
 
-/// Starts nodes 1 to 3 on one port, each with a view of all.
+/// Starts nodes 1 to 3 on one port, each with a topology that lists all three.
 async fn start_nodes() -> [TestNode; 3] {
-    let entries = [1, 2, 3].map(|last| VmEntry {
-        vm: address(last),
+    let entries = [1, 2, 3].map(|last_octet| VmEntry {
+        vm: vm_address(last_octet),
         zone: "zone-a".parse().unwrap(),
         incarnation: Some(IncarnationNumber(1)),
         leaving: false,
@@ -122,14 +122,14 @@
     let view = TopologyView::new(entries, []);
     let mut listeners = Vec::new();
     let mut port = 0;
-    for last in 1..=3 {
-        let bound = TcpListener::bind(SocketAddr::new(address(last).0, port)).await;
-        let listener = bound.unwrap();
+    for last_octet in 1..=3 {
+        let bind_result = TcpListener::bind(SocketAddr::new(vm_address(last_octet).0, port)).await;
+        let listener = bind_result.unwrap();
         port = listener.local_addr().unwrap().port();
         listeners.push(listener);
     }
     let mut listeners = listeners.into_iter();
-    [1, 2, 3].map(|last| TestNode::start(last, listeners.next().unwrap(), &view))
+    [1, 2, 3].map(|last_octet| TestNode::start(last_octet, listeners.next().unwrap(), &view))
 }
 
 fn request(class: &str, key: Option<IdempotencyKey>) -> QueryRequest {
@@ -144,7 +144,7 @@
     }
 }
 
-fn code(outcome: &QueryOutcome) -> Option<(RefusalCode, RunState)> {
+fn refusal_of(outcome: &QueryOutcome) -> Option<(RefusalCode, RunState)> {
     let refusal = outcome.as_ref().err()?;
     Some((refusal.code, refusal.ran))
 }
@@ -160,22 +160,22 @@
     let refusal = once.run(request("deferral", None)).await.unwrap_err();
     expect_that!(refusal.code, eq(RefusalCode::BadRequest));
     expect_that!(refusal.ran, eq(RunState::NotRun));
-    expect_that!(refusal.field.as_deref(), some(eq(KEY_FIELD)));
+    expect_that!(refusal.field.as_deref(), some(eq(KEY_HEADER)));
 }
 
 #[gtest]
 #[tokio::test]
-async fn resends_through_any_vm_get_the_first_outcome_also_after_a_stop() {
+async fn resends_through_any_vm_get_the_first_outcome_even_after_a_planned_stop() {
     let nodes = start_nodes().await;
     let key = IdempotencyKey {
         session: nodes[0].session,
         sequence: 7,
     };
     let send = |node: usize| nodes[node].once.run(request("deferral", Some(key)));
-    let (first, second, third) = tokio::join!(send(0), send(1), send(2));
-    expect_that!(first, ok(anything()));
-    expect_that!(second, eq(&first));
-    expect_that!(third, eq(&first));
+    let (first_outcome, second_outcome, third_outcome) = tokio::join!(send(0), send(1), send(2));
+    expect_that!(first_outcome, ok(anything()));
+    expect_that!(second_outcome, eq(&first_outcome));
+    expect_that!(third_outcome, eq(&first_outcome));
     expect_that!(nodes[0].runs(), eq(1));
     expect_that!(nodes[0].once.in_flight(), eq(0));
 
@@ -194,11 +194,11 @@
     nodes[0].stop.cancel();
     let new_key = IdempotencyKey { sequence: 8, ..key };
     for node in &nodes[1..] {
-        let again = node.once.run(request("deferral", Some(key))).await;
-        expect_that!(again, eq(&first));
-        let new = node.once.run(request("deferral", Some(new_key))).await;
+        let resend_outcome = node.once.run(request("deferral", Some(key))).await;
+        expect_that!(resend_outcome, eq(&first_outcome));
+        let new_key_outcome = node.once.run(request("deferral", Some(new_key))).await;
         expect_that!(
-            code(&new),
+            refusal_of(&new_key_outcome),
             some(eq((RefusalCode::Stopping, RunState::NotRun)))
         );
     }
@@ -207,21 +207,21 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_crashed_session_is_unknown_and_a_dropped_caller_loses_nothing() {
+async fn a_dropped_call_keeps_its_outcome_until_the_session_crashes() {
     let nodes = start_nodes().await;
     let key = IdempotencyKey {
         session: nodes[0].session,
         sequence: 7,
     };
-    let dropped = nodes[1].once.run(request("deferral", Some(key)));
-    let gone = tokio::time::timeout(Duration::from_millis(1), dropped).await;
-    expect_that!(gone.is_err(), eq(true));
-    let again = nodes[2].once.run(request("deferral", Some(key))).await;
-    expect_that!(again, ok(anything()));
+    let dropped_call = nodes[1].once.run(request("deferral", Some(key)));
+    let timed_out = tokio::time::timeout(Duration::from_millis(1), dropped_call).await;
+    expect_that!(timed_out.is_err(), eq(true));
+    let resend_outcome = nodes[2].once.run(request("deferral", Some(key))).await;
+    expect_that!(resend_outcome, ok(anything()));
     nodes[0].stop.cancel();
-    let lost = nodes[2].once.run(request("deferral", Some(key))).await;
+    let outcome_after_crash = nodes[2].once.run(request("deferral", Some(key))).await;
     expect_that!(
-        code(&lost),
+        refusal_of(&outcome_after_crash),
         some(eq((RefusalCode::OutcomeUnknown, RunState::Unknown)))
     );
     expect_that!(nodes[0].runs() + nodes[1].runs() + nodes[2].runs(), eq(1));
@@ -229,28 +229,28 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_successor_that_stops_as_well_is_passed_over() {
+async fn a_handover_skips_a_successor_that_is_stopping_too() {
     let nodes = start_nodes().await;
     let key = IdempotencyKey {
         session: nodes[0].session,
         sequence: 7,
     };
-    let first = nodes[0].once.run(request("deferral", Some(key))).await;
+    let first_outcome = nodes[0].once.run(request("deferral", Some(key))).await;
     let view = nodes[0].once.views.topology.borrow().clone();
     let successors = session_successors(&view, key.session);
-    let number = |vm: VmAddress| nodes.iter().position(|node| node.session.vm == vm);
-    let (stopping, staying) = (
-        number(successors[0]).unwrap(),
-        number(successors[1]).unwrap(),
+    let node_index = |vm: VmAddress| nodes.iter().position(|node| node.session.vm == vm);
+    let (stopping_node, staying_node) = (
+        node_index(successors[0]).unwrap(),
+        node_index(successors[1]).unwrap(),
     );
-    nodes[stopping].once.hand_over(successors[1]).await;
+    nodes[stopping_node].once.hand_over(successors[1]).await;
     let report = nodes[0].once.hand_over(successors[0]).await;
     expect_that!(report.taken, eq(true), "{report}");
     nodes[0].stop.cancel();
-    nodes[stopping].stop.cancel();
-    let again = nodes[staying]
+    nodes[stopping_node].stop.cancel();
+    let resend_outcome = nodes[staying_node]
         .once
         .run(request("deferral", Some(key)))
         .await;
-    expect_that!(again, eq(&first));
+    expect_that!(resend_outcome, eq(&first_outcome));
 }
--- a/crates/ebonyfork/src/store/mod.rs
+++ b/crates/ebonyfork/src/store/mod.rs
@@ -315,10 +315,12 @@
     tokio::pin!(call);
     let mut wait = first_timeout;
     loop {
-        let received = traffic.received();
+        let received = traffic.received_bytes();
         match tokio::time::timeout(wait, &mut call).await {
             Ok(result) => return result,
-            Err(_elapsed) if traffic.received() == received => return Err(timeout_error(wait)),
+            Err(_elapsed) if traffic.received_bytes() == received => {
+                return Err(timeout_error(wait));
+            }
             Err(_elapsed) => wait = silence_timeout,
         }
     }
--- a/crates/ebonyfork/src/traffic.rs
+++ b/crates/ebonyfork/src/traffic.rs
@@ -1,7 +1,7 @@
-//! What has come in from elsewhere, counted before whole messages can be made of it.
+//! Counts bytes received on a connection, before they form complete messages.
 //!
-//! A long message is silent to its receiver until its last byte is there. The count tells a peer that sends it slowly from
-//! one that sends nothing.
+//! A receiver sees a long message only once its last byte has arrived. The count distinguishes a peer that is sending
+//! slowly from one that sends nothing.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Counts the bytes that have come in. Clones share the count.
+/// Counts received bytes. Clones share the count.
 ///
 /// # Examples
 ///
@@ -19,27 +19,28 @@
 /// use ebonyfork::traffic::LinkTraffic;
 ///
 /// let traffic = LinkTraffic::default();
-/// traffic.clone().note(1_400);
-/// assert_eq!(traffic.received(), 1_400); // bytes
+/// traffic.clone().add(1_400);
+/// assert_eq!(traffic.received_bytes(), 1_400);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct LinkTraffic {
-    received: Arc<AtomicU64>,
+    received_bytes: Arc<AtomicU64>,
 }
 
 impl LinkTraffic {
-    /// Bytes received so far.
-    pub fn received(&self) -> u64 {
-        self.received.load(Ordering::Relaxed)
+    /// Returns the number of bytes received so far.
+    pub fn received_bytes(&self) -> u64 {
+        self.received_bytes.load(Ordering::Relaxed)
     }
 
-    /// Counts some bytes more.
-    pub fn note(&self, bytes: usize) {
-        self.received.fetch_add(bytes as u64, Ordering::Relaxed);
+    /// Adds `bytes` to the count.
+    pub fn add(&self, bytes: usize) {
+        self.received_bytes
+            .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 }
 
-/// A reader that counts what it reads.
+/// Reader that counts the bytes it reads in a [`LinkTraffic`].
 #[derive(Debug)]
 pub(crate) struct CountedReader<R> {
     reader: R,
@@ -58,9 +59,9 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
-        let polled = Pin::new(&mut self.reader).poll_read(cx, buf);
-        self.traffic.note(buf.filled().len() - before);
-        polled
+        let filled_before = buf.filled().len();
+        let poll_result = Pin::new(&mut self.reader).poll_read(cx, buf);
+        self.traffic.add(buf.filled().len() - filled_before);
+        poll_result
     }
 }
