--- a/crates/ebonyfork/src/caller/request.rs
+++ b/crates/ebonyfork/src/caller/request.rs
@@ -14,7 +14,7 @@
 
 /// Header with the name of the organisation.
 pub const ORGANISATION_HEADER: &str = "x-organisation";
-/// Header with the caller's deadline, in milliseconds.
+/// Header with the time to the caller's deadline, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-deadline-ms";
 /// Header with the idempotency key of a non-idempotent query.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
@@ -24,8 +24,8 @@
 pub const RECORD_HEADER: &str = "x-record";
 /// Maximum length of a caller's query id, in bytes.
 pub const MAX_QUERY_ID_BYTES: usize = 128;
-/// Longest deadline that a caller may set.
-const MAX_DEADLINE: Duration = Duration::from_hours(24);
+/// Longest time to the deadline that a caller may set.
+const MAX_TIME_TO_DEADLINE: Duration = Duration::from_hours(24);
 
 /// Builds a query from the class in the request path, the headers and `selection`, the request body that selects the
 /// rows; refuses a malformed class or header. The size of `selection` is not checked.
@@ -67,14 +67,14 @@
     let Some(millis) = parse_header::<u64>(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
-    let deadline = Duration::from_millis(millis);
-    if deadline > MAX_DEADLINE {
+    let time_to_deadline = Duration::from_millis(millis);
+    if time_to_deadline > MAX_TIME_TO_DEADLINE {
         return Err(bad_request_refusal(
             DEADLINE_HEADER,
             "expected at most a day",
         ));
     }
-    Ok(Some(deadline))
+    Ok(Some(time_to_deadline))
 }
 
 /// Parses the value of a header; returns `None` if the header is missing.
--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -65,13 +65,13 @@
         }
         .boxed()
     };
-    let locate = |_organisation| LocateAnswer {
+    let answer_locate = |_organisation| LocateAnswer {
         addresses: smallvec::smallvec!["127.0.0.1:7100".parse().unwrap()],
         ttl: Duration::from_secs(5),
         session: "127.0.0.1-17".parse().unwrap(),
     };
     let stop = CancellationToken::new();
-    let service = CallerService::new(run, locate, views);
+    let service = CallerService::new(run, answer_locate, views);
     let server_task = tokio::spawn(serve_callers(listener, service, stop.clone()));
     CallerFixture {
         address,
@@ -116,8 +116,8 @@
     expect_that!(response.headers()["x-snapshot"], eq("17"));
     let expected_body = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
     expect_that!(response.body().as_ref(), eq(&expected_body[..]));
-    let locate = Request::get("/v1/locate").body(Full::default()).unwrap();
-    let response = send_request(fixture.address, locate).await;
+    let locate_request = Request::get("/v1/locate").body(Full::default()).unwrap();
+    let response = send_request(fixture.address, locate_request).await;
     let answer: LocateAnswer = serde_json::from_slice(response.body()).unwrap();
     expect_that!(answer.ttl, eq(Duration::from_secs(5)));
 }
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -50,7 +50,7 @@
 const LIMIT_INCREASE_STEP: f64 = 0.05;
 /// Share of queries that may miss their target in addition to the share that the latency percentile allows.
 const MISS_TOLERANCE: f64 = 0.02;
-/// Divisor of the allowed wait that gives the wait above which a query counts as admitted under load.
+/// A query counts as admitted under load if its predicted wait exceeds the allowed wait divided by this number.
 const LOADED_WAIT_DIVISOR: u32 = 4;
 
 /// The figures by which the admission of one query is decided.
@@ -142,9 +142,10 @@
 pub struct AdmissionControl {
     usage_by_organisation: FxHashMap<OrganisationName, DecayingSum>,
     total_usage: DecayingSum,
-    /// Number of organisations that are not idle.
-    active_organisations: u32,
-    last_count_at: Duration,
+    /// Number of organisations in `usage_by_organisation`. An organisation is added with its first admitted query, and
+    /// removed by the next count that finds its usage at or below [`IDLE_USAGE`].
+    active_organisation_count: u32,
+    organisations_counted_at: Duration,
     class_limits: SecondaryMap<ClassId, ClassLimit>,
 }
 
@@ -210,12 +211,16 @@
             .usage_by_organisation
             .get(organisation)
             .map_or(0.0, |sum| sum.value(now));
-        let fair_share = self.total_usage.value(now) / f64::from(self.active_organisations.max(1));
+        let fair_share =
+            self.total_usage.value(now) / f64::from(self.active_organisation_count.max(1));
         if recent_usage <= cost_seconds * LIGHT_QUERY_COUNT
-            || (self.active_organisations > 1 && recent_usage < fair_share * LIGHT_USAGE_FACTOR)
+            || (self.active_organisation_count > 1
+                && recent_usage < fair_share * LIGHT_USAGE_FACTOR)
         {
             OrganisationUsage::Light
-        } else if self.active_organisations > 1 && recent_usage > fair_share * HEAVY_USAGE_FACTOR {
+        } else if self.active_organisation_count > 1
+            && recent_usage > fair_share * HEAVY_USAGE_FACTOR
+        {
             OrganisationUsage::Heavy
         } else {
             OrganisationUsage::Fair
@@ -231,17 +236,17 @@
         let mut sum = DecayingSum::default();
         sum.add(now, cost_seconds);
         self.usage_by_organisation.insert(organisation.clone(), sum);
-        self.active_organisations += 1;
+        self.active_organisation_count += 1;
     }
 
     fn forget_idle_organisations(&mut self, now: Duration) {
-        if now < self.last_count_at + ORGANISATION_COUNT_PERIOD {
+        if now < self.organisations_counted_at + ORGANISATION_COUNT_PERIOD {
             return;
         }
-        self.last_count_at = now;
+        self.organisations_counted_at = now;
         self.usage_by_organisation
             .retain(|_, sum| sum.value(now) > IDLE_USAGE);
-        self.active_organisations = self.usage_by_organisation.len() as u32;
+        self.active_organisation_count = self.usage_by_organisation.len() as u32;
     }
 }
 
--- a/crates/ebonyfork/src/entry/admission_tests.rs
+++ b/crates/ebonyfork/src/entry/admission_tests.rs
@@ -57,7 +57,7 @@
 }
 
 #[gtest]
-fn misses_lower_the_limit_and_hits_raise_it_again() {
+fn missed_targets_lower_the_limit_and_met_targets_raise_it_again() {
     let organisation = "steady".parse().unwrap();
     let class = ClassId::from_u32(0);
     let mut admission = AdmissionControl::default();
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -19,7 +19,7 @@
 /// attempt at a shard is the one with [`AttemptPurpose::First`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
-    /// The first attempt takes far too long.
+    /// The first attempt is answered after 900 ms instead of 10 ms.
     Straggler,
     /// The first upstream refuses connections.
     Refusing,
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -70,7 +70,8 @@
 }
 
 impl ShardGather {
-    /// Restarts at a version with the needed shards, in shard order, and reuses the allocation of the slots.
+    /// Resets the gather for a query that pins `version`. `shards` are the shards that the query needs, each with the
+    /// service that holds it, in ascending order of shard numbers. The allocation of the slots is reused.
     pub fn reset(
         &mut self,
         version: SnapshotVersion,
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -55,7 +55,8 @@
     last_outcome_at: Duration,
     /// Requests submitted by this entry since the last report, less those that have ended.
     submitted_since_report: u32,
-    /// Moving average of the service time, or the value of the last report.
+    /// Moving average of the time that the upstream takes for a request that returns rows. A relay's report replaces
+    /// the average if the report states a service time. None before the first of either.
     service_time: Option<Duration>,
     concurrency_limit: u16,
     is_leaving: bool,
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -71,7 +71,8 @@
             .map(Arc::clone)
     }
 
-    /// Returns the tables of an index, rebuilt if its catalogue has changed.
+    /// Returns the routes of an index, with a route table for each version in its catalogue, or `None` if the index has
+    /// no catalogue. The tables are rebuilt if the catalogue has changed.
     fn current_routes(
         &mut self,
         index: &IndexName,
--- a/crates/ebonyfork/src/gateway/follow/link_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/link_fixture.rs
@@ -85,26 +85,30 @@
 /// not delayed.
 #[derive(Debug, Clone)]
 pub struct LinkMap {
-    /// Initial rate of each direction in bytes per second.
-    rate: Option<f64>,
+    /// Initial rate of each direction of a link; none if links are not limited.
+    bytes_per_second: Option<f64>,
     links: Arc<Mutex<FxHashMap<VmAddress, Arc<VmLink>>>>,
 }
 
 impl LinkMap {
-    /// Creates an empty map for links with a rate in bytes per second for each direction.
-    pub fn new(rate: Option<f64>) -> Self {
+    /// Creates an empty map for links that transmit `bytes_per_second` in each direction; none if links are not
+    /// limited.
+    pub fn new(bytes_per_second: Option<f64>) -> Self {
         let links = Arc::default();
-        Self { rate, links }
+        Self {
+            bytes_per_second,
+            links,
+        }
     }
 
     /// Returns the link of a VM; none if there is no rate.
     pub fn link(&self, vm: VmAddress) -> Option<Arc<VmLink>> {
-        let rate = self.rate?;
+        let bytes_per_second = self.bytes_per_second?;
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
         let link = links.entry(vm).or_insert_with(|| {
             Arc::new(VmLink {
-                send_direction: LinkDirection::new(rate),
-                receive_direction: LinkDirection::new(rate),
+                send_direction: LinkDirection::new(bytes_per_second),
+                receive_direction: LinkDirection::new(bytes_per_second),
             })
         });
         Some(Arc::clone(link))
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -158,8 +158,8 @@
     }
 
     /// Returns the time of the next check of the source, or the time at which the copy becomes stale if that is
-    /// earlier. Noticing staleness half a poll interval late would cost a twelfth of the time within which a change
-    /// must be in force.
+    /// earlier. A poll interval is a sixth of the time within which a change must be in force, so noticing staleness
+    /// half an interval late would cost a twelfth of that time.
     fn next_wake(&self, next_check: Instant) -> tokio::time::Instant {
         let time = now();
         let time_until_stale = self.core.relay.time_until_stale();
@@ -194,7 +194,7 @@
             }
             let mut received_bytes = traffic.received();
             let age = self.core.relay.copy_age().unwrap_or(self.timings.max_age);
-            if age > self.timings.full_read_age {
+            if age > self.timings.max_age_to_watch {
                 feed.read_anew();
             }
             feed.set_wait(self.timings.watch_time(age + feed.until_next_watch()));
--- a/crates/ebonyfork/src/gateway/follow/random_history.rs
+++ b/crates/ebonyfork/src/gateway/follow/random_history.rs
@@ -24,7 +24,8 @@
     pub link_rate: Option<f64>,
     /// Time within which a change must be in force.
     pub max_change_delay: Duration,
-    /// Time after a VM's own connection to the store recovers until changes must be in force on it in time again.
+    /// Time that a VM may take to catch up after the end of a disturbance of its connection to the store. Until then,
+    /// changes need not be in force on the VM within `max_change_delay`.
     pub recovery_time: Duration,
     /// Numbers of routes from which that of each configuration is drawn; empty if configurations have only a version.
     pub route_counts: &'static [u64],
@@ -109,7 +110,8 @@
         .insert(key, (!is_evacuated, Instant::now()));
 }
 
-/// The past steps of a history, as far as they determine what a VM may hold.
+/// What the steps of a random history have written, removed and disturbed so far. The invariants are checked against
+/// it.
 struct RandomHistory {
     settings: HistorySettings,
     /// The configuration version written last.
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -57,7 +57,7 @@
     era: StoreEra,
     /// The outcome of each VM's calls, if it was set.
     reaches: BTreeMap<u8, StoreReach>,
-    /// How often each VM's open calls were made to get no response any more.
+    /// How often each VM's open calls were silenced, that is made to get no response any more.
     silence_counts: BTreeMap<u8, u32>,
     /// Number of calls that each VM has made.
     call_counts: BTreeMap<u8, usize>,
@@ -253,9 +253,10 @@
         }
     }
 
-    /// Delays the response of `bytes` bytes by the rate of the VM's link. If the VM's open calls were silenced after
-    /// the call had started, the response never arrives.
-    async fn finish_call(&self, silence_count: u32, bytes: usize) {
+    /// Delays the response of `bytes` bytes by the rate of the VM's link. `silence_count_at_start` is what
+    /// [`Self::begin_call`] returned: if the VM's open calls were silenced again since, this call is one of them, and
+    /// its response never arrives.
+    async fn finish_call(&self, silence_count_at_start: u32, bytes: usize) {
         if let Some(link) = self.links.link(vm_address(self.vm)) {
             // The real store sends values as base64, which takes four bytes for three.
             let mut remaining_bytes = bytes * 4 / 3;
@@ -266,7 +267,7 @@
                 remaining_bytes -= chunk_bytes;
             }
         }
-        if self.silence_count() != silence_count {
+        if self.silence_count() != silence_count_at_start {
             std::future::pending::<()>().await;
         }
     }
@@ -290,7 +291,7 @@
     }
 
     async fn read_page(&self, prefix: &str, after: Option<&str>) -> Result<StorePage, StoreError> {
-        let silence_count = self.begin_call().await?;
+        let silence_count_at_start = self.begin_call().await?;
         let page = {
             let state = self.store.state();
             let is_on_page = |key: &CompactString| {
@@ -312,7 +313,7 @@
             page.with_era(state.era)
         };
         let bytes = page.items.iter().map(|item| item.value.len()).sum();
-        self.finish_call(silence_count, bytes).await;
+        self.finish_call(silence_count_at_start, bytes).await;
         Ok(page)
     }
 
@@ -322,7 +323,7 @@
         after: StoreRevision,
         wait: Duration,
     ) -> Result<StoreWatch, StoreError> {
-        let silence_count = self.begin_call().await?;
+        let silence_count_at_start = self.begin_call().await?;
         let deadline = tokio::time::Instant::now() + wait;
         let mut change_count = self.store.change_count.subscribe();
         loop {
@@ -347,7 +348,7 @@
             let has_ended = tokio::time::Instant::now() >= deadline;
             if has_ended || !watch.events.is_empty() {
                 let bytes = watch.events.iter().map(value_bytes).sum();
-                self.finish_call(silence_count, bytes).await;
+                self.finish_call(silence_count_at_start, bytes).await;
                 return Ok(watch);
             }
             // The next iteration handles the end of the wait.
--- a/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
@@ -246,7 +246,7 @@
             };
             copies[target_index].apply(change);
             for copy in &copies {
-                check(copy, &log, seed);
+                check_against_log(copy, &log, seed);
             }
         }
     }
@@ -294,7 +294,7 @@
 }
 
 /// Checks that each key is as it was in the store at some revision at or after the complete revision.
-fn check(copy: &StoreCopy, log: &[StoreEvent], seed: u64) {
+fn check_against_log(copy: &StoreCopy, log: &[StoreEvent], seed: u64) {
     let revisions = copy.complete_revision().number()..=log.len() as u64;
     let contents: Vec<_> = revisions.map(|revision| items_at(log, revision)).collect();
     for key in KEYS {
@@ -349,8 +349,8 @@
             if source.complete_revision() > follower.complete_revision() {
                 follower.apply(changes_to_send(&source, follower.complete_revision()));
             }
-            check(&source, &log, seed);
-            check(&follower, &log, seed);
+            check_against_log(&source, &log, seed);
+            check_against_log(&follower, &log, seed);
         }
     }
 }
--- a/crates/ebonyfork/src/gateway/mirror/freshness.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness.rs
@@ -20,7 +20,7 @@
 const POLLS_PER_MAX_AGE: u32 = 4;
 /// Time allowed for a response of the store and one of a followed VM together.
 const RESPONSE_TIME: Duration = Duration::from_millis(300);
-/// Minimum time for which a watch asks the store to wait for changes.
+/// Lower bound of the time for which a watch asks the store to wait for changes.
 const MIN_WATCH_TIME: Duration = Duration::from_millis(50);
 
 /// The time limits and intervals of following a source, which all derive from how soon a change must be in force.
@@ -33,9 +33,9 @@
     /// Age of the copy at which a watch of the store must return, so that its response confirms that the copy is up to
     /// date.
     pub renewal_age: Duration,
-    /// Age of the copy from which the store is read in full instead of watching from the last revision. A watch returns
-    /// every version of a key that changed often, and twelve versions of 0.49 MB take 4.5 s at 14 Mbit/s.
-    pub full_read_age: Duration,
+    /// Age of the copy above which the store is read in full instead of being watched from the copy's revision. A watch
+    /// returns every version of a key that changed often, and twelve versions of 0.49 MB take 4.5 s at 14 Mbit/s.
+    pub max_age_to_watch: Duration,
 }
 
 impl FreshnessTimings {
@@ -48,7 +48,7 @@
             max_age,
             poll_interval,
             renewal_age: renewal_age.max(MIN_WATCH_TIME),
-            full_read_age: max_change_delay,
+            max_age_to_watch: max_change_delay,
         }
     }
 
@@ -92,10 +92,10 @@
         number
     }
 
-    /// Returns the time as of which the followed VM's copy was up to date, given that it was `up_to_date_ms`
-    /// milliseconds after that VM received the poll `number`, or before if negative; none if the poll is no longer
-    /// kept. The poll was sent before it was received, so the returned time is never too late. Earlier polls are
-    /// dropped.
+    /// Returns the time as of which the followed VM's copy was up to date; none if the poll `number` is no longer kept.
+    /// The followed VM states that time as `up_to_date_ms`, in milliseconds after it received the poll, or before if
+    /// negative. The returned time is counted from when this VM sent the poll, which was before the receipt, so it is
+    /// never too late. Polls before `number` are dropped.
     pub fn up_to_date_at(&mut self, number: u64, up_to_date_ms: i64) -> Option<Instant> {
         let index = self
             .polls
--- a/crates/ebonyfork/src/gateway/mirror/message.rs
+++ b/crates/ebonyfork/src/gateway/mirror/message.rs
@@ -33,7 +33,8 @@
         known_revision: StoreRevision,
         /// The long values that the sender holds.
         held_values: HeldValues,
-        /// Number of the poll. The receiver's state repeats it.
+        /// Number of the poll. The receiver repeats it in the [`MirrorMessage::State`] message that responds to the
+        /// poll.
         poll: u64,
     },
     /// Stops following: the sender needs no further changes.
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -31,10 +31,11 @@
     CheckWith {
         /// The newest version that another VM has in force.
         newest_version: ConfigVersion,
-        /// A VM that has it in force.
+        /// A VM that has the newest version in force.
         vm: VmAddress,
     },
-    /// Another VM had a newer version in force, but no VM to check with is known.
+    /// Another VM was known to have a newer version in force, but no live VM is known that has it, so the route can't
+    /// be compared.
     Unknown,
 }
 
--- a/crates/ebonyfork/src/quarantine/entry.rs
+++ b/crates/ebonyfork/src/quarantine/entry.rs
@@ -20,22 +20,22 @@
 /// A request that was in flight at an upstream when the upstream was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LostRequest {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Time from sending the request to the loss.
-    pub flight: Duration,
+    pub time_in_flight: Duration,
     /// Whether the sender already knew of an earlier loss of an upstream with the request in flight. This loss then
     /// counts as a repeated one even if this table has no record of the earlier one.
     pub after_loss: bool,
 }
 
 impl LostRequest {
-    /// Creates the report of a request that was sent `flight` before the loss, by a sender that knew of no earlier
+    /// Creates the report of a request that was sent `time_in_flight` before the loss, by a sender that knew of no earlier
     /// loss.
-    pub fn new(fingerprint: RequestFingerprint, flight: Duration) -> Self {
+    pub fn new(fingerprint: RequestFingerprint, time_in_flight: Duration) -> Self {
         Self {
             fingerprint,
-            flight,
+            time_in_flight,
             after_loss: false,
         }
     }
@@ -48,7 +48,7 @@
     Suspect(RequestFingerprint),
     /// The request is refused from now on.
     Quarantine {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// Whether other requests could equally have caused the losses.
         ambiguous: bool,
@@ -60,7 +60,7 @@
 /// A quarantined request, as shown to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantineEntry {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
     /// Upstreams that were lost while the request was in flight.
     pub lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -134,8 +134,9 @@
         let state = self.lock();
         for fingerprint in in_flight {
             let last_admission = state.last_admissions.get(fingerprint);
-            let flight = last_admission.map_or(now, |admitted_at| now.saturating_sub(*admitted_at));
-            lost_requests.push(LostRequest::new(*fingerprint, flight));
+            let time_in_flight =
+                last_admission.map_or(now, |admitted_at| now.saturating_sub(*admitted_at));
+            lost_requests.push(LostRequest::new(*fingerprint, time_in_flight));
         }
         drop(state);
         self.report_loss_at(upstream, &lost_requests, Duration::ZERO);
@@ -159,15 +160,15 @@
         self.finish_update(state, &decisions);
     }
 
-    /// Reports that an attempt sent `flight` ago was answered, which clears the request of earlier losses. Takes no
+    /// Reports that an attempt sent `time_in_flight` ago was answered, which clears the request of earlier losses. Takes no
     /// lock while the table has no records.
-    pub fn report_answer(&self, fingerprint: RequestFingerprint, flight: Duration) {
+    pub fn report_answer(&self, fingerprint: RequestFingerprint, time_in_flight: Duration) {
         if self.shared.table_is_empty.load(Ordering::Acquire) {
             return;
         }
         let now = self.now();
         let mut state = self.lock();
-        let decisions = state.table.report_answer(fingerprint, flight, now);
+        let decisions = state.table.report_answer(fingerprint, time_in_flight, now);
         self.finish_update(state, &decisions);
     }
 
--- a/crates/ebonyfork/src/quarantine/notice.rs
+++ b/crates/ebonyfork/src/quarantine/notice.rs
@@ -21,7 +21,7 @@
     Suspected {
         /// Id of the loss.
         id: NoticeId,
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// The lost upstream.
         upstream: UpstreamAddress,
@@ -30,7 +30,7 @@
     },
     /// An attempt of a suspected request that was sent after the losses was answered: the request did not cause them.
     Cleared {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// Ids of the losses that no longer count against the request.
         losses: SmallVec<[NoticeId; 2]>,
@@ -39,7 +39,7 @@
     Quarantined {
         /// Id of the quarantine; the extension of a quarantine keeps its id.
         id: NoticeId,
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// Upstreams that were lost while the request was in flight.
         lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
@@ -54,7 +54,7 @@
     Lifted {
         /// Id of the lift.
         id: NoticeId,
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: RequestFingerprint,
         /// Time since the lift.
         age: Duration,
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -27,9 +27,9 @@
     pub(super) sent_at: Option<Duration>,
 }
 
-/// The quarantine of a request, which may have expired.
+/// The last quarantine of a request. It is in force until `expires_at`.
 #[derive(Debug, Clone)]
-pub(super) struct ActiveQuarantine {
+pub(super) struct QuarantineRecord {
     pub(super) id: NoticeId,
     pub(super) lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
     pub(super) ambiguous: bool,
@@ -47,7 +47,7 @@
     /// Losses that no longer count because a later attempt was answered. They are kept because notices of them may
     /// still arrive.
     pub(super) cleared_losses: SmallVec<[NoticeId; 2]>,
-    pub(super) quarantine: Option<ActiveQuarantine>,
+    pub(super) quarantine: Option<QuarantineRecord>,
     /// When an operator last lifted the quarantine or suspicion of the request.
     pub(super) lifted_at: Option<Duration>,
     /// When the record last changed, which decides the order of eviction.
@@ -69,7 +69,7 @@
     }
 }
 
-impl ActiveQuarantine {
+impl QuarantineRecord {
     pub(super) fn notice(
         &self,
         fingerprint: RequestFingerprint,
@@ -99,7 +99,7 @@
     }
 
     /// Returns the quarantine of the request if there is one that has not expired at `now`.
-    pub(super) fn quarantine_at(&self, now: Duration) -> Option<&ActiveQuarantine> {
+    pub(super) fn quarantine_at(&self, now: Duration) -> Option<&QuarantineRecord> {
         let quarantine = self.quarantine.as_ref();
         quarantine.filter(|quarantine| quarantine.expires_at > now)
     }
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -21,7 +21,7 @@
 };
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
 use crate::quarantine::record::{
-    ActiveQuarantine, LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, RequestRecord,
+    LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, QuarantineRecord, RequestRecord,
 };
 
 /// How long a loss counts against the requests that were in flight at the lost upstream.
@@ -121,7 +121,7 @@
                 id,
                 upstream,
                 lost_at: now,
-                sent_at: Some(now.saturating_sub(request.flight)),
+                sent_at: Some(now.saturating_sub(request.time_in_flight)),
             };
             if !self.add_loss(fingerprint, loss, now, &mut decisions) {
                 continue;
@@ -140,19 +140,19 @@
         decisions
     }
 
-    /// Handles the answer to an attempt that was sent `flight` ago: clears the request of the losses before the attempt
+    /// Handles the answer to an attempt that was sent `time_in_flight` ago: clears the request of the losses before the attempt
     /// was sent, because the request did not cause them.
     pub fn report_answer(
         &mut self,
         fingerprint: RequestFingerprint,
-        flight: Duration,
+        time_in_flight: Duration,
         now: Duration,
     ) -> Vec<QuarantineDecision> {
         let mut decisions = Vec::new();
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return decisions;
         };
-        let sent_at = now.saturating_sub(flight);
+        let sent_at = now.saturating_sub(time_in_flight);
         let losses = record.clear_before(sent_at);
         if losses.is_empty() {
             return decisions;
@@ -276,7 +276,7 @@
                 remaining,
                 ..
             } => {
-                let quarantine = ActiveQuarantine {
+                let quarantine = QuarantineRecord {
                     id: *id,
                     lost_upstreams: lost_upstreams.clone(),
                     ambiguous: *ambiguous,
@@ -383,7 +383,7 @@
     fn merge_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
-        quarantine: ActiveQuarantine,
+        quarantine: QuarantineRecord,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
@@ -453,7 +453,7 @@
                 lost_upstreams.push(loss.upstream);
             }
         }
-        let quarantine = ActiveQuarantine {
+        let quarantine = QuarantineRecord {
             id,
             lost_upstreams,
             ambiguous,
--- a/crates/ebonyfork/src/quarantine/table_tests.rs
+++ b/crates/ebonyfork/src/quarantine/table_tests.rs
@@ -14,8 +14,8 @@
 const HARMLESS: RequestFingerprint = RequestFingerprint(2);
 const OTHER: RequestFingerprint = RequestFingerprint(3);
 
-fn lost_request(fingerprint: RequestFingerprint, flight: u64) -> LostRequest {
-    LostRequest::new(fingerprint, ms(flight))
+fn lost_request(fingerprint: RequestFingerprint, time_in_flight: u64) -> LostRequest {
+    LostRequest::new(fingerprint, ms(time_in_flight))
 }
 
 /// An event at a relay. Its first number is the time of the event in milliseconds.
@@ -109,13 +109,13 @@
                     now = ms(*at_ms);
                     let requests: Vec<_> = requests
                         .iter()
-                        .map(|(request, flight)| lost_request(*request, *flight))
+                        .map(|(request, time_in_flight)| lost_request(*request, *time_in_flight))
                         .collect();
                     table.report_loss(upstream(*number), &requests, now);
                 }
-                Answer(at_ms, request, flight) => {
+                Answer(at_ms, request, time_in_flight) => {
                     now = ms(*at_ms);
-                    table.report_answer(*request, ms(*flight), now);
+                    table.report_answer(*request, ms(*time_in_flight), now);
                 }
             }
         }
--- a/crates/ebonyfork/src/relay/action.rs
+++ b/crates/ebonyfork/src/relay/action.rs
@@ -36,7 +36,7 @@
     ReportAnswer {
         fingerprint: RequestFingerprint,
         /// Time from sending the attempt to its answer.
-        flight: Duration,
+        time_in_flight: Duration,
     },
     /// Report to the topology that an upstream said it is leaving.
     ReportLeaving(UpstreamAddress),
@@ -74,12 +74,12 @@
         self.suspicion != WorkSuspicion::Clear
     }
 
-    /// Returns the report to the quarantine that the upstream was lost while the attempt was in flight. Its `flight` is
+    /// Returns the report to the quarantine that the upstream was lost while the attempt was in flight. Its `time_in_flight` is
     /// zero until the loss window sets it.
     pub(super) fn lost_request(&self) -> LostRequest {
         LostRequest {
             fingerprint: self.fingerprint,
-            flight: Duration::ZERO,
+            time_in_flight: Duration::ZERO,
             after_loss: self.suspicion == WorkSuspicion::AfterLoss,
         }
     }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -266,8 +266,8 @@
             RelayAction::ReportLoss(loss) => (self.settings.report_loss)(loss),
             RelayAction::ReportAnswer {
                 fingerprint,
-                flight,
-            } => (self.settings.report_answer)(fingerprint, flight),
+                time_in_flight,
+            } => (self.settings.report_answer)(fingerprint, time_in_flight),
             RelayAction::ReportLeaving(upstream) => (self.settings.report_leaving)(upstream),
         }
     }
@@ -467,7 +467,8 @@
     async fn handle(&mut self, _tick: Tick, ctx: &mut Context<Self>) {
         self.tick_scheduled = false;
         self.state.tick(self.now());
-        self.metrics.set_occupancy(self.state.occupancy());
+        self.metrics
+            .set_waiting_and_in_flight_counts(self.state.waiting_and_in_flight_counts());
         self.metrics.set_connections(self.state.connection_count());
         self.run_actions(&ctx.mailbox().address());
     }
--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -108,9 +108,9 @@
             let Some(target) = target(class) else {
                 continue;
             };
-            let allowed_late = f64::from(window.attempts) * target.late_share;
+            let max_late_attempts = f64::from(window.attempts) * target.late_share;
             let is_missed = window.attempts >= MIN_ATTEMPTS_PER_WINDOW
-                && f64::from(window.late_attempts) > allowed_late;
+                && f64::from(window.late_attempts) > max_late_attempts;
             if is_missed && tightest_latency.is_none_or(|latency| target.latency < latency) {
                 tightest_latency = Some(target.latency);
             }
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -35,7 +35,7 @@
 const MIN_PAUSE_LIMIT: Duration = Duration::from_secs(2);
 /// Number of upward trials that must have ended with the lower limit before a limit that did not grow is compared with
 /// one less. Downward trials cost throughput, so they are rare.
-const REJECTIONS_PER_DOWN_TRIAL: u32 = 8;
+const REJECTED_UP_TRIALS_BEFORE_DOWN_TRIAL: u32 = 8;
 /// Time after which a trial is aborted if it has received no answer to an attempt that used up the limit.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -283,8 +283,8 @@
         match self.direction {
             TrialDirection::Up if is_confirmed => {
                 self.rejected_up_trials += 1;
-                let is_verified =
-                    !self.growth_unverified && self.rejected_up_trials < REJECTIONS_PER_DOWN_TRIAL;
+                let is_verified = !self.growth_unverified
+                    && self.rejected_up_trials < REJECTED_UP_TRIALS_BEFORE_DOWN_TRIAL;
                 if self.limit == 1 || is_verified {
                     self.pause_trials(now);
                     return;
--- a/crates/ebonyfork/src/relay/loss.rs
+++ b/crates/ebonyfork/src/relay/loss.rs
@@ -42,10 +42,13 @@
     /// Adds the request of an attempt that was sent at `sent_at` and was in flight on a connection that broke. The time
     /// in flight is measured up to the first break. An attempt sent later can't have caused the loss and is ignored.
     pub(super) fn add(&mut self, request: LostRequest, sent_at: Duration) {
-        let Some(flight) = self.first_break_at.checked_sub(sent_at) else {
+        let Some(time_in_flight) = self.first_break_at.checked_sub(sent_at) else {
             return;
         };
-        self.in_flight.push(LostRequest { flight, ..request });
+        self.in_flight.push(LostRequest {
+            time_in_flight,
+            ..request
+        });
     }
 
     /// Returns whether the window has ended, so that later breaks belong to another loss.
--- a/crates/ebonyfork/src/relay/message.rs
+++ b/crates/ebonyfork/src/relay/message.rs
@@ -162,7 +162,7 @@
     pub verdict: ShardVerdict,
     /// Time that the attempt waited in the relay, in microseconds.
     pub waited_us: u32,
-    /// Time from sending the attempt to its verdict, in microseconds; zero if it was not sent.
+    /// Time from sending the attempt to the upstream to its outcome, in microseconds; zero if it was not sent.
     pub served_us: u32,
 }
 
--- a/crates/ebonyfork/src/relay/metrics.rs
+++ b/crates/ebonyfork/src/relay/metrics.rs
@@ -177,7 +177,10 @@
         self.connections.set(i64::from(connections));
     }
 
-    pub(super) fn set_occupancy(&self, (waiting_count, in_flight): (usize, usize)) {
+    pub(super) fn set_waiting_and_in_flight_counts(
+        &self,
+        (waiting_count, in_flight): (usize, usize),
+    ) {
         self.queued.set(waiting_count as i64);
         self.in_flight.set(in_flight as i64);
     }
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -294,8 +294,8 @@
         }
     }
 
-    /// Returns the lane of an organisation, creating it if needed. In order of arrival all organisations share one
-    /// lane.
+    /// Returns the lane of an organisation, creating it if needed. With [`QueueOrder::Arrival`], all organisations
+    /// share a single lane.
     fn lane_for(&mut self, organisation: OrganisationId) -> LaneId {
         let organisation = match self.order {
             QueueOrder::Slack => organisation,
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -299,7 +299,7 @@
     }
 
     /// Returns the number of waiting attempts and the number of attempts in flight, summed over all upstreams.
-    pub(super) fn occupancy(&self) -> (usize, usize) {
+    pub(super) fn waiting_and_in_flight_counts(&self) -> (usize, usize) {
         let states = self.upstreams.values();
         states.fold((0, 0), |(waiting_count, in_flight), state| {
             (
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -396,7 +396,7 @@
         fixture.finish();
         let finished_queries: BTreeSet<u64> = fixture.verdicts.keys().copied().collect();
         assert_eq!(finished_queries, (0..fixture.submitted_count).collect());
-        assert_eq!(fixture.state.occupancy(), (0, 0));
+        assert_eq!(fixture.state.waiting_and_in_flight_counts(), (0, 0));
         Ok(())
     };
     runner.run(&relay_steps(), check_steps).unwrap();
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -70,7 +70,7 @@
 /// out.
 #[derive(Debug, Clone)]
 pub(super) struct LimitTrial {
-    /// The lower of the two limits.
+    /// The lower of the two limits that the trial compares; the other one is `low_limit + 1`.
     low_limit: u32,
     /// Log service times recorded in the current block.
     block_sums: BlockSums,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Returns the lower of the two limits.
+    /// Returns the lower of the two limits that the trial compares.
     pub(super) fn low_limit(&self) -> u32 {
         self.low_limit
     }
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -66,7 +66,8 @@
     suspects: SuspectQueue,
     limit: ConcurrencyLimit,
     service_times: ServiceTimes,
-    /// Limits on the attempts in flight per class, if the clamp experiment is on.
+    /// Limits on the attempts in flight of each class; none unless
+    /// [`clamp`](crate::settings::ExperimentSwitches::clamp) is enabled.
     clamp: Option<ClassClamp>,
     pool: ConnectionPool,
     /// Whether this VM may hold a further connection for cancellations.
@@ -324,7 +325,7 @@
         if sent_work.item.is_suspect() && matches!(answer.verdict, ShardVerdict::Rows { .. }) {
             tables.actions.push(RelayAction::ReportAnswer {
                 fingerprint: sent_work.item.fingerprint,
-                flight: now.saturating_sub(sent_work.sent_at),
+                time_in_flight: now.saturating_sub(sent_work.sent_at),
             });
         }
         if answer.draining {
