--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -128,7 +128,7 @@
         zones.iter().map(key).collect()
     }
 
-    /// Returns the keys of the VMs that the VM knows from the store.
+    /// Returns the keys of the VM records that this VM has read from the store.
     pub fn vms(&self) -> BTreeSet<CompactString> {
         let seeds = self.core.vms.seeds();
         seeds.iter().map(|vm| format_compact!("vm/{vm}")).collect()
@@ -305,7 +305,7 @@
     }
 
     /// Returns the index of the VM that reads the store for a zone.
-    pub fn reader(&self, zone: &str) -> usize {
+    pub fn reader_index(&self, zone: &str) -> usize {
         let zone: ZoneName = zone.parse().expect("a valid name");
         let readers = super::source::store_readers(&self.members.borrow(), &zone);
         let reader = readers.first().expect("a VM in the zone");
@@ -382,7 +382,8 @@
     VmAddress(IpAddr::V4(Ipv4Addr::new(127, 0, 0, number)))
 }
 
-/// Regularly removes entries and evacuations that were kept although the store lacks them, once their time is over.
+/// Regularly removes the entries and evacuations that were kept although the store lacks them and whose retention time
+/// has passed.
 async fn expire_regularly(core: Rc<GatewayCore>) {
     loop {
         tokio::time::sleep(Duration::from_millis(250)).await;
--- a/crates/ebonyfork/src/gateway/follow/follow_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/follow_tests.rs
@@ -28,14 +28,14 @@
         // The next watch of the store has just started when the connection falls silent.
         fleet.put_config(2);
         sleep_seconds(0.5).await;
-        let reader = fleet.reader("a");
+        let reader_index = fleet.reader_index("a");
         fleet
             .store
-            .set_reach(fleet.vms[reader].number, StoreReach::Silent);
+            .set_reach(fleet.vms[reader_index].number, StoreReach::Silent);
         fleet.put_config(3);
         sleep_seconds(MAX_CHANGE_DELAY.as_secs_f64()).await;
         for (index, vm) in fleet.vms.iter().enumerate() {
-            if index != reader {
+            if index != reader_index {
                 expect_that!(vm.version(), eq(3), "VM {}", vm.number);
             }
         }
@@ -119,13 +119,13 @@
         let fleet = FollowFleet::start_with(&["a", "a", "a"], Some(1e9), max_change_delay).await;
         fleet.put_config(1);
         sleep_seconds(4.0).await;
-        let reader = fleet.reader("a");
+        let reader_index = fleet.reader_index("a");
         // At one byte per second, the VM is as good as frozen for its followers.
-        fleet.set_link_rate(fleet.vms[reader].number, 1.0);
+        fleet.set_link_rate(fleet.vms[reader_index].number, 1.0);
         for _check in 0..500 {
             sleep_seconds(0.01).await;
             for (index, vm) in fleet.vms.iter().enumerate() {
-                let is_stale_follower = index != reader && vm.is_stale();
+                let is_stale_follower = index != reader_index && vm.is_stale();
                 expect_that!(is_stale_follower, eq(false), "VM {}", vm.number);
             }
         }
@@ -147,11 +147,11 @@
             fleet.put_vm(host_number);
         }
         sleep_seconds(2.0).await;
-        let reader = fleet.reader("a");
+        let reader_index = fleet.reader_index("a");
         for (index, vm) in fleet.vms.iter().enumerate() {
             expect_that!(vm.version(), eq(1), "VM {}", vm.number);
-            if index != reader {
-                expect_that!(fleet.store.calls(vm.number), le(2), "VM {}", vm.number);
+            if index != reader_index {
+                expect_that!(fleet.store.call_count(vm.number), le(2), "VM {}", vm.number);
             }
         }
     };
--- a/crates/ebonyfork/src/gateway/follow/following.rs
+++ b/crates/ebonyfork/src/gateway/follow/following.rs
@@ -89,7 +89,7 @@
     /// change of 1,400 routes. A VM that did not respond to two polls is abandoned before this VM's copy is stale,
     /// because switching to another source takes about 60 ms, and a VM with a stale copy can't tell that a route does
     /// not exist.
-    pub(super) fn check(
+    pub(super) fn check_source(
         &self,
         time: Instant,
         poll_interval: Duration,
--- a/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
@@ -20,13 +20,18 @@
 /// Time within which a change must be in force on the last VM if there are no disturbances.
 const MAX_SPREAD_TIME: Duration = Duration::from_secs(1);
 /// Rate of the slowest link of a VM in bytes per second: 14 Mbit/s.
-const SLOW_LINK: f64 = 14e6 / 8.0;
+const SLOW_LINK_BYTES_PER_SECOND: f64 = 14e6 / 8.0;
 /// Interval between checks of the VMs' versions.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Starts a fleet of VMs in a single zone, on slow links.
 async fn slow_fleet(vm_count: usize) -> FollowFleet {
-    FollowFleet::start_with(&vec!["a"; vm_count], Some(SLOW_LINK), MAX_CHANGE_DELAY).await
+    FollowFleet::start_with(
+        &vec!["a"; vm_count],
+        Some(SLOW_LINK_BYTES_PER_SECOND),
+        MAX_CHANGE_DELAY,
+    )
+    .await
 }
 
 /// Waits until a version is in force on all VMs, for at most twice [`MAX_CHANGE_DELAY`]. Returns the time that each VM
@@ -102,8 +107,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Only changes are sent: if one route more or less among 2,850 sent the whole configuration, that would be 0.49 MB for
-/// each of 13 followers.
+/// A change of one route must send only that route. Sending the whole configuration of 2,850 routes would take 0.49 MB
+/// for each of 13 followers.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn adding_one_route_does_not_resend_the_others() {
@@ -171,7 +176,8 @@
 
 /// Checks that the first VM of a fleet reads a long response of the store while the store responds to no other VM.
 async fn read_long_response(zones: &[&str]) {
-    let fleet = FollowFleet::start_with(zones, Some(SLOW_LINK), MAX_CHANGE_DELAY).await;
+    let fleet =
+        FollowFleet::start_with(zones, Some(SLOW_LINK_BYTES_PER_SECOND), MAX_CHANGE_DELAY).await;
     fleet.put_routes(1, 50);
     sleep_seconds(3.0).await;
     fleet.store.set_reach(1, StoreReach::Refuses);
@@ -196,7 +202,7 @@
             zones: &[
                 "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "a", "b", "b",
             ],
-            link_rate: Some(SLOW_LINK),
+            link_rate: Some(SLOW_LINK_BYTES_PER_SECOND),
             max_change_delay: MAX_CHANGE_DELAY,
             recovery_time: RECOVERY_TIME,
             route_counts: &[50, 1_450, 1_451, 2_850, 2_851],
--- a/crates/ebonyfork/src/gateway/follow/link_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/link_fixture.rs
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Returns the link of a VM; none if there is no rate.
+    /// Returns the link of a VM; none if links are not limited.
     pub fn link(&self, vm: VmAddress) -> Option<Arc<VmLink>> {
         let bytes_per_second = self.bytes_per_second?;
         let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -41,7 +41,7 @@
 
 /// Prefix of the keys to follow: all keys below the store's root are read.
 const STORE_PREFIX: &str = "";
-/// Time for which a VM is not followed after it failed as a source.
+/// Time for which a VM that failed as a source is not followed again.
 const SOURCE_AVOID_TIME: Duration = Duration::from_secs(4);
 /// Time for which the store has to fail before another VM is followed instead.
 const STORE_FAILURE_TIME: Duration = Duration::from_millis(800);
@@ -70,7 +70,7 @@
         store_failing_since: None,
         store_avoided_until: None,
         polls: PendingPolls::default(),
-        logged_stale: true,
+        is_logged_as_stale: true,
         messages,
         core,
     };
@@ -94,10 +94,10 @@
     store_failing_since: Option<Instant>,
     /// Until when another VM is followed because the store does not respond to this VM.
     store_avoided_until: Option<Instant>,
-    /// Polls of the VM followed last, kept while no VM is followed so that their numbering continues.
+    /// Polls of the VM that was followed last. They are kept while no VM is followed, so that poll numbers continue.
     polls: PendingPolls,
-    /// Whether the last log line about the copy's age states that it is stale.
-    logged_stale: bool,
+    /// Whether the last log line about the copy's age states that the copy is stale.
+    is_logged_as_stale: bool,
     /// Messages from followed VMs, each with its sender.
     messages: mpsc::UnboundedReceiver<(VmAddress, MirrorMessage)>,
 }
@@ -136,16 +136,17 @@
         if self.core.uptime() < GOSSIP_SETTLE_TIME && self.store_failing_since.is_none() {
             return ChangeSource::Store;
         }
-        let has_lasted =
+        let lasts_too_long =
             |since: Instant| time.saturating_duration_since(since) >= STORE_FAILURE_TIME;
-        let is_failing = self.store_failing_since.is_some_and(has_lasted);
+        let is_failing = self.store_failing_since.is_some_and(lasts_too_long);
         let is_unusable = is_failing || self.core.relay.is_stale();
-        if current == ChangeSource::Store && has_lasted(self.store_watched_since) && is_unusable {
+        if current == ChangeSource::Store && lasts_too_long(self.store_watched_since) && is_unusable
+        {
             self.store_avoided_until = Some(time + STORE_RETRY_DELAY);
             self.store_watched_since = time;
             self.store_failing_since.get_or_insert(time);
         }
-        let avoid_store = self.store_avoided_until.is_some_and(|until| until > time);
+        let is_store_avoided = self.store_avoided_until.is_some_and(|until| until > time);
         let avoided_vms: Vec<_> = self.avoided_vms.iter().map(|(vm, _until)| *vm).collect();
         let members = self.members.borrow().clone();
         choose_source(
@@ -153,7 +154,7 @@
             self.own_vm.0,
             &self.own_vm.1,
             &avoided_vms,
-            avoid_store,
+            is_store_avoided,
         )
     }
 
@@ -170,7 +171,8 @@
         next_wake.into()
     }
 
-    /// Returns whether the store has been read, but gossip may not know the VMs that could be followed yet.
+    /// Returns whether the store has been read and a VM to follow can't be selected yet, because gossip may not know
+    /// the other VMs.
     fn is_awaiting_gossip(&self) -> bool {
         let has_read = self.complete_revision() > StoreRevision::ABSENT;
         has_read && self.store_failing_since.is_none() && self.core.uptime() < GOSSIP_SETTLE_TIME
@@ -310,8 +312,8 @@
             self.abandon(&following, fault);
         }
         self.polls = following.polls;
-        let leave = PeerMessage::Mirror(MirrorMessage::Leave);
-        self.core.delegates.send_message(vm, leave);
+        let leave_message = PeerMessage::Mirror(MirrorMessage::Leave);
+        self.core.delegates.send_message(vm, leave_message);
     }
 
     /// Returns whether to keep following a VM although another source is preferred now: either it is sending data,
@@ -331,14 +333,14 @@
     /// is no longer a usable source.
     fn poll_vm(&self, following: &mut VmFollowing) -> Result<(), SourceFault> {
         let time = now();
-        following.check(time, self.timings.poll_interval, self.core.relay.is_stale())?;
+        following.check_source(time, self.timings.poll_interval, self.core.relay.is_stale())?;
         let held_values = held_values(&self.core.relay.copy());
-        let follow = MirrorMessage::Follow {
+        let follow_message = MirrorMessage::Follow {
             known_revision: self.complete_revision(),
             held_values,
             poll: following.polls.record(time),
         };
-        self.send_to_vm(following.vm, follow)
+        self.send_to_vm(following.vm, follow_message)
     }
 
     fn send_to_vm(&self, vm: VmAddress, message: MirrorMessage) -> Result<(), SourceFault> {
@@ -471,10 +473,10 @@
         let age = self.core.relay.copy_age();
         self.core.metrics.note_copy(age, self.complete_revision());
         let is_stale = self.core.relay.is_stale();
-        if is_stale == self.logged_stale {
+        if is_stale == self.is_logged_as_stale {
             return;
         }
-        self.logged_stale = is_stale;
+        self.is_logged_as_stale = is_stale;
         log::warn!(
             target: "ebonyfork::decision",
             "store copy {} age_ms={} source={source} revision={}",
--- a/crates/ebonyfork/src/gateway/follow/random_history.rs
+++ b/crates/ebonyfork/src/gateway/follow/random_history.rs
@@ -27,7 +27,8 @@
     /// Time that a VM may take to catch up after the end of a disturbance of its connection to the store. Until then,
     /// changes need not be in force on the VM within `max_change_delay`.
     pub recovery_time: Duration,
-    /// Numbers of routes from which that of each configuration is drawn; empty if configurations have only a version.
+    /// The number of routes of each configuration is drawn from these numbers; they are empty if configurations have a
+    /// version and no routes.
     pub route_counts: &'static [u64],
     /// Minimum time between the writes of two configurations.
     pub min_config_interval: Duration,
@@ -50,7 +51,11 @@
 }
 
 /// Changes the store, a VM, or the connection between them at random.
-async fn random_step(fleet: &mut FollowFleet, rng: &mut ChaCha8Rng, history: &mut RandomHistory) {
+async fn apply_random_step(
+    fleet: &mut FollowFleet,
+    rng: &mut ChaCha8Rng,
+    history: &mut RandomHistory,
+) {
     let index = rng.random_range(0..fleet.vms.len());
     let number = fleet.vms[index].number;
     match rng.random_range(0..100) {
@@ -79,11 +84,11 @@
         91..94 => fleet.vms[index].break_links(),
         94..97 => fleet.store.forget_changes(),
         97 if history.settings.link_rate.is_some() => history.suspect(fleet, number),
-        98 if history.settings.link_rate.is_some() => history.slow_link(fleet, number, rng),
+        98 if history.settings.link_rate.is_some() => history.slow_down_link(fleet, number, rng),
         _ => {
-            history.incarnations += 1;
+            history.last_incarnation += 1;
             history.healthy_since.insert(number, Instant::now());
-            fleet.restart(index, history.incarnations).await;
+            fleet.restart(index, history.last_incarnation).await;
         }
     }
 }
@@ -91,9 +96,13 @@
 /// Availability zones that random steps evacuate.
 const EVACUATED_ZONES: [&str; 3] = ["north-a", "north-b", "south-a"];
 
-/// Evacuates a zone or revokes an evacuation in some steps of a history. It has its own random numbers, so that the
-/// rest of a history is the same with and without evacuations.
-fn random_evacuation(fleet: &FollowFleet, rng: &mut ChaCha8Rng, history: &mut RandomHistory) {
+/// In some steps of a history, evacuates a zone or revokes its evacuation. `rng` is used for evacuations only, so that
+/// the other steps of a history are the same with and without evacuations.
+fn change_random_evacuation(
+    fleet: &FollowFleet,
+    rng: &mut ChaCha8Rng,
+    history: &mut RandomHistory,
+) {
     if !rng.random_bool(0.2) {
         return;
     }
@@ -116,8 +125,8 @@
     settings: HistorySettings,
     /// The configuration version written last.
     last_version: u64,
-    /// Number of incarnations of VMs; each restart takes the next one.
-    incarnations: u64,
+    /// Highest incarnation number of any VM. All VMs start with incarnation 1, and each restart takes the next number.
+    last_incarnation: u64,
     /// Each configuration version with the time at which it was written.
     written_versions: Vec<(Instant, u64)>,
     /// When each upstream that no longer exists was removed.
@@ -143,7 +152,7 @@
         Self {
             settings,
             last_version: 0,
-            incarnations: 1,
+            last_incarnation: 1,
             written_versions: Vec::new(),
             removed_at: BTreeMap::new(),
             evacuations: BTreeMap::new(),
@@ -182,14 +191,15 @@
             .push((Instant::now(), self.last_version));
     }
 
-    /// Makes gossip suspect a VM instead of the previous one, or none if it is the same VM. All VMs go on responding.
+    /// Makes gossip suspect the VM `number` and no other VM. If gossip suspects that VM already, it suspects none from
+    /// now on. All VMs go on responding.
     fn suspect(&mut self, fleet: &FollowFleet, number: u8) {
         self.suspected_vm = (self.suspected_vm != Some(number)).then_some(number);
         fleet.suspect(self.suspected_vm);
     }
 
     /// Restores the rate of the slow link, if any, and usually makes another VM's link five times slower.
-    fn slow_link(&mut self, fleet: &FollowFleet, number: u8, rng: &mut ChaCha8Rng) {
+    fn slow_down_link(&mut self, fleet: &FollowFleet, number: u8, rng: &mut ChaCha8Rng) {
         let Some(rate) = self.settings.link_rate else {
             return;
         };
@@ -226,7 +236,7 @@
     /// Checks the invariants on a VM: its configuration version never decreases, and if its own connection to the store
     /// is good, it is up to date, whatever happened to the VM that it follows. `seen_versions` holds the version that
     /// each VM had at its last check.
-    fn check(&self, vm: &FollowVm, seen_versions: &mut BTreeMap<u8, u64>) {
+    fn check_vm(&self, vm: &FollowVm, seen_versions: &mut BTreeMap<u8, u64>) {
         let version = vm.version();
         let previous_version = seen_versions.insert(vm.number, version).unwrap_or_default();
         expect_that!(version, ge(previous_version), "VM {} went back", vm.number);
@@ -276,7 +286,7 @@
 
 /// In some steps makes the store unreachable for all VMs for up to 2.5 s and restores it from an older copy, after
 /// which a VM may be restarted. A second restore may follow before the lost items are written again, in random order.
-async fn random_restore(
+async fn restore_store_at_random(
     fleet: &mut FollowFleet,
     rng: &mut ChaCha8Rng,
     history: &mut RandomHistory,
@@ -299,7 +309,7 @@
             .saturating_sub(RESTORE_WINDOW_STEPS);
         let index = rng.random_range(oldest_index..history.store_copies.len());
         fleet.store.restore(history.store_copies[index].clone());
-        // Later restores can only select copies up to this one.
+        // A later restore must not select a copy that is newer than the restored one.
         history.store_copies.truncate(index + 1);
         for vm in &fleet.vms {
             let reach = history.failing_reaches.get(&vm.number).copied();
@@ -308,16 +318,16 @@
         }
         if rng.random_bool(0.3) {
             let index = rng.random_range(0..fleet.vms.len());
-            history.incarnations += 1;
+            history.last_incarnation += 1;
             seen_versions.remove(&fleet.vms[index].number);
-            fleet.restart(index, history.incarnations).await;
+            fleet.restart(index, history.last_incarnation).await;
         }
         for _check in 0..rng.random_range(1..8) {
             sleep_seconds(0.25).await;
             history.restored_at = Some(Instant::now());
             for vm in &fleet.vms {
                 history.healthy_since.insert(vm.number, Instant::now());
-                history.check(vm, seen_versions);
+                history.check_vm(vm, seen_versions);
             }
         }
     }
@@ -340,14 +350,14 @@
     let mut seen_versions = BTreeMap::new();
     sleep_seconds(3.0).await;
     for _step in 0..150 {
-        let incarnations_before = history.incarnations;
-        random_step(&mut fleet, &mut rng, &mut history).await;
-        random_evacuation(&fleet, &mut zone_rng, &mut history);
-        if history.incarnations != incarnations_before {
+        let incarnation_before_step = history.last_incarnation;
+        apply_random_step(&mut fleet, &mut rng, &mut history).await;
+        change_random_evacuation(&fleet, &mut zone_rng, &mut history);
+        if history.last_incarnation != incarnation_before_step {
             seen_versions.clear();
         }
         if settings.restores_store {
-            random_restore(
+            restore_store_at_random(
                 &mut fleet,
                 &mut restore_rng,
                 &mut history,
@@ -357,7 +367,7 @@
         }
         sleep_seconds(rng.random_range(0.0..0.4)).await;
         for vm in &fleet.vms {
-            history.check(vm, &mut seen_versions);
+            history.check_vm(vm, &mut seen_versions);
         }
     }
     for vm in 1..=fleet.vms.len() as u8 {
@@ -366,8 +376,8 @@
             fleet.set_link_rate(vm, rate);
         }
     }
-    // Longer than a VM that the store refused follows another one, than a VM avoids a failed source, and than a missing
-    // entry is kept.
+    // Three delays must end during this time: how long a VM that the store refused follows another VM, how long a
+    // failed source is avoided, and how long an entry that the store lost is kept.
     sleep_seconds(10.0).await;
     if settings.restores_store {
         sleep_seconds(EVACUATION_RETENTION.as_secs_f64()).await;
--- a/crates/ebonyfork/src/gateway/follow/source.rs
+++ b/crates/ebonyfork/src/gateway/follow/source.rs
@@ -54,7 +54,8 @@
     readers
 }
 
-/// Returns the live VMs of a zone in hash order, in which each VM comes after the one that it follows.
+/// Returns the live VMs of a zone in hash order. The tree is built from this order, so each VM comes after the one that
+/// it follows.
 fn zone_order(members: &MemberSnapshot, zone: &ZoneName) -> Vec<VmAddress> {
     let mut live_vms: Vec<VmAddress> = members
         .members()
@@ -77,25 +78,25 @@
     std::iter::successors(parent(&index), parent).map(|index| order[index])
 }
 
-/// Selects the source of the VM `own_vm` in `zone`. `avoided_vms` recently failed as sources; `avoid_store` states that
-/// the store is not to be read, because it does not respond to this VM.
+/// Selects the source of the VM `own_vm` in `zone`. `avoided_vms` recently failed as sources; `is_store_avoided` states
+/// that the store is not to be read, because it does not respond to this VM.
 pub fn choose_source(
     members: &MemberSnapshot,
     own_vm: VmAddress,
     zone: &ZoneName,
     avoided_vms: &[VmAddress],
-    avoid_store: bool,
+    is_store_avoided: bool,
 ) -> ChangeSource {
     let order = zone_order(members, zone);
     let index = order.partition_point(|vm| order_key(vm) < order_key(&own_vm));
-    if index < STORE_READERS_PER_ZONE && !avoid_store {
+    if index < STORE_READERS_PER_ZONE && !is_store_avoided {
         return ChangeSource::Store;
     }
     let is_usable = |vm: &VmAddress| *vm != own_vm && !avoided_vms.contains(vm);
     if let Some(vm) = ancestors(&order, index).find(is_usable) {
         return ChangeSource::Vm(vm);
     }
-    if !avoid_store {
+    if !is_store_avoided {
         return ChangeSource::Store;
     }
     // The store does not respond to this VM, and no VM of its zone can be followed. A VM that reads the store for
--- a/crates/ebonyfork/src/gateway/follow/source_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/source_tests.rs
@@ -14,7 +14,7 @@
     name.parse().expect("a valid name")
 }
 
-fn members(list: &[(u8, &str, MemberState)]) -> MemberSnapshot {
+fn members(vm_entries: &[(u8, &str, MemberState)]) -> MemberSnapshot {
     let member = |(host_number, zone_name, state): &(u8, &str, MemberState)| MemberEntry {
         vm: vm(*host_number),
         zone: zone(zone_name),
@@ -22,15 +22,15 @@
         state: *state,
         digest: MemberDigest::default(),
     };
-    MemberSnapshot::new(list.iter().map(member))
+    MemberSnapshot::new(vm_entries.iter().map(member))
 }
 
 /// Returns members with consecutive addresses, all alive and in the same zone.
 fn zone_with_vms(count: u8) -> MemberSnapshot {
-    let list: Vec<_> = (1..=count)
+    let vm_entries: Vec<_> = (1..=count)
         .map(|host_number| (host_number, "a", MemberState::Alive))
         .collect();
-    members(&list)
+    members(&vm_entries)
 }
 
 #[gtest]
@@ -38,45 +38,45 @@
     let members = zone_with_vms(14);
     let readers = store_readers(&members, &zone("a"));
     expect_that!(readers.len(), eq(STORE_READERS_PER_ZONE));
-    let mut followers = [0; STORE_READERS_PER_ZONE];
+    let mut follower_counts = [0; STORE_READERS_PER_ZONE];
     for host_number in 1..=14 {
         match choose_source(&members, vm(host_number), &zone("a"), &[], false) {
             ChangeSource::Store => expect_that!(readers.contains(&vm(host_number)), eq(true)),
             ChangeSource::Vm(source) => {
                 let index = readers.iter().position(|reader| *reader == source);
-                followers[index.expect("only store readers are followed")] += 1;
+                follower_counts[index.expect("only store readers are followed")] += 1;
             }
         }
     }
-    expect_that!(followers.iter().sum::<i32>(), eq(13));
-    expect_that!(followers.iter().all(|count| *count > 0), eq(true));
+    expect_that!(follower_counts.iter().sum::<i32>(), eq(13));
+    expect_that!(follower_counts.iter().all(|count| *count > 0), eq(true));
 }
 
 /// No VM has more than [`MAX_FOLLOWERS`] followers: if one VM sent to all others of its zone, its load would grow with
 /// the zone.
 #[gtest]
 fn the_follower_tree_is_bounded_and_rooted_at_a_store_reader() {
-    for count in [2, 17, 18, 100, 250] {
-        let members = zone_with_vms(count);
-        let mut followers = std::collections::BTreeMap::new();
+    for vm_count in [2, 17, 18, 100, 250] {
+        let members = zone_with_vms(vm_count);
+        let mut follower_counts = std::collections::BTreeMap::new();
         let mut readers = 0;
-        for host_number in 1..=count {
+        for host_number in 1..=vm_count {
             let mut current_vm = vm(host_number);
-            let mut steps = 0;
+            let mut step_count = 0;
             while let ChangeSource::Vm(source) =
                 choose_source(&members, current_vm, &zone("a"), &[], false)
             {
-                if steps == 0 {
-                    *followers.entry(source).or_insert(0) += 1;
+                if step_count == 0 {
+                    *follower_counts.entry(source).or_insert(0) += 1;
                 }
-                steps += 1;
+                step_count += 1;
                 current_vm = source;
             }
-            readers += i32::from(steps == 0);
-            expect_that!(steps, le(3), "VM {host_number} of {count}");
+            readers += i32::from(step_count == 0);
+            expect_that!(step_count, le(3), "VM {host_number} of {vm_count}");
         }
         expect_that!(readers, eq(STORE_READERS_PER_ZONE as i32));
-        expect_that!(followers.values().max(), some(le(&MAX_FOLLOWERS)));
+        expect_that!(follower_counts.values().max(), some(le(&MAX_FOLLOWERS)));
     }
 }
 
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -46,8 +46,8 @@
     items: BTreeMap<CompactString, StoreItem>,
     /// All changes, in the order of their revisions.
     change_log: Vec<StoreEvent>,
-    /// The lowest revision from which watches are answered. Watches from an earlier one fail, because the store no
-    /// longer keeps its changes.
+    /// The lowest revision from which watches are answered. A watch from an earlier revision fails, because the store
+    /// no longer keeps the changes after that revision.
     oldest_watch_revision: StoreRevision,
 }
 
@@ -55,7 +55,7 @@
 struct StoreState {
     content: StoreContent,
     era: StoreEra,
-    /// The outcome of each VM's calls, if it was set.
+    /// The outcome of each VM's calls. Calls of a VM without an entry are answered.
     reaches: BTreeMap<u8, StoreReach>,
     /// How often each VM's open calls were silenced, that is made to get no response any more.
     silence_counts: BTreeMap<u8, u32>,
@@ -192,7 +192,7 @@
     }
 
     /// Returns the number of calls that a VM has made.
-    pub fn calls(&self, vm: u8) -> usize {
+    pub fn call_count(&self, vm: u8) -> usize {
         self.state()
             .call_counts
             .get(&vm)
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -162,12 +162,12 @@
     fn put_upstream(&self, item: &StoreItem, is_restored: bool) {
         match (self.core.dialect.read_upstream)(&item.key, &item.value) {
             Ok(entry) => {
-                let share = self.core.connection_share(&entry.service);
+                let connection_share = self.core.connection_share(&entry.service);
                 let registry = &self.core.registry;
                 if is_restored {
-                    registry.put_restored(&item.key, entry, now(), share);
+                    registry.put_restored(&item.key, entry, now(), connection_share);
                 } else {
-                    registry.put(&item.key, entry, now(), share);
+                    registry.put(&item.key, entry, now(), connection_share);
                 }
             }
             // The key's previous entry is no longer in the store, so its upstream is removed. All other entries stay in
--- a/crates/ebonyfork/src/gateway/mirror/content.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content.rs
@@ -177,8 +177,8 @@
 }
 
 fn encode_value(copy: &StoreCopy, held_values: &[HeldValue], item: &StoreItem) -> SentValue {
-    let held_value = held_values.iter().find(|held| held.key == item.key);
-    let Some(base_revision) = held_value.map(|held| held.revision) else {
+    let held_value = held_values.iter().find(|value| value.key == item.key);
+    let Some(base_revision) = held_value.map(|value| value.revision) else {
         return SentValue::Plain(item.value.clone());
     };
     if base_revision == item.revision {
@@ -186,7 +186,7 @@
     }
     let patches = copy
         .patch_history()
-        .between(&item.key, base_revision, item.revision);
+        .patches_between(&item.key, base_revision, item.revision);
     let Some(patches) = patches else {
         return SentValue::Plain(item.value.clone());
     };
--- a/crates/ebonyfork/src/gateway/mirror/content_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content_tests.rs
@@ -4,7 +4,7 @@
 use crate::gateway::fixture::item;
 use crate::store::StoreEra;
 
-fn routes(count: u64) -> String {
+fn routes_text(count: u64) -> String {
     let mut text = String::new();
     for number in 0..count {
         let route = format!(
@@ -17,7 +17,7 @@
 }
 
 fn config(count: u64, revision: u64) -> StoreItem {
-    item("config", &routes(count), revision)
+    item("config", &routes_text(count), revision)
 }
 
 fn apply(copy: &mut StoreCopy, items: &[StoreItem], base_revision: u64, revision: u64) {
@@ -69,7 +69,7 @@
     );
     let change_size = send(&source, &mut follower);
     expect_that!(items(&follower), eq(&items(&source)));
-    expect_that!(full_size, lt(routes(2_850).len() / 4));
+    expect_that!(full_size, lt(routes_text(2_850).len() / 4));
     expect_that!(change_size, lt(1_000));
 }
 
--- a/crates/ebonyfork/src/gateway/mirror/copy.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy.rs
@@ -56,7 +56,7 @@
 pub struct ChangeOutcome {
     /// Changes that were not known before and have to be put in force.
     pub events: Vec<StoreEvent>,
-    /// Whether the copy is complete up to the revision of the change.
+    /// Success if the copy is complete up to the revision of the change, an error if the change leaves a gap.
     pub result: Result<(), CopyGap>,
 }
 
@@ -81,7 +81,7 @@
     /// The most recent changes up to `complete_revision`, without a gap.
     change_log: VecDeque<ChangeBatch>,
     /// Number of keys in `change_log`.
-    logged_keys: usize,
+    logged_key_count: usize,
     /// Patches between successive versions of long values.
     patches: PatchHistory,
     /// Whether patches are recorded: only while another VM follows this one.
@@ -140,16 +140,16 @@
             };
             events.extend(self.items.values().filter(is_removed).map(removal));
         }
-        let floor = if revision > self.complete_revision {
+        let known_until = if revision > self.complete_revision {
             // The read covers a later revision than the copy, so its items exist even if the copy has them as removed.
             StoreRevision::ABSENT
         } else {
             self.complete_revision
         };
-        events.retain(|event| self.apply_event(event, floor));
+        events.retain(|event| self.apply_event(event, known_until));
         if revision > self.complete_revision {
             self.change_log.clear();
-            self.logged_keys = 0;
+            self.logged_key_count = 0;
             self.advance(revision);
         }
         ChangeOutcome {
@@ -164,8 +164,10 @@
         base_revision: StoreRevision,
         revision: StoreRevision,
     ) -> ChangeOutcome {
-        let floor = self.complete_revision;
-        let applied_events = events.iter().filter(|event| self.apply_event(event, floor));
+        let known_until = self.complete_revision;
+        let applied_events = events
+            .iter()
+            .filter(|event| self.apply_event(event, known_until));
         let applied_events = applied_events.cloned().collect();
         if base_revision > self.complete_revision {
             return ChangeOutcome {
@@ -195,14 +197,14 @@
         if changed_keys.is_empty() && !self.change_log.is_empty() {
             return;
         }
-        self.logged_keys += changed_keys.len();
+        self.logged_key_count += changed_keys.len();
         self.change_log.push_back(ChangeBatch {
             changed_keys,
             base_revision: self.complete_revision,
         });
-        while self.logged_keys > MAX_LOGGED_CHANGES && self.change_log.len() > 1 {
+        while self.logged_key_count > MAX_LOGGED_CHANGES && self.change_log.len() > 1 {
             let oldest_batch = self.change_log.pop_front();
-            self.logged_keys -= oldest_batch.map_or(0, |batch| batch.changed_keys.len());
+            self.logged_key_count -= oldest_batch.map_or(0, |batch| batch.changed_keys.len());
         }
     }
 
@@ -212,10 +214,11 @@
         self.removals.retain(|_key, removal| *removal > revision);
     }
 
-    /// Applies one change and returns whether it was new. Changes up to the revision `floor` are known and not applied.
-    fn apply_event(&mut self, event: &StoreEvent, floor: StoreRevision) -> bool {
+    /// Applies one change and returns whether it was new. Changes up to the revision `known_until` are known and not
+    /// applied.
+    fn apply_event(&mut self, event: &StoreEvent, known_until: StoreRevision) -> bool {
         let key = event.key();
-        if event.revision() <= self.known_revision(key).max(floor) {
+        if event.revision() <= self.known_revision(key).max(known_until) {
             return false;
         }
         match event {
@@ -226,20 +229,22 @@
             }
             StoreEvent::Removed { revision, .. } => {
                 self.items.remove(key);
-                self.patches.forget(key);
+                self.patches.forget_patches(key);
                 self.removals.insert(key.clone(), *revision);
             }
         }
         true
     }
 
-    /// Keeps the patch from `base`, the previous version of an item, to `item`, if both are long and patches are
+    /// Keeps the patch from `old_item`, the previous version of an item, to `item`, if both are long and patches are
     /// recorded.
-    fn record_patch(&mut self, base: Option<StoreItem>, item: &StoreItem) {
+    fn record_patch(&mut self, old_item: Option<StoreItem>, item: &StoreItem) {
         let is_long = |item: &StoreItem| item.value.len() >= LONG_VALUE_BYTES;
-        match base.filter(is_long) {
-            Some(base) if is_long(item) && self.keeps_patches => self.patches.record(&base, item),
-            _ => self.patches.forget(&item.key),
+        match old_item.filter(is_long) {
+            Some(old_item) if is_long(item) && self.keeps_patches => {
+                self.patches.record_patch(&old_item, item)
+            }
+            _ => self.patches.forget_patches(&item.key),
         }
     }
 
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -20,7 +20,7 @@
 /// meantime.
 const MAX_TRANSFERS: usize = 4;
 
-/// A transfer to a follower.
+/// A transfer that is being sent to a follower.
 #[derive(Debug)]
 struct FollowerTransfer {
     /// Number of the transfer, unique within the process.
@@ -50,9 +50,9 @@
     position: FollowerPosition,
     /// Number of the last poll, and when it was received.
     last_poll: (u64, Instant),
-    /// The transfer to the follower that is under way.
+    /// The transfer that is being sent to the follower; none if there is none.
     transfer: Option<FollowerTransfer>,
-    /// Since when the follower has lacked changes.
+    /// Since when the follower has lacked changes; none if it lacks none.
     behind_since: Option<Instant>,
 }
 
@@ -81,7 +81,7 @@
 pub(super) struct FollowerTable {
     followers: BTreeMap<SessionId, MirrorFollower>,
     /// Number of the last transfer; 0 before the first.
-    last_transfer: u64,
+    last_transfer_number: u64,
     /// The content encoded last, cached because most followers lack the same changes.
     cached_content: Option<CachedContent>,
     /// Counts the bytes of completed transfers.
@@ -93,7 +93,7 @@
     pub(super) fn new(sent_bytes: Counter) -> Self {
         Self {
             followers: BTreeMap::new(),
-            last_transfer: 0,
+            last_transfer_number: 0,
             cached_content: None,
             sent_bytes,
         }
@@ -283,9 +283,9 @@
         let Some(follower) = self.followers.get_mut(&peer) else {
             return;
         };
-        self.last_transfer += 1;
+        self.last_transfer_number += 1;
         follower.transfer = Some(FollowerTransfer {
-            number: self.last_transfer,
+            number: self.last_transfer_number,
             outgoing_transfer: OutgoingTransfer::new(bytes, now),
             end_position,
             up_to_date_at,
--- a/crates/ebonyfork/src/gateway/mirror/freshness.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness.rs
@@ -19,7 +19,7 @@
 /// Number of polls of a followed VM within the maximum age of the copy: three of them may be lost.
 const POLLS_PER_MAX_AGE: u32 = 4;
 /// Time allowed for a response of the store and one of a followed VM together.
-const RESPONSE_TIME: Duration = Duration::from_millis(300);
+const RESPONSE_ALLOWANCE: Duration = Duration::from_millis(300);
 /// Lower bound of the time for which a watch asks the store to wait for changes.
 const MIN_WATCH_TIME: Duration = Duration::from_millis(50);
 
@@ -43,7 +43,7 @@
     pub fn new(max_change_delay: Duration) -> Self {
         let max_age = max_change_delay.mul_f64(MAX_AGE_FRACTION);
         let poll_interval = max_age / POLLS_PER_MAX_AGE;
-        let renewal_age = max_age.saturating_sub(poll_interval + RESPONSE_TIME);
+        let renewal_age = max_age.saturating_sub(poll_interval + RESPONSE_ALLOWANCE);
         Self {
             max_age,
             poll_interval,
--- a/crates/ebonyfork/src/gateway/mirror/history.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history.rs
@@ -37,7 +37,7 @@
 impl PatchHistory {
     /// Adds the patch from the old version of a value to the new one, and drops the oldest patches beyond the size
     /// limit.
-    pub fn record(&mut self, old_item: &StoreItem, new_item: &StoreItem) {
+    pub fn record_patch(&mut self, old_item: &StoreItem, new_item: &StoreItem) {
         let bytes = match compress(&old_item.value, &new_item.value) {
             Ok(bytes) => bytes,
             Err(error) => {
@@ -47,7 +47,7 @@
                     new_item.key,
                     new_item.revision
                 );
-                self.forget(&new_item.key);
+                self.forget_patches(&new_item.key);
                 return;
             }
         };
@@ -74,13 +74,13 @@
     }
 
     /// Drops all patches of a value.
-    pub fn forget(&mut self, key: &CompactString) {
+    pub fn forget_patches(&mut self, key: &CompactString) {
         self.chains.remove(key);
     }
 
     /// Returns the patches from the version of a value at `base_revision` to the one at `revision`; none if `revision`
     /// is not the newest version or the patches do not reach back to `base_revision`.
-    pub fn between(
+    pub fn patches_between(
         &self,
         key: &CompactString,
         base_revision: StoreRevision,
--- a/crates/ebonyfork/src/gateway/mirror/history_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history_tests.rs
@@ -19,7 +19,7 @@
     for revision in 2..=last_revision {
         let old_item = item("config", &value_with_lines(100 + revision), revision - 1);
         let new_item = item("config", &value_with_lines(101 + revision), revision);
-        history.record(&old_item, &new_item);
+        history.record_patch(&old_item, &new_item);
     }
     history
 }
@@ -29,7 +29,7 @@
     let history = history_until(5);
     let key = CompactString::from("config");
     let patches = history
-        .between(&key, StoreRevision::new(2), StoreRevision::new(5))
+        .patches_between(&key, StoreRevision::new(2), StoreRevision::new(5))
         .expect("all patches are kept");
     let mut bytes = Bytes::from(value_with_lines(103));
     for patch in &patches {
@@ -37,37 +37,37 @@
     }
     expect_that!(patches.len(), eq(3));
     expect_that!(bytes == value_with_lines(106), eq(true));
-    let between = |base, revision| {
-        history.between(&key, StoreRevision::new(base), StoreRevision::new(revision))
+    let patches_from_to = |base, revision| {
+        history.patches_between(&key, StoreRevision::new(base), StoreRevision::new(revision))
     };
-    expect_that!(between(5, 5), none(), "there is nothing to patch");
+    expect_that!(patches_from_to(5, 5), none(), "there is nothing to patch");
     expect_that!(
-        between(2, 4),
+        patches_from_to(2, 4),
         none(),
         "only patches to the newest value are kept"
     );
-    expect_that!(between(9, 5), none());
+    expect_that!(patches_from_to(9, 5), none());
 }
 
 #[gtest]
 fn a_gap_starts_a_new_chain() {
     let mut history = history_until(5);
-    history.record(
+    history.record_patch(
         &item("config", &value_with_lines(200), 7),
         &item("config", &value_with_lines(201), 8),
     );
     let key = CompactString::from("config");
     expect_that!(
-        history.between(&key, StoreRevision::new(4), StoreRevision::new(8)),
+        history.patches_between(&key, StoreRevision::new(4), StoreRevision::new(8)),
         none()
     );
     expect_that!(
-        history.between(&key, StoreRevision::new(7), StoreRevision::new(8)),
+        history.patches_between(&key, StoreRevision::new(7), StoreRevision::new(8)),
         some(len(eq(1)))
     );
-    history.forget(&key);
+    history.forget_patches(&key);
     expect_that!(
-        history.between(&key, StoreRevision::new(7), StoreRevision::new(8)),
+        history.patches_between(&key, StoreRevision::new(7), StoreRevision::new(8)),
         none()
     );
 }
--- a/crates/ebonyfork/src/gateway/mirror/pack_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/pack_tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// Returns lines as similar to one another as routes.
-fn text(lines: u32, rng: &mut ChaCha8Rng) -> Vec<String> {
+fn route_lines(lines: u32, rng: &mut ChaCha8Rng) -> Vec<String> {
     let line = |rng: &mut ChaCha8Rng| {
         let path_number: u64 = rng.random();
         format!(
@@ -19,13 +19,13 @@
 fn a_value_of_maximum_length_compresses_to_its_changes() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     // About 1 MB, the maximum size of a value in the store.
-    let mut lines = text(14_000, &mut rng);
+    let mut lines = route_lines(14_000, &mut rng);
     let old_value = lines.concat();
     for _change in 0..5 {
         let index = rng.random_range(0..lines.len());
         lines.remove(index);
         let index = rng.random_range(0..lines.len());
-        lines.insert(index, text(1, &mut rng).concat());
+        lines.insert(index, route_lines(1, &mut rng).concat());
     }
     let new_value = lines.concat();
     let packed_bytes = compress(old_value.as_bytes(), new_value.as_bytes()).unwrap();
@@ -37,8 +37,8 @@
     );
     let expanded_value = expand(old_value.as_bytes(), &packed_bytes, new_value.len()).unwrap();
     expect_that!(expanded_value == new_value.as_bytes(), eq(true));
-    let packed_alone = compress(&[], new_value.as_bytes()).unwrap();
-    let expanded_value = expand(&[], &packed_alone, new_value.len()).unwrap();
+    let bytes_packed_alone = compress(&[], new_value.as_bytes()).unwrap();
+    let expanded_value = expand(&[], &bytes_packed_alone, new_value.len()).unwrap();
     expect_that!(expanded_value == new_value.as_bytes(), eq(true));
 }
 
--- a/crates/ebonyfork/src/gateway/mirror/transfer.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer.rs
@@ -57,13 +57,13 @@
 
     /// Returns the next chunk, or none if the window is full or everything was sent.
     pub fn next_chunk(&mut self) -> Option<TransferChunk> {
-        let end = (self.sent_bytes + CHUNK_BYTES).min(self.content.len());
-        let fits_window = end <= self.acked_bytes + WINDOW_BYTES;
-        if self.sent_bytes == end || !fits_window {
+        let chunk_end = (self.sent_bytes + CHUNK_BYTES).min(self.content.len());
+        let fits_window = chunk_end <= self.acked_bytes + WINDOW_BYTES;
+        if self.sent_bytes == chunk_end || !fits_window {
             return None;
         }
-        let bytes = self.content.slice(self.sent_bytes..end);
-        let offset = std::mem::replace(&mut self.sent_bytes, end);
+        let bytes = self.content.slice(self.sent_bytes..chunk_end);
+        let offset = std::mem::replace(&mut self.sent_bytes, chunk_end);
         Some(TransferChunk { offset, bytes })
     }
 
--- a/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
@@ -95,6 +95,9 @@
         eq(&ChunkOutcome::Complete(Bytes::from("new")))
     );
     expect_that!(receive(6, (0, 3), b"longer"), eq(&ChunkOutcome::Invalid));
-    let too_large = MAX_EXPANDED_BYTES + 1;
-    expect_that!(receive(7, (0, too_large), b"x"), eq(&ChunkOutcome::Invalid));
+    let too_large_size = MAX_EXPANDED_BYTES + 1;
+    expect_that!(
+        receive(7, (0, too_large_size), b"x"),
+        eq(&ChunkOutcome::Invalid)
+    );
 }
--- a/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
+++ b/crates/ebonyfork/src/gateway/route_check/route_check_tests.rs
@@ -144,14 +144,14 @@
             ),
         );
         expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
-        let old_config = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/b/1").await, old_config, "moved");
-        let old_config = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/c/1").await, old_config, "removed");
-        let old_config = err(eq(RefusalReason::OldConfig));
+        let is_old_config_error = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/b/1").await, is_old_config_error, "moved");
+        let is_old_config_error = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/c/1").await, is_old_config_error, "removed");
+        let is_old_config_error = err(eq(RefusalReason::OldConfig));
         expect_that!(
             vms.check("/d/e/1").await,
-            old_config,
+            is_old_config_error,
             "a longer prefix matches now"
         );
     };
@@ -171,8 +171,8 @@
         vms.first_core
             .route_checks
             .note_members(&newer_members, vm(1), &zone());
-        let old_config = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/a/3").await, old_config, "no response");
+        let is_old_config_error = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/a/3").await, is_old_config_error, "no response");
     };
     LocalSet::new().run_until(test).await;
 }
@@ -228,8 +228,8 @@
             .route_checks
             .note_own_version(ConfigVersion(10), behind_since);
         expect_that!(vms.check("/a/1").await, ok(eq(())), "unchanged");
-        let old_config = err(eq(RefusalReason::OldConfig));
-        expect_that!(vms.check("/b/1").await, old_config, "moved");
+        let is_old_config_error = err(eq(RefusalReason::OldConfig));
+        expect_that!(vms.check("/b/1").await, is_old_config_error, "moved");
         expect_that!(
             vms.first_core.no_route_reason(),
             eq(RefusalReason::OldConfig)
@@ -255,7 +255,7 @@
             let outcome = tokio::time::timeout(Duration::from_millis(5), route_check).await;
             expect_that!(outcome.is_err(), eq(true), "the caller has left");
         }
-        expect_that!(vms.first_core.route_checks.pending_requests(), eq(1));
+        expect_that!(vms.first_core.route_checks.pending_request_count(), eq(1));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -44,7 +44,8 @@
 pub struct RouteChecks {
     /// The newest version that another VM has in force.
     newest_version: Cell<ConfigVersion>,
-    /// This VM's version in force while another VM has a newer one, and since when that has been so.
+    /// The version in force on this VM, and since when another VM has had a newer one in force; none if no other VM
+    /// has.
     behind_since: Cell<Option<(ConfigVersion, Instant)>>,
     /// The VMs that have the newest version in force; only those in this VM's zone if there are any.
     holders: RefCell<SmallVec<[VmAddress; 8]>>,
@@ -61,9 +62,9 @@
 impl RouteChecks {
     /// Sets the version to announce to other VMs, unless a newer one is announced already.
     pub fn announce_version(&self, version: ConfigVersion) {
-        self.announced_version.send_if_modified(|announced| {
-            let is_newer = version > *announced;
-            *announced = version.max(*announced);
+        self.announced_version.send_if_modified(|newest_announced| {
+            let is_newer = version > *newest_announced;
+            *newest_announced = version.max(*newest_announced);
             is_newer
         });
     }
@@ -177,7 +178,7 @@
 
     /// Returns the number of requests without a response.
     #[cfg(test)]
-    pub(super) fn pending_requests(&self) -> usize {
+    pub(super) fn pending_request_count(&self) -> usize {
         self.pending_requests.borrow().len()
     }
 
