--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -19,8 +19,8 @@
     address: std::net::SocketAddr,
     stop: CancellationToken,
     outcome: Arc<Mutex<QueryOutcome>>,
-    query_started: Arc<Notify>,
-    query_release: Arc<Notify>,
+    query_start_notify: Arc<Notify>,
+    query_release_notify: Arc<Notify>,
     server_task: tokio::task::JoinHandle<()>,
     writers: crate::views::ViewWriters,
 }
@@ -42,17 +42,19 @@
     }
 }
 
-/// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release` is notified.
+/// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release_notify` is
+/// notified.
 async fn start_server() -> CallerFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (writers, views) = view_channels();
     writers.readiness.send_replace(NodeReadiness::Ready);
     let outcome = Arc::new(Mutex::new(Ok(whole_answer())));
-    let query_release = Arc::new(Notify::new());
-    let query_started = Arc::new(Notify::new());
-    let started_signal = Arc::clone(&query_started);
-    let (shared_outcome, release_signal) = (Arc::clone(&outcome), Arc::clone(&query_release));
+    let query_release_notify = Arc::new(Notify::new());
+    let query_start_notify = Arc::new(Notify::new());
+    let started_signal = Arc::clone(&query_start_notify);
+    let (shared_outcome, release_signal) =
+        (Arc::clone(&outcome), Arc::clone(&query_release_notify));
     let run = move |request: crate::query::QueryRequest| {
         let (shared_outcome, release_signal) =
             (Arc::clone(&shared_outcome), Arc::clone(&release_signal));
@@ -77,8 +79,8 @@
         address,
         stop,
         outcome,
-        query_started,
-        query_release,
+        query_start_notify,
+        query_release_notify,
         server_task,
         writers,
     }
@@ -209,9 +211,9 @@
         tokio::spawn(
             async move { send_request(address, query_request("held", &[], vec![])).await },
         );
-    fixture.query_started.notified().await;
+    fixture.query_start_notify.notified().await;
     fixture.stop.cancel();
-    fixture.query_release.notify_one();
+    fixture.query_release_notify.notify_one();
     let response = pending_response.await.unwrap();
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["connection"], eq("close"));
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -159,10 +159,10 @@
             return Err(refusal);
         }
         let (reply, outcome_receiver) = oneshot::channel();
-        let suspect = (self.is_suspect)(fingerprint);
+        let is_suspect = (self.is_suspect)(fingerprint);
         let start_query = StartQuery {
             request,
-            suspect,
+            is_suspect,
             reply,
         };
         let send_result = self.address.send(start_query).detach().await;
@@ -245,7 +245,7 @@
 /// Asks the actor to run a query and to send its outcome to `reply`.
 struct StartQuery {
     request: QueryRequest,
-    suspect: bool,
+    is_suspect: bool,
     reply: oneshot::Sender<QueryOutcome>,
 }
 
@@ -397,7 +397,7 @@
         };
         let query_number = self
             .core
-            .start_suspect(now, message.request, message.suspect);
+            .start_with_suspicion(now, message.request, message.is_suspect);
         self.callers.insert(query_number, caller);
         self.run_actions(now);
     }
--- a/crates/ebonyfork/src/entry/actor_tests.rs
+++ b/crates/ebonyfork/src/entry/actor_tests.rs
@@ -49,14 +49,14 @@
 }
 
 impl HandleFixture {
-    fn take_submits(&self) -> Vec<(VmAddress, SubmitBatch)> {
-        let mut submits = Vec::new();
+    fn take_submit_batches(&self) -> Vec<(VmAddress, SubmitBatch)> {
+        let mut submit_batches = Vec::new();
         for (vm, message) in self.sent_messages.lock().unwrap().drain(..) {
             if let PeerMessage::Submit(batch) = message {
-                submits.push((vm, batch));
+                submit_batches.push((vm, batch));
             }
         }
-        submits
+        submit_batches
     }
 }
 
@@ -64,7 +64,7 @@
     /// Answers every attempt sent so far and returns their number.
     async fn answer_sent_attempts(&self) -> usize {
         let mut answered_attempts = 0;
-        for (vm, batch) in self.take_submits() {
+        for (vm, batch) in self.take_submit_batches() {
             answered_attempts += batch.targets.len();
             let outcomes = batch.targets.iter().map(|target| ShardOutcome {
                 query: batch.query,
@@ -130,11 +130,11 @@
     tokio::time::sleep(ms(100)).await;
     expect_that!(fixture.handle.queries_in_flight(), eq(0));
     let sent_messages = fixture.sent_messages.lock().unwrap();
-    let cancels = sent_messages.iter().map(|(_, message)| match message {
+    let cancel_batches = sent_messages.iter().map(|(_, message)| match message {
         PeerMessage::Cancel(batch) => batch.attempts.len(),
         _ => 0,
     });
-    expect_that!(cancels.sum::<usize>(), ge(3));
+    expect_that!(cancel_batches.sum::<usize>(), ge(3));
 }
 
 #[gtest]
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -28,8 +28,8 @@
 const LIGHT_USAGE_FACTOR: f64 = 0.5;
 /// Multiple of the fair share above which the usage of an organisation is [`OrganisationUsage::Heavy`].
 const HEAVY_USAGE_FACTOR: f64 = 1.5;
-/// Number of queries, each as costly as the one to admit, up to whose total cost the usage of an organisation is
-/// [`OrganisationUsage::Light`].
+/// The usage of an organisation is [`OrganisationUsage::Light`] if it is at most the cost of the query to admit
+/// multiplied by this number.
 const LIGHT_QUERY_COUNT: f64 = 2.0;
 /// Time in which recorded usage loses half its weight.
 const USAGE_HALF_LIFE: Duration = Duration::from_secs(1);
@@ -37,11 +37,11 @@
 const IDLE_USAGE: f64 = 0.001;
 /// Interval at which idle organisations are dropped and the active ones counted.
 const ORGANISATION_COUNT_PERIOD: Duration = Duration::from_millis(250);
-/// Divisor of the latency target that gives the minimum allowed wait, which applies even if the unloaded time takes up
-/// the whole target.
+/// The allowed wait is at least the latency target divided by this number, even if the unloaded time takes up the whole
+/// target.
 const MIN_WAIT_DIVISOR: u32 = 10;
 /// Number of queries admitted under load after which a class updates its limit.
-const LIMIT_UPDATE_QUERIES: u32 = 32;
+const QUERIES_PER_LIMIT_UPDATE: u32 = 32;
 /// Lower bound of the limit factor of a class.
 const MIN_LIMIT_FACTOR: f64 = 0.3;
 /// Multiplier of the limit factor after an update period in which too many queries missed their target.
@@ -76,7 +76,7 @@
     /// The query may be sent.
     Admitted {
         /// Whether the predicted wait exceeds the allowed wait divided by `LOADED_WAIT_DIVISOR`.
-        under_load: bool,
+        is_under_load: bool,
     },
     /// The query is refused.
     Refused {
@@ -122,17 +122,17 @@
     /// Factor on the share of the latency target that queries may take, at most 1.
     factor: f64,
     /// Number of queries admitted under load that completed since the last update of the factor.
-    completed_queries: u32,
-    /// Number of those queries that missed their target.
-    misses: u32,
+    completed_query_count: u32,
+    /// Number of the queries in `completed_query_count` that missed their target.
+    missed_target_count: u32,
 }
 
 impl Default for ClassLimit {
     fn default() -> Self {
         Self {
             factor: 1.0,
-            completed_queries: 0,
-            misses: 0,
+            completed_query_count: 0,
+            missed_target_count: 0,
         }
     }
 }
@@ -172,7 +172,7 @@
         }
         self.record_usage(now, request.organisation, request.cost_seconds);
         AdmissionDecision::Admitted {
-            under_load: request.predicted_wait > allowed_wait / LOADED_WAIT_DIVISOR,
+            is_under_load: request.predicted_wait > allowed_wait / LOADED_WAIT_DIVISOR,
         }
     }
 
@@ -181,22 +181,23 @@
         &mut self,
         class: ClassId,
         latency_percentile: f64,
-        target_met: bool,
+        is_target_met: bool,
     ) {
         let class_limit = &mut self.class_limits[class];
-        class_limit.completed_queries += 1;
-        class_limit.misses += u32::from(!target_met);
-        if class_limit.completed_queries < LIMIT_UPDATE_QUERIES {
+        class_limit.completed_query_count += 1;
+        class_limit.missed_target_count += u32::from(!is_target_met);
+        if class_limit.completed_query_count < QUERIES_PER_LIMIT_UPDATE {
             return;
         }
-        let miss_rate = f64::from(class_limit.misses) / f64::from(class_limit.completed_queries);
+        let miss_rate = f64::from(class_limit.missed_target_count)
+            / f64::from(class_limit.completed_query_count);
         class_limit.factor = if miss_rate > 1.0 - latency_percentile / 100.0 + MISS_TOLERANCE {
             (class_limit.factor * LIMIT_DECREASE_FACTOR).max(MIN_LIMIT_FACTOR)
         } else {
             (class_limit.factor + LIMIT_INCREASE_STEP).min(1.0)
         };
-        class_limit.completed_queries = 0;
-        class_limit.misses = 0;
+        class_limit.completed_query_count = 0;
+        class_limit.missed_target_count = 0;
     }
 
     /// Returns an organisation's usage relative to its fair share, without the next query, which takes `cost_seconds`
--- a/crates/ebonyfork/src/entry/admission_tests.rs
+++ b/crates/ebonyfork/src/entry/admission_tests.rs
@@ -44,7 +44,9 @@
         let admission_decision = admission.admit(now, request(name, ms(allowed_wait)));
         expect_that!(
             admission_decision,
-            eq(AdmissionDecision::Admitted { under_load: true })
+            eq(AdmissionDecision::Admitted {
+                is_under_load: true
+            })
         );
     }
     // After ten idle seconds the usage of the first organisation has decayed.
@@ -66,11 +68,11 @@
         matches!(decision, AdmissionDecision::Admitted { .. })
     };
     expect_that!(is_admitted(&mut admission), eq(true));
-    for _ in 0..LIMIT_UPDATE_QUERIES * 10 {
+    for _ in 0..QUERIES_PER_LIMIT_UPDATE * 10 {
         admission.record_target_result(class, 99.0, false);
     }
     expect_that!(is_admitted(&mut admission), eq(false));
-    for _ in 0..LIMIT_UPDATE_QUERIES * 20 {
+    for _ in 0..QUERIES_PER_LIMIT_UPDATE * 20 {
         admission.record_target_result(class, 99.0, true);
     }
     expect_that!(is_admitted(&mut admission), eq(true));
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -22,8 +22,8 @@
 const KNOWN_REQUESTS_PER_GENERATION: usize = 8_192;
 /// Fewest shards of a query for which a canary is used.
 const MIN_CANARY_SHARDS: u32 = 3;
-/// Divisor of the latency target that gives the longest time which the canary and the requests to the other shards may
-/// be expected to take together.
+/// A query has time for a canary if the canary and the requests to the other shards together are expected to take at
+/// most the latency target divided by this number.
 const CANARY_LATENCY_DIVISOR: u32 = 2;
 /// How long after the loss of an upstream a request that is not in [`KnownRequests`] starts with a canary even if the
 /// latency target is too short for that.
@@ -67,7 +67,7 @@
     /// Position of the shard that receives the canary, in the slots of the gather.
     pub(super) slot_index: u32,
     /// How often the canary has been checked while overdue.
-    pub(super) overdue_checks: u8,
+    pub(super) overdue_check_count: u8,
 }
 
 impl QueryRun {
@@ -77,9 +77,9 @@
         shared: &SharedState,
         now: Duration,
     ) -> Option<PlannedAttempt> {
-        let canary_applicable =
+        let allows_canary =
             self.gather.shard_count() >= MIN_CANARY_SHARDS && self.params.idempotent;
-        if !canary_applicable || (!self.suspect && shared.known_requests.contains(self.fingerprint))
+        if !allows_canary || (!self.is_suspect && shared.known_requests.contains(self.fingerprint))
         {
             return None;
         }
@@ -92,12 +92,12 @@
             .iter()
             .map(|planned_attempt| planned_attempt.route_choice.unloaded_time())
             .max()?;
-        let has_time = fastest_attempt.route_choice.unloaded_time() + slowest_time
+        let has_time_for_canary = fastest_attempt.route_choice.unloaded_time() + slowest_time
             <= self.params.latency_target / CANARY_LATENCY_DIVISOR;
         let has_recent_loss = shared
             .last_upstream_loss
             .is_some_and(|lost_at| now < lost_at + LOSS_ALERT_DURATION);
-        (has_time || has_recent_loss || self.suspect).then_some(*fastest_attempt)
+        (has_time_for_canary || has_recent_loss || self.is_suspect).then_some(*fastest_attempt)
     }
 
     /// Requests the other shards once the canary's shard has answered or the canary has been overdue for
@@ -112,8 +112,8 @@
                 self.send_held_back_attempts(shared, now);
             }
             ShardStatus::Open
-                if canary.overdue_checks >= MAX_OVERDUE_CHECKS
-                    && self.progress.broken_upstreams == 0 =>
+                if canary.overdue_check_count >= MAX_OVERDUE_CHECKS
+                    && self.progress.broken_upstream_count == 0 =>
             {
                 self.send_held_back_attempts(shared, now);
             }
@@ -137,9 +137,9 @@
         }
         self.has_deferred_shards = true;
         // A hedge of the same shard that is still in flight serves as the second try.
-        let second_try_used = self.gather.slots()[slot_index].attempts_in_flight > 0
-            || self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT;
-        if self.canary.is_some() && !second_try_used {
+        let is_second_try_used = self.gather.slots()[slot_index].attempts_in_flight > 0
+            || self.progress.broken_upstream_count >= BROKEN_UPSTREAM_LIMIT;
+        if self.canary.is_some() && !is_second_try_used {
             self.start_next_canary(shared, now);
         }
         true
@@ -171,7 +171,7 @@
         while let Some(slot_index) = self.gather.slots().iter().position(has_no_attempt) {
             self.canary = Some(CanaryProbe {
                 slot_index: slot_index as u32,
-                overdue_checks: 0,
+                overdue_check_count: 0,
             });
             self.send_first_attempt(shared, now, slot_index);
             if self.gather.slots()[slot_index].status() == ShardStatus::Open {
@@ -203,7 +203,7 @@
         shared.budget.deposit();
         shared.directory.replicas[route_choice.replica]
             .health
-            .record_submit(now);
+            .record_submission(now);
         self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::First);
     }
 }
--- a/crates/ebonyfork/src/entry/canary_tests.rs
+++ b/crates/ebonyfork/src/entry/canary_tests.rs
@@ -97,7 +97,7 @@
     expect_that!(fixture.take_sent_attempts().len(), eq(20));
     fixture
         .core
-        .start_suspect(fixture.now, unknown_request(), true);
+        .start_with_suspicion(fixture.now, unknown_request(), true);
     fixture.run_actions();
     let suspect_attempts = fixture.take_sent_attempts();
     expect_that!(suspect_attempts.len(), eq(1));
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -133,7 +133,8 @@
     Some(build_route_choice(directory, now, candidate, reason))
 }
 
-/// Returns a replica with the preferred relay that is up, or `None` if no relay may be used.
+/// Returns `replica` with the relay to use, or `None` if both of its relays are excluded. A relay whose link is up is
+/// preferred, and the primary is preferred to the standby.
 fn find_candidate(
     directory: &mut Directory,
     now: Duration,
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -147,17 +147,22 @@
 
     /// Starts a query and returns its number. The outcome is returned as an action, possibly immediately.
     pub fn start(&mut self, now: Duration, request: QueryRequest) -> u64 {
-        self.start_suspect(now, request, false)
+        self.start_with_suspicion(now, request, false)
     }
 
-    /// Starts a query like [`EntryCore::start`]; `suspect` says whether the request may have crashed upstreams.
-    pub fn start_suspect(&mut self, now: Duration, request: QueryRequest, suspect: bool) -> u64 {
+    /// Starts a query like [`EntryCore::start`]; `is_suspect` says whether the request may have crashed upstreams.
+    pub fn start_with_suspicion(
+        &mut self,
+        now: Duration,
+        request: QueryRequest,
+        is_suspect: bool,
+    ) -> u64 {
         self.last_query_number += 1;
         let query_number = self.last_query_number;
         let (class, caller_id) = (request.class.clone(), request.caller_id.clone());
         match self.prepare_run(now, query_number, request) {
             Ok(mut run) => {
-                run.suspect = suspect;
+                run.is_suspect = is_suspect;
                 self.begin_run(now, run);
             }
             Err(refusal) => {
@@ -357,13 +362,13 @@
         let Some(mut run) = self.runs.remove(&query_number) else {
             return;
         };
-        if run.under_load {
-            let target_met = run.meets_target(now, &outcome);
+        if run.is_under_load {
+            let is_target_met = run.meets_target(now, &outcome);
             let admission = &mut self.shared.admission;
             admission.record_target_result(
                 run.params.class,
                 run.params.latency_percentile,
-                target_met,
+                is_target_met,
             );
         }
         let duration = now.saturating_sub(run.params.started_at);
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// An attempt that returned no rows.
+/// The failure of an attempt to return rows, for the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FailedAttempt {
     /// Number of the query within the entry's session.
@@ -66,7 +66,7 @@
     pub verdict: ShardVerdict,
 }
 
-/// A completed query.
+/// The result of a query, for the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishedQuery {
     /// Number of the query within the entry's session.
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -40,8 +40,9 @@
 const OTHER_ZONE_ROUND_TRIP: Duration = Duration::from_millis(20);
 /// How long a relay is avoided after its link broke.
 const LINK_DOWN_DURATION: Duration = Duration::from_millis(500);
-/// Divisor that gives the weight of a slower round trip in the moving average. A faster one replaces the average at
-/// once, which keeps it close to the delay of the path itself.
+/// The weight of a new round trip in the moving average is one divided by this number if the round trip is longer than
+/// the average. A shorter round trip replaces the average at once, so that the average stays close to the delay of the
+/// path itself.
 const ROUND_TRIP_SMOOTHING: u32 = 32;
 
 #[derive(Debug)]
@@ -68,7 +69,7 @@
     /// Address of the VM.
     pub vm: VmAddress,
     round_trip: Duration,
-    /// Whether the round trip has been measured; otherwise it is the default.
+    /// Whether `round_trip` was measured; if not, it is the default for the relay's zone.
     is_measured: bool,
     down_until: Duration,
 }
@@ -230,9 +231,9 @@
             let own_relay = self.relay_id(self.own_vm);
             return Some((own_relay, own_relay));
         }
-        let pair = owner_pair(&self.topology, address)?;
-        let primary = self.relay_id(pair.primary);
-        let standby = self.relay_id(pair.standby);
+        let owner_vms = owner_pair(&self.topology, address)?;
+        let primary = self.relay_id(owner_vms.primary);
+        let standby = self.relay_id(owner_vms.standby);
         Some((primary, standby))
     }
 
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -22,17 +22,17 @@
     /// The first attempt is answered after 900 ms instead of 10 ms.
     Straggler,
     /// The first upstream refuses connections.
-    Refusing,
+    RefusingUpstream,
     /// The first upstream never answers.
-    Silent,
+    SilentUpstream,
     /// Both upstreams refuse connections.
-    BothRefusing,
+    BothUpstreamsRefusing,
     /// The first upstream sheds requests.
-    Shedding,
+    SheddingUpstream,
     /// Both upstreams shed requests.
-    BothShedding,
+    BothUpstreamsShedding,
     /// The connection breaks during the first attempt.
-    Broken,
+    BrokenConnection,
     /// The first attempt is answered with an error status.
     ErrorStatus,
     /// The relay of the first attempt does not own the upstream.
@@ -40,67 +40,124 @@
     /// The index moves to the next version before the service receives its request.
     NextVersion,
     /// The service does not hold the version, and no other version is listed.
-    VersionMissing,
+    MissingVersion,
     /// The shard has moved to an additional service.
-    Move,
+    MovedShard,
     /// The first attempt returns rows of another version.
     WrongVersion,
-    /// Both upstreams are slow.
+    /// Both upstreams take 80 ms instead of 10 ms.
     SlowService,
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Expected {
-    Whole { version: u64 },
-    Thin { missing_each: u32 },
-    Refused { code: RefusalCode, ran: RunState },
+enum ExpectedOutcome {
+    WholeAnswer { version: u64 },
+    ThinAnswer { missing_each: u32 },
+    Refusal { code: RefusalCode, ran: RunState },
 }
 
-use Expected::{Refused, Thin, Whole};
+use ExpectedOutcome::{Refusal, ThinAnswer, WholeAnswer};
 use Fault::{
-    BothRefusing, BothShedding, Broken, ErrorStatus, Move, NextVersion, NotOwner, Refusing,
-    Shedding, Silent, SlowService, Straggler, VersionMissing, WrongVersion,
+    BothUpstreamsRefusing, BothUpstreamsShedding, BrokenConnection, ErrorStatus, MissingVersion,
+    MovedShard, NextVersion, NotOwner, RefusingUpstream, SheddingUpstream, SilentUpstream,
+    SlowService, Straggler, WrongVersion,
 };
 
 /// A set of faults, the expected outcome of a latency-first class, and that of a coverage-first class with a target of
 /// 0.95.
-type FaultCase = (&'static [Fault], Expected, Expected);
+type FaultCase = (&'static [Fault], ExpectedOutcome, ExpectedOutcome);
 
 /// A set of faults, and the expected refusal of a non-idempotent query, or `None` if it is answered.
 type NonIdempotentCase = (&'static [Fault], Option<(RefusalCode, RunState)>);
 
-const ALL_AT_ONCE: &[Fault] = &[
+const ALL_FAULTS: &[Fault] = &[
     Straggler,
-    Refusing,
-    Shedding,
-    Move,
+    RefusingUpstream,
+    SheddingUpstream,
+    MovedShard,
     SlowService,
     NextVersion,
 ];
 
 const FAULT_CASES: &[FaultCase] = &[
-    (&[], Whole { version: 17 }, Whole { version: 17 }),
-    (&[Straggler], Whole { version: 17 }, Whole { version: 17 }),
-    (&[Refusing], Whole { version: 17 }, Whole { version: 17 }),
-    (&[Silent], Whole { version: 17 }, Whole { version: 17 }),
-    (&[BothRefusing], Thin { missing_each: 1 }, UPSTREAM_FAILED),
-    (&[Shedding], Whole { version: 17 }, Whole { version: 17 }),
-    (&[BothShedding], Thin { missing_each: 1 }, UPSTREAM_FAILED),
-    (&[ErrorStatus], Whole { version: 17 }, Whole { version: 17 }),
-    (&[NotOwner], Whole { version: 17 }, Whole { version: 17 }),
-    (&[NextVersion], Whole { version: 18 }, Whole { version: 18 }),
-    (&[VersionMissing], Thin { missing_each: 1 }, UPSTREAM_FAILED),
-    (&[Move], Whole { version: 17 }, Whole { version: 17 }),
+    (
+        &[],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[Straggler],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[RefusingUpstream],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[SilentUpstream],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[BothUpstreamsRefusing],
+        ThinAnswer { missing_each: 1 },
+        UPSTREAM_FAILED,
+    ),
+    (
+        &[SheddingUpstream],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[BothUpstreamsShedding],
+        ThinAnswer { missing_each: 1 },
+        UPSTREAM_FAILED,
+    ),
+    (
+        &[ErrorStatus],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[NotOwner],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[NextVersion],
+        WholeAnswer { version: 18 },
+        WholeAnswer { version: 18 },
+    ),
+    (
+        &[MissingVersion],
+        ThinAnswer { missing_each: 1 },
+        UPSTREAM_FAILED,
+    ),
+    (
+        &[MovedShard],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
     (
         &[WrongVersion],
-        Whole { version: 17 },
-        Whole { version: 17 },
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        &[SlowService],
+        WholeAnswer { version: 17 },
+        WholeAnswer { version: 17 },
+    ),
+    (
+        ALL_FAULTS,
+        WholeAnswer { version: 18 },
+        WholeAnswer { version: 18 },
     ),
-    (&[SlowService], Whole { version: 17 }, Whole { version: 17 }),
-    (ALL_AT_ONCE, Whole { version: 18 }, Whole { version: 18 }),
 ];
 
-const UPSTREAM_FAILED: Expected = Refused {
+const UPSTREAM_FAILED: ExpectedOutcome = Refusal {
     code: RefusalCode::UpstreamFailed,
     // Other shards were still in flight when the query was given up.
     ran: RunState::Unknown,
@@ -112,7 +169,7 @@
     faulty_services: u32,
     replies: BTreeMap<(Duration, usize), (SentAttempt, ShardVerdict)>,
     sent_attempts: Vec<SentAttempt>,
-    is_published: bool,
+    is_next_version_published: bool,
 }
 
 impl FaultScript<'_> {
@@ -150,19 +207,19 @@
         let is_first_upstream = attempt.upstream == upstream(service as usize, 0);
         let not_run_verdict = |reason| Some((ms(2), ShardVerdict::NotRun(reason)));
         if self.has_fault(NextVersion) && attempt.version.0 == 17 {
-            if !self.is_published {
-                self.is_published = true;
+            if !self.is_next_version_published {
+                self.is_next_version_published = true;
                 fixture.publish(6, &[(18, SHARDS), (17, SHARDS)]);
             }
             let newest = SnapshotVersion(18);
             return Some((ms(12), ShardVerdict::VersionGone { newest }));
         }
-        if self.has_fault(VersionMissing) {
+        if self.has_fault(MissingVersion) {
             let newest = SnapshotVersion(18);
             return Some((ms(2), ShardVerdict::VersionGone { newest }));
         }
         let new_upstreams = [0, 1].map(|replica| upstream(SHARDS, replica));
-        if self.has_fault(Move) && !new_upstreams.contains(&attempt.upstream) {
+        if self.has_fault(MovedShard) && !new_upstreams.contains(&attempt.upstream) {
             let service = format!("tender-{SHARDS:02}").parse().unwrap();
             return Some((ms(2), ShardVerdict::Moved { service }));
         }
@@ -171,19 +228,21 @@
             Some((ms(5), ShardVerdict::Failed { ran, reason }))
         };
         match () {
-            () if self.has_fault(BothRefusing) => not_run_verdict(RefusalReason::Unreachable),
-            () if self.has_fault(BothShedding) => not_run_verdict(RefusalReason::Shed),
-            () if self.has_fault(Refusing) && is_first_upstream => {
+            () if self.has_fault(BothUpstreamsRefusing) => {
+                not_run_verdict(RefusalReason::Unreachable)
+            }
+            () if self.has_fault(BothUpstreamsShedding) => not_run_verdict(RefusalReason::Shed),
+            () if self.has_fault(RefusingUpstream) && is_first_upstream => {
                 not_run_verdict(RefusalReason::Unreachable)
             }
-            () if self.has_fault(Shedding) && is_first_upstream => {
+            () if self.has_fault(SheddingUpstream) && is_first_upstream => {
                 not_run_verdict(RefusalReason::Shed)
             }
-            () if self.has_fault(Silent) && is_first_upstream => None,
+            () if self.has_fault(SilentUpstream) && is_first_upstream => None,
             () if self.has_fault(NotOwner) && is_first_attempt => {
                 not_run_verdict(RefusalReason::NotOwner)
             }
-            () if self.has_fault(Broken) && is_first_attempt => {
+            () if self.has_fault(BrokenConnection) && is_first_attempt => {
                 failed_verdict(FailureReason::Broken)
             }
             () if self.has_fault(ErrorStatus) && is_first_attempt => {
@@ -213,7 +272,7 @@
         faulty_services,
         replies: BTreeMap::new(),
         sent_attempts: Vec::new(),
-        is_published: false,
+        is_next_version_published: false,
     };
     let started_at = fixture.now;
     let query = fixture.start(request);
@@ -237,9 +296,14 @@
     )
 }
 
-fn check_outcome(name: &str, faulty_services: u32, expected: Expected, outcome: &QueryOutcome) {
+fn check_outcome(
+    name: &str,
+    faulty_services: u32,
+    expected: ExpectedOutcome,
+    outcome: &QueryOutcome,
+) {
     match (expected, outcome) {
-        (Whole { version }, Ok(answer)) => {
+        (WholeAnswer { version }, Ok(answer)) => {
             expect_that!(answer.coverage.missing, is_empty(), "{name}");
             expect_that!(answer.snapshot, eq(SnapshotVersion(version)), "{name}");
             for (shard, body) in answer.bodies.iter().enumerate() {
@@ -248,7 +312,7 @@
                 expect_that!(body, eq(row.as_str()), "{name}");
             }
         }
-        (Thin { missing_each }, Ok(answer)) => {
+        (ThinAnswer { missing_each }, Ok(answer)) => {
             let missing_shards: Vec<_> = (1..=faulty_services * missing_each)
                 .map(ShardNumber)
                 .collect();
@@ -259,7 +323,7 @@
                 "{name}"
             );
         }
-        (Refused { code, ran }, Err(refusal)) => {
+        (Refusal { code, ran }, Err(refusal)) => {
             expect_that!((refusal.code, refusal.ran), eq((code, ran)), "{name}");
         }
         (expected, outcome) => {
@@ -310,13 +374,13 @@
 fn a_non_idempotent_query_is_sent_again_only_after_an_explicit_refusal() {
     let cases: &[NonIdempotentCase] = &[
         (&[], None),
-        (&[Refusing], None),
-        (&[Shedding], None),
+        (&[RefusingUpstream], None),
+        (&[SheddingUpstream], None),
         (&[NotOwner], None),
-        (&[Move], None),
+        (&[MovedShard], None),
         (&[NextVersion], None),
         (
-            &[Broken],
+            &[BrokenConnection],
             Some((RefusalCode::UpstreamFailed, RunState::Unknown)),
         ),
         (
@@ -327,13 +391,16 @@
             &[WrongVersion],
             Some((RefusalCode::UpstreamFailed, RunState::Ran)),
         ),
-        (&[Silent], Some((RefusalCode::Deadline, RunState::Unknown))),
         (
-            &[BothRefusing],
+            &[SilentUpstream],
+            Some((RefusalCode::Deadline, RunState::Unknown)),
+        ),
+        (
+            &[BothUpstreamsRefusing],
             Some((RefusalCode::NoUpstream, RunState::NotRun)),
         ),
         (
-            &[BothShedding],
+            &[BothUpstreamsShedding],
             Some((RefusalCode::Overloaded, RunState::NotRun)),
         ),
     ];
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -17,9 +17,9 @@
 /// Quantile of the lateness after which an attempt counts as a straggler.
 const HEDGE_QUANTILE: f64 = 0.97;
 /// Number of samples below which the quantile is not used.
-const MIN_SAMPLES: u32 = 32;
+const MIN_SAMPLE_COUNT: u32 = 32;
 /// Number of samples at which all counts are halved, so that older samples lose weight.
-const DECAY_SAMPLES: u32 = 1024;
+const DECAY_SAMPLE_COUNT: u32 = 1024;
 /// Lower bound of the lateness that is tolerated before hedging.
 const MIN_LATENESS: Duration = Duration::from_millis(2);
 /// Lateness tolerated without enough samples, in addition to twice the expected time.
@@ -86,14 +86,14 @@
 /// Histogram of the lateness of rows, for one class or for one class and service.
 #[derive(Debug, Clone)]
 pub struct LatenessHistogram {
-    counts: [u32; BUCKET_COUNT],
+    bucket_counts: [u32; BUCKET_COUNT],
     sample_count: u32,
 }
 
 impl Default for LatenessHistogram {
     fn default() -> Self {
         Self {
-            counts: [0; BUCKET_COUNT],
+            bucket_counts: [0; BUCKET_COUNT],
             sample_count: 0,
         }
     }
@@ -102,13 +102,13 @@
 impl LatenessHistogram {
     /// Adds a sample of how much later than expected rows arrived.
     pub fn add_sample(&mut self, lateness: Duration) {
-        self.counts[bucket_index(lateness)] += 1;
+        self.bucket_counts[bucket_index(lateness)] += 1;
         self.sample_count += 1;
-        if self.sample_count < DECAY_SAMPLES {
+        if self.sample_count < DECAY_SAMPLE_COUNT {
             return;
         }
         self.sample_count = 0;
-        for count in &mut self.counts {
+        for count in &mut self.bucket_counts {
             *count /= 2;
             self.sample_count += *count;
         }
@@ -116,7 +116,7 @@
 
     /// Returns whether there are enough samples to use the quantile.
     pub fn has_enough_samples(&self) -> bool {
-        self.sample_count >= MIN_SAMPLES
+        self.sample_count >= MIN_SAMPLE_COUNT
     }
 
     /// Returns the delay after which an attempt expected to take `expected_time` counts as a straggler.
@@ -126,7 +126,7 @@
         }
         let quantile_rank = (f64::from(self.sample_count) * HEDGE_QUANTILE) as u32;
         let mut cumulative_count = 0;
-        for (bucket, count) in self.counts.iter().enumerate() {
+        for (bucket, count) in self.bucket_counts.iter().enumerate() {
             cumulative_count += count;
             if cumulative_count > quantile_rank {
                 return expected_time + bucket_bound(bucket).max(MIN_LATENESS);
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -24,7 +24,7 @@
 /// One-way delay between entry and relay.
 const LINK_DELAY: Duration = Duration::from_micros(500);
 /// Number of requests that an upstream runs concurrently.
-const SLOTS: usize = 2;
+const SLOTS_PER_UPSTREAM: usize = 2;
 /// Time at the start of a run that is excluded from the results.
 const WARM_UP: Duration = Duration::from_secs(1);
 
@@ -92,8 +92,8 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OrganisationLoad {
     pub(super) name: &'static str,
-    /// Queries per second.
-    pub(super) rate: f64,
+    /// Mean number of queries that the organisation's callers start per second.
+    pub(super) queries_per_second: f64,
 }
 
 /// Results of one organisation's queries.
@@ -128,22 +128,22 @@
     upstreams: BTreeMap<UpstreamAddress, FakeUpstream>,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
     pending_events: FxHashMap<u64, Event>,
-    /// Time of the earliest timer scheduled for each entry.
-    timer_at: Vec<Duration>,
+    /// Time of the earliest timer scheduled for each entry; [`Duration::MAX`] if there is none.
+    timer_times: Vec<Duration>,
     /// The upstream at which each attempt is queued or running.
     upstream_by_attempt: FxHashMap<(usize, u64, u32), UpstreamAddress>,
     last_event_number: u64,
     now: Duration,
     /// Generates the callers' arrivals, independently of `rng`, so that they are the same in all variants.
-    arrivals: ChaCha8Rng,
+    arrival_rng: ChaCha8Rng,
     rng: ChaCha8Rng,
     organisations: Vec<OrganisationLoad>,
     started_queries: BTreeMap<(usize, u64), (usize, Duration)>,
     pub(super) results: Vec<OrganisationResult>,
     /// Number of requests that upstreams began to run, of queries started after the warm-up.
-    pub(super) run_count: u64,
+    pub(super) started_request_count: u64,
     /// Number of first attempts sent for queries started after the warm-up: the requests that these queries needed.
-    pub(super) needed_requests: u64,
+    pub(super) needed_request_count: u64,
     /// Fraction of requests that are stragglers.
     pub(super) straggler_share: f64,
     /// Whether every query has a selection of its own, so that no request has returned rows before.
@@ -188,25 +188,25 @@
             upstreams: upstreams.collect(),
             events: BinaryHeap::new(),
             pending_events: FxHashMap::default(),
-            timer_at: vec![Duration::MAX; 3],
+            timer_times: vec![Duration::MAX; 3],
             upstream_by_attempt: FxHashMap::default(),
             last_event_number: 0,
             now: Duration::ZERO,
-            arrivals: ChaCha8Rng::seed_from_u64(13),
+            arrival_rng: ChaCha8Rng::seed_from_u64(13),
             rng: ChaCha8Rng::seed_from_u64(11),
             organisations: organisations.to_vec(),
             started_queries: BTreeMap::new(),
             results: vec![OrganisationResult::default(); organisations.len()],
-            run_count: 0,
-            needed_requests: 0,
+            started_request_count: 0,
+            needed_request_count: 0,
             straggler_share: 0.01,
             unique_selections: false,
         }
     }
 
-    /// Returns the number of queries per second that the slots can serve.
+    /// Returns the number of queries per second that the upstreams of `shards` shards can serve.
     pub(super) fn capacity(shards: usize) -> f64 {
-        let slots = (shards * 2 * SLOTS) as f64;
+        let slots = (shards * 2 * SLOTS_PER_UPSTREAM) as f64;
         slots / (MEAN_SERVICE_SECONDS * STRAGGLER_MEAN_FACTOR) / shards as f64
     }
 
@@ -241,8 +241,9 @@
     }
 
     fn schedule_caller(&mut self, organisation: usize) {
-        let uniform_sample: f64 = self.arrivals.random_range(f64::EPSILON..1.0);
-        let arrival_gap = -uniform_sample.ln() / self.organisations[organisation].rate;
+        let uniform_sample: f64 = self.arrival_rng.random_range(f64::EPSILON..1.0);
+        let arrival_gap =
+            -uniform_sample.ln() / self.organisations[organisation].queries_per_second;
         self.schedule(
             Duration::from_secs_f64(arrival_gap),
             Event::Caller { organisation },
@@ -295,7 +296,7 @@
                 self.run_actions(entry);
             }
             Event::Wake { entry } => {
-                self.timer_at[entry] = Duration::MAX;
+                self.timer_times[entry] = Duration::MAX;
                 self.entries[entry].run_due_timers(self.now);
                 self.run_actions(entry);
             }
@@ -304,7 +305,7 @@
 
     fn start_query(&mut self, organisation: usize) {
         self.schedule_caller(organisation);
-        let entry = self.arrivals.random_range(0..self.entries.len());
+        let entry = self.arrival_rng.random_range(0..self.entries.len());
         let mut request = QueryRequest {
             organisation: self.organisations[organisation].name.parse().unwrap(),
             ..request()
@@ -326,8 +327,8 @@
             }
         }
         let next_wake = self.entries[entry].next_wake().unwrap_or(Duration::MAX);
-        if next_wake < self.timer_at[entry] {
-            self.timer_at[entry] = next_wake;
+        if next_wake < self.timer_times[entry] {
+            self.timer_times[entry] = next_wake;
             let delay = next_wake.saturating_sub(self.now);
             self.schedule(delay, Event::Wake { entry });
         }
@@ -356,7 +357,7 @@
         let is_counted = started_at >= WARM_UP;
         for target in &batch.targets {
             let is_first_attempt = target.purpose == AttemptPurpose::First;
-            self.needed_requests += u64::from(is_counted && is_first_attempt);
+            self.needed_request_count += u64::from(is_counted && is_first_attempt);
             let job = Job {
                 entry,
                 query: batch.query,
@@ -387,17 +388,17 @@
                     .copied()
                     .unwrap_or_default()
             };
-            let least_served = fake_upstream
+            let least_served_seconds = fake_upstream
                 .queue
                 .iter()
                 .map(served_seconds_of)
                 .fold(f64::INFINITY, f64::min);
-            let own_served = fake_upstream
+            let own_served_seconds = fake_upstream
                 .served_seconds
                 .entry(job.organisation.clone())
                 .or_default();
-            if least_served.is_finite() {
-                *own_served = own_served.max(least_served);
+            if least_served_seconds.is_finite() {
+                *own_served_seconds = own_served_seconds.max(least_served_seconds);
             }
         }
         self.upstream_by_attempt.insert(job.key(), upstream);
@@ -408,7 +409,7 @@
     fn start_queued_jobs(&mut self, upstream: UpstreamAddress) {
         loop {
             let fake_upstream = self.upstreams.get_mut(&upstream).unwrap();
-            if fake_upstream.busy_slots >= SLOTS || fake_upstream.queue.is_empty() {
+            if fake_upstream.busy_slots >= SLOTS_PER_UPSTREAM || fake_upstream.queue.is_empty() {
                 return;
             }
             let served_seconds_of = |job: &Job| {
@@ -435,7 +436,7 @@
             }
             fake_upstream.busy_slots += 1;
             let service_time_factor = fake_upstream.service_time_factor;
-            self.run_count += u64::from(job.is_counted);
+            self.started_request_count += u64::from(job.is_counted);
             if service_time_factor.is_infinite() {
                 continue;
             }
@@ -470,15 +471,15 @@
         service_time: Duration,
     ) {
         let fake_upstream = &self.upstreams[&upstream];
-        let requests_ahead =
-            (fake_upstream.queue.len() + fake_upstream.busy_slots + 1).saturating_sub(SLOTS);
-        let wait_seconds =
-            requests_ahead as f64 * MEAN_SERVICE_SECONDS * STRAGGLER_MEAN_FACTOR / SLOTS as f64;
+        let requests_ahead = (fake_upstream.queue.len() + fake_upstream.busy_slots + 1)
+            .saturating_sub(SLOTS_PER_UPSTREAM);
+        let wait_seconds = requests_ahead as f64 * MEAN_SERVICE_SECONDS * STRAGGLER_MEAN_FACTOR
+            / SLOTS_PER_UPSTREAM as f64;
         let load = UpstreamLoad {
             upstream,
             wait_us: (wait_seconds * 1e6) as u32,
             service_us: (MEAN_SERVICE_SECONDS * 1e6) as u32,
-            limit: SLOTS as u16,
+            limit: SLOTS_PER_UPSTREAM as u16,
             leaving: false,
         };
         let queue_time = self
@@ -514,17 +515,18 @@
             Ok(answer) => {
                 result.latencies.push(duration);
                 result.thin_answers += u32::from(answer.coverage.is_thin());
-                let met_coverage = answer.coverage.share() >= self.class.coverage;
-                result.good_answers += u32::from(met_coverage && duration <= self.class.latency);
+                let meets_coverage_target = answer.coverage.share() >= self.class.coverage;
+                result.good_answers +=
+                    u32::from(meets_coverage_target && duration <= self.class.latency);
             }
             Err(refusal) if refusal.ran == crate::ident::RunState::NotRun => result.refusals += 1,
             Err(_refusal) => result.failures += 1,
         }
     }
 
-    /// Returns the extra load on upstreams: `run_count` divided by `needed_requests`, minus 1.
+    /// Returns the extra load on upstreams: `started_request_count` divided by `needed_request_count`, minus 1.
     pub(super) fn extra_load(&self) -> f64 {
-        self.run_count as f64 / self.needed_requests.max(1) as f64 - 1.0
+        self.started_request_count as f64 / self.needed_request_count.max(1) as f64 - 1.0
     }
 }
 
@@ -549,10 +551,10 @@
     switches: ExperimentSwitches,
     change: impl Fn(&mut ClassTarget),
 ) -> LoadModel {
-    let rate = LoadModel::capacity(20) * fraction;
+    let queries_per_second = LoadModel::capacity(20) * fraction;
     let organisations = [OrganisationLoad {
         name: "roofers",
-        rate,
+        queries_per_second,
     }];
     let mut model = LoadModel::new(20, switches, &organisations, |class| {
         class.latency = ms(150);
--- a/crates/ebonyfork/src/entry/outbox.rs
+++ b/crates/ebonyfork/src/entry/outbox.rs
@@ -10,10 +10,10 @@
 /// Messages collected while one event of one query is handled.
 #[derive(Debug, Default)]
 pub struct RelayOutbox {
-    submits: Vec<(RelayId, SubmitBatch)>,
-    /// Position in `submits` plus one, so that the default value 0 means "none".
+    submit_batches: Vec<(RelayId, SubmitBatch)>,
+    /// Position in `submit_batches` plus one, so that the default value 0 means "none".
     submit_positions: SecondaryMap<RelayId, u32>,
-    cancels: Vec<(RelayId, CancelBatch)>,
+    cancel_batches: Vec<(RelayId, CancelBatch)>,
 }
 
 impl RelayOutbox {
@@ -26,11 +26,11 @@
     ) {
         let mut position = self.submit_positions[relay];
         if position == 0 {
-            self.submits.push((relay, new_batch()));
-            position = self.submits.len() as u32;
+            self.submit_batches.push((relay, new_batch()));
+            position = self.submit_batches.len() as u32;
             self.submit_positions[relay] = position;
         }
-        let (_, batch) = &mut self.submits[position as usize - 1];
+        let (_, batch) = &mut self.submit_batches[position as usize - 1];
         batch.targets.push(target);
     }
 
@@ -39,21 +39,22 @@
         let is_same_batch = |(batch_relay, batch): &&mut (RelayId, CancelBatch)| {
             *batch_relay == relay && batch.query == query
         };
-        if let Some((_, batch)) = self.cancels.iter_mut().find(is_same_batch) {
+        if let Some((_, batch)) = self.cancel_batches.iter_mut().find(is_same_batch) {
             batch.attempts.push(attempt);
             return;
         }
         let attempts = SmallVec::from_slice(&[attempt]);
-        self.cancels.push((relay, CancelBatch { query, attempts }));
+        self.cancel_batches
+            .push((relay, CancelBatch { query, attempts }));
     }
 
     /// Passes all messages to `send` and clears the outbox.
     pub fn flush(&mut self, mut send: impl FnMut(RelayId, PeerMessage)) {
-        for (relay, batch) in self.submits.drain(..) {
+        for (relay, batch) in self.submit_batches.drain(..) {
             self.submit_positions[relay] = 0;
             send(relay, PeerMessage::Submit(batch));
         }
-        for (relay, batch) in self.cancels.drain(..) {
+        for (relay, batch) in self.cancel_batches.drain(..) {
             send(relay, PeerMessage::Cancel(batch));
         }
     }
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -8,7 +8,7 @@
 use crate::settings::ExperimentSwitches;
 
 /// Prints the results of each organisation's queries; shown with `--nocapture`.
-fn print(name: &str, model: &LoadModel) {
+fn print_results(name: &str, model: &LoadModel) {
     for result in &model.results {
         println!(
             "{name}: queries={} good={} thin={} refused={} failed={} p50={:.1} p99={:.1} p999={:.1} extra={:.3}",
@@ -36,8 +36,8 @@
         switches_with(|switches| switches.hedge = false),
         coverage_first,
     );
-    print("hedged", &hedged_model);
-    print("plain", &unhedged_model);
+    print_results("hedged", &hedged_model);
+    print_results("plain", &unhedged_model);
     let tail_latency = |model: &LoadModel| model.results[0].quantile(0.99);
     expect_that!(
         tail_latency(&hedged_model),
@@ -49,15 +49,15 @@
 #[gtest]
 fn goodput_holds_beyond_capacity() {
     for priority in [TargetPriority::LatencyFirst, TargetPriority::CoverageFirst] {
-        let run = |share| {
-            let model = run_at(share, ExperimentSwitches::default(), |class| {
+        let good_answers_at = |load_share| {
+            let model = run_at(load_share, ExperimentSwitches::default(), |class| {
                 class.priority = priority;
             });
-            print(&format!("{priority:?} {share}"), &model);
+            print_results(&format!("{priority:?} {load_share}"), &model);
             model.results[0].good_answers
         };
-        let peak_goodput = run(0.95);
-        let overload_goodput = run(1.3);
+        let peak_goodput = good_answers_at(0.95);
+        let overload_goodput = good_answers_at(1.3);
         expect_that!(
             f64::from(overload_goodput),
             ge(f64::from(peak_goodput) * 0.95),
@@ -68,19 +68,19 @@
 
 #[gtest]
 fn an_organisation_at_fifty_times_its_load_does_not_degrade_the_others() {
-    let rate = LoadModel::capacity(20);
+    let queries_per_second = LoadModel::capacity(20);
     let organisations = [
         OrganisationLoad {
             name: "roofers",
-            rate: rate * 1.5,
+            queries_per_second: queries_per_second * 1.5,
         },
         OrganisationLoad {
             name: "builders",
-            rate: rate * 0.03,
+            queries_per_second: queries_per_second * 0.03,
         },
         OrganisationLoad {
             name: "idlers",
-            rate: rate * 0.01,
+            queries_per_second: queries_per_second * 0.01,
         },
     ];
     let switches = ExperimentSwitches::default();
@@ -88,7 +88,7 @@
         class.latency = ms(150);
     });
     model.run(RUN_SPAN);
-    print("flood", &model);
+    print_results("flood", &model);
     for light_result in &model.results[1..] {
         expect_that!(light_result.refusals, le(light_result.queries / 50));
         expect_that!(light_result.quantile(0.99), le(ms(150)));
@@ -102,25 +102,31 @@
 
 #[gtest]
 fn canaries_cost_one_shard_request_of_time_and_no_goodput() {
-    for share in [0.5, 1.3] {
-        let run = |unique| {
-            let rate = LoadModel::capacity(20) * share;
+    for load_share in [0.5, 1.3] {
+        let run_model = |has_unique_selections| {
+            let queries_per_second = LoadModel::capacity(20) * load_share;
             let organisations = [OrganisationLoad {
                 name: "roofers",
-                rate,
+                queries_per_second,
             }];
             let switches = ExperimentSwitches::default();
             let mut model = LoadModel::new(20, switches, &organisations, |class| {
                 class.latency = ms(150);
             });
-            model.unique_selections = unique;
+            model.unique_selections = has_unique_selections;
             model.run(RUN_SPAN);
-            print(&format!("unique={unique} {share}"), &model);
+            print_results(
+                &format!("unique={has_unique_selections} {load_share}"),
+                &model,
+            );
             model
         };
-        let (known_model, unique_model) = (run(false), run(true));
-        let p50 = |model: &LoadModel| model.results[0].quantile(0.5);
-        expect_that!(p50(&unique_model), le(p50(&known_model) + ms(20)));
+        let (known_model, unique_model) = (run_model(false), run_model(true));
+        let median_latency = |model: &LoadModel| model.results[0].quantile(0.5);
+        expect_that!(
+            median_latency(&unique_model),
+            le(median_latency(&known_model) + ms(20))
+        );
         let good_answers = |model: &LoadModel| f64::from(model.results[0].good_answers);
         expect_that!(
             good_answers(&unique_model),
@@ -134,7 +140,7 @@
 fn silent_replicas_cost_neither_coverage_nor_a_hedge_each() {
     let organisations = [OrganisationLoad {
         name: "roofers",
-        rate: LoadModel::capacity(20) * 0.3,
+        queries_per_second: LoadModel::capacity(20) * 0.3,
     }];
     let switches = ExperimentSwitches::default();
     let mut model = LoadModel::new(20, switches, &organisations, |class| {
@@ -147,7 +153,7 @@
         model.slow_down(upstream(service, 0), f64::INFINITY);
     }
     model.run(RUN_SPAN);
-    print("silent", &model);
+    print_results("silent", &model);
     let result = &model.results[0];
     expect_that!(
         f64::from(result.thin_answers),
@@ -160,7 +166,7 @@
 fn a_uniformly_slow_service_causes_no_hedge_storm() {
     let organisations = [OrganisationLoad {
         name: "roofers",
-        rate: LoadModel::capacity(20) * 0.3,
+        queries_per_second: LoadModel::capacity(20) * 0.3,
     }];
     let switches = ExperimentSwitches::default();
     let mut model = LoadModel::new(20, switches, &organisations, |class| {
@@ -170,6 +176,6 @@
         model.slow_down(upstream(3, replica), 3.0);
     }
     model.run(RUN_SPAN);
-    print("slow service", &model);
+    print_results("slow service", &model);
     expect_that!(model.extra_load(), le(0.05));
 }
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -21,16 +21,16 @@
 /// Time after which a probe without an outcome no longer blocks the next probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Number of consecutive overdue attempts after which a silent server counts as failed.
-const MAX_CONSECUTIVE_OVERDUE: u32 = 3;
+const MAX_CONSECUTIVE_OVERDUE_ATTEMPTS: u32 = 3;
 /// Number of service times without any outcome after which a server counts as silent.
 const SILENCE_SERVICE_TIMES: u32 = 8;
 /// Lower bound of the time after which a server counts as silent.
-const MIN_SILENCE: Duration = Duration::from_millis(100);
+const MIN_SILENCE_DURATION: Duration = Duration::from_millis(100);
 /// Service time assumed for a server without measurements.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(10);
 /// Time without outcomes in which a measured service time loses half of its excess over the default.
 const SERVICE_TIME_HALF_LIFE: Duration = Duration::from_secs(2);
-/// Divisor that gives the weight of a new service time in the moving average.
+/// The weight of a new service time in the moving average is one divided by this number.
 const SERVICE_TIME_SMOOTHING: u32 = 8;
 
 /// Whether a server may be chosen.
@@ -54,7 +54,7 @@
     /// When the last outcome arrived from the server.
     last_outcome_at: Duration,
     /// Requests submitted by this entry since the last report, less those that have ended.
-    submitted_since_report: u32,
+    submitted_count_since_report: u32,
     /// Moving average of the time that the upstream takes for a request that returns rows. A relay's report replaces
     /// the average if the report states a service time. None before the first of either.
     service_time: Option<Duration>,
@@ -72,7 +72,7 @@
     pub fn record_load_report(&mut self, now: Duration, load: &UpstreamLoad) {
         self.reported_wait = Duration::from_micros(load.wait_us.into());
         self.reported_at = now;
-        self.submitted_since_report = 0;
+        self.submitted_count_since_report = 0;
         self.concurrency_limit = load.limit;
         self.is_leaving = load.leaving;
         if load.service_us > 0 {
@@ -81,29 +81,29 @@
     }
 
     /// Records that this entry has submitted a request.
-    pub fn record_submit(&mut self, now: Duration) {
-        self.submitted_since_report += 1;
+    pub fn record_submission(&mut self, now: Duration) {
+        self.submitted_count_since_report += 1;
         if self.consecutive_failures > 0 {
             self.probe_sent_at = Some(now);
         }
     }
 
-    /// Reverts [`ReplicaHealth::record_submit`] for a request that is not sent after all.
-    pub fn undo_submit(&mut self) {
-        self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
+    /// Reverts [`ReplicaHealth::record_submission`] for a request that is not sent after all.
+    pub fn undo_submission(&mut self) {
+        self.submitted_count_since_report = self.submitted_count_since_report.saturating_sub(1);
         self.probe_sent_at = None;
     }
 
     /// Records that a submitted request was cancelled, which says nothing about the server.
-    pub fn record_cancel(&mut self) {
-        self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
+    pub fn record_cancellation(&mut self) {
+        self.submitted_count_since_report = self.submitted_count_since_report.saturating_sub(1);
     }
 
     /// Records that the outcome of a submitted request has arrived, whatever it is.
     pub fn record_outcome(&mut self, now: Duration) {
         self.last_outcome_at = now;
         self.consecutive_overdue_attempts = 0;
-        self.submitted_since_report = self.submitted_since_report.saturating_sub(1);
+        self.submitted_count_since_report = self.submitted_count_since_report.saturating_sub(1);
     }
 
     /// Records rows and the time that the upstream took for them.
@@ -126,7 +126,7 @@
     }
 
     /// Records that the server shed a request, and avoids it for a short time.
-    pub fn record_shed(&mut self, now: Duration) {
+    pub fn record_shed_request(&mut self, now: Duration) {
         self.consecutive_failures = self.consecutive_failures.max(1);
         self.backoff_until = self.backoff_until.max(now + SHED_BACKOFF);
         self.probe_sent_at = None;
@@ -134,12 +134,13 @@
 
     /// Records that an attempt is overdue. Several in a row count as a failure if the server has been silent meanwhile.
     /// A server that is merely slow still returns outcomes, and its expected wait accounts for that.
-    pub fn record_overdue(&mut self, now: Duration) {
+    pub fn record_overdue_attempt(&mut self, now: Duration) {
         self.consecutive_overdue_attempts += 1;
-        let silence = now.saturating_sub(self.last_outcome_at);
-        let silence_threshold = (self.service_time(now) * SILENCE_SERVICE_TIMES).max(MIN_SILENCE);
-        if self.consecutive_overdue_attempts >= MAX_CONSECUTIVE_OVERDUE
-            && silence >= silence_threshold
+        let silence_duration = now.saturating_sub(self.last_outcome_at);
+        let silence_threshold =
+            (self.service_time(now) * SILENCE_SERVICE_TIMES).max(MIN_SILENCE_DURATION);
+        if self.consecutive_overdue_attempts >= MAX_CONSECUTIVE_OVERDUE_ATTEMPTS
+            && silence_duration >= silence_threshold
         {
             self.consecutive_overdue_attempts = 0;
             self.record_failure(now);
@@ -197,10 +198,10 @@
         let remaining_backlog = self
             .reported_wait
             .saturating_sub(now.saturating_sub(self.reported_at));
-        let own_backlog = self.service_time(now) * self.submitted_since_report
+        let own_backlog = self.service_time(now) * self.submitted_count_since_report
             / u32::from(self.concurrency_limit());
         let concurrency = u32::from(self.concurrency_limit());
-        if self.submitted_since_report < concurrency && remaining_backlog.is_zero() {
+        if self.submitted_count_since_report < concurrency && remaining_backlog.is_zero() {
             return Duration::ZERO;
         }
         remaining_backlog + own_backlog
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -48,7 +48,7 @@
     pub(super) straggler_check_at: Duration,
     /// Whether the attempt has been recorded as overdue.
     pub(super) is_overdue: bool,
-    /// Urgency of a hedge of this attempt.
+    /// Urgency with which a hedge of this attempt is charged to the attempt budget.
     pub(super) urgency: AttemptUrgency,
     pub(super) state: AttemptState,
 }
@@ -70,7 +70,7 @@
     /// Whether an upstream may have run part of the query.
     pub(super) may_have_run: bool,
     /// Number of upstreams whose connection broke while they ran part of the query.
-    pub(super) broken_upstreams: u8,
+    pub(super) broken_upstream_count: u8,
     /// The most recent reason for which part of the query was not run.
     pub(super) last_refusal_reason: Option<RefusalReason>,
     /// Whether the query has been planned again at another version.
@@ -89,14 +89,14 @@
     /// Time of the earliest timer scheduled for this query.
     pub(super) timer_at: Duration,
     /// Whether the query was admitted under load.
-    pub(super) under_load: bool,
+    pub(super) is_under_load: bool,
     /// Whether the same request was in flight when an upstream was lost.
-    pub(super) suspect: bool,
+    pub(super) is_suspect: bool,
     /// Whether a shard whose upstream was lost waits until another shard returns rows.
     pub(super) has_deferred_shards: bool,
     /// The canary, while requests to the other shards are held back.
     pub(super) canary: Option<CanaryProbe>,
-    /// When the next attempt may become a straggler.
+    /// Time before which no attempt in flight has to be checked as a straggler.
     pub(super) next_straggler_check: Duration,
     pub(super) route_table: Arc<RouteTable>,
     pub(super) attempts: Vec<AttemptRecord>,
@@ -118,8 +118,8 @@
             gather: ShardGather::default(),
             progress: QueryProgress::default(),
             timer_at: Duration::MAX,
-            under_load: false,
-            suspect: false,
+            is_under_load: false,
+            is_suspect: false,
             canary: None,
             has_deferred_shards: false,
             next_straggler_check: Duration::MAX,
@@ -162,7 +162,7 @@
         if early_outcome.is_some() {
             for planned_attempt in shared.planned_attempts.drain(..) {
                 let replica = planned_attempt.route_choice.replica;
-                shared.directory.replicas[replica].health.undo_submit();
+                shared.directory.replicas[replica].health.undo_submission();
             }
             return early_outcome;
         }
@@ -191,12 +191,12 @@
                 continue;
             }
             let replica = &mut shared.directory.replicas[planned_attempt.route_choice.replica];
-            replica.health.undo_submit();
+            replica.health.undo_submission();
         }
         shared.planned_attempts = planned_attempts;
         self.canary = Some(CanaryProbe {
             slot_index: canary.slot_index,
-            overdue_checks: 0,
+            overdue_check_count: 0,
         });
         shared.budget.deposit();
         let slot_index = canary.slot_index as usize;
@@ -233,7 +233,7 @@
                 continue;
             };
             let health = &mut shared.directory.replicas[route_choice.replica].health;
-            health.record_submit(now);
+            health.record_submission(now);
             let slot_index = slot_index as u32;
             planned_attempts.push(PlannedAttempt {
                 slot_index,
@@ -287,8 +287,8 @@
             cost_seconds,
         };
         match shared.admission.admit(now, admission) {
-            AdmissionDecision::Admitted { under_load } => {
-                self.under_load = under_load;
+            AdmissionDecision::Admitted { is_under_load } => {
+                self.is_under_load = is_under_load;
                 None
             }
             AdmissionDecision::Refused { excess_wait } => {
@@ -302,8 +302,8 @@
 
     /// Returns whether an outcome at `now` meets the class target.
     pub(super) fn meets_target(&self, now: Duration, outcome: &QueryOutcome) -> bool {
-        let met_latency = now <= self.params.started_at + self.params.latency_target;
-        met_latency
+        let meets_latency_target = now <= self.params.started_at + self.params.latency_target;
+        meets_latency_target
             && outcome
                 .as_ref()
                 .is_ok_and(|answer| answer.coverage.share() >= self.params.coverage_target)
@@ -342,7 +342,7 @@
         );
         shared.directory.replicas[closed_attempt.replica]
             .health
-            .record_cancel();
+            .record_cancellation();
         self.progress.may_have_run = true;
     }
 
@@ -372,7 +372,7 @@
         };
         shared.directory.replicas[route_choice.replica]
             .health
-            .record_submit(now);
+            .record_submission(now);
         self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::Retry);
     }
 
@@ -456,7 +456,7 @@
             AttemptPurpose::Retry | AttemptPurpose::AfterLoss => counts.retries += 1,
         }
         let upstream_address = shared.directory.replicas[route_choice.replica].address;
-        let purpose = if self.progress.broken_upstreams > 0 {
+        let purpose = if self.progress.broken_upstream_count > 0 {
             AttemptPurpose::AfterLoss
         } else {
             purpose
--- a/crates/ebonyfork/src/entry/run_tests.rs
+++ b/crates/ebonyfork/src/entry/run_tests.rs
@@ -15,20 +15,28 @@
 /// An event: the outcome of one of the attempts sent so far, the passage of time, or a broken link.
 #[derive(Debug, Clone)]
 enum Step {
-    Deliver { attempt_index: usize, kind: u8 },
-    Advance { millis: u64 },
-    LinkDown { vm: u8 },
+    Deliver {
+        attempt_index: usize,
+        verdict_kind: u8,
+    },
+    Advance {
+        millis: u64,
+    },
+    LinkDown {
+        vm: u8,
+    },
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let deliver = (0..64_usize, 0..10_u8).prop_map(|(attempt_index, kind)| Step::Deliver {
-        attempt_index,
-        kind,
-    });
-    let advance = (1..60_u64).prop_map(|millis| Step::Advance { millis });
-    let link_down = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
+    let deliver_step =
+        (0..64_usize, 0..10_u8).prop_map(|(attempt_index, verdict_kind)| Step::Deliver {
+            attempt_index,
+            verdict_kind,
+        });
+    let advance_step = (1..60_u64).prop_map(|millis| Step::Advance { millis });
+    let link_down_step = (1..4_u8).prop_map(|vm| Step::LinkDown { vm });
     prop::collection::vec(
-        prop_oneof![12 => deliver, 2 => advance, 1 => link_down],
+        prop_oneof![12 => deliver_step, 2 => advance_step, 1 => link_down_step],
         1..60,
     )
 }
@@ -42,12 +50,12 @@
     }
 }
 
-fn verdict(attempt: &SentAttempt, kind: u8) -> ShardVerdict {
+fn verdict(attempt: &SentAttempt, verdict_kind: u8) -> ShardVerdict {
     let rows = |version| ShardVerdict::Rows {
         version,
         body: format!(r#"{{"rows":["{}@{version}"]}}"#, attempt.shard).into(),
     };
-    match kind {
+    match verdict_kind {
         0..=3 => rows(attempt.version),
         4 => rows(SnapshotVersion(16)),
         5 => ShardVerdict::VersionGone {
@@ -93,14 +101,14 @@
         match *step {
             Step::Deliver {
                 attempt_index,
-                kind,
+                verdict_kind,
             } => {
                 if observations.sent_attempts.is_empty() {
                     continue;
                 }
                 let attempt_index = attempt_index % observations.sent_attempts.len();
                 let attempt = observations.sent_attempts[attempt_index].clone();
-                let verdict = verdict(&attempt, kind);
+                let verdict = verdict(&attempt, verdict_kind);
                 let is_refused = matches!(
                     verdict,
                     ShardVerdict::NotRun(_)
--- a/crates/ebonyfork/src/entry/settle.rs
+++ b/crates/ebonyfork/src/entry/settle.rs
@@ -16,7 +16,7 @@
 use crate::query::QueryOutcome;
 use crate::relay::{FailureReason, RefusalReason, ShardVerdict};
 
-/// Divisor of the total time of a query that gives the time which must be left for the query to be planned again.
+/// A query is planned again only while at least its total time divided by this number is left.
 const REPLAN_TIME_DIVISOR: u32 = 4;
 
 impl QueryRun {
@@ -70,7 +70,7 @@
                 self.handle_failure(shared, now, closed_attempt, ran, reason);
             }
         }
-        if self.progress.broken_upstreams < BROKEN_UPSTREAM_LIMIT {
+        if self.progress.broken_upstream_count < BROKEN_UPSTREAM_LIMIT {
             self.advance_canary(shared, now);
             self.resume_deferred_shards(shared, now);
         }
@@ -132,13 +132,13 @@
             }
             ShardVerdict::NotRun(RefusalReason::Unreachable) => health.record_failure(now),
             ShardVerdict::NotRun(RefusalReason::Shed | RefusalReason::QueueFull) => {
-                health.record_shed(now);
+                health.record_shed_request(now);
             }
             ShardVerdict::Failed { reason, .. } => match reason {
                 FailureReason::Status | FailureReason::Broken | FailureReason::Malformed => {
                     health.record_failure(now);
                 }
-                FailureReason::Timeout => health.record_overdue(now),
+                FailureReason::Timeout => health.record_overdue_attempt(now),
                 FailureReason::Cancelled | FailureReason::LinkDown => {}
             },
             ShardVerdict::VersionGone { .. }
@@ -209,7 +209,7 @@
             RunState::NotRun => {}
         }
         if reason == FailureReason::Broken {
-            self.progress.broken_upstreams += 1;
+            self.progress.broken_upstream_count += 1;
             shared.known_requests.remove(self.fingerprint);
             shared.last_upstream_loss = Some(now);
         }
@@ -281,7 +281,7 @@
             return;
         }
         let has_attempt_in_flight = self.gather.slots()[slot_index].attempts_in_flight > 0;
-        if self.progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || has_attempt_in_flight {
+        if self.progress.broken_upstream_count >= BROKEN_UPSTREAM_LIMIT || has_attempt_in_flight {
             return;
         }
         if !self.params.idempotent
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -57,7 +57,7 @@
             match attempt.urgency {
                 // The attempt probes a server that failed recently: if it is overdue, the server has failed again.
                 AttemptUrgency::Urgent => replica.health.record_failure(now),
-                AttemptUrgency::Ordinary => replica.health.record_overdue(now),
+                AttemptUrgency::Ordinary => replica.health.record_overdue_attempt(now),
             }
         }
         let time_in_flight = now.saturating_sub(attempt.sent_at);
@@ -67,7 +67,7 @@
         let slot_index = attempt.slot_index as usize;
         if let Some(canary) = &mut self.canary {
             // The requests to all other shards wait for the canary.
-            canary.overdue_checks += 1;
+            canary.overdue_check_count += 1;
             self.send_hedge(
                 shared,
                 now,
@@ -127,7 +127,7 @@
         }
         shared.directory.replicas[route_choice.replica]
             .health
-            .record_submit(now);
+            .record_submission(now);
         self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::Hedge);
     }
 }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -15,14 +15,14 @@
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// Divisor of a time limit that gives the part of it reserved for returning the answer to the caller.
+/// A time limit divided by this number is the part of it that is reserved for returning the answer to the caller.
 const RETURN_MARGIN_DIVISOR: u32 = 20;
 /// Upper bound of the time reserved for returning the answer.
 const MAX_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// Divisor of the shard count that gives the number of outlier shards that admission may ignore.
+/// Admission may ignore at most as many outlier shards as the shard count divided by this number.
 const OUTLIER_SHARD_DIVISOR: usize = 4;
-/// Multiple of the latency target from which a shard's expected time makes it an outlier.
+/// A shard is an outlier if its expected time is at least the latency target multiplied by this number.
 const OUTLIER_LATENCY_FACTOR: u32 = 2;
 
 /// Subtracts the time reserved for returning the answer from a limit that the caller observes.
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -43,7 +43,7 @@
             return Some(Self::Answer);
         }
         let is_quarantined = progress.last_refusal_reason == Some(RefusalReason::Quarantined);
-        if progress.broken_upstreams >= BROKEN_UPSTREAM_LIMIT || is_quarantined {
+        if progress.broken_upstream_count >= BROKEN_UPSTREAM_LIMIT || is_quarantined {
             return Some(Self::TargetUnreachable);
         }
         let answered_share = f64::from(gather.answered_count()) / f64::from(gather.shard_count());
--- a/crates/ebonyfork/src/locate/answer.rs
+++ b/crates/ebonyfork/src/locate/answer.rs
@@ -40,7 +40,7 @@
     vm: VmAddress,
     incarnation: IncarnationNumber,
     /// Load that the VM reports, in per mille; 0 if it is unknown.
-    load: u16,
+    load_per_mille: u16,
     /// Rendezvous hash of the organisation and the VM; 0 without an organisation.
     subset_score: u64,
 }
@@ -136,11 +136,11 @@
         if entry.leaving || !in_zone(&entry.zone) {
             continue;
         }
-        let load = members.get(entry.vm).map_or(0, |member| member.digest.load);
+        let load_per_mille = members.get(entry.vm).map_or(0, |member| member.digest.load);
         candidates.push(Candidate {
             vm: entry.vm,
             incarnation,
-            load,
+            load_per_mille,
             subset_score: organisation
                 .map_or(0, |organisation| subset_score(organisation, entry.vm)),
         });
@@ -165,7 +165,7 @@
     while subset_size < candidates.len() {
         let load_sum: u32 = candidates[..subset_size]
             .iter()
-            .map(|vm| u32::from(vm.load))
+            .map(|candidate| u32::from(candidate.load_per_mille))
             .sum();
         if load_sum < BUSY_LOAD_PER_MILLE * subset_size as u32 {
             break;
@@ -182,7 +182,7 @@
         let swap_index = rng.random_range(index..candidates.len());
         candidates.swap(index, swap_index);
     }
-    if draw_count > 1 && candidates[1].load < candidates[0].load {
+    if draw_count > 1 && candidates[1].load_per_mille < candidates[0].load_per_mille {
         candidates.swap(0, 1);
     }
     candidates.truncate(draw_count);
--- a/crates/ebonyfork/src/locate/answer_tests.rs
+++ b/crates/ebonyfork/src/locate/answer_tests.rs
@@ -87,13 +87,13 @@
         .collect();
     for _round in 0..50 {
         let answer = locate(&vms, Some("roofers"), &mut rng);
-        let remote_flags: Vec<bool> = answer
+        let is_remote: Vec<bool> = answer
             .addresses
             .iter()
             .map(|address| address.ip() >= vm(10).0)
             .collect();
         expect_that!(
-            remote_flags,
+            is_remote,
             elements_are![eq(&false), eq(&false), eq(&false), eq(&true)]
         );
     }
@@ -138,13 +138,13 @@
     }));
     let view = TopologyView::new(vms, []);
     let mut rng = ChaCha8Rng::seed_from_u64(4);
-    let mut counts: BTreeMap<VmAddress, u32> = BTreeMap::new();
+    let mut answer_counts: BTreeMap<VmAddress, u32> = BTreeMap::new();
     for _round in 0..1_000 {
         let answer = locate_addresses(&view, &members, &settings(), None, &mut rng);
-        *counts.entry(answer.session.vm).or_default() += 1;
+        *answer_counts.entry(answer.session.vm).or_default() += 1;
     }
-    expect_that!(counts.get(&vm(4)), none());
-    expect_that!(counts[&vm(1)], all![gt(250), lt(420)]);
+    expect_that!(answer_counts.get(&vm(4)), none());
+    expect_that!(answer_counts[&vm(1)], all![gt(250), lt(420)]);
 }
 
 #[gtest]
