--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -63,10 +63,10 @@
 struct QuarantineMetrics {
     losses: Counter,
     refusals: Counter,
-    suspected: Counter,
-    quarantined: Counter,
-    cleared: Counter,
-    lifted: Counter,
+    suspected_requests: Counter,
+    quarantined_requests: Counter,
+    cleared_requests: Counter,
+    lifted_quarantines: Counter,
     entries: Gauge,
 }
 
@@ -128,11 +128,11 @@
     /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_loss_at`] if the times of
     /// sending are known. This function assumes that each request was sent when it was last admitted here as a suspect,
     /// or else before any loss.
-    pub fn report_loss(&self, upstream: UpstreamAddress, in_flight: &[RequestFingerprint]) {
+    pub fn report_loss(&self, upstream: UpstreamAddress, fingerprints: &[RequestFingerprint]) {
         let now = self.now();
-        let mut lost_requests = Vec::with_capacity(in_flight.len());
+        let mut lost_requests = Vec::with_capacity(fingerprints.len());
         let state = self.lock();
-        for fingerprint in in_flight {
+        for fingerprint in fingerprints {
             let last_admission = state.last_admissions.get(fingerprint);
             let time_in_flight =
                 last_admission.map_or(now, |admitted_at| now.saturating_sub(*admitted_at));
@@ -160,8 +160,8 @@
         self.finish_update(state, &decisions);
     }
 
-    /// Reports that an attempt sent `time_in_flight` ago was answered, which clears the request of earlier losses. Takes no
-    /// lock while the table has no records.
+    /// Reports that an attempt sent `time_in_flight` ago was answered, which clears the request of earlier losses.
+    /// Takes no lock while the table has no records.
     pub fn report_answer(&self, fingerprint: RequestFingerprint, time_in_flight: Duration) {
         if self.shared.table_is_empty.load(Ordering::Acquire) {
             return;
@@ -179,7 +179,7 @@
         let mut state = self.lock();
         let is_lifted = state.table.lift(fingerprint, now);
         if is_lifted {
-            self.shared.metrics.lifted.inc();
+            self.shared.metrics.lifted_quarantines.inc();
             log::info!(target: "ebonyfork::decision", "quarantine lift request={fingerprint}");
         }
         self.finish_update(state, &[]);
@@ -238,18 +238,22 @@
             (
                 "suspected",
                 "Requests that became suspects",
-                &metrics.suspected,
+                &metrics.suspected_requests,
             ),
             (
                 "quarantined",
                 "Requests that were quarantined",
-                &metrics.quarantined,
+                &metrics.quarantined_requests,
+            ),
+            (
+                "cleared",
+                "Requests that were cleared",
+                &metrics.cleared_requests,
             ),
-            ("cleared", "Requests that were cleared", &metrics.cleared),
             (
                 "lifted",
                 "Quarantines lifted by operators here",
-                &metrics.lifted,
+                &metrics.lifted_quarantines,
             ),
         ];
         for (name, help, counter) in counters {
@@ -309,9 +313,9 @@
 impl QuarantineMetrics {
     fn count(&self, decision: &QuarantineDecision) {
         let counter = match decision {
-            QuarantineDecision::Suspect(_) => &self.suspected,
-            QuarantineDecision::Quarantine { .. } => &self.quarantined,
-            QuarantineDecision::Clear(_) => &self.cleared,
+            QuarantineDecision::Suspect(_) => &self.suspected_requests,
+            QuarantineDecision::Quarantine { .. } => &self.quarantined_requests,
+            QuarantineDecision::Clear(_) => &self.cleared_requests,
         };
         counter.inc();
     }
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns whether an attempt that this process sent after one loss has lost its upstream as well.
-    pub(super) fn is_repeated(&self, now: Duration) -> bool {
+    pub(super) fn has_repeated_loss(&self, now: Duration) -> bool {
         for later_loss in self.recent_losses(now) {
             let Some(sent_at) = later_loss.sent_at else {
                 continue;
@@ -146,7 +146,7 @@
 
     /// Extends the quarantine if at least a tenth of its term has passed, and returns the notice of the extension. An
     /// ambiguous quarantine is not extended.
-    pub(super) fn extend(
+    pub(super) fn extend_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Duration,
@@ -162,7 +162,7 @@
     }
 
     /// Stops counting the losses that happened before `sent_at` against the request, and returns their ids.
-    pub(super) fn clear_before(&mut self, sent_at: Duration) -> SmallVec<[NoticeId; 2]> {
+    pub(super) fn clear_losses_before(&mut self, sent_at: Duration) -> SmallVec<[NoticeId; 2]> {
         let mut losses = SmallVec::new();
         for loss in &self.losses {
             if loss.lost_at < sent_at {
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -80,7 +80,7 @@
         };
         let quarantine_status = record.quarantine_status(now);
         if quarantine_status == QuarantineStatus::Quarantined
-            && let Some(notice) = record.extend(fingerprint, now)
+            && let Some(notice) = record.extend_quarantine(fingerprint, now)
         {
             self.queue_notice(notice, now);
         }
@@ -128,7 +128,7 @@
             }
             self.queue_loss_notice(fingerprint, loss, now);
             let record = &self.records[&fingerprint];
-            let is_repeated_loss = request.after_loss || record.is_repeated(now);
+            let is_repeated_loss = request.after_loss || record.has_repeated_loss(now);
             if is_repeated_loss && !repeated_requests.contains(&fingerprint) {
                 repeated_requests.push(fingerprint);
             }
@@ -140,8 +140,8 @@
         decisions
     }
 
-    /// Handles the answer to an attempt that was sent `time_in_flight` ago: clears the request of the losses before the attempt
-    /// was sent, because the request did not cause them.
+    /// Handles the answer to an attempt that was sent `time_in_flight` ago: clears the request of the losses before the
+    /// attempt was sent, because the request did not cause them.
     pub fn report_answer(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -153,7 +153,7 @@
             return decisions;
         };
         let sent_at = now.saturating_sub(time_in_flight);
-        let losses = record.clear_before(sent_at);
+        let losses = record.clear_losses_before(sent_at);
         if losses.is_empty() {
             return decisions;
         }
@@ -350,7 +350,7 @@
         if !self.add_loss(fingerprint, loss, now, decisions) {
             return false;
         }
-        if self.records[&fingerprint].is_repeated(now) {
+        if self.records[&fingerprint].has_repeated_loss(now) {
             self.quarantine(fingerprint, false, now, decisions);
         }
         true
--- a/crates/ebonyfork/src/quarantine/table_tests.rs
+++ b/crates/ebonyfork/src/quarantine/table_tests.rs
@@ -10,9 +10,9 @@
     UpstreamAddress(([10, 0, 0, number], 80).into())
 }
 
-const CRASHING: RequestFingerprint = RequestFingerprint(1);
-const HARMLESS: RequestFingerprint = RequestFingerprint(2);
-const OTHER: RequestFingerprint = RequestFingerprint(3);
+const CRASHING_REQUEST: RequestFingerprint = RequestFingerprint(1);
+const HARMLESS_REQUEST: RequestFingerprint = RequestFingerprint(2);
+const OTHER_REQUEST: RequestFingerprint = RequestFingerprint(3);
 
 fn lost_request(fingerprint: RequestFingerprint, time_in_flight: u64) -> LostRequest {
     LostRequest::new(fingerprint, ms(time_in_flight))
@@ -33,69 +33,72 @@
     let cases: &[(&str, &[RelayEvent], [QuarantineStatus; 2])] = &[
         (
             "one loss",
-            &[Loss(10, 1, &[(CRASHING, 5), (HARMLESS, 5)])],
+            &[Loss(10, 1, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)])],
             [Suspect, Suspect],
         ),
         (
             "crashing request sent again alone",
             &[
-                Loss(10, 1, &[(CRASHING, 5), (HARMLESS, 5)]),
-                Loss(30, 2, &[(CRASHING, 5), (OTHER, 9)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)]),
+                Loss(30, 2, &[(CRASHING_REQUEST, 5), (OTHER_REQUEST, 9)]),
             ],
             [Quarantined, Suspect],
         ),
         (
             "rack failure: both in flight at two upstreams since before the first loss",
             &[
-                Loss(10, 1, &[(CRASHING, 5), (HARMLESS, 5)]),
-                Loss(11, 2, &[(CRASHING, 6), (HARMLESS, 6)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)]),
+                Loss(11, 2, &[(CRASHING_REQUEST, 6), (HARMLESS_REQUEST, 6)]),
             ],
             [Suspect, Suspect],
         ),
         (
             "harmless request answered in between",
             &[
-                Loss(10, 1, &[(CRASHING, 5), (HARMLESS, 5)]),
-                Answer(30, HARMLESS, 10),
-                Loss(60, 2, &[(CRASHING, 5), (HARMLESS, 5)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)]),
+                Answer(30, HARMLESS_REQUEST, 10),
+                Loss(60, 2, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)]),
             ],
             [Quarantined, Suspect],
         ),
         (
             "answer to an attempt sent before the loss clears nothing",
             &[
-                Loss(10, 1, &[(CRASHING, 5)]),
-                Answer(12, CRASHING, 7),
-                Loss(30, 2, &[(CRASHING, 5)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5)]),
+                Answer(12, CRASHING_REQUEST, 7),
+                Loss(30, 2, &[(CRASHING_REQUEST, 5)]),
             ],
             [Quarantined, Clear],
         ),
         (
             "answered after the loss",
-            &[Loss(10, 1, &[(HARMLESS, 5)]), Answer(30, HARMLESS, 5)],
+            &[
+                Loss(10, 1, &[(HARMLESS_REQUEST, 5)]),
+                Answer(30, HARMLESS_REQUEST, 5),
+            ],
             [Clear, Clear],
         ),
         (
             "not isolated: both sent again together, so both are quarantined",
             &[
-                Loss(10, 1, &[(CRASHING, 5), (HARMLESS, 5)]),
-                Loss(30, 2, &[(CRASHING, 5), (HARMLESS, 5)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)]),
+                Loss(30, 2, &[(CRASHING_REQUEST, 5), (HARMLESS_REQUEST, 5)]),
             ],
             [Quarantined, Quarantined],
         ),
         (
             "same upstream restarted and lost again",
             &[
-                Loss(10, 1, &[(CRASHING, 5)]),
-                Loss(900, 1, &[(CRASHING, 5)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5)]),
+                Loss(900, 1, &[(CRASHING_REQUEST, 5)]),
             ],
             [Quarantined, Clear],
         ),
         (
             "second loss outside the suspicion window",
             &[
-                Loss(10, 1, &[(CRASHING, 5)]),
-                Loss(3_600_011, 2, &[(CRASHING, 5)]),
+                Loss(10, 1, &[(CRASHING_REQUEST, 5)]),
+                Loss(3_600_011, 2, &[(CRASHING_REQUEST, 5)]),
             ],
             [Suspect, Clear],
         ),
@@ -120,12 +123,12 @@
             }
         }
         expect_that!(
-            table.quarantine_status(CRASHING, now),
+            table.quarantine_status(CRASHING_REQUEST, now),
             eq(*crashing_status),
             "{case_name}: crashing request"
         );
         expect_that!(
-            table.quarantine_status(HARMLESS, now),
+            table.quarantine_status(HARMLESS_REQUEST, now),
             eq(*harmless_status),
             "{case_name}: harmless request"
         );
@@ -166,17 +169,17 @@
 #[gtest]
 fn notices_reach_the_other_vm_and_are_not_repeated() {
     let mut pair = TablePair::new();
-    pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
+    pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING_REQUEST, 5)], ms(100));
     pair.exchange(ms(100));
     expect_that!(
-        pair.tables[1].quarantine_status(CRASHING, ms(130)),
+        pair.tables[1].quarantine_status(CRASHING_REQUEST, ms(130)),
         eq(QuarantineStatus::Suspect)
     );
-    pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(200));
+    pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING_REQUEST, 5)], ms(200));
     pair.exchange(ms(200));
     for table in &pair.tables {
         expect_that!(
-            table.quarantine_status(CRASHING, ms(230)),
+            table.quarantine_status(CRASHING_REQUEST, ms(230)),
             eq(QuarantineStatus::Quarantined)
         );
         expect_that!(table.entries(ms(230))[0].lost_upstreams.len(), eq(2));
@@ -188,12 +191,12 @@
 #[gtest]
 fn concurrent_losses_on_two_vms_quarantine_no_request() {
     let mut pair = TablePair::new();
-    pair.tables[0].report_loss(upstream(1), &[lost_request(HARMLESS, 5)], ms(100));
-    pair.tables[1].report_loss(upstream(2), &[lost_request(HARMLESS, 30)], ms(125));
+    pair.tables[0].report_loss(upstream(1), &[lost_request(HARMLESS_REQUEST, 5)], ms(100));
+    pair.tables[1].report_loss(upstream(2), &[lost_request(HARMLESS_REQUEST, 30)], ms(125));
     pair.exchange(ms(125));
     for table in &pair.tables {
         expect_that!(
-            table.quarantine_status(HARMLESS, ms(150)),
+            table.quarantine_status(HARMLESS_REQUEST, ms(150)),
             eq(QuarantineStatus::Suspect)
         );
     }
@@ -202,11 +205,11 @@
 #[gtest]
 fn delayed_notice_still_leads_to_quarantine() {
     let mut pair = TablePair::new();
-    pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
-    pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(2_000));
+    pair.tables[0].report_loss(upstream(1), &[lost_request(CRASHING_REQUEST, 5)], ms(100));
+    pair.tables[1].report_loss(upstream(2), &[lost_request(CRASHING_REQUEST, 5)], ms(2_000));
     pair.exchange(ms(3_000));
     expect_that!(
-        pair.tables[1].quarantine_status(CRASHING, ms(3_030)),
+        pair.tables[1].quarantine_status(CRASHING_REQUEST, ms(3_030)),
         eq(QuarantineStatus::Quarantined)
     );
 }
@@ -215,11 +218,11 @@
 fn lift_outranks_older_notices() {
     let mut pair = TablePair::new();
     let [first_table, second_table] = &mut pair.tables;
-    first_table.report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(100));
-    first_table.report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(200));
+    first_table.report_loss(upstream(1), &[lost_request(CRASHING_REQUEST, 5)], ms(100));
+    first_table.report_loss(upstream(2), &[lost_request(CRASHING_REQUEST, 5)], ms(200));
     let old_notices = first_table.take_notices(ms(200));
-    expect_that!(first_table.lift(CRASHING, ms(60_000)), eq(true));
-    expect_that!(first_table.lift(CRASHING, ms(60_001)), eq(false));
+    expect_that!(first_table.lift(CRASHING_REQUEST, ms(60_000)), eq(true));
+    expect_that!(first_table.lift(CRASHING_REQUEST, ms(60_001)), eq(false));
     for notice in first_table.take_notices(ms(60_010)) {
         second_table.merge(notice, ms(60_020));
     }
@@ -228,7 +231,7 @@
         second_table.merge(late_notice, ms(60_100));
     }
     expect_that!(
-        second_table.quarantine_status(CRASHING, ms(60_200)),
+        second_table.quarantine_status(CRASHING_REQUEST, ms(60_200)),
         eq(QuarantineStatus::Clear)
     );
 }
@@ -236,21 +239,21 @@
 #[gtest]
 fn quarantine_expires_unless_the_request_is_sent_again() {
     let mut table = QuarantineTable::new(1);
-    table.report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(10));
-    table.report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(30));
+    table.report_loss(upstream(1), &[lost_request(CRASHING_REQUEST, 5)], ms(10));
+    table.report_loss(upstream(2), &[lost_request(CRASHING_REQUEST, 5)], ms(30));
     let half_term = ms(30) + QUARANTINE_TERM / 2;
     expect_that!(
-        table.admit(CRASHING, half_term),
+        table.admit(CRASHING_REQUEST, half_term),
         eq(QuarantineStatus::Quarantined)
     );
     let first_expiry = ms(30) + QUARANTINE_TERM;
     expect_that!(
-        table.admit(CRASHING, first_expiry),
+        table.admit(CRASHING_REQUEST, first_expiry),
         eq(QuarantineStatus::Quarantined)
     );
     let renewed_expiry = first_expiry + QUARANTINE_TERM;
     expect_that!(
-        table.quarantine_status(CRASHING, renewed_expiry),
+        table.quarantine_status(CRASHING_REQUEST, renewed_expiry),
         eq(QuarantineStatus::Clear)
     );
 }
@@ -258,8 +261,8 @@
 #[gtest]
 fn table_is_bounded_and_keeps_quarantined_requests() {
     let mut table = QuarantineTable::new(1);
-    table.report_loss(upstream(1), &[lost_request(CRASHING, 5)], ms(10));
-    table.report_loss(upstream(2), &[lost_request(CRASHING, 5)], ms(30));
+    table.report_loss(upstream(1), &[lost_request(CRASHING_REQUEST, 5)], ms(10));
+    table.report_loss(upstream(2), &[lost_request(CRASHING_REQUEST, 5)], ms(30));
     for number in 0..20_000 {
         let lost_at = ms(100 + number);
         table.report_loss(
@@ -271,7 +274,7 @@
     expect_that!(table.records.len(), le(RECORD_LIMIT));
     expect_that!(table.outgoing_notices.len(), le(NOTICE_LIMIT));
     expect_that!(
-        table.quarantine_status(CRASHING, ms(30_000)),
+        table.quarantine_status(CRASHING_REQUEST, ms(30_000)),
         eq(QuarantineStatus::Quarantined)
     );
 }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -76,9 +76,9 @@
     /// Buffer for the actions being executed; empty between events and kept for its allocation.
     actions: Vec<RelayAction>,
     /// Whether a [`Tick`] is scheduled and was not handled yet.
-    tick_scheduled: bool,
+    is_tick_scheduled: bool,
     /// Number of attempts without an outcome, shared with the handle.
-    outstanding_attempts: Arc<AtomicUsize>,
+    outstanding_attempt_count: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
@@ -112,7 +112,7 @@
 impl RelayActor {
     pub(super) fn new(
         settings: RelaySettings,
-        outstanding_attempts: Arc<AtomicUsize>,
+        outstanding_attempt_count: Arc<AtomicUsize>,
         metrics: RelayMetrics,
     ) -> Self {
         Self {
@@ -123,8 +123,8 @@
             connections: SecondaryMap::new(),
             cancellers: FxHashMap::default(),
             actions: Vec::new(),
-            tick_scheduled: false,
-            outstanding_attempts,
+            is_tick_scheduled: false,
+            outstanding_attempt_count,
             metrics,
         }
     }
@@ -191,7 +191,8 @@
             return;
         };
         self.pending_attempts[work] = Some(pending_attempt);
-        self.outstanding_attempts.fetch_add(1, Ordering::Relaxed);
+        self.outstanding_attempt_count
+            .fetch_add(1, Ordering::Relaxed);
         self.run_actions(address);
     }
 
@@ -261,7 +262,7 @@
             RelayAction::Send {
                 connection, work, ..
             } => self.send_attempt(connection, work),
-            RelayAction::CancelSent { upstream, work } => self.cancel_sent(upstream, work),
+            RelayAction::CancelSent { upstream, work } => self.cancel_sent_attempt(upstream, work),
             RelayAction::Finish { work, verdict } => self.finish_attempt(work, verdict),
             RelayAction::ReportLoss(loss) => (self.settings.report_loss)(loss),
             RelayAction::ReportAnswer {
@@ -345,7 +346,7 @@
         }
     }
 
-    fn cancel_sent(&mut self, upstream: UpstreamId, work: WorkId) {
+    fn cancel_sent_attempt(&mut self, upstream: UpstreamId, work: WorkId) {
         let Some(pending_attempt) = &self.pending_attempts[work] else {
             return;
         };
@@ -363,7 +364,8 @@
         let Some(pending_attempt) = self.pending_attempts[work].take() else {
             return;
         };
-        self.outstanding_attempts.fetch_sub(1, Ordering::Relaxed);
+        self.outstanding_attempt_count
+            .fetch_sub(1, Ordering::Relaxed);
         self.metrics
             .count_verdict(&pending_attempt.batch.class, &verdict);
         decision::log_verdict(self.settings.vm, &pending_attempt, &verdict);
@@ -394,10 +396,10 @@
 
     /// Schedules the next [`Tick`] if none is scheduled and there is time-based work.
     fn schedule_tick(&mut self, address: &WeakAddress<Self>) {
-        if self.tick_scheduled || !self.state.needs_tick() {
+        if self.is_tick_scheduled || !self.state.needs_tick() {
             return;
         }
-        self.tick_scheduled = true;
+        self.is_tick_scheduled = true;
         let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(TICK_INTERVAL).await;
@@ -465,7 +467,7 @@
     type Return = ();
 
     async fn handle(&mut self, _tick: Tick, ctx: &mut Context<Self>) {
-        self.tick_scheduled = false;
+        self.is_tick_scheduled = false;
         self.state.tick(self.now());
         self.metrics
             .set_waiting_and_in_flight_counts(self.state.waiting_and_in_flight_counts());
--- a/crates/ebonyfork/src/relay/answer.rs
+++ b/crates/ebonyfork/src/relay/answer.rs
@@ -41,7 +41,7 @@
 
 /// Returns whether the upstream says that it is leaving.
 pub(super) fn is_draining(headers: &HeaderMap) -> bool {
-    is_set(headers, DRAINING_HEADER)
+    is_header_set(headers, DRAINING_HEADER)
 }
 
 /// Derives the verdict from a complete answer. An attempt counts as not run only if the upstream states so explicitly.
@@ -51,28 +51,28 @@
     match head.status {
         StatusCode::OK => match (version, body.filter(has_rows)) {
             (Some(version), Some(body)) => ShardVerdict::Rows { version, body },
-            _ => failed(RunState::Ran, FailureReason::Malformed),
+            _ => failed_verdict(RunState::Ran, FailureReason::Malformed),
         },
         StatusCode::CONFLICT => match version {
             Some(newest) => ShardVerdict::VersionGone { newest },
-            None => failed(RunState::Unknown, FailureReason::Malformed),
+            None => failed_verdict(RunState::Unknown, FailureReason::Malformed),
         },
         StatusCode::MISDIRECTED_REQUEST => match parse_moved_to(&head.headers) {
             Some(service) => ShardVerdict::Moved { service },
-            None => failed(RunState::Unknown, FailureReason::Malformed),
+            None => failed_verdict(RunState::Unknown, FailureReason::Malformed),
         },
-        StatusCode::SERVICE_UNAVAILABLE if is_set(&head.headers, NOT_RUN_HEADER) => {
+        StatusCode::SERVICE_UNAVAILABLE if is_header_set(&head.headers, NOT_RUN_HEADER) => {
             ShardVerdict::NotRun(RefusalReason::Shed)
         }
-        _ => failed(RunState::Unknown, FailureReason::Status),
+        _ => failed_verdict(RunState::Unknown, FailureReason::Status),
     }
 }
 
-fn failed(ran: RunState, reason: FailureReason) -> ShardVerdict {
+fn failed_verdict(ran: RunState, reason: FailureReason) -> ShardVerdict {
     ShardVerdict::Failed { ran, reason }
 }
 
-fn is_set(headers: &HeaderMap, name: &str) -> bool {
+fn is_header_set(headers: &HeaderMap, name: &str) -> bool {
     headers.get(name).is_some_and(|value| value == "1")
 }
 
--- a/crates/ebonyfork/src/relay/answer_tests.rs
+++ b/crates/ebonyfork/src/relay/answer_tests.rs
@@ -22,7 +22,7 @@
         version: SnapshotVersion(18),
         body: Bytes::from_static(br#"{"rows":["a"]}"#),
     };
-    let failed_unknown = |reason| failed(RunState::Unknown, reason);
+    let failure_of_unknown_run = |reason| failed_verdict(RunState::Unknown, reason);
     let version = [("x-index-version", "18")];
     let moved_verdict = ShardVerdict::Moved {
         service: "notice-01".parse().unwrap(),
@@ -34,22 +34,27 @@
             200,
             &[],
             r#"{"rows":[]}"#,
-            failed(RunState::Ran, FailureReason::Malformed),
+            failed_verdict(RunState::Ran, FailureReason::Malformed),
         ),
         (
             200,
             &version,
             r#"{"rows":["#,
-            failed(RunState::Ran, FailureReason::Malformed),
+            failed_verdict(RunState::Ran, FailureReason::Malformed),
         ),
         (409, &version, "", ShardVerdict::VersionGone { newest }),
-        (409, &[], "", failed_unknown(FailureReason::Malformed)),
+        (
+            409,
+            &[],
+            "",
+            failure_of_unknown_run(FailureReason::Malformed),
+        ),
         (421, &[("x-moved-to", "notice-01")], "", moved_verdict),
         (
             421,
             &[("x-moved-to", "No Name")],
             "",
-            failed_unknown(FailureReason::Malformed),
+            failure_of_unknown_run(FailureReason::Malformed),
         ),
         (
             503,
@@ -57,9 +62,9 @@
             "",
             ShardVerdict::NotRun(RefusalReason::Shed),
         ),
-        (503, &[], "", failed_unknown(FailureReason::Status)),
-        (500, &[], "", failed_unknown(FailureReason::Status)),
-        (404, &[], "", failed_unknown(FailureReason::Status)),
+        (503, &[], "", failure_of_unknown_run(FailureReason::Status)),
+        (500, &[], "", failure_of_unknown_run(FailureReason::Status)),
+        (404, &[], "", failure_of_unknown_run(FailureReason::Status)),
     ];
     for (status, headers, body, expected_verdict) in cases {
         let verdict = read_answer(answer(status, headers, body));
--- a/crates/ebonyfork/src/relay/canceller.rs
+++ b/crates/ebonyfork/src/relay/canceller.rs
@@ -34,13 +34,13 @@
                 }
             }
         };
-        let cancellation = cancel(route, connection.take(), attempt);
+        let cancellation = cancel_attempt(route, connection.take(), attempt);
         connection = timeout(CANCEL_TIMEOUT, cancellation).await.ok().flatten();
     }
 }
 
 /// Cancels one attempt. Returns the connection if it can be reused.
-async fn cancel(
+async fn cancel_attempt(
     route: UpstreamRoute,
     connection: Option<OpenConnection>,
     attempt: AttemptId,
--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct ClassWindow {
     /// Number of attempts recorded in the window.
-    attempts: u32,
+    attempt_count: u32,
     /// Number of attempts that spent more than [`TARGET_FRACTION`] of the target latency at the upstream.
-    late_attempts: u32,
+    late_attempt_count: u32,
     /// Maximum number of attempts in flight, or `None` for no limit.
-    depth: Option<u32>,
+    depth_limit: Option<u32>,
 }
 
 /// The windows and depth limits of all classes at one upstream.
@@ -47,30 +47,31 @@
 pub struct ClassClamp {
     /// End of the current window.
     window_end: Duration,
-    classes: SecondaryMap<ClassId, ClassWindow>,
+    windows: SecondaryMap<ClassId, ClassWindow>,
 }
 
 impl ClassClamp {
     /// Records an attempt that was answered or expired after spending `time_spent` at this upstream, queueing included.
-    pub fn record(&mut self, class: ClassId, target: LatencyTarget, time_spent: Duration) {
-        let window = &mut self.classes[class];
-        window.attempts += 1;
-        window.late_attempts += u32::from(time_spent > target.latency.mul_f64(TARGET_FRACTION));
+    pub fn record_attempt(&mut self, class: ClassId, target: LatencyTarget, time_spent: Duration) {
+        let window = &mut self.windows[class];
+        window.attempt_count += 1;
+        window.late_attempt_count +=
+            u32::from(time_spent > target.latency.mul_f64(TARGET_FRACTION));
     }
 
-    /// Returns whether a class with `in_flight` attempts in flight may have another one in flight.
-    pub fn allows(&self, class: ClassId, in_flight: u32) -> bool {
-        self.classes[class]
-            .depth
-            .is_none_or(|depth| in_flight < depth)
+    /// Returns whether a class with `attempts_in_flight` attempts in flight may have another one in flight.
+    pub fn allows(&self, class: ClassId, attempts_in_flight: u32) -> bool {
+        self.windows[class]
+            .depth_limit
+            .is_none_or(|depth_limit| attempts_in_flight < depth_limit)
     }
 
-    /// If the current window is over, adjusts the depth limits and starts the next window. `limit` is the concurrency
-    /// limit of the upstream; a depth limit that reaches it is removed.
+    /// If the current window is over, adjusts the depth limits and starts the next window. `concurrency_limit` is the
+    /// concurrency limit of the upstream; a depth limit that reaches it is removed.
     pub fn advance(
         &mut self,
         now: Duration,
-        limit: u32,
+        concurrency_limit: u32,
         target: impl Fn(ClassId) -> Option<LatencyTarget>,
     ) {
         if now < self.window_end {
@@ -78,21 +79,21 @@
         }
         self.window_end = now + WINDOW_LENGTH;
         let tightest_missed_target = self.tightest_missed_target(&target);
-        for (class, window) in self.classes.iter_mut() {
+        for (class, window) in self.windows.iter_mut() {
             let has_looser_target = match (tightest_missed_target, target(class)) {
                 (Some(tightest_missed_target), Some(target)) => {
                     target.latency > tightest_missed_target
                 }
                 _ => false,
             };
-            let depth = window.depth.unwrap_or(limit);
-            let new_depth = if has_looser_target {
-                u32::max(depth / 2, 1)
+            let depth_limit = window.depth_limit.unwrap_or(concurrency_limit);
+            let new_depth_limit = if has_looser_target {
+                u32::max(depth_limit / 2, 1)
             } else {
-                depth + 1
+                depth_limit + 1
             };
             *window = ClassWindow {
-                depth: (new_depth < limit).then_some(new_depth),
+                depth_limit: (new_depth_limit < concurrency_limit).then_some(new_depth_limit),
                 ..ClassWindow::default()
             };
         }
@@ -104,14 +105,14 @@
         target: &impl Fn(ClassId) -> Option<LatencyTarget>,
     ) -> Option<Duration> {
         let mut tightest_latency: Option<Duration> = None;
-        for (class, window) in self.classes.iter() {
+        for (class, window) in self.windows.iter() {
             let Some(target) = target(class) else {
                 continue;
             };
-            let max_late_attempts = f64::from(window.attempts) * target.late_share;
-            let is_missed = window.attempts >= MIN_ATTEMPTS_PER_WINDOW
-                && f64::from(window.late_attempts) > max_late_attempts;
-            if is_missed && tightest_latency.is_none_or(|latency| target.latency < latency) {
+            let max_late_attempts = f64::from(window.attempt_count) * target.late_share;
+            let misses_target = window.attempt_count >= MIN_ATTEMPTS_PER_WINDOW
+                && f64::from(window.late_attempt_count) > max_late_attempts;
+            if misses_target && tightest_latency.is_none_or(|latency| target.latency < latency) {
                 tightest_latency = Some(target.latency);
             }
         }
--- a/crates/ebonyfork/src/relay/clamp_tests.rs
+++ b/crates/ebonyfork/src/relay/clamp_tests.rs
@@ -16,7 +16,7 @@
     let mut now = Duration::ZERO;
     // Milliseconds that each attempt of the class with the tight target spends at the upstream, or `None` if the class
     // is idle, and the depth of the class with the loose target after the window.
-    let windows = [
+    let window_cases = [
         (Some(20), 6),
         (Some(90), 3),
         (Some(90), 1),
@@ -27,15 +27,15 @@
         (None, 5),
         (None, 6),
     ];
-    for (spent_ms, depth) in windows {
-        clamp.record(
+    for (spent_ms, depth) in window_cases {
+        clamp.record_attempt(
             loose_class,
             target_of(loose_class).unwrap(),
             Duration::from_millis(300),
         );
         for _attempt in 0..10 {
             if let Some(spent_ms) = spent_ms {
-                clamp.record(
+                clamp.record_attempt(
                     tight_class,
                     target_of(tight_class).unwrap(),
                     Duration::from_millis(spent_ms),
@@ -44,8 +44,9 @@
         }
         now += WINDOW_LENGTH;
         clamp.advance(now, 6, target_of);
-        let allowed_depths = (0..6).filter(|in_flight| clamp.allows(loose_class, *in_flight));
-        expect_that!(allowed_depths.count(), eq(depth), "{spent_ms:?}");
+        let allowed_attempt_counts =
+            (0..6).filter(|in_flight| clamp.allows(loose_class, *in_flight));
+        expect_that!(allowed_attempt_counts.count(), eq(depth), "{spent_ms:?}");
         expect_that!(clamp.allows(tight_class, 5), eq(true));
     }
 }
--- a/crates/ebonyfork/src/relay/connection.rs
+++ b/crates/ebonyfork/src/relay/connection.rs
@@ -66,12 +66,12 @@
 /// An open connection to an upstream and the task that drives it.
 pub(super) struct OpenConnection {
     sender: SendRequest<Full<Bytes>>,
-    driver: JoinHandle<()>,
+    driver_task: JoinHandle<()>,
 }
 
 impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.driver.abort();
+        self.driver_task.abort();
     }
 }
 
@@ -82,12 +82,15 @@
         let stream = route.connect().await.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        let driver = tokio::spawn(async move {
+        let driver_task = tokio::spawn(async move {
             if let Err(error) = connection.await {
                 log::debug!("connection to {upstream}: {error}");
             }
         });
-        Some(Self { sender, driver })
+        Some(Self {
+            sender,
+            driver_task,
+        })
     }
 
     /// Sends a request and waits for the complete answer.
@@ -105,7 +108,7 @@
 
     /// Waits until the upstream has closed the connection.
     async fn wait_until_closed(&mut self) {
-        let _join_result = (&mut self.driver).await;
+        let _join_result = (&mut self.driver_task).await;
     }
 }
 
--- a/crates/ebonyfork/src/relay/handle.rs
+++ b/crates/ebonyfork/src/relay/handle.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct RelayHandle {
     actor: Address<RelayActor>,
-    outstanding_attempts: Arc<AtomicUsize>,
+    outstanding_attempt_count: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
@@ -40,15 +40,19 @@
     /// # }
     /// ```
     pub fn start(settings: RelaySettings) -> Self {
-        let outstanding_attempts = Arc::new(AtomicUsize::new(0));
+        let outstanding_attempt_count = Arc::new(AtomicUsize::new(0));
         let metrics = RelayMetrics::default();
         let views = settings.views.clone();
-        let actor = RelayActor::new(settings, Arc::clone(&outstanding_attempts), metrics.clone());
+        let actor = RelayActor::new(
+            settings,
+            Arc::clone(&outstanding_attempt_count),
+            metrics.clone(),
+        );
         let actor = xtra::spawn_tokio(actor, Mailbox::unbounded());
         tokio::spawn(follow_views(views, actor.downgrade()));
         Self {
             actor,
-            outstanding_attempts,
+            outstanding_attempt_count,
             metrics,
         }
     }
@@ -74,7 +78,7 @@
 
     /// Returns the number of attempts, queued or sent, that have no outcome yet.
     pub fn in_flight(&self) -> usize {
-        self.outstanding_attempts.load(Ordering::Relaxed)
+        self.outstanding_attempt_count.load(Ordering::Relaxed)
     }
 
     /// Registers the relay's metrics.
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -99,9 +99,9 @@
     /// Direction of the running or the next trial.
     direction: TrialDirection,
     /// Whether the limit has grown, or was reset, since a downward trial last confirmed it.
-    growth_unverified: bool,
+    has_unverified_growth: bool,
     /// Number of upward trials that ended with the lower limit since a downward trial last confirmed the limit.
-    rejected_up_trials: u32,
+    rejected_up_trial_count: u32,
     /// Earliest time of the next trial.
     next_trial_at: Duration,
     /// Length of the next pause, unless the duration of the trial before it requires a longer one.
@@ -124,8 +124,8 @@
             sampled_epoch: LimitEpoch::default(),
             trial: None,
             direction: TrialDirection::Up,
-            growth_unverified: true,
-            rejected_up_trials: 0,
+            has_unverified_growth: true,
+            rejected_up_trial_count: 0,
             next_trial_at: Duration::ZERO,
             next_pause: INITIAL_PAUSE,
             trial_started_at: Duration::ZERO,
@@ -176,9 +176,9 @@
         }
     }
 
-    /// Records that an attempt was sent and that `in_flight` attempts are now in flight.
-    pub fn record_sent(&mut self, in_flight: u32) {
-        let is_saturated = self.is_saturated(self.epoch, in_flight);
+    /// Records that an attempt was sent and that `attempts_in_flight` attempts are now in flight.
+    pub fn record_sent(&mut self, attempts_in_flight: u32) {
+        let is_saturated = self.is_saturated(self.epoch, attempts_in_flight);
         let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) else {
             return;
         };
@@ -188,9 +188,9 @@
         }
     }
 
-    /// Records that an attempt ended without rows; it was sent in `epoch` with `in_flight` attempts in flight.
-    pub fn record_lost(&mut self, epoch: LimitEpoch, in_flight: u32) {
-        let is_saturated = self.is_saturated(epoch, in_flight);
+    /// Records that an attempt ended without rows; it was sent in `epoch` with `attempts_in_flight` attempts in flight.
+    pub fn record_lost(&mut self, epoch: LimitEpoch, attempts_in_flight: u32) {
+        let is_saturated = self.is_saturated(epoch, attempts_in_flight);
         if let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) {
             trial.record_lost();
             self.epoch = self.sampled_epoch;
@@ -198,15 +198,16 @@
     }
 
     /// Returns whether an attempt used up the limit: it was sent in the epoch whose answers count, as the last attempt
-    /// that the limit, or during a trial the limit of the current block, admitted. `in_flight` is the number of
-    /// attempts in flight after it was sent. Only such attempts count in a trial, because the others say nothing about
-    /// the limit.
-    fn is_saturated(&self, epoch: LimitEpoch, in_flight: u32) -> bool {
+    /// that the limit, or during a trial the limit of the current block, admitted. `attempts_in_flight` is the number
+    /// of attempts in flight after it was sent. Only such attempts count in a trial, because the others say nothing
+    /// about the limit.
+    fn is_saturated(&self, epoch: LimitEpoch, attempts_in_flight: u32) -> bool {
         let block_limit = self
             .trial
             .as_ref()
             .map_or(self.limit, LimitTrial::block_limit);
-        epoch == self.sampled_epoch && in_flight == u32::min(block_limit, self.connection_share)
+        epoch == self.sampled_epoch
+            && attempts_in_flight == u32::min(block_limit, self.connection_share)
     }
 
     /// Records that the upstream shed an attempt sent in `epoch`: ends the running trial, if any, and lowers the limit
@@ -231,7 +232,7 @@
     pub fn restart(&mut self, now: Duration) {
         self.limit = RESTART_LIMIT;
         self.direction = TrialDirection::Up;
-        self.growth_unverified = true;
+        self.has_unverified_growth = true;
         self.next_pause = INITIAL_PAUSE;
         self.end_trial(now);
     }
@@ -282,20 +283,20 @@
         self.limit = accepted_limit;
         match self.direction {
             TrialDirection::Up if is_confirmed => {
-                self.rejected_up_trials += 1;
-                let is_verified = !self.growth_unverified
-                    && self.rejected_up_trials < REJECTED_UP_TRIALS_BEFORE_DOWN_TRIAL;
+                self.rejected_up_trial_count += 1;
+                let is_verified = !self.has_unverified_growth
+                    && self.rejected_up_trial_count < REJECTED_UP_TRIALS_BEFORE_DOWN_TRIAL;
                 if self.limit == 1 || is_verified {
                     self.pause_trials(now);
                     return;
                 }
                 self.direction = TrialDirection::Down;
             }
-            TrialDirection::Up => self.growth_unverified = true,
+            TrialDirection::Up => self.has_unverified_growth = true,
             TrialDirection::Down if is_confirmed => {
                 self.direction = TrialDirection::Up;
-                self.growth_unverified = false;
-                self.rejected_up_trials = 0;
+                self.has_unverified_growth = false;
+                self.rejected_up_trial_count = 0;
                 self.pause_trials(now);
                 return;
             }
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -23,7 +23,7 @@
     shedding_threshold: Option<usize>,
 }
 
-const STEADY: UpstreamModel = UpstreamModel {
+const STEADY_UPSTREAM: UpstreamModel = UpstreamModel {
     slots: 2,
     log_std_dev: 0.4,
     straggler_percent: 1.0,
@@ -39,7 +39,7 @@
     /// Share of the answers at which the limit exceeded the number of slots.
     share_above_slots: f64,
     /// Seconds until the limit first reached the number of slots.
-    reached_slots_s: f64,
+    time_to_reach_slots_s: f64,
     /// Utilisation of the slots, as a fraction.
     utilisation: f64,
 }
@@ -57,7 +57,7 @@
     let mut slots: BinaryHeap<Reverse<u64>> = (0..model.slots).map(|_| Reverse(0)).collect();
     let mut in_flight_attempts: BinaryHeap<Reverse<InFlightAttempt>> = BinaryHeap::new();
     let mut report = RunReport {
-        reached_slots_s: f64::INFINITY,
+        time_to_reach_slots_s: f64::INFINITY,
         ..Default::default()
     };
     let (mut now_us, mut answer_count, mut busy_us) = (0_u64, 0.0, 0.0);
@@ -108,7 +108,8 @@
         };
         limit.record(Duration::from_micros(now_us), sample);
         if limit.base_limit() as usize >= model.slots {
-            report.reached_slots_s = f64::min(report.reached_slots_s, now_us as f64 / 1e6);
+            report.time_to_reach_slots_s =
+                f64::min(report.time_to_reach_slots_s, now_us as f64 / 1e6);
         }
         if now_us as f64 > seconds * 5e5 {
             answer_count += 1.0;
@@ -143,38 +144,56 @@
     };
     let warm_up = |seconds: f64| f64::max(1.0, 8.0 - seconds);
     let cases = [
-        ("2 slots", STEADY),
+        ("2 slots", STEADY_UPSTREAM),
         (
             "2 slots, quiet",
             UpstreamModel {
                 log_std_dev: 0.05,
                 straggler_percent: 0.0,
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
         (
             "2 slots, noisy",
             UpstreamModel {
                 log_std_dev: 1.0,
-                ..STEADY
+                ..STEADY_UPSTREAM
+            },
+        ),
+        (
+            "6 slots",
+            UpstreamModel {
+                slots: 6,
+                ..STEADY_UPSTREAM
             },
         ),
-        ("6 slots", UpstreamModel { slots: 6, ..STEADY }),
         (
             "6 slots, noisy",
             UpstreamModel {
                 slots: 6,
                 log_std_dev: 1.0,
-                ..STEADY
+                ..STEADY_UPSTREAM
+            },
+        ),
+        (
+            "4 slots",
+            UpstreamModel {
+                slots: 4,
+                ..STEADY_UPSTREAM
+            },
+        ),
+        (
+            "1 slot",
+            UpstreamModel {
+                slots: 1,
+                ..STEADY_UPSTREAM
             },
         ),
-        ("4 slots", UpstreamModel { slots: 4, ..STEADY }),
-        ("1 slot", UpstreamModel { slots: 1, ..STEADY }),
         (
             "2 slots, slows down",
             UpstreamModel {
                 slowness: slowdown,
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
         (
@@ -182,14 +201,14 @@
             UpstreamModel {
                 slots: 6,
                 slowness: slowdown,
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
         (
             "2 slots, cold",
             UpstreamModel {
                 slowness: warm_up,
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
         (
@@ -197,14 +216,14 @@
             UpstreamModel {
                 slots: 6,
                 slowness: warm_up,
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
         (
             "2 slots, sheds",
             UpstreamModel {
                 shedding_threshold: Some(2),
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
         (
@@ -212,7 +231,7 @@
             UpstreamModel {
                 slots: 6,
                 shedding_threshold: Some(6),
-                ..STEADY
+                ..STEADY_UPSTREAM
             },
         ),
     ];
@@ -224,7 +243,7 @@
             expect_that!(report.mean_limit, near(slots, 0.05), "{context}");
             expect_that!(report.share_above_slots, le(0.02), "{context}");
             expect_that!(report.utilisation, ge(0.98), "{context}");
-            expect_that!(report.reached_slots_s, le(10.0), "{context}");
+            expect_that!(report.time_to_reach_slots_s, le(10.0), "{context}");
         }
     }
 }
--- a/crates/ebonyfork/src/relay/loss.rs
+++ b/crates/ebonyfork/src/relay/loss.rs
@@ -7,7 +7,7 @@
 use crate::ident::UpstreamAddress;
 use crate::quarantine::LostRequest;
 
-/// Connections of an upstream that break within this time of the first one belong to the same loss.
+/// Breaks of connections to an upstream within this time after the first break belong to the same loss.
 const LOSS_WINDOW: Duration = Duration::from_millis(20);
 
 /// The loss of an upstream: connections to it broke while attempts were in flight on them.
@@ -27,7 +27,7 @@
     /// When the first connection broke.
     first_break_at: Duration,
     /// The requests that were in flight on the broken connections.
-    in_flight: SmallVec<[LostRequest; 4]>,
+    lost_requests: SmallVec<[LostRequest; 4]>,
 }
 
 impl LossWindow {
@@ -35,7 +35,7 @@
     pub(super) fn new(now: Duration) -> Self {
         Self {
             first_break_at: now,
-            in_flight: SmallVec::new(),
+            lost_requests: SmallVec::new(),
         }
     }
 
@@ -45,7 +45,7 @@
         let Some(time_in_flight) = self.first_break_at.checked_sub(sent_at) else {
             return;
         };
-        self.in_flight.push(LostRequest {
+        self.lost_requests.push(LostRequest {
             time_in_flight,
             ..request
         });
@@ -61,7 +61,7 @@
         UpstreamLoss {
             upstream,
             age: now.saturating_sub(self.first_break_at),
-            in_flight: self.in_flight,
+            in_flight: self.lost_requests,
         }
     }
 }
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -25,7 +25,7 @@
     organisation: u32,
     class: u32,
     /// Arrival rate in attempts per second.
-    rate: ArrivalRate,
+    arrival_rate: ArrivalRate,
     /// Median service time in microseconds.
     median_service_us: f64,
     /// Time from arrival to deadline in microseconds.
@@ -40,7 +40,7 @@
     /// Number of attempts whose deadline is within the run.
     arrived_count: usize,
     /// Number of attempts sent while every slot of the upstream was busy.
-    sent_to_busy_slots: usize,
+    sent_to_busy_slots_count: usize,
     sent_count: usize,
 }
 
@@ -205,8 +205,8 @@
 
     fn arrive(&mut self, stream: usize) {
         let stream_load = self.streams[stream];
-        let rate = (stream_load.rate)(self.now_us as f64 / 1e6);
-        let gap_s = -f64::ln(1.0 - self.arrival_rng.random::<f64>()) / f64::max(rate, 0.1);
+        let arrival_rate = (stream_load.arrival_rate)(self.now_us as f64 / 1e6);
+        let gap_s = -f64::ln(1.0 - self.arrival_rng.random::<f64>()) / f64::max(arrival_rate, 0.1);
         self.schedule((gap_s * 1e6) as u64, PolicyEvent::Arrive { stream });
         let session = SessionId::new("10.0.0.1".parse().unwrap(), IncarnationNumber(1));
         let request = WorkRequest {
@@ -286,7 +286,7 @@
             self.streams[stream].median_service_us * (normal_sample * 0.3).exp() * straggler_factor;
         let Reverse(free_at_us) = self.slots.pop().unwrap();
         self.reports[stream].sent_count += 1;
-        self.reports[stream].sent_to_busy_slots += usize::from(free_at_us > self.now_us);
+        self.reports[stream].sent_to_busy_slots_count += usize::from(free_at_us > self.now_us);
         let done_at_us = u64::max(free_at_us, self.now_us) + service_us as u64;
         self.slots.push(Reverse(done_at_us));
         let event = PolicyEvent::Answered {
@@ -326,7 +326,7 @@
             report.quantile(0.99),
             report.share_answered(),
             report.latencies.len() as f64 / seconds as f64,
-            report.sent_to_busy_slots as f64 / report.sent_count as f64,
+            report.sent_to_busy_slots_count as f64 / report.sent_count as f64,
         );
     }
     reports
@@ -337,12 +337,12 @@
     let steady_stream = |organisation| LoadStream {
         organisation,
         class: 0,
-        rate: |_| 20.0,
+        arrival_rate: |_| 20.0,
         median_service_us: 8_000.0,
         remaining_us: 300_000,
     };
     let bursty_stream = LoadStream {
-        rate: |seconds| if seconds % 10.0 < 2.0 { 500.0 } else { 10.0 },
+        arrival_rate: |seconds| if seconds % 10.0 < 2.0 { 500.0 } else { 10.0 },
         ..steady_stream(9)
     };
     let streams = [
@@ -365,14 +365,14 @@
     let lookup_stream = LoadStream {
         organisation: 0,
         class: 0,
-        rate: |_| 60.0,
+        arrival_rate: |_| 60.0,
         median_service_us: 2_000.0,
         remaining_us: 100_000,
     };
     let bulk_stream = LoadStream {
         organisation: 1,
         class: 1,
-        rate: |_| 40.0,
+        arrival_rate: |_| 40.0,
         median_service_us: 30_000.0,
         remaining_us: 2_000_000,
     };
@@ -388,24 +388,24 @@
 /// slack first. The results are printed and not asserted; docs/design/relay.md discusses them.
 #[gtest]
 fn compare_clamp_with_least_slack() {
-    let lookup_stream = |rate| LoadStream {
+    let lookup_stream = |arrival_rate| LoadStream {
         organisation: 0,
         class: 0,
-        rate,
+        arrival_rate,
         median_service_us: 2_000.0,
         remaining_us: 100_000,
     };
-    let bulk_stream = |rate| LoadStream {
+    let bulk_stream = |arrival_rate| LoadStream {
         organisation: 1,
         class: 1,
-        rate,
+        arrival_rate,
         median_service_us: 30_000.0,
         remaining_us: 2_000_000,
     };
     let loads: [ArrivalRate; 3] = [|_| 24.0, |_| 40.0, |_| 66.0];
-    for rate in loads {
+    for arrival_rate in loads {
         // Milliseconds of work per second, divided over two slots; the mean service time is 1.14 times the median.
-        let slot_load = (60.0 * 2.0 + rate(0.0) * 30.0) * 1.14 / 2_000.0;
+        let slot_load = (60.0 * 2.0 + arrival_rate(0.0) * 30.0) * 1.14 / 2_000.0;
         // Without the clamp; with the clamp and targets for the 99th percentile; with targets for the 90th percentile,
         // as in io.latency.
         for late_share in [None, Some(0.01), Some(0.1)] {
@@ -420,7 +420,7 @@
                 };
                 let streams = vec![
                     scale_service(lookup_stream(|_| 60.0)),
-                    scale_service(bulk_stream(rate)),
+                    scale_service(bulk_stream(arrival_rate)),
                 ];
                 let mut simulation = PolicySimulation::new(switches, slots, streams);
                 let late_share = late_share.unwrap_or_default();
@@ -443,22 +443,22 @@
 
 #[gtest]
 fn goodput_is_stable_under_overload() {
-    let stream = |rate| LoadStream {
+    let stream = |arrival_rate| LoadStream {
         organisation: 0,
         class: 0,
-        rate,
+        arrival_rate,
         median_service_us: 8_000.0 / 1.14,
         remaining_us: 150_000,
     };
     let mut max_answered_count = 0;
     // 50, 80, 95, 130 and 200 % of the capacity of two slots.
     let rates: [ArrivalRate; 5] = [|_| 119.0, |_| 190.0, |_| 226.0, |_| 309.0, |_| 476.0];
-    for rate in rates {
-        run_policy(BASELINE, &[stream(rate)], 30);
-        let reports = run_policy(POLICY, &[stream(rate)], 30);
+    for arrival_rate in rates {
+        run_policy(BASELINE, &[stream(arrival_rate)], 30);
+        let reports = run_policy(POLICY, &[stream(arrival_rate)], 30);
         let answered_count = reports[0].latencies.len();
         max_answered_count = usize::max(max_answered_count, answered_count);
-        if rate(0.0) > 300.0 {
+        if arrival_rate(0.0) > 300.0 {
             expect_that!(answered_count * 100, ge(max_answered_count * 95));
         }
     }
--- a/crates/ebonyfork/src/relay/pool.rs
+++ b/crates/ebonyfork/src/relay/pool.rs
@@ -33,9 +33,9 @@
     /// The idle connections; the most recently used one is last.
     idle_connections: Vec<IdleConnection>,
     /// Number of connections that were opened and whose end was not reported yet.
-    open_count: u32,
+    open_connection_count: u32,
     /// Number of connections being opened.
-    opening_count: u32,
+    opening_connection_count: u32,
     /// Number of consecutive failures to open a connection.
     consecutive_failures: u32,
     /// Earliest time at which the next connection may be opened.
@@ -49,8 +49,8 @@
             upstream,
             connection_share: 0,
             idle_connections: Vec::new(),
-            open_count: 0,
-            opening_count: 0,
+            open_connection_count: 0,
+            opening_connection_count: 0,
             consecutive_failures: 0,
             retry_at: Duration::ZERO,
         }
@@ -62,42 +62,42 @@
 
     /// Returns the number of connections that are open or being opened.
     pub(super) fn connection_count(&self) -> u32 {
-        self.open_count + self.opening_count
+        self.open_connection_count + self.opening_connection_count
     }
 
     /// Returns the number of idle connections.
-    pub(super) fn idle_count(&self) -> usize {
+    pub(super) fn idle_connection_count(&self) -> usize {
         self.idle_connections.len()
     }
 
     /// Returns whether no connection is open and the last attempt to open one failed less than its backoff ago.
     pub(super) fn is_unreachable(&self, now: Duration) -> bool {
-        self.open_count == 0 && now < self.retry_at
+        self.open_connection_count == 0 && now < self.retry_at
     }
 
     /// Replaces the connection share and closes idle connections beyond it.
     pub(super) fn set_connection_share(&mut self, connection_share: u32, tables: &mut RelayTables) {
         self.connection_share = connection_share;
-        self.close_surplus(tables);
+        self.close_surplus_connections(tables);
     }
 
     /// Adds a connection that was opened, as idle.
-    pub(super) fn add_opened(&mut self, now: Duration, connection: ConnectionId) {
-        self.opening_count -= 1;
-        self.open_count += 1;
+    pub(super) fn add_opened_connection(&mut self, now: Duration, connection: ConnectionId) {
+        self.opening_connection_count -= 1;
+        self.open_connection_count += 1;
         self.consecutive_failures = 0;
         self.retry_at = now;
-        self.put_back(now, connection);
+        self.put_back_connection(now, connection);
     }
 
     /// Removes a connection that could not be opened, and starts the backoff.
-    pub(super) fn remove_failed(
+    pub(super) fn remove_failed_connection(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.opening_count -= 1;
+        self.opening_connection_count -= 1;
         tables.forget_connection(connection);
         let backoff = INITIAL_OPEN_BACKOFF * (1 << u32::min(self.consecutive_failures, 10));
         self.consecutive_failures += 1;
@@ -105,22 +105,26 @@
     }
 
     /// Removes a connection that has ended.
-    pub(super) fn remove_ended(&mut self, connection: ConnectionId, tables: &mut RelayTables) {
+    pub(super) fn remove_ended_connection(
+        &mut self,
+        connection: ConnectionId,
+        tables: &mut RelayTables,
+    ) {
         self.idle_connections
             .retain(|idle_connection| idle_connection.connection != connection);
-        self.open_count -= 1;
+        self.open_connection_count -= 1;
         tables.forget_connection(connection);
     }
 
     /// Removes and returns the most recently used idle connection.
-    pub(super) fn take_idle(&mut self) -> Option<ConnectionId> {
+    pub(super) fn take_idle_connection(&mut self) -> Option<ConnectionId> {
         self.idle_connections
             .pop()
             .map(|idle_connection| idle_connection.connection)
     }
 
     /// Makes a connection idle again.
-    pub(super) fn put_back(&mut self, now: Duration, connection: ConnectionId) {
+    pub(super) fn put_back_connection(&mut self, now: Duration, connection: ConnectionId) {
         let idle_since = now;
         self.idle_connections.push(IdleConnection {
             connection,
@@ -128,30 +132,32 @@
         });
     }
 
-    /// Opens connections until `wanted_count` are being opened, within the connection share. Does nothing while a
-    /// connection is idle or during the backoff.
-    pub(super) fn open_needed(
+    /// Opens connections until `wanted_connection_count` are being opened, within the connection share. Does nothing
+    /// while a connection is idle or during the backoff.
+    pub(super) fn open_needed_connections(
         &mut self,
         now: Duration,
-        wanted_count: u32,
+        wanted_connection_count: u32,
         tables: &mut RelayTables,
     ) {
         if now < self.retry_at || !self.idle_connections.is_empty() {
             return;
         }
-        while self.opening_count < wanted_count && self.connection_count() < self.connection_share {
-            self.opening_count += 1;
+        while self.opening_connection_count < wanted_connection_count
+            && self.connection_count() < self.connection_share
+        {
+            self.opening_connection_count += 1;
             tables.open_connection(self.upstream);
         }
     }
 
     /// Closes idle connections beyond the connection share.
-    pub(super) fn close_surplus(&mut self, tables: &mut RelayTables) {
+    pub(super) fn close_surplus_connections(&mut self, tables: &mut RelayTables) {
         let mut surplus_count = self
             .connection_count()
             .saturating_sub(self.connection_share);
         while surplus_count > 0
-            && let Some(connection) = self.take_idle()
+            && let Some(connection) = self.take_idle_connection()
         {
             tables.actions.push(RelayAction::Close { connection });
             surplus_count -= 1;
@@ -159,7 +165,7 @@
     }
 
     /// Closes connections that have reached the idle timeout.
-    pub(super) fn close_timed_out(&mut self, now: Duration, tables: &mut RelayTables) {
+    pub(super) fn close_timed_out_connections(&mut self, now: Duration, tables: &mut RelayTables) {
         let is_kept =
             |idle_connection: &IdleConnection| idle_connection.idle_since + IDLE_TIMEOUT > now;
         for idle_connection in self
@@ -174,7 +180,7 @@
     }
 
     /// Closes all idle connections.
-    pub(super) fn close_idle(&mut self, tables: &mut RelayTables) {
+    pub(super) fn close_idle_connections(&mut self, tables: &mut RelayTables) {
         for IdleConnection { connection, .. } in self.idle_connections.drain(..) {
             tables.actions.push(RelayAction::Close { connection });
         }
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -26,12 +26,13 @@
 pub const QUEUE_LIMIT: usize = 1_024;
 /// Maximum number of attempts of one organisation waiting for one upstream.
 pub const ORGANISATION_LIMIT: usize = QUEUE_LIMIT / 2;
-/// Maximum lead of a lane's virtual time over that of the lane furthest behind, in attempts of mean cost, with which
-/// its attempts are still sent in the order of their slack. Beyond it they wait, however urgent they are.
+/// Maximum lead of a lane's virtual time over the least virtual time of the active lanes, as a multiple of the mean
+/// cost of an attempt. Lanes within this lead send their attempts in the order of slack. The attempts of a lane that is
+/// further ahead wait, however urgent they are.
 pub const FAIR_QUANTUM: u64 = 4;
 /// Number of usual service times that an attempt should have left before its deadline when it is sent.
 pub const START_MARGIN: u64 = 2;
-/// Number of idle lanes from which on an idle lane is reused for another organisation.
+/// An idle lane is reused for another organisation only while at least this many lanes are idle.
 const IDLE_LANE_LIMIT: usize = 64;
 
 /// A waiting attempt.
--- a/crates/ebonyfork/src/relay/service.rs
+++ b/crates/ebonyfork/src/relay/service.rs
@@ -20,9 +20,9 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
     /// Exponentially weighted mean of each class.
-    classes: SecondaryMap<ClassId, Option<f64>>,
+    class_means: SecondaryMap<ClassId, Option<f64>>,
     /// Exponentially weighted mean over all classes.
-    mean: Option<f64>,
+    overall_mean: Option<f64>,
     /// Estimated median over all classes.
     median: Option<f64>,
 }
@@ -34,14 +34,14 @@
         let sample = log_micros(service_time);
         let median = self.median.get_or_insert(sample);
         *median += MEDIAN_STEP.copysign(sample - *median);
-        let class_mean = update_mean(&mut self.classes[class], sample);
-        let overall_mean = update_mean(&mut self.mean, sample);
+        let class_mean = update_mean(&mut self.class_means[class], sample);
+        let overall_mean = update_mean(&mut self.overall_mean, sample);
         sample - class_mean + overall_mean
     }
 
     /// Returns the expected service time of an attempt of a class.
     pub(super) fn expected_time(&self, class: ClassId) -> Duration {
-        let estimate = self.classes[class].or(self.median);
+        let estimate = self.class_means[class].or(self.median);
         estimate.map_or(INITIAL_ESTIMATE, from_log_micros)
     }
 
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -97,10 +97,10 @@
     free_upstream_ids: Vec<UpstreamId>,
     upstreams_by_address: FxHashMap<UpstreamAddress, UpstreamId>,
     work_by_key: FxHashMap<AttemptKey, WorkId>,
-    /// Reverse of `work_by_key`.
+    /// Key of each attempt that is held; the inverse of `work_by_key`.
     keys_by_work: FxHashMap<WorkId, AttemptKey>,
-    organisations: FxHashMap<OrganisationName, OrganisationId>,
-    classes: FxHashMap<ClassName, ClassId>,
+    organisation_ids: FxHashMap<OrganisationName, OrganisationId>,
+    class_ids: FxHashMap<ClassName, ClassId>,
     tables: RelayTables,
 }
 
@@ -114,28 +114,28 @@
             upstreams_by_address: FxHashMap::default(),
             work_by_key: FxHashMap::default(),
             keys_by_work: FxHashMap::default(),
-            organisations: FxHashMap::default(),
-            classes: FxHashMap::default(),
+            organisation_ids: FxHashMap::default(),
+            class_ids: FxHashMap::default(),
             tables: RelayTables::default(),
         }
     }
 
     pub(super) fn intern_organisation(&mut self, name: &OrganisationName) -> OrganisationId {
-        if let Some(organisation) = self.organisations.get(name) {
+        if let Some(organisation) = self.organisation_ids.get(name) {
             return *organisation;
         }
-        let organisation = OrganisationId::from_u32(self.organisations.len() as u32);
-        self.organisations.insert(name.clone(), organisation);
+        let organisation = OrganisationId::from_u32(self.organisation_ids.len() as u32);
+        self.organisation_ids.insert(name.clone(), organisation);
         organisation
     }
 
     pub(super) fn intern_class(&mut self, name: &ClassName, config: &DeclaredConfig) -> ClassId {
-        if let Some(class) = self.classes.get(name) {
+        if let Some(class) = self.class_ids.get(name) {
             return *class;
         }
-        let class = ClassId::from_u32(self.classes.len() as u32);
+        let class = ClassId::from_u32(self.class_ids.len() as u32);
         self.tables.latency_targets[class] = latency_target(config, name);
-        self.classes.insert(name.clone(), class);
+        self.class_ids.insert(name.clone(), class);
         class
     }
 
@@ -163,7 +163,7 @@
         self.work_by_key.insert(request.key, work);
         self.keys_by_work.insert(work, request.key);
         self.upstreams[upstream].submit(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
         Some(work)
     }
 
@@ -174,7 +174,7 @@
             return;
         };
         self.upstreams[item.upstream].cancel(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Refuses an attempt for which a [`RelayAction::Send`] was issued but which was not handed to its connection.
@@ -183,7 +183,7 @@
             return;
         };
         self.upstreams[item.upstream].refuse_unsent(now, work, reason, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Requeues an attempt for which a [`RelayAction::Send`] was issued, as one of a suspected request.
@@ -192,7 +192,7 @@
             return;
         };
         self.upstreams[item.upstream].isolate(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Returns whether an attempt belongs to a suspected request and is sent only while nothing else is in flight at
@@ -208,7 +208,7 @@
             return;
         };
         self.upstreams[item.upstream].requeue_unsent(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
     }
 
     pub(super) fn handle_connection_event(
@@ -233,14 +233,14 @@
             ConnectionEvent::Dropped { work } => state.on_dropped(now, connection, work, tables),
             ConnectionEvent::Closed => state.on_closed(now, connection, tables),
         }
-        self.forget_released();
+        self.forget_released_work();
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
         for state in self.upstreams.values_mut() {
             state.tick(now, &mut self.tables);
         }
-        self.forget_released();
+        self.forget_released_work();
     }
 
     pub(super) fn needs_tick(&self) -> bool {
@@ -250,7 +250,7 @@
     /// Applies changed views. An upstream that is no longer listed is removed once it has no attempts and no
     /// connections.
     pub(super) fn apply_views(&mut self, now: Duration, views: ViewPair<'_>) {
-        for (name, class) in &self.classes {
+        for (name, class) in &self.class_ids {
             self.tables.latency_targets[*class] = latency_target(views.config, name);
         }
         let (upstreams, tables) = (&mut self.upstreams, &mut self.tables);
@@ -265,7 +265,7 @@
             }
             is_kept
         });
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Returns the address of an upstream.
@@ -301,10 +301,10 @@
     /// Returns the number of waiting attempts and the number of attempts in flight, summed over all upstreams.
     pub(super) fn waiting_and_in_flight_counts(&self) -> (usize, usize) {
         let states = self.upstreams.values();
-        states.fold((0, 0), |(waiting_count, in_flight), state| {
+        states.fold((0, 0), |(waiting_count, attempts_in_flight), state| {
             (
                 waiting_count + state.waiting_count(),
-                in_flight + state.in_flight(),
+                attempts_in_flight + state.attempts_in_flight(),
             )
         })
     }
@@ -337,7 +337,7 @@
         upstream
     }
 
-    fn forget_released(&mut self) {
+    fn forget_released_work(&mut self) {
         for work in self.tables.released_work.drain(..) {
             if let Some(key) = self.keys_by_work.remove(&work) {
                 self.work_by_key.remove(&key);
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -39,7 +39,7 @@
     cancel_count: usize,
     losses: Vec<UpstreamLoss>,
     /// Requests whose answers the relay has reported to the quarantine.
-    answers: Vec<RequestFingerprint>,
+    answered_requests: Vec<RequestFingerprint>,
     submitted_count: u64,
 }
 
@@ -67,7 +67,7 @@
     TopologyView::new([own_vm], [upstream])
 }
 
-fn rows() -> ShardVerdict {
+fn rows_verdict() -> ShardVerdict {
     ShardVerdict::Rows {
         version: SnapshotVersion(1),
         body: Bytes::from_static(b"{\"rows\":[]}"),
@@ -102,7 +102,7 @@
             open_count: 0,
             cancel_count: 0,
             losses: Vec::new(),
-            answers: Vec::new(),
+            answered_requests: Vec::new(),
             submitted_count: 0,
         }
     }
@@ -255,7 +255,9 @@
                 assert_eq!(previous_verdict, None, "{query} finished twice");
             }
             RelayAction::ReportLoss(loss) => self.losses.push(loss),
-            RelayAction::ReportAnswer { fingerprint, .. } => self.answers.push(fingerprint),
+            RelayAction::ReportAnswer { fingerprint, .. } => {
+                self.answered_requests.push(fingerprint)
+            }
             RelayAction::ReportLeaving(_) => {}
         }
     }
@@ -264,7 +266,7 @@
     fn finish(&mut self) {
         self.open_all();
         while !self.busy_connections.is_empty() {
-            self.answer(0, rows(), false);
+            self.answer(0, rows_verdict(), false);
             self.open_all();
         }
         self.tick(60_000);
@@ -296,7 +298,7 @@
 
 fn relay_steps() -> impl Strategy<Value = Vec<RelayStep>> {
     let verdict = prop_oneof![
-        4 => Just(rows()),
+        4 => Just(rows_verdict()),
         1 => Just(ShardVerdict::NotRun(RefusalReason::Shed)),
         1 => Just(ShardVerdict::VersionGone { newest: SnapshotVersion(2) }),
     ];
@@ -411,17 +413,17 @@
     fixture.cancel(first_query);
     fixture.cancel(third_query);
     fixture.break_connection(1);
-    let failed = |reason| ShardVerdict::Failed {
+    let failed_verdict = |reason| ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason,
     };
     expect_that!(
         fixture.verdicts[&first_query],
-        eq(&failed(FailureReason::Cancelled))
+        eq(&failed_verdict(FailureReason::Cancelled))
     );
     expect_that!(
         fixture.verdicts[&second_query],
-        eq(&failed(FailureReason::Broken))
+        eq(&failed_verdict(FailureReason::Broken))
     );
     let cancelled_verdict = ShardVerdict::NotRun(RefusalReason::Cancelled);
     expect_that!(fixture.verdicts[&third_query], eq(&cancelled_verdict));
@@ -436,7 +438,7 @@
         fixture.open_all();
         let sent_count = fixture.busy_connections.len();
         if announced_in_answer {
-            fixture.answer(0, rows(), true);
+            fixture.answer(0, rows_verdict(), true);
         } else {
             fixture.set_leaving(true);
         }
@@ -463,7 +465,7 @@
     };
     fixture.state.apply_views(fixture.now, views);
     expect_that!(fixture.state.loads(fixture.now).len(), eq(1));
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     while let Some(connection) = fixture.closing_connections.pop() {
         fixture.report_event(connection, ConnectionEvent::Closed);
     }
@@ -514,16 +516,16 @@
         queries.collect::<Vec<_>>()
     };
     expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[0])]);
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     fixture.open_all();
     expect_that!(
-        fixture.answers,
+        fixture.answered_requests,
         elements_are![eq(&RequestFingerprint(queries[0]))]
     );
     expect_that!(queries_in_flight(&fixture).len(), eq(2));
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     expect_that!(queries_in_flight(&fixture).len(), eq(1));
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[1])]);
     fixture.break_connection(0);
     fixture.open_all();
--- a/crates/ebonyfork/src/relay/suspects.rs
+++ b/crates/ebonyfork/src/relay/suspects.rs
@@ -39,10 +39,11 @@
         true
     }
 
-    /// Returns whether the next attempt to send is a suspect; `no_others_wait` means that the regular queue
+    /// Returns whether the next attempt to send is a suspect; `is_regular_queue_empty` means that the regular queue
     /// is empty.
-    pub(super) fn is_due(&self, no_others_wait: bool) -> bool {
-        !self.waiting_suspects.is_empty() && (no_others_wait || self.others_before_suspect == 0)
+    pub(super) fn is_due(&self, is_regular_queue_empty: bool) -> bool {
+        !self.waiting_suspects.is_empty()
+            && (is_regular_queue_empty || self.others_before_suspect == 0)
     }
 
     /// Records that an attempt from the regular queue was sent.
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -18,9 +18,9 @@
 const MIN_EVIDENCE: f64 = 1.5;
 /// Minimum number of cycles for a decision.
 const MIN_CYCLES: u32 = 2;
-/// Maximum evidence of one cycle, in steps from the midpoint between the differences expected with and without a free
-/// slot; one standard deviation of a cycle where that is larger. The clamp keeps a slowdown of the upstream within a
-/// single cycle from deciding the trial.
+/// Largest deviation of one cycle from the midpoint between the differences expected with and without a free slot, in
+/// steps. If one standard deviation of a cycle is larger, it is used instead. The clamp keeps a slowdown of the
+/// upstream within a single cycle from deciding the trial.
 const CYCLE_CLAMP: f64 = 0.75;
 /// Variance of a cycle, in squared steps, beyond which the required evidence no longer grows, because a decision would
 /// take too long.
@@ -75,7 +75,7 @@
     /// Log service times recorded in the current block.
     block_sums: BlockSums,
     /// Number of attempts sent for the current block that are in flight or were answered.
-    sent_count: u32,
+    sent_attempt_count: u32,
     /// Mean log service time of the first block in the current cycle, once that block has ended.
     first_block_mean: Option<f64>,
     /// Whether the current block is under the higher limit.
@@ -99,7 +99,7 @@
         Self {
             low_limit,
             block_sums: BlockSums::default(),
-            sent_count: 0,
+            sent_attempt_count: 0,
             first_block_mean: None,
             in_high_block: false,
             cycle_count: 0,
@@ -129,12 +129,12 @@
     /// Returns whether enough attempts were sent for the current block. Later attempts don't count: if they did, the
     /// block would consist of whichever answers come back first, which are the fast ones.
     pub(super) fn is_block_full(&self) -> bool {
-        self.sent_count >= self.block_size()
+        self.sent_attempt_count >= self.block_size()
     }
 
     /// Returns whether no attempt was sent yet for the current block.
     pub(super) fn is_block_empty(&self) -> bool {
-        self.sent_count == 0
+        self.sent_attempt_count == 0
     }
 
     /// Returns whether the current block is under the higher limit.
@@ -144,12 +144,12 @@
 
     /// Records that an attempt was sent for the current block.
     pub(super) fn record_sent(&mut self) {
-        self.sent_count += 1;
+        self.sent_attempt_count += 1;
     }
 
     /// Records that an attempt of the current block ended without a service time; another one is sent in its place.
     pub(super) fn record_lost(&mut self) {
-        self.sent_count = self.sent_count.saturating_sub(1);
+        self.sent_attempt_count = self.sent_attempt_count.saturating_sub(1);
     }
 
     /// Returns the number of attempts to send for one block.
@@ -170,7 +170,7 @@
             return None;
         }
         let finished_block = std::mem::take(&mut self.block_sums);
-        self.sent_count = 0;
+        self.sent_attempt_count = 0;
         self.clamp_centre = Some(finished_block.mean());
         self.squared_deviations += finished_block.squared_deviations();
         self.degrees_of_freedom += finished_block.count - 1;
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -48,7 +48,7 @@
     item: WorkItem,
     connection: ConnectionId,
     /// Number of attempts in flight at the upstream when this one was sent, itself included.
-    in_flight: u32,
+    attempts_in_flight: u32,
     epoch: LimitEpoch,
     /// When the attempt was sent.
     sent_at: Duration,
@@ -132,7 +132,7 @@
         self.pool
             .set_connection_share(params.connection_share, tables);
         if params.leaving {
-            self.pool.close_idle(tables);
+            self.pool.close_idle_connections(tables);
         }
         self.dispatch(now, tables);
     }
@@ -226,13 +226,13 @@
         status: OpenStatus,
         tables: &mut RelayTables,
     ) {
-        self.pool.add_opened(now, connection);
+        self.pool.add_opened_connection(now, connection);
         match status {
             OpenStatus::Ready => {}
             OpenStatus::Draining => self.mark_draining(now, tables),
             OpenStatus::DrainingHint => {
                 self.draining_until = now + DRAINING_HINT_HOLD;
-                self.pool.close_idle(tables);
+                self.pool.close_idle_connections(tables);
             }
         }
         self.dispatch(now, tables);
@@ -245,7 +245,7 @@
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_failed(now, connection, tables);
+        self.pool.remove_failed_connection(now, connection, tables);
         if self.pool.connection_count() == 0 {
             self.refuse_queued(RefusalReason::Unreachable, tables);
         }
@@ -258,7 +258,7 @@
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_ended(connection, tables);
+        self.pool.remove_ended_connection(connection, tables);
         self.dispatch(now, tables);
     }
 
@@ -285,7 +285,7 @@
         let Some(sent_work) = self.take_unanswered(work) else {
             return;
         };
-        self.pool.put_back(now, sent_work.connection);
+        self.pool.put_back_connection(now, sent_work.connection);
         tables.refuse(work, reason);
         self.dispatch(now, tables);
     }
@@ -296,7 +296,7 @@
         let Some(sent_work) = self.take_unanswered(work) else {
             return;
         };
-        self.pool.put_back(now, sent_work.connection);
+        self.pool.put_back_connection(now, sent_work.connection);
         if sent_work.has_verdict {
             tables.release(work);
             self.dispatch(now, tables);
@@ -317,7 +317,7 @@
         let Some(sent_work) = self.take_sent(work) else {
             return;
         };
-        self.pool.put_back(now, sent_work.connection);
+        self.pool.put_back_connection(now, sent_work.connection);
         self.record_answer(now, &sent_work, &answer);
         if !sent_work.has_verdict {
             record_time_spent(&mut self.clamp, now, &sent_work.item, tables);
@@ -335,7 +335,7 @@
             tables.finish(work, answer.verdict);
         }
         tables.release(work);
-        self.pool.close_surplus(tables);
+        self.pool.close_surplus_connections(tables);
         self.dispatch(now, tables);
     }
 
@@ -347,10 +347,10 @@
         work: WorkId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_ended(connection, tables);
+        self.pool.remove_ended_connection(connection, tables);
         // The idle connections most likely lead to the same lost process: an attempt sent on them would break as well,
         // without having run.
-        self.pool.close_idle(tables);
+        self.pool.close_idle_connections(tables);
         if let Some(sent_work) = self.take_unanswered(work) {
             if !sent_work.has_verdict {
                 tables.fail(work, FailureReason::Broken);
@@ -373,7 +373,7 @@
         work: WorkId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_ended(connection, tables);
+        self.pool.remove_ended_connection(connection, tables);
         if self.take_unanswered(work).is_some() {
             tables.release(work);
         }
@@ -398,13 +398,15 @@
         {
             self.report_loss(now, tables);
         }
-        self.pool.close_timed_out(now, tables);
+        self.pool.close_timed_out_connections(now, tables);
         self.dispatch(now, tables);
     }
 
     /// Returns whether [`Self::tick`] may have work to do.
     pub(super) fn needs_tick(&self) -> bool {
-        self.waiting_count() > 0 || self.pool.idle_count() > 0 || self.loss_window.is_some()
+        self.waiting_count() > 0
+            || self.pool.idle_connection_count() > 0
+            || self.loss_window.is_some()
     }
 
     /// Returns whether the upstream has no attempts, waiting or in flight, and no connections.
@@ -418,7 +420,7 @@
     }
 
     /// Returns the number of attempts in flight, including those that already have a verdict.
-    pub(super) fn in_flight(&self) -> usize {
+    pub(super) fn attempts_in_flight(&self) -> usize {
         self.sent_work.len()
     }
 
@@ -458,7 +460,8 @@
     /// Removes and returns an attempt that is no longer in flight and ended without a service time.
     fn take_unanswered(&mut self, work: WorkId) -> Option<SentWork> {
         let sent_work = self.take_sent(work)?;
-        self.limit.record_lost(sent_work.epoch, sent_work.in_flight);
+        self.limit
+            .record_lost(sent_work.epoch, sent_work.attempts_in_flight);
         Some(sent_work)
     }
 
@@ -479,7 +482,7 @@
                     .record_sample(sent_work.item.class, answer.service_time);
                 let sample = LimitSample {
                     epoch: sent_work.epoch,
-                    in_flight: sent_work.in_flight,
+                    in_flight: sent_work.attempts_in_flight,
                     log_service_time,
                     has_backlog: !self.queue.is_empty(),
                 };
@@ -490,7 +493,9 @@
             {
                 self.limit.record_shed(now, sent_work.epoch);
             }
-            _ => self.limit.record_lost(sent_work.epoch, sent_work.in_flight),
+            _ => self
+                .limit
+                .record_lost(sent_work.epoch, sent_work.attempts_in_flight),
         }
     }
 
@@ -502,7 +507,7 @@
             tables.actions.push(RelayAction::ReportLeaving(address));
         }
         self.draining_until = now + DRAINING_HOLD;
-        self.pool.close_idle(tables);
+        self.pool.close_idle_connections(tables);
     }
 
     /// Adds a broken connection to the current loss window. The loss is reported at once if nothing else is in flight,
@@ -532,6 +537,6 @@
 ) {
     let target = tables.latency_targets[item.class];
     if let (Some(clamp), Some(target)) = (clamp, target) {
-        clamp.record(item.class, target, now.saturating_sub(item.arrived_at));
+        clamp.record_attempt(item.class, target, now.saturating_sub(item.arrived_at));
     }
 }
--- a/crates/ebonyfork/src/relay/upstream/dispatch.rs
+++ b/crates/ebonyfork/src/relay/upstream/dispatch.rs
@@ -17,7 +17,7 @@
         }
         while self.send_next(now, tables) {}
         self.refuse_expired(now, tables);
-        self.open_needed(now, tables);
+        self.open_needed_connections(now, tables);
     }
 
     /// Sends one attempt and returns true, or returns false if none may be sent now. A suspect is sent only when
@@ -26,7 +26,7 @@
     fn send_next(&mut self, now: Duration, tables: &mut RelayTables) -> bool {
         let unused_limit =
             (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
-        let send_capacity = usize::min(unused_limit, self.pool.idle_count());
+        let send_capacity = usize::min(unused_limit, self.pool.idle_connection_count());
         if send_capacity == 0
             || self
                 .sent_work
@@ -69,17 +69,17 @@
         let Some(item) = tables.item(work) else {
             return;
         };
-        let Some(connection) = self.pool.take_idle() else {
+        let Some(connection) = self.pool.take_idle_connection() else {
             return;
         };
-        let in_flight = self.sent_work.len() as u32 + 1;
+        let attempts_in_flight = self.sent_work.len() as u32 + 1;
         let epoch = self.limit.epoch();
-        self.limit.record_sent(in_flight);
+        self.limit.record_sent(attempts_in_flight);
         self.sent_work.push(SentWork {
             work,
             item,
             connection,
-            in_flight,
+            attempts_in_flight,
             epoch,
             sent_at: now,
             has_verdict: false,
@@ -93,12 +93,13 @@
     }
 
     /// Opens as many connections as the queue and the limit can use.
-    fn open_needed(&mut self, now: Duration, tables: &mut RelayTables) {
+    fn open_needed_connections(&mut self, now: Duration, tables: &mut RelayTables) {
         let send_capacity =
             (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
         let waiting_count = self.queue.len() + usize::from(!self.suspects.is_empty());
         let wanted_connections = usize::min(waiting_count, send_capacity) as u32;
-        self.pool.open_needed(now, wanted_connections, tables);
+        self.pool
+            .open_needed_connections(now, wanted_connections, tables);
     }
 
     /// Refuses the attempts in `removed_work` as expired.
