--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -299,8 +299,8 @@
             catalog: Arc::clone(&self.views.catalog.borrow()),
         };
         self.core.refresh(&views);
-        let logging_enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
-        self.core.set_decision_logging(logging_enabled);
+        let is_logging_enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
+        self.core.set_decision_logging(is_logging_enabled);
         self.epoch.elapsed()
     }
 
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -131,7 +131,7 @@
         now: Duration,
         slot_index: usize,
     ) -> bool {
-        let has_other_open_shards = self.gather.open_count() > 1;
+        let has_other_open_shards = self.gather.open_shard_count() > 1;
         if !self.params.idempotent || self.progress.has_run || !has_other_open_shards {
             return false;
         }
--- a/crates/ebonyfork/src/entry/fault_tests.rs
+++ b/crates/ebonyfork/src/entry/fault_tests.rs
@@ -299,10 +299,10 @@
 fn check_outcome(
     name: &str,
     faulty_services: u32,
-    expected: ExpectedOutcome,
+    expected_outcome: ExpectedOutcome,
     outcome: &QueryOutcome,
 ) {
-    match (expected, outcome) {
+    match (expected_outcome, outcome) {
         (WholeAnswer { version }, Ok(answer)) => {
             expect_that!(answer.coverage.missing, is_empty(), "{name}");
             expect_that!(answer.snapshot, eq(SnapshotVersion(version)), "{name}");
@@ -326,9 +326,9 @@
         (Refusal { code, ran }, Err(refusal)) => {
             expect_that!((refusal.code, refusal.ran), eq((code, ran)), "{name}");
         }
-        (expected, outcome) => {
+        (expected_outcome, outcome) => {
             expect_that!(
-                format!("{expected:?}"),
+                format!("{expected_outcome:?}"),
                 eq(&format!("{outcome:?}")),
                 "{name}"
             );
@@ -350,11 +350,11 @@
                 fixture.publish(5, &[(17, SHARDS)]);
                 let (duration, outcome, sent_attempts) =
                     run_query(&mut fixture, faults, faulty_services, request());
-                let expected = match priority {
+                let expected_outcome = match priority {
                     TargetPriority::LatencyFirst => *latency_first_outcome,
                     TargetPriority::CoverageFirst => *coverage_first_outcome,
                 };
-                check_outcome(&name, faulty_services, expected, &outcome);
+                check_outcome(&name, faulty_services, expected_outcome, &outcome);
                 // The query does not wait until near its deadline, and no shard is retried more than a few times.
                 expect_that!(duration, le(ms(300)), "{name}");
                 let extra_attempts = sent_attempts
@@ -428,9 +428,9 @@
     let faulty_services = SHARDS as u32 - 1;
     let (_, outcome, sent_attempts) = run_query(&mut fixture, faults, faulty_services, request);
     let first_attempt = &sent_attempts[0];
-    let hit_fault = first_attempt.shard > 0
+    let hits_fault = first_attempt.shard > 0
         && first_attempt.upstream == upstream(first_attempt.shard as usize, 0);
-    hit_fault.then_some(outcome)
+    hits_fault.then_some(outcome)
 }
 
 #[gtest]
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -65,8 +65,8 @@
 pub struct ShardGather {
     version: SnapshotVersion,
     slots: Vec<ShardSlot>,
-    answered_count: u32,
-    lost_count: u32,
+    answered_shard_count: u32,
+    lost_shard_count: u32,
 }
 
 impl ShardGather {
@@ -78,8 +78,8 @@
         shards: impl Iterator<Item = (ShardNumber, ServiceId)>,
     ) {
         self.version = version;
-        self.answered_count = 0;
-        self.lost_count = 0;
+        self.answered_shard_count = 0;
+        self.lost_shard_count = 0;
         self.slots.clear();
         let slots = shards.map(|(shard, service)| ShardSlot::new(shard, service));
         self.slots.extend(slots);
@@ -106,13 +106,13 @@
     }
 
     /// Returns the number of shards that have answered.
-    pub fn answered_count(&self) -> u32 {
-        self.answered_count
+    pub fn answered_shard_count(&self) -> u32 {
+        self.answered_shard_count
     }
 
     /// Returns the number of shards whose rows may still arrive.
-    pub fn open_count(&self) -> u32 {
-        self.shard_count() - self.answered_count - self.lost_count
+    pub fn open_shard_count(&self) -> u32 {
+        self.shard_count() - self.answered_shard_count - self.lost_shard_count
     }
 
     /// Returns the highest coverage that can still be reached, 0 to 1.
@@ -120,7 +120,7 @@
         if self.slots.is_empty() {
             return 1.0;
         }
-        f64::from(self.shard_count() - self.lost_count) / f64::from(self.shard_count())
+        f64::from(self.shard_count() - self.lost_shard_count) / f64::from(self.shard_count())
     }
 
     /// Stores a shard's rows and returns true if they are the shard's first rows and of the pinned version; else
@@ -139,11 +139,11 @@
             return false;
         }
         if slot.status == ShardStatus::Lost {
-            self.lost_count -= 1;
+            self.lost_shard_count -= 1;
         }
         slot.status = ShardStatus::Answered;
         slot.body = body;
-        self.answered_count += 1;
+        self.answered_shard_count += 1;
         true
     }
 
@@ -154,7 +154,7 @@
             return;
         }
         slot.status = ShardStatus::Lost;
-        self.lost_count += 1;
+        self.lost_shard_count += 1;
     }
 
     /// Returns the coverage of the rows received so far.
@@ -166,7 +166,7 @@
             .filter(is_unanswered)
             .map(|slot| slot.shard);
         QueryCoverage {
-            answered: self.answered_count,
+            answered: self.answered_shard_count,
             total: self.shard_count(),
             missing: missing_shards.collect(),
         }
@@ -174,7 +174,7 @@
 
     /// Takes the bodies of the answered shards, in shard order.
     pub fn take_bodies(&mut self) -> Vec<Bytes> {
-        let mut bodies = Vec::with_capacity(self.answered_count as usize);
+        let mut bodies = Vec::with_capacity(self.answered_shard_count as usize);
         for slot in &mut self.slots {
             if slot.status != ShardStatus::Answered {
                 continue;
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -211,7 +211,7 @@
     }
 
     /// Multiplies an upstream's service times by `factor`; an infinite factor makes it silent.
-    pub(super) fn slow_down(&mut self, upstream: UpstreamAddress, factor: f64) {
+    pub(super) fn slow_down_upstream(&mut self, upstream: UpstreamAddress, factor: f64) {
         self.upstreams
             .get_mut(&upstream)
             .unwrap()
--- a/crates/ebonyfork/src/entry/policy_tests.rs
+++ b/crates/ebonyfork/src/entry/policy_tests.rs
@@ -27,14 +27,14 @@
 
 #[gtest]
 fn hedging_halves_the_tail_latency_caused_by_stragglers() {
-    let coverage_first = |class: &mut crate::declaration::ClassTarget| {
+    let put_coverage_first = |class: &mut crate::declaration::ClassTarget| {
         class.priority = TargetPriority::CoverageFirst;
     };
-    let hedged_model = run_at(0.5, ExperimentSwitches::default(), coverage_first);
+    let hedged_model = run_at(0.5, ExperimentSwitches::default(), put_coverage_first);
     let unhedged_model = run_at(
         0.5,
         switches_with(|switches| switches.hedge = false),
-        coverage_first,
+        put_coverage_first,
     );
     print_results("hedged", &hedged_model);
     print_results("plain", &unhedged_model);
@@ -150,7 +150,7 @@
     // only the silent replicas are under test.
     model.straggler_share = 0.0;
     for service in 0..2 {
-        model.slow_down(upstream(service, 0), f64::INFINITY);
+        model.slow_down_upstream(upstream(service, 0), f64::INFINITY);
     }
     model.run(RUN_SPAN);
     print_results("silent", &model);
@@ -173,7 +173,7 @@
         class.latency = ms(150);
     });
     for replica in 0..2 {
-        model.slow_down(upstream(3, replica), 3.0);
+        model.slow_down_upstream(upstream(3, replica), 3.0);
     }
     model.run(RUN_SPAN);
     print_results("slow service", &model);
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -162,10 +162,10 @@
         if self.consecutive_failures == 0 {
             return ReplicaStatus::Healthy;
         }
-        let probe_in_flight = self
+        let is_probe_in_flight = self
             .probe_sent_at
-            .is_some_and(|sent| now < sent + PROBE_TIMEOUT);
-        if now < self.backoff_until || probe_in_flight {
+            .is_some_and(|sent_at| now < sent_at + PROBE_TIMEOUT);
+        if now < self.backoff_until || is_probe_in_flight {
             ReplicaStatus::BackingOff
         } else {
             ReplicaStatus::ProbeDue
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -107,7 +107,7 @@
         }
         // If most shards are still open, the cause is load rather than a straggler.
         if self.canary.is_none()
-            && self.gather.open_count() > (self.gather.shard_count() / 2).max(1)
+            && self.gather.open_shard_count() > (self.gather.shard_count() / 2).max(1)
         {
             return;
         }
@@ -117,10 +117,10 @@
         // An attempt that has been in flight for some time is likely to take as long again. A hedge is worth its load
         // only if it is expected to finish sooner than that; if the other replica has a long queue too, a hedge only
         // lengthens it.
-        let hedge_too_slow = route_choice.expected_time > time_in_flight;
-        let hedge_too_late = now + route_choice.expected_time > self.params.results_deadline();
-        if hedge_too_slow
-            || hedge_too_late
+        let is_hedge_too_slow = route_choice.expected_time > time_in_flight;
+        let is_hedge_too_late = now + route_choice.expected_time > self.params.results_deadline();
+        if is_hedge_too_slow
+            || is_hedge_too_late
             || !shared.try_withdraw_attempt(now, self.params.class, urgency)
         {
             return;
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -118,13 +118,13 @@
     ) -> (Duration, Duration) {
         planned_attempts
             .sort_unstable_by_key(|planned_attempt| planned_attempt.route_choice.expected_time);
-        let required_count = match self.priority {
+        let required_shard_count = match self.priority {
             TargetPriority::LatencyFirst => {
                 (f64::from(shard_count) * self.coverage_target).ceil() as usize
             }
             TargetPriority::CoverageFirst => planned_attempts.len(),
         };
-        let mut last_index = required_count.clamp(1, planned_attempts.len().max(1)) - 1;
+        let mut last_index = required_shard_count.clamp(1, planned_attempts.len().max(1)) - 1;
         for _ in 0..shard_count as usize / OUTLIER_SHARD_DIVISOR {
             let Some(planned_attempt) = planned_attempts.get(last_index) else {
                 break;
--- a/crates/ebonyfork/src/entry/verdict.rs
+++ b/crates/ebonyfork/src/entry/verdict.rs
@@ -39,19 +39,20 @@
         progress: QueryProgress,
         now: Duration,
     ) -> Option<Self> {
-        if gather.answered_count() == gather.shard_count() {
+        if gather.answered_shard_count() == gather.shard_count() {
             return Some(Self::Answer);
         }
         let is_quarantined = progress.last_refusal_reason == Some(RefusalReason::Quarantined);
         if progress.broken_upstream_count >= BROKEN_UPSTREAM_LIMIT || is_quarantined {
             return Some(Self::TargetUnreachable);
         }
-        let answered_share = f64::from(gather.answered_count()) / f64::from(gather.shard_count());
+        let answered_share =
+            f64::from(gather.answered_shard_count()) / f64::from(gather.shard_count());
         let has_enough_shards = match params.priority {
-            TargetPriority::LatencyFirst => gather.answered_count() > 0,
+            TargetPriority::LatencyFirst => gather.answered_shard_count() > 0,
             TargetPriority::CoverageFirst => answered_share >= params.coverage_target,
         };
-        if gather.open_count() == 0 {
+        if gather.open_shard_count() == 0 {
             return Some(if has_enough_shards {
                 Self::Answer
             } else {
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -130,7 +130,7 @@
     }
 
     /// Selects the source to use from now on, and notes if the store has failed for too long.
-    fn select_source(&mut self, current: ChangeSource) -> ChangeSource {
+    fn select_source(&mut self, current_source: ChangeSource) -> ChangeSource {
         let time = now();
         self.avoided_vms.retain(|(_vm, until)| *until > time);
         if self.core.uptime() < GOSSIP_SETTLE_TIME && self.store_failing_since.is_none() {
@@ -140,7 +140,9 @@
             |since: Instant| time.saturating_duration_since(since) >= STORE_FAILURE_TIME;
         let is_failing = self.store_failing_since.is_some_and(lasts_too_long);
         let is_unusable = is_failing || self.core.relay.is_stale();
-        if current == ChangeSource::Store && lasts_too_long(self.store_watched_since) && is_unusable
+        if current_source == ChangeSource::Store
+            && lasts_too_long(self.store_watched_since)
+            && is_unusable
         {
             self.store_avoided_until = Some(time + STORE_RETRY_DELAY);
             self.store_watched_since = time;
@@ -266,7 +268,8 @@
     /// Logs if the store states a lower revision than the copy's, with the number of changes in the response.
     fn log_behind(&self, step: &FeedStep) {
         let known_revision = self.complete_revision();
-        let Some(stated_revision) = step.stated.filter(|stated| *stated < known_revision) else {
+        let Some(stated_revision) = step.stated.filter(|revision| *revision < known_revision)
+        else {
             return;
         };
         let change_count = step.change.as_ref().map_or(0, MirrorChange::len);
--- a/crates/ebonyfork/src/gateway/follow/random_history.rs
+++ b/crates/ebonyfork/src/gateway/follow/random_history.rs
@@ -331,7 +331,7 @@
             }
         }
     }
-    fleet.store.rewrite_lost(&intended_content, rng);
+    fleet.store.rewrite_lost_items(&intended_content, rng);
 }
 
 /// Runs a fleet through 150 random steps and checks the invariants on each VM after every step. Then ends all
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -147,7 +147,7 @@
 
     /// Writes the items of `intended_content` that were lost in a restore again, in random order, as operators and
     /// upstreams do, and removes items that it does not contain.
-    pub fn rewrite_lost(&self, intended_content: &StoreContent, rng: &mut impl Rng) {
+    pub fn rewrite_lost_items(&self, intended_content: &StoreContent, rng: &mut impl Rng) {
         let current_items = self.content().items;
         let extra_keys = current_items
             .keys()
--- a/crates/ebonyfork/src/gateway/follow/taker.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker.rs
@@ -48,9 +48,9 @@
         }
         for event in &outcome.events {
             match event {
-                StoreEvent::Written(item) => self.put(item, is_restored),
-                StoreEvent::Removed { key, .. } if is_restored => self.remove_lost(key),
-                StoreEvent::Removed { key, .. } => self.remove(key),
+                StoreEvent::Written(item) => self.put_item(item, is_restored),
+                StoreEvent::Removed { key, .. } if is_restored => self.remove_lost_key(key),
+                StoreEvent::Removed { key, .. } => self.remove_key(key),
             }
         }
         if let Some(read_revision) = read_revision {
@@ -88,7 +88,7 @@
         });
     }
 
-    fn remove(&self, key: &CompactString) {
+    fn remove_key(&self, key: &CompactString) {
         match (self.core.dialect.classify)(key) {
             StoredKind::Upstream => self.core.registry.remove(key, now()),
             StoredKind::Vm => self.core.vms.remove(key),
@@ -99,16 +99,16 @@
 
     /// Handles a key that is missing after the store was restored from an older copy, so it was lost rather than
     /// removed.
-    fn remove_lost(&self, key: &CompactString) {
+    fn remove_lost_key(&self, key: &CompactString) {
         match (self.core.dialect.classify)(key) {
             StoredKind::Evacuation(zone) => self.core.registry.keep_evacuated(&zone, now()),
-            _ => self.remove(key),
+            _ => self.remove_key(key),
         }
     }
 
     /// Puts an item in force; `is_restored` states whether it was read from a store that has just been restored from an
     /// older copy.
-    fn put(&self, item: &StoreItem, is_restored: bool) {
+    fn put_item(&self, item: &StoreItem, is_restored: bool) {
         match (self.core.dialect.classify)(&item.key) {
             StoredKind::Config => self.put_config(item),
             StoredKind::Upstream => self.put_upstream(item, is_restored),
--- a/crates/ebonyfork/src/gateway/follow/taker_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/taker_tests.rs
@@ -120,7 +120,7 @@
 #[gtest]
 fn an_evacuation_is_in_force_while_its_key_exists() {
     let applier = applier();
-    let accepting_count = || {
+    let accepting_upstream_count = || {
         let upstreams = applier.core.registry.upstreams(&UpstreamService::new("s"));
         upstreams
             .iter()
@@ -133,23 +133,23 @@
         item("upstream/a", "s", 4),
     ];
     expect_that!(applier.apply(full_copy(items.clone(), 4)), ok(eq(())));
-    expect_that!(accepting_count(), eq(0));
+    expect_that!(accepting_upstream_count(), eq(0));
     let removal = StoreEvent::Removed {
         key: "evacuate/north-a".into(),
         revision: StoreRevision::new(6),
     };
     expect_that!(applier.apply(single_change(removal, 6)), ok(eq(())));
-    expect_that!(accepting_count(), eq(1));
+    expect_that!(accepting_upstream_count(), eq(1));
     expect_that!(applier.apply(full_copy(items, 5)), ok(eq(())));
-    expect_that!(accepting_count(), eq(1));
-    let rewrite = StoreEvent::Written(item("evacuate/north-a", "", 9));
-    expect_that!(applier.apply(single_change(rewrite, 9)), ok(eq(())));
-    expect_that!(accepting_count(), eq(0));
+    expect_that!(accepting_upstream_count(), eq(1));
+    let rewrite_event = StoreEvent::Written(item("evacuate/north-a", "", 9));
+    expect_that!(applier.apply(single_change(rewrite_event, 9)), ok(eq(())));
+    expect_that!(accepting_upstream_count(), eq(0));
     expect_that!(
         applier.apply(full_copy(vec![item("upstream/a", "s", 4)], 12)),
         ok(eq(()))
     );
-    expect_that!(accepting_count(), eq(1));
+    expect_that!(accepting_upstream_count(), eq(1));
 }
 
 /// An evacuation that a restored store lacks is kept for 10 s. Otherwise the zone gets requests until the operators
@@ -169,12 +169,12 @@
     applier.core.expire_missing(time_in(9));
     expect_that!(evacuated_zone_count(), eq(1));
     let rewritten_item = evacuation.clone().with_era(StoreEra(1));
-    let rewrite = CopyChange::Changes {
+    let rewrite_event = CopyChange::Changes {
         base_revision: StoreRevision::new(4).with_era(StoreEra(1)),
         revision: rewritten_item.revision,
         events: vec![StoreEvent::Written(rewritten_item)],
     };
-    expect_that!(applier.apply(rewrite), ok(eq(())));
+    expect_that!(applier.apply(rewrite_event), ok(eq(())));
     applier.core.expire_missing(time_in(60));
     expect_that!(evacuated_zone_count(), eq(1));
     expect_that!(applier.apply(restored_copy(&[], 2, 2)), ok(eq(())));
--- a/crates/ebonyfork/src/gateway/mirror/copy.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy.rs
@@ -117,7 +117,7 @@
     /// Applies a change to the copy and returns what was new in it.
     pub fn apply(&mut self, change: CopyChange) -> ChangeOutcome {
         match change {
-            CopyChange::Full { items, revision } => self.apply_full(items, revision),
+            CopyChange::Full { items, revision } => self.apply_full_read(items, revision),
             CopyChange::Changes {
                 events,
                 base_revision,
@@ -126,7 +126,7 @@
         }
     }
 
-    fn apply_full(&mut self, items: Vec<StoreItem>, revision: StoreRevision) -> ChangeOutcome {
+    fn apply_full_read(&mut self, items: Vec<StoreItem>, revision: StoreRevision) -> ChangeOutcome {
         let present_keys: FxHashSet<CompactString> =
             items.iter().map(|item| item.key.clone()).collect();
         let mut events: Vec<_> = items.into_iter().map(StoreEvent::Written).collect();
--- a/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy_tests.rs
@@ -217,8 +217,8 @@
         for _step in 0..80 {
             let revision = log.len() as u64 + 1;
             let key = KEYS[rng.random_range(0..KEYS.len())];
-            let exists = items_at(&log, revision).contains_key(key);
-            if exists && rng.random_bool(0.5) {
+            let is_in_store = items_at(&log, revision).contains_key(key);
+            if is_in_store && rng.random_bool(0.5) {
                 log.push(removal_event(key, revision));
             } else {
                 log.push(write_event(key, revision));
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -143,7 +143,7 @@
 
     /// Handles a follower's acknowledgement of the first `acked_bytes` bytes of transfer `number`, and sends the next
     /// chunks. Once the whole transfer is acknowledged, sends the time as of which its content was up to date instead.
-    pub(super) fn note_acked(
+    pub(super) fn note_acked_bytes(
         &mut self,
         peer: SessionId,
         number: u64,
@@ -157,7 +157,10 @@
         let Some(transfer) = transfer.filter(|transfer| transfer.number == number) else {
             return;
         };
-        if !transfer.outgoing_transfer.note_acked(acked_bytes, now) {
+        if !transfer
+            .outgoing_transfer
+            .note_acked_bytes(acked_bytes, now)
+        {
             follower.send_chunks();
             return;
         }
--- a/crates/ebonyfork/src/gateway/mirror/relay.rs
+++ b/crates/ebonyfork/src/gateway/mirror/relay.rs
@@ -62,7 +62,7 @@
                 transfer,
                 received_bytes,
             } => {
-                followers.note_acked(peer, transfer, received_bytes as usize, now());
+                followers.note_acked_bytes(peer, transfer, received_bytes as usize, now());
             }
             source_message => {
                 if let Some(sink) = &*self.message_sink.borrow() {
--- a/crates/ebonyfork/src/gateway/mirror/transfer.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records how many bytes of the message the receiver has acknowledged so far; returns whether that is all of it.
-    pub fn note_acked(&mut self, acked_bytes: usize, now: Instant) -> bool {
+    pub fn note_acked_bytes(&mut self, acked_bytes: usize, now: Instant) -> bool {
         if acked_bytes > self.acked_bytes && acked_bytes <= self.sent_bytes {
             self.acked_bytes = acked_bytes;
             self.progress_at = now;
--- a/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer_tests.rs
@@ -25,11 +25,11 @@
         let chunk = in_flight_chunks.remove(0);
         match incoming.receive(1, (chunk.offset, message.len()), &chunk.bytes) {
             ChunkOutcome::Incomplete(bytes) => {
-                expect_that!(transfer.note_acked(bytes, now), eq(false));
+                expect_that!(transfer.note_acked_bytes(bytes, now), eq(false));
             }
             ChunkOutcome::Complete(bytes) => {
                 expect_that!(bytes, eq(&message));
-                expect_that!(transfer.note_acked(bytes.len(), now), eq(true));
+                expect_that!(transfer.note_acked_bytes(bytes.len(), now), eq(true));
                 break;
             }
             ChunkOutcome::Unexpected | ChunkOutcome::Invalid => {
@@ -47,18 +47,18 @@
     chunks(&mut transfer);
     expect_that!(transfer.is_progressing(now + STALL_TIMEOUT / 2), eq(true));
     expect_that!(transfer.is_progressing(now + STALL_TIMEOUT), eq(false));
-    transfer.note_acked(CHUNK_BYTES, now + STALL_TIMEOUT);
+    transfer.note_acked_bytes(CHUNK_BYTES, now + STALL_TIMEOUT);
     expect_that!(
         transfer.is_progressing(now + STALL_TIMEOUT * 3 / 2),
         eq(true)
     );
-    transfer.note_acked(CHUNK_BYTES, now + STALL_TIMEOUT * 2);
+    transfer.note_acked_bytes(CHUNK_BYTES, now + STALL_TIMEOUT * 2);
     expect_that!(
         transfer.is_progressing(now + STALL_TIMEOUT * 2),
         eq(false),
         "nothing new acknowledged"
     );
-    transfer.note_acked(5 * CHUNK_BYTES, now + STALL_TIMEOUT * 2);
+    transfer.note_acked_bytes(5 * CHUNK_BYTES, now + STALL_TIMEOUT * 2);
     expect_that!(
         transfer.is_progressing(now + STALL_TIMEOUT * 2),
         eq(false),
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -117,7 +117,7 @@
                 self.shared.metrics.refusals.inc();
             }
         }
-        state.remove_outdated_if_due(now);
+        state.remove_outdated_records_if_due(now);
         self.finish_update(state, &[]);
         if quarantine_status == QuarantineStatus::Quarantined {
             log::info!(target: "ebonyfork::decision", "quarantine refuse request={fingerprint}");
@@ -196,7 +196,7 @@
     pub fn take_notices(&self) -> Vec<QuarantineNotice> {
         let now = self.now();
         let mut state = self.lock();
-        state.table.remove_outdated(now);
+        state.table.remove_outdated_records(now);
         let entries = state.table.entries(now).len();
         self.shared.metrics.entries.set(entries as i64);
         let notices = state.table.take_notices(now);
@@ -295,10 +295,10 @@
 }
 
 impl QuarantineState {
-    fn remove_outdated_if_due(&mut self, now: Duration) {
+    fn remove_outdated_records_if_due(&mut self, now: Duration) {
         if now > self.last_removal_at + REMOVAL_INTERVAL {
             self.last_removal_at = now;
-            self.table.remove_outdated(now);
+            self.table.remove_outdated_records(now);
         }
     }
 
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -297,7 +297,7 @@
 
     /// Removes losses that no longer count, and records that have neither losses nor a quarantine and have not changed
     /// for so long that no notice of a loss before the change can still count.
-    pub fn remove_outdated(&mut self, now: Duration) {
+    pub fn remove_outdated_records(&mut self, now: Duration) {
         self.records.retain(|_fingerprint, record| {
             record
                 .losses
@@ -489,7 +489,7 @@
     /// Removes outdated records and, if that is not enough, an eighth of all: least recently changed first, quarantined
     /// requests last.
     fn evict_records(&mut self, now: Duration) {
-        self.remove_outdated(now);
+        self.remove_outdated_records(now);
         if self.records.len() < RECORD_LIMIT {
             return;
         }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -281,7 +281,7 @@
     ) {
         let (sender, jobs) = mpsc::channel(1);
         self.connections[connection] = Some(sender);
-        self.metrics.count_opened();
+        self.metrics.count_opened_connection();
         let route = self.route_to(upstream);
         let address = address.clone();
         tokio::spawn(run_connection(route, jobs, async move |event| {
@@ -297,12 +297,13 @@
             return;
         };
         if pending_attempt.link.is_closed() {
-            self.state.refuse_unsent(now, work, RefusalReason::LinkDown);
+            self.state
+                .refuse_unsent_work(now, work, RefusalReason::LinkDown);
             return;
         }
         if (self.settings.refuses)(pending_attempt.batch.fingerprint) {
             self.state
-                .refuse_unsent(now, work, RefusalReason::Quarantined);
+                .refuse_unsent_work(now, work, RefusalReason::Quarantined);
             return;
         }
         let quarantine_status =
@@ -322,7 +323,8 @@
             remaining_ms,
         );
         let Some(request) = request else {
-            self.state.refuse_unsent(now, work, RefusalReason::NotReady);
+            self.state
+                .refuse_unsent_work(now, work, RefusalReason::NotReady);
             return;
         };
         let job = ConnectionJob {
@@ -332,7 +334,7 @@
         };
         let sender = self.connections[connection].as_ref();
         if sender.is_none_or(|sender| sender.try_send(job).is_err()) {
-            self.state.requeue_unsent(now, work);
+            self.state.requeue_unsent_work(now, work);
             return;
         }
         pending_attempt.sent_at = Some(Instant::now());
@@ -471,7 +473,8 @@
         self.state.tick(self.now());
         self.metrics
             .set_waiting_and_in_flight_counts(self.state.waiting_and_in_flight_counts());
-        self.metrics.set_connections(self.state.connection_count());
+        self.metrics
+            .set_connection_count(self.state.connection_count());
         self.run_actions(&ctx.mailbox().address());
     }
 }
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -170,7 +170,7 @@
         }
         let is_saturated = self.is_saturated(sample.epoch, sample.in_flight);
         if self.trial.is_some() {
-            self.record_in_trial(now, sample, is_saturated);
+            self.record_trial_sample(now, sample, is_saturated);
         } else if is_saturated && now >= self.next_trial_at {
             self.start_trial(now, sample.has_backlog);
         }
@@ -256,7 +256,7 @@
 
     /// Passes a sample to the running trial if it comes from an attempt that used up the limit, and ends the trial if
     /// it is decided or has timed out.
-    fn record_in_trial(&mut self, now: Duration, sample: LimitSample, is_saturated: bool) {
+    fn record_trial_sample(&mut self, now: Duration, sample: LimitSample, is_saturated: bool) {
         if now > self.last_sample_at + TRIAL_TIMEOUT {
             self.pause_trials(now);
             return;
--- a/crates/ebonyfork/src/relay/metrics.rs
+++ b/crates/ebonyfork/src/relay/metrics.rs
@@ -85,8 +85,8 @@
     service_times: Family<ClassLabels, Histogram>,
     connections_opened: Counter,
     connections: Gauge,
-    queued: Gauge,
-    in_flight: Gauge,
+    waiting_attempts: Gauge,
+    attempts_in_flight: Gauge,
 }
 
 impl Default for RelayMetrics {
@@ -97,8 +97,8 @@
             service_times: Family::new_with_constructor(time_histogram),
             connections_opened: Counter::default(),
             connections: Gauge::default(),
-            queued: Gauge::default(),
-            in_flight: Gauge::default(),
+            waiting_attempts: Gauge::default(),
+            attempts_in_flight: Gauge::default(),
         }
     }
 }
@@ -133,12 +133,12 @@
         registry.register(
             "relay_queued",
             "Shard requests that wait",
-            self.queued.clone(),
+            self.waiting_attempts.clone(),
         );
         registry.register(
             "relay_in_flight",
             "Shard requests at upstreams",
-            self.in_flight.clone(),
+            self.attempts_in_flight.clone(),
         );
     }
 
@@ -169,20 +169,20 @@
         service_times.observe(service_time.as_secs_f64());
     }
 
-    pub(super) fn count_opened(&self) {
+    pub(super) fn count_opened_connection(&self) {
         self.connections_opened.inc();
     }
 
-    pub(super) fn set_connections(&self, connections: u32) {
+    pub(super) fn set_connection_count(&self, connections: u32) {
         self.connections.set(i64::from(connections));
     }
 
     pub(super) fn set_waiting_and_in_flight_counts(
         &self,
-        (waiting_count, in_flight): (usize, usize),
+        (waiting_count, attempts_in_flight): (usize, usize),
     ) {
-        self.queued.set(waiting_count as i64);
-        self.in_flight.set(in_flight as i64);
+        self.waiting_attempts.set(waiting_count as i64);
+        self.attempts_in_flight.set(attempts_in_flight as i64);
     }
 }
 
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -38,10 +38,10 @@
     /// Times from arrival to answer in microseconds, of the attempts answered before their deadline.
     latencies: Vec<u64>,
     /// Number of attempts whose deadline is within the run.
-    arrived_count: usize,
+    arrived_attempt_count: usize,
     /// Number of attempts sent while every slot of the upstream was busy.
     sent_to_busy_slots_count: usize,
-    sent_count: usize,
+    sent_attempt_count: usize,
 }
 
 impl StreamReport {
@@ -49,13 +49,13 @@
     /// before their deadline count as infinite.
     fn quantile(&mut self, fraction: f64) -> f64 {
         self.latencies.sort_unstable();
-        let rank = (self.arrived_count as f64 * fraction) as usize;
+        let rank = (self.arrived_attempt_count as f64 * fraction) as usize;
         let latency = self.latencies.get(rank);
         latency.map_or(f64::INFINITY, |latency| *latency as f64 / 1e3)
     }
 
     fn share_answered(&self) -> f64 {
-        self.latencies.len() as f64 / self.arrived_count as f64
+        self.latencies.len() as f64 / self.arrived_attempt_count as f64
     }
 }
 
@@ -94,7 +94,7 @@
     slots: BinaryHeap<Reverse<u64>>,
     /// Stream and arrival time in microseconds of each attempt.
     streams_by_work: BTreeMap<u32, (usize, u64)>,
-    submitted_count: u64,
+    submitted_attempt_count: u64,
     actions: Vec<RelayAction>,
 }
 
@@ -136,7 +136,7 @@
             event_count: 0,
             slots: (0..slots).map(|_| Reverse(0)).collect(),
             streams_by_work: BTreeMap::new(),
-            submitted_count: 0,
+            submitted_attempt_count: 0,
             actions: Vec::new(),
         }
     }
@@ -212,23 +212,23 @@
         let request = WorkRequest {
             key: AttemptKey {
                 session,
-                query: self.submitted_count,
+                query: self.submitted_attempt_count,
                 attempt: 0,
             },
             upstream: upstream(),
             organisation: OrganisationId::from_u32(stream_load.organisation),
             class: ClassId::from_u32(stream_load.class),
             deadline: self.elapsed_time() + Duration::from_micros(stream_load.remaining_us),
-            fingerprint: RequestFingerprint(self.submitted_count),
+            fingerprint: RequestFingerprint(self.submitted_attempt_count),
             suspicion: WorkSuspicion::Clear,
         };
-        self.submitted_count += 1;
+        self.submitted_attempt_count += 1;
         let views = ViewPair {
             topology: &self.topology,
             config: &self.config,
         };
         let is_counted = self.now_us + stream_load.remaining_us <= self.end_us;
-        self.reports[stream].arrived_count += usize::from(is_counted);
+        self.reports[stream].arrived_attempt_count += usize::from(is_counted);
         let work = self
             .state
             .submit(self.elapsed_time(), views, &request)
@@ -285,7 +285,7 @@
         let service_us =
             self.streams[stream].median_service_us * (normal_sample * 0.3).exp() * straggler_factor;
         let Reverse(free_at_us) = self.slots.pop().unwrap();
-        self.reports[stream].sent_count += 1;
+        self.reports[stream].sent_attempt_count += 1;
         self.reports[stream].sent_to_busy_slots_count += usize::from(free_at_us > self.now_us);
         let done_at_us = u64::max(free_at_us, self.now_us) + service_us as u64;
         self.slots.push(Reverse(done_at_us));
@@ -326,7 +326,7 @@
             report.quantile(0.99),
             report.share_answered(),
             report.latencies.len() as f64 / seconds as f64,
-            report.sent_to_busy_slots_count as f64 / report.sent_count as f64,
+            report.sent_to_busy_slots_count as f64 / report.sent_attempt_count as f64,
         );
     }
     reports
@@ -402,8 +402,8 @@
         median_service_us: 30_000.0,
         remaining_us: 2_000_000,
     };
-    let loads: [ArrivalRate; 3] = [|_| 24.0, |_| 40.0, |_| 66.0];
-    for arrival_rate in loads {
+    let lookup_rates: [ArrivalRate; 3] = [|_| 24.0, |_| 40.0, |_| 66.0];
+    for arrival_rate in lookup_rates {
         // Milliseconds of work per second, divided over two slots; the mean service time is 1.14 times the median.
         let slot_load = (60.0 * 2.0 + arrival_rate(0.0) * 30.0) * 1.14 / 2_000.0;
         // Without the clamp; with the clamp and targets for the 99th percentile; with targets for the 90th percentile,
@@ -450,16 +450,19 @@
         median_service_us: 8_000.0 / 1.14,
         remaining_us: 150_000,
     };
-    let mut max_answered_count = 0;
+    let mut max_answered_attempt_count = 0;
     // 50, 80, 95, 130 and 200 % of the capacity of two slots.
     let rates: [ArrivalRate; 5] = [|_| 119.0, |_| 190.0, |_| 226.0, |_| 309.0, |_| 476.0];
     for arrival_rate in rates {
         run_policy(BASELINE, &[stream(arrival_rate)], 30);
         let reports = run_policy(POLICY, &[stream(arrival_rate)], 30);
-        let answered_count = reports[0].latencies.len();
-        max_answered_count = usize::max(max_answered_count, answered_count);
+        let answered_attempt_count = reports[0].latencies.len();
+        max_answered_attempt_count = usize::max(max_answered_attempt_count, answered_attempt_count);
         if arrival_rate(0.0) > 300.0 {
-            expect_that!(answered_count * 100, ge(max_answered_count * 95));
+            expect_that!(
+                answered_attempt_count * 100,
+                ge(max_answered_attempt_count * 95)
+            );
         }
     }
 }
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -26,9 +26,9 @@
 pub const QUEUE_LIMIT: usize = 1_024;
 /// Maximum number of attempts of one organisation waiting for one upstream.
 pub const ORGANISATION_LIMIT: usize = QUEUE_LIMIT / 2;
-/// Maximum lead of a lane's virtual time over the least virtual time of the active lanes, as a multiple of the mean
-/// cost of an attempt. Lanes within this lead send their attempts in the order of slack. The attempts of a lane that is
-/// further ahead wait, however urgent they are.
+/// Maximum lead of a lane's virtual time over the least virtual time of the lanes that may send, as a multiple of the
+/// mean cost of an attempt. Lanes within this lead send their attempts in the order of slack. The attempts of a lane
+/// that is further ahead wait, however urgent they are.
 pub const FAIR_QUANTUM: u64 = 4;
 /// Number of usual service times that an attempt should have left before its deadline when it is sent.
 pub const START_MARGIN: u64 = 2;
@@ -240,11 +240,11 @@
 
     /// Moves every attempt whose deadline has passed to `expired_work`. If lanes
     /// are ordered by slack, expired attempts that are not at the head of their lane may remain.
-    pub fn drop_expired(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
+    pub fn drop_expired_work(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
         let mut index = 0;
         while index < self.active_lanes.len() {
             let lane = self.active_lanes[index];
-            self.drop_expired_in(lane, now, expired_work);
+            self.drop_expired_work_in_lane(lane, now, expired_work);
             if !self.lanes[lane].heap.is_empty() {
                 index += 1;
             }
@@ -262,7 +262,12 @@
 
     /// Drops the expired attempts of one lane. In a heap ordered by slack they are nearly always at the head, so only
     /// the head is checked; in order of arrival they may be anywhere.
-    fn drop_expired_in(&mut self, lane: LaneId, now: Duration, expired_work: &mut Vec<WorkId>) {
+    fn drop_expired_work_in_lane(
+        &mut self,
+        lane: LaneId,
+        now: Duration,
+        expired_work: &mut Vec<WorkId>,
+    ) {
         match self.order {
             QueueOrder::Slack => {
                 while let Some(head) = self.lanes[lane].heap.first().copied()
--- a/crates/ebonyfork/src/relay/queue_tests.rs
+++ b/crates/ebonyfork/src/relay/queue_tests.rs
@@ -151,7 +151,7 @@
                 assert_eq!(queue.cancel(work_id), waiting_work.remove(work));
             }
             QueueStep::Expire => {
-                queue.drop_expired(now, &mut removed_work);
+                queue.drop_expired_work(now, &mut removed_work);
                 let may_remain = |work: &u32| {
                     deadlines[*work as usize] > now
                         || removed_work.contains(&WorkId::from_u32(*work))
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -178,11 +178,16 @@
     }
 
     /// Refuses an attempt for which a [`RelayAction::Send`] was issued but which was not handed to its connection.
-    pub(super) fn refuse_unsent(&mut self, now: Duration, work: WorkId, reason: RefusalReason) {
+    pub(super) fn refuse_unsent_work(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        reason: RefusalReason,
+    ) {
         let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[item.upstream].refuse_unsent(now, work, reason, &mut self.tables);
+        self.upstreams[item.upstream].refuse_unsent_work(now, work, reason, &mut self.tables);
         self.forget_released_work();
     }
 
@@ -203,11 +208,11 @@
     }
 
     /// Requeues an attempt for which a [`RelayAction::Send`] was issued but whose connection was gone.
-    pub(super) fn requeue_unsent(&mut self, now: Duration, work: WorkId) {
+    pub(super) fn requeue_unsent_work(&mut self, now: Duration, work: WorkId) {
         let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[item.upstream].requeue_unsent(now, work, &mut self.tables);
+        self.upstreams[item.upstream].requeue_unsent_work(now, work, &mut self.tables);
         self.forget_released_work();
     }
 
@@ -224,7 +229,7 @@
         match event {
             ConnectionEvent::Opened { status } => state.on_opened(now, connection, status, tables),
             ConnectionEvent::OpenFailed => state.on_open_failed(now, connection, tables),
-            ConnectionEvent::Unsent { work } => state.requeue_unsent(now, work, tables),
+            ConnectionEvent::Unsent { work } => state.requeue_unsent_work(now, work, tables),
             ConnectionEvent::Overdue { work } => state.on_overdue(work, tables),
             ConnectionEvent::Answered { work, answer } => {
                 state.on_answer(now, work, answer, tables);
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -35,12 +35,12 @@
     /// Connections that the relay has asked to close.
     closing_connections: Vec<ConnectionId>,
     /// Number of connections that were opened and have not ended.
-    open_count: usize,
-    cancel_count: usize,
+    open_connection_count: usize,
+    cancellation_count: usize,
     losses: Vec<UpstreamLoss>,
     /// Requests whose answers the relay has reported to the quarantine.
     answered_requests: Vec<RequestFingerprint>,
-    submitted_count: u64,
+    submitted_attempt_count: u64,
 }
 
 fn upstream() -> UpstreamAddress {
@@ -99,11 +99,11 @@
             opening_connections: Vec::new(),
             busy_connections: Vec::new(),
             closing_connections: Vec::new(),
-            open_count: 0,
-            cancel_count: 0,
+            open_connection_count: 0,
+            cancellation_count: 0,
             losses: Vec::new(),
             answered_requests: Vec::new(),
-            submitted_count: 0,
+            submitted_attempt_count: 0,
         }
     }
 
@@ -117,12 +117,17 @@
     }
 
     fn submit(&mut self, organisation: u32, remaining_ms: u64) -> u64 {
-        self.submit_as(organisation, remaining_ms, WorkSuspicion::Clear)
+        self.submit_with_suspicion(organisation, remaining_ms, WorkSuspicion::Clear)
     }
 
-    fn submit_as(&mut self, organisation: u32, remaining_ms: u64, suspicion: WorkSuspicion) -> u64 {
-        let query = self.submitted_count;
-        self.submitted_count += 1;
+    fn submit_with_suspicion(
+        &mut self,
+        organisation: u32,
+        remaining_ms: u64,
+        suspicion: WorkSuspicion,
+    ) -> u64 {
+        let query = self.submitted_attempt_count;
+        self.submitted_attempt_count += 1;
         let request = WorkRequest {
             key: Self::key(query),
             upstream: upstream(),
@@ -149,10 +154,10 @@
 
     fn report_event(&mut self, connection: ConnectionId, event: ConnectionEvent) {
         match event {
-            ConnectionEvent::Opened { .. } => self.open_count += 1,
+            ConnectionEvent::Opened { .. } => self.open_connection_count += 1,
             ConnectionEvent::Broken { .. }
             | ConnectionEvent::Dropped { .. }
-            | ConnectionEvent::Closed => self.open_count -= 1,
+            | ConnectionEvent::Closed => self.open_connection_count -= 1,
             _ => {}
         }
         self.state
@@ -160,7 +165,7 @@
         self.run_issued_actions();
     }
 
-    fn open_all(&mut self) {
+    fn open_all_connections(&mut self) {
         while let Some(connection) = self.opening_connections.pop() {
             let status = OpenStatus::Ready;
             self.report_event(connection, ConnectionEvent::Opened { status });
@@ -214,7 +219,7 @@
             self.run_action(action);
         }
         self.actions = actions;
-        let connection_count = self.opening_connections.len() + self.open_count;
+        let connection_count = self.opening_connections.len() + self.open_connection_count;
         assert!(
             connection_count <= ATTEMPT_CONNECTIONS,
             "{connection_count} connections"
@@ -248,7 +253,7 @@
                 );
                 self.busy_connections.push((connection, work));
             }
-            RelayAction::CancelSent { .. } => self.cancel_count += 1,
+            RelayAction::CancelSent { .. } => self.cancellation_count += 1,
             RelayAction::Finish { work, verdict } => {
                 let query = self.queries_by_work[&work];
                 let previous_verdict = self.verdicts.insert(query, verdict);
@@ -264,10 +269,10 @@
 
     /// Answers all attempts in flight and lets the waiting ones expire.
     fn finish(&mut self) {
-        self.open_all();
+        self.open_all_connections();
         while !self.busy_connections.is_empty() {
             self.answer(0, rows_verdict(), false);
-            self.open_all();
+            self.open_all_connections();
         }
         self.tick(60_000);
     }
@@ -335,7 +340,7 @@
                 1 => WorkSuspicion::AfterLoss,
                 _ => WorkSuspicion::Clear,
             };
-            fixture.submit_as(organisation, remaining_ms, suspicion);
+            fixture.submit_with_suspicion(organisation, remaining_ms, suspicion);
         }
         RelayStep::Isolate if !fixture.busy_connections.is_empty() => fixture.isolate(),
         RelayStep::Cancel(query) => fixture.cancel(query),
@@ -397,7 +402,10 @@
         }
         fixture.finish();
         let finished_queries: BTreeSet<u64> = fixture.verdicts.keys().copied().collect();
-        assert_eq!(finished_queries, (0..fixture.submitted_count).collect());
+        assert_eq!(
+            finished_queries,
+            (0..fixture.submitted_attempt_count).collect()
+        );
         assert_eq!(fixture.state.waiting_and_in_flight_counts(), (0, 0));
         Ok(())
     };
@@ -409,7 +417,7 @@
     let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     let (first_query, second_query) = (fixture.submit(0, 100), fixture.submit(0, 100));
     let third_query = fixture.submit(0, 100);
-    fixture.open_all();
+    fixture.open_all_connections();
     fixture.cancel(first_query);
     fixture.cancel(third_query);
     fixture.break_connection(1);
@@ -427,7 +435,7 @@
     );
     let cancelled_verdict = ShardVerdict::NotRun(RefusalReason::Cancelled);
     expect_that!(fixture.verdicts[&third_query], eq(&cancelled_verdict));
-    expect_that!(fixture.cancel_count, eq(1));
+    expect_that!(fixture.cancellation_count, eq(1));
 }
 
 #[gtest]
@@ -435,8 +443,8 @@
     for announced_in_answer in [true, false] {
         let mut fixture = RelayFixture::new(LimitMode::Adaptive);
         let queries: Vec<u64> = (0..6).map(|_| fixture.submit(0, 100)).collect();
-        fixture.open_all();
-        let sent_count = fixture.busy_connections.len();
+        fixture.open_all_connections();
+        let sent_attempt_count = fixture.busy_connections.len();
         if announced_in_answer {
             fixture.answer(0, rows_verdict(), true);
         } else {
@@ -447,7 +455,10 @@
             .verdicts
             .values()
             .filter(|verdict| **verdict == leaving_verdict);
-        expect_that!(refused_verdicts.count(), eq(queries.len() - sent_count));
+        expect_that!(
+            refused_verdicts.count(),
+            eq(queries.len() - sent_attempt_count)
+        );
         let late_query = fixture.submit(0, 100);
         expect_that!(fixture.verdicts[&late_query], eq(&leaving_verdict));
     }
@@ -457,7 +468,7 @@
 fn removed_upstream_is_dropped_once_unused() {
     let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     fixture.submit(0, 100);
-    fixture.open_all();
+    fixture.open_all_connections();
     fixture.topology = TopologyView::default();
     let views = ViewPair {
         topology: &fixture.topology,
@@ -487,7 +498,7 @@
     for _query in 0..4 {
         fixture.submit(0, 100);
     }
-    fixture.open_all();
+    fixture.open_all_connections();
     expect_that!(fixture.busy_connections.len(), eq(2));
     fixture.break_connection(0);
     expect_that!(fixture.losses.len(), eq(0));
@@ -506,8 +517,8 @@
         WorkSuspicion::Clear,
         WorkSuspicion::Clear,
     ]
-    .map(|suspicion| fixture.submit_as(0, 100, suspicion));
-    fixture.open_all();
+    .map(|suspicion| fixture.submit_with_suspicion(0, 100, suspicion));
+    fixture.open_all_connections();
     let queries_in_flight = |fixture: &RelayFixture| {
         let queries = fixture
             .busy_connections
@@ -517,7 +528,7 @@
     };
     expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[0])]);
     fixture.answer(0, rows_verdict(), false);
-    fixture.open_all();
+    fixture.open_all_connections();
     expect_that!(
         fixture.answered_requests,
         elements_are![eq(&RequestFingerprint(queries[0]))]
@@ -528,7 +539,7 @@
     fixture.answer(0, rows_verdict(), false);
     expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[1])]);
     fixture.break_connection(0);
-    fixture.open_all();
+    fixture.open_all_connections();
     expect_that!(fixture.losses[0].in_flight.len(), eq(1));
     expect_that!(fixture.losses[0].in_flight[0].fingerprint.0, eq(queries[1]));
 }
--- a/crates/ebonyfork/src/relay/suspects.rs
+++ b/crates/ebonyfork/src/relay/suspects.rs
@@ -25,7 +25,7 @@
 pub(super) struct SuspectQueue {
     waiting_suspects: VecDeque<WaitingSuspect>,
     /// Number of attempts from the regular queue to send before the next suspect.
-    others_before_suspect: u32,
+    regular_attempts_before_suspect: u32,
 }
 
 impl SuspectQueue {
@@ -43,23 +43,25 @@
     /// is empty.
     pub(super) fn is_due(&self, is_regular_queue_empty: bool) -> bool {
         !self.waiting_suspects.is_empty()
-            && (is_regular_queue_empty || self.others_before_suspect == 0)
+            && (is_regular_queue_empty || self.regular_attempts_before_suspect == 0)
     }
 
     /// Records that an attempt from the regular queue was sent.
-    pub(super) fn record_other_sent(&mut self) {
-        self.others_before_suspect = self.others_before_suspect.saturating_sub(1);
+    pub(super) fn record_regular_attempt_sent(&mut self) {
+        self.regular_attempts_before_suspect =
+            self.regular_attempts_before_suspect.saturating_sub(1);
     }
 
-    /// Removes and returns the next suspect; `others_before_suspect` is the number of attempts from the regular queue
-    /// to send before the suspect after it. Suspects whose deadline has passed are moved to `expired_work`.
+    /// Removes and returns the next suspect; `regular_attempts_before_suspect` is the number of attempts from the
+    /// regular queue to send before the suspect after it. Suspects whose deadline has passed are moved to
+    /// `expired_work`.
     pub(super) fn pop(
         &mut self,
         now: Duration,
-        others_before_suspect: u32,
+        regular_attempts_before_suspect: u32,
         expired_work: &mut Vec<WorkId>,
     ) -> Option<WorkId> {
-        self.others_before_suspect = others_before_suspect;
+        self.regular_attempts_before_suspect = regular_attempts_before_suspect;
         while let Some(suspect) = self.waiting_suspects.pop_front() {
             if suspect.deadline > now {
                 return Some(suspect.work);
@@ -77,7 +79,7 @@
     }
 
     /// Moves the attempts whose deadline has passed to `expired_work`.
-    pub(super) fn drop_expired(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
+    pub(super) fn drop_expired_work(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
         self.waiting_suspects.retain(|suspect| {
             let is_kept = suspect.deadline > now;
             if !is_kept {
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -44,20 +44,20 @@
 /// Count, sum and sum of squares of the log service times in one block.
 #[derive(Debug, Clone, Copy, Default)]
 struct BlockSums {
-    count: u32,
+    sample_count: u32,
     sum: f64,
     sum_of_squares: f64,
 }
 
 impl BlockSums {
     fn add(&mut self, sample: f64) {
-        self.count += 1;
+        self.sample_count += 1;
         self.sum += sample;
         self.sum_of_squares += sample * sample;
     }
 
     fn mean(&self) -> f64 {
-        self.sum / f64::from(self.count)
+        self.sum / f64::from(self.sample_count)
     }
 
     /// Returns the sum of the squared deviations from the mean.
@@ -166,14 +166,14 @@
         );
         let block_size = self.block_size();
         let needed_samples = block_size - block_size / TRIM_DIVISOR;
-        if self.block_sums.count < needed_samples {
+        if self.block_sums.sample_count < needed_samples {
             return None;
         }
         let finished_block = std::mem::take(&mut self.block_sums);
         self.sent_attempt_count = 0;
         self.clamp_centre = Some(finished_block.mean());
         self.squared_deviations += finished_block.squared_deviations();
-        self.degrees_of_freedom += finished_block.count - 1;
+        self.degrees_of_freedom += finished_block.sample_count - 1;
         let Some(first_block_mean) = self.first_block_mean.take() else {
             self.first_block_mean = Some(finished_block.mean());
             self.in_high_block = !self.in_high_block;
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -189,17 +189,17 @@
             tables.refuse(work, RefusalReason::Cancelled);
             return;
         }
-        self.finish_early(work, FailureReason::Cancelled, tables);
+        self.finish_work_early(work, FailureReason::Cancelled, tables);
         self.dispatch(now, tables);
     }
 
     /// Fails an attempt whose deadline passed while it was in flight.
     pub(super) fn on_overdue(&mut self, work: WorkId, tables: &mut RelayTables) {
-        self.finish_early(work, FailureReason::Timeout, tables);
+        self.finish_work_early(work, FailureReason::Timeout, tables);
     }
 
     /// Gives an in-flight attempt its verdict before the upstream answers, and asks the upstream to cancel the attempt.
-    fn finish_early(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
+    fn finish_work_early(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
         let Some(sent_work) = self
             .sent_work
             .iter_mut()
@@ -247,7 +247,7 @@
     ) {
         self.pool.remove_failed_connection(now, connection, tables);
         if self.pool.connection_count() == 0 {
-            self.refuse_queued(RefusalReason::Unreachable, tables);
+            self.refuse_queued_work(RefusalReason::Unreachable, tables);
         }
     }
 
@@ -263,8 +263,13 @@
     }
 
     /// Requeues an attempt that did not reach its connection.
-    pub(super) fn requeue_unsent(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(sent_work) = self.take_unanswered(work) else {
+    pub(super) fn requeue_unsent_work(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        tables: &mut RelayTables,
+    ) {
+        let Some(sent_work) = self.take_unanswered_work(work) else {
             return;
         };
         if sent_work.has_verdict {
@@ -275,14 +280,14 @@
     }
 
     /// Refuses an attempt that was not handed to its connection; the connection becomes idle again.
-    pub(super) fn refuse_unsent(
+    pub(super) fn refuse_unsent_work(
         &mut self,
         now: Duration,
         work: WorkId,
         reason: RefusalReason,
         tables: &mut RelayTables,
     ) {
-        let Some(sent_work) = self.take_unanswered(work) else {
+        let Some(sent_work) = self.take_unanswered_work(work) else {
             return;
         };
         self.pool.put_back_connection(now, sent_work.connection);
@@ -293,7 +298,7 @@
     /// Requeues an attempt that was not handed to its connection because its request has become a suspect; it is sent
     /// alone later.
     pub(super) fn isolate(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(sent_work) = self.take_unanswered(work) else {
+        let Some(sent_work) = self.take_unanswered_work(work) else {
             return;
         };
         self.pool.put_back_connection(now, sent_work.connection);
@@ -314,7 +319,7 @@
         answer: UpstreamAnswer,
         tables: &mut RelayTables,
     ) {
-        let Some(sent_work) = self.take_sent(work) else {
+        let Some(sent_work) = self.take_sent_work(work) else {
             return;
         };
         self.pool.put_back_connection(now, sent_work.connection);
@@ -351,7 +356,7 @@
         // The idle connections most likely lead to the same lost process: an attempt sent on them would break as well,
         // without having run.
         self.pool.close_idle_connections(tables);
-        if let Some(sent_work) = self.take_unanswered(work) {
+        if let Some(sent_work) = self.take_unanswered_work(work) {
             if !sent_work.has_verdict {
                 tables.fail(work, FailureReason::Broken);
             }
@@ -374,7 +379,7 @@
         tables: &mut RelayTables,
     ) {
         self.pool.remove_ended_connection(connection, tables);
-        if self.take_unanswered(work).is_some() {
+        if self.take_unanswered_work(work).is_some() {
             tables.release(work);
         }
         self.dispatch(now, tables);
@@ -383,9 +388,9 @@
     /// Refuses expired attempts, advances the clamp, reports a loss whose window has ended, closes connections that
     /// have been idle for too long, and sends what may be sent.
     pub(super) fn tick(&mut self, now: Duration, tables: &mut RelayTables) {
-        self.queue.drop_expired(now, &mut self.removed_work);
-        self.suspects.drop_expired(now, &mut self.removed_work);
-        self.refuse_expired(now, tables);
+        self.queue.drop_expired_work(now, &mut self.removed_work);
+        self.suspects.drop_expired_work(now, &mut self.removed_work);
+        self.refuse_expired_work(now, tables);
         if let Some(clamp) = &mut self.clamp {
             clamp.advance(now, self.limit.base_limit(), |class| {
                 tables.latency_targets[class]
@@ -458,14 +463,14 @@
     }
 
     /// Removes and returns an attempt that is no longer in flight and ended without a service time.
-    fn take_unanswered(&mut self, work: WorkId) -> Option<SentWork> {
-        let sent_work = self.take_sent(work)?;
+    fn take_unanswered_work(&mut self, work: WorkId) -> Option<SentWork> {
+        let sent_work = self.take_sent_work(work)?;
         self.limit
             .record_lost(sent_work.epoch, sent_work.attempts_in_flight);
         Some(sent_work)
     }
 
-    fn take_sent(&mut self, work: WorkId) -> Option<SentWork> {
+    fn take_sent_work(&mut self, work: WorkId) -> Option<SentWork> {
         let position = self
             .sent_work
             .iter()
--- a/crates/ebonyfork/src/relay/upstream/dispatch.rs
+++ b/crates/ebonyfork/src/relay/upstream/dispatch.rs
@@ -12,11 +12,11 @@
     /// Sends every attempt that may be sent now and opens connections for the rest.
     pub(super) fn dispatch(&mut self, now: Duration, tables: &mut RelayTables) {
         if self.is_leaving(now) {
-            self.refuse_queued(RefusalReason::Leaving, tables);
+            self.refuse_queued_work(RefusalReason::Leaving, tables);
             return;
         }
         while self.send_next(now, tables) {}
-        self.refuse_expired(now, tables);
+        self.refuse_expired_work(now, tables);
         self.open_needed_connections(now, tables);
     }
 
@@ -39,11 +39,11 @@
             if !self.sent_work.is_empty() {
                 return false;
             }
-            let others_before_suspect = self.limit.current_limit();
+            let regular_attempts_before_suspect = self.limit.current_limit();
             self.suspects
-                .pop(now, others_before_suspect, &mut self.removed_work)
+                .pop(now, regular_attempts_before_suspect, &mut self.removed_work)
         } else {
-            self.suspects.record_other_sent();
+            self.suspects.record_regular_attempt_sent();
             let (clamp, sent_work) = (&self.clamp, &self.sent_work);
             let allows_class = |class: ClassId| {
                 clamp.as_ref().is_none_or(|clamp| {
@@ -103,7 +103,7 @@
     }
 
     /// Refuses the attempts in `removed_work` as expired.
-    pub(super) fn refuse_expired(&mut self, now: Duration, tables: &mut RelayTables) {
+    pub(super) fn refuse_expired_work(&mut self, now: Duration, tables: &mut RelayTables) {
         for work in &self.removed_work {
             if let Some(item) = tables.item(*work) {
                 record_time_spent(&mut self.clamp, now, &item, tables);
@@ -113,7 +113,7 @@
     }
 
     /// Refuses all waiting attempts.
-    pub(super) fn refuse_queued(&mut self, reason: RefusalReason, tables: &mut RelayTables) {
+    pub(super) fn refuse_queued_work(&mut self, reason: RefusalReason, tables: &mut RelayTables) {
         self.queue.drain(&mut self.removed_work);
         self.suspects.drain(&mut self.removed_work);
         tables.refuse_all(&mut self.removed_work, reason);
