--- a/crates/ebonyfork/src/caller/message.rs
+++ b/crates/ebonyfork/src/caller/message.rs
@@ -33,7 +33,7 @@
     /// How long the caller may cache the answer.
     #[serde(rename = "ttl_ms", with = "millis")]
     pub ttl: Duration,
-    /// The process incarnation at the first address.
+    /// Session of the process at the first address: its VM and incarnation.
     #[serde(with = "session_text")]
     pub session: SessionId,
 }
@@ -84,7 +84,7 @@
     error: ErrorDetails<'a>,
 }
 
-/// Details of an outcome without an answer.
+/// The object `error` in the JSON body of an outcome without an answer.
 #[derive(Serialize)]
 struct ErrorDetails<'a> {
     code: &'static str,
--- a/crates/ebonyfork/src/caller/server.rs
+++ b/crates/ebonyfork/src/caller/server.rs
@@ -1,4 +1,4 @@
-//! Listener for callers.
+//! Accepts callers' connections and serves the requests on them.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/ebonyfork/src/caller/service.rs
+++ b/crates/ebonyfork/src/caller/service.rs
@@ -1,4 +1,4 @@
-//! HTTP service for callers.
+//! Routes callers' HTTP requests to queries and locate answers, and builds the responses.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Handles one request.
+    /// Returns the response to one request. A refusal is returned as a response too.
     pub(super) async fn handle_request(
         self,
         request: Request<Incoming>,
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -33,7 +33,7 @@
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 type FingerprintPredicate = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
 
-/// Settings and inputs of an entry.
+/// Settings of an entry, the views that it reads, and the callbacks that connect it to the quarantine.
 #[derive(Clone)]
 pub struct EntrySettings {
     session: SessionId,
@@ -264,7 +264,7 @@
 /// Tells the actor that its timer is due.
 struct TimerFired;
 
-/// A caller whose query is in flight.
+/// What is needed to answer a caller whose query is in flight.
 struct WaitingCaller {
     reply: oneshot::Sender<QueryOutcome>,
     class: crate::ident::ClassName,
@@ -275,7 +275,7 @@
 struct EntryActor {
     core: EntryCore,
     views: NodeViews,
-    /// Zero of the entry's clock.
+    /// Start of the core's clock: times are passed to the core as durations since then.
     epoch: Instant,
     send: Box<SendFunction>,
     /// Callers of the queries in flight, by query number.
--- a/crates/ebonyfork/src/entry/admission.rs
+++ b/crates/ebonyfork/src/entry/admission.rs
@@ -70,7 +70,7 @@
     pub cost_seconds: f64,
 }
 
-/// Whether a query is admitted.
+/// Whether a query is admitted or refused for lack of time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
     /// The query may be sent.
@@ -91,7 +91,7 @@
 pub enum OrganisationUsage {
     /// The organisation was idle or uses well below its fair share.
     Light,
-    /// The organisation uses about its fair share.
+    /// The organisation's usage is near its fair share, neither light nor heavy.
     Fair,
     /// The organisation uses well above its fair share.
     Heavy,
@@ -116,7 +116,8 @@
     }
 }
 
-/// Adaptive limit of one class.
+/// Factor on the part of the latency target that queries of one class may use, adapted to how often they miss the
+/// target.
 #[derive(Debug, Clone, Copy)]
 struct ClassLimit {
     /// Factor on the share of the latency target that queries may take, at most 1.
@@ -137,7 +138,7 @@
     }
 }
 
-/// Admission state of one entry.
+/// What the admission of one entry depends on: the recent usage of each organisation and the limit of each class.
 #[derive(Debug, Default)]
 pub struct AdmissionControl {
     usage_by_organisation: FxHashMap<OrganisationName, DecayingSum>,
--- a/crates/ebonyfork/src/entry/choice.rs
+++ b/crates/ebonyfork/src/entry/choice.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// Restrictions on the choice of a route.
+/// Replicas and relays that a route must not use, and whether it may probe a failed replica.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RouteConstraints<'a> {
     /// Replicas that must not be chosen.
--- a/crates/ebonyfork/src/entry/core.rs
+++ b/crates/ebonyfork/src/entry/core.rs
@@ -60,11 +60,11 @@
 /// The views of the deployment that decisions are based on, taken once per event.
 #[derive(Debug, Clone, Default)]
 pub struct EntryViews {
-    /// VMs and upstreams.
+    /// The VMs and upstreams of the deployment.
     pub topology: Arc<TopologyView>,
-    /// Declared classes and organisations.
+    /// The classes, organisations and services that operators declared.
     pub config: Arc<DeclaredConfig>,
-    /// Versions and shards of each index.
+    /// The versions of each index and the services that hold their shards.
     pub catalog: Arc<CatalogSet>,
 }
 
@@ -82,8 +82,8 @@
         reason = "runs move between here and the map without being copied"
     )]
     run_pool: Vec<Box<QueryRun>>,
-    /// Times of timers with the query number, earliest first. A timer is ignored if the query's `timer_at` is another
-    /// time.
+    /// Time and query number of each timer, earliest first. A timer is ignored if the `timer_at` of its query differs
+    /// from the timer's time.
     timers: BinaryHeap<Reverse<(Duration, u64)>>,
     last_query_number: u64,
     actions: VecDeque<EntryAction>,
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -11,7 +11,7 @@
 use crate::query::{QueryCoverage, QueryOutcome, RefusalCode};
 use crate::relay::{AttemptPurpose, ShardVerdict};
 
-/// The route chosen for one attempt.
+/// The upstream and relay chosen for one attempt, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteDecision {
     /// Number of the query within the entry's session.
@@ -104,7 +104,7 @@
     }
 }
 
-/// One entry of the decision log.
+/// What the entry decided or observed, as one line of the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryDecision {
     /// An attempt was routed.
--- a/crates/ebonyfork/src/entry/directory.rs
+++ b/crates/ebonyfork/src/entry/directory.rs
@@ -52,7 +52,7 @@
     generation: u32,
 }
 
-/// One upstream.
+/// What the entry knows about one upstream.
 #[derive(Debug)]
 pub struct ReplicaEntry {
     /// Address of the upstream.
@@ -63,7 +63,7 @@
     generation: u32,
 }
 
-/// One VM in its role as relay.
+/// What the entry knows about one VM in its role as relay.
 #[derive(Debug)]
 pub struct RelayEntry {
     /// Address of the VM.
@@ -100,7 +100,7 @@
         self.down_until = Duration::ZERO;
     }
 
-    /// Returns whether the link broke recently.
+    /// Returns whether the link broke less than [`LINK_DOWN_DURATION`] ago and no message has arrived on it since.
     pub fn is_down(&self, now: Duration) -> bool {
         now < self.down_until
     }
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -28,11 +28,11 @@
     pub shard: ShardNumber,
     /// The service that holds the shard; updated if the shard has moved.
     pub service: ServiceId,
-    /// Number of attempts in flight.
+    /// Number of attempts at the shard that are in flight.
     pub attempts_in_flight: u8,
-    /// Number of attempts made.
+    /// Number of attempts at the shard that were sent, including those in flight.
     pub attempts_made: u8,
-    /// Replicas that must not be tried again.
+    /// Replicas that must not be tried again for this shard.
     pub excluded_replicas: SmallVec<[ReplicaId; 4]>,
     /// Relays that must not be used again because they refused an attempt or lost their link.
     pub excluded_relays: SmallVec<[RelayId; 2]>,
@@ -85,7 +85,7 @@
         self.slots.extend(slots);
     }
 
-    /// Returns the pinned version.
+    /// Returns the version at which rows are accepted.
     pub fn version(&self) -> SnapshotVersion {
         self.version
     }
@@ -95,7 +95,7 @@
         &self.slots
     }
 
-    /// Returns one slot for modification.
+    /// Returns the slot at `slot_index` for modification.
     pub fn slot_mut(&mut self, slot_index: usize) -> &mut ShardSlot {
         &mut self.slots[slot_index]
     }
--- a/crates/ebonyfork/src/entry/hedge.rs
+++ b/crates/ebonyfork/src/entry/hedge.rs
@@ -12,7 +12,7 @@
 const TOKENS_PER_FIRST_ATTEMPT: f64 = 0.045;
 /// Tokens credited per second regardless of load.
 const TOKENS_PER_SECOND: f64 = 1.0;
-/// Maximum number of tokens.
+/// Maximum number of tokens that the budget holds: no more hedges and retries than this can be sent at once.
 const MAX_TOKENS: f64 = 30.0;
 /// Quantile of the lateness after which an attempt counts as a straggler.
 const HEDGE_QUANTILE: f64 = 0.97;
--- a/crates/ebonyfork/src/entry/metrics.rs
+++ b/crates/ebonyfork/src/entry/metrics.rs
@@ -151,7 +151,7 @@
         raise_counter_to(&self.replans.get_or_create(&labels), counts.replans);
     }
 
-    /// Counts a refusal.
+    /// Counts a query that was refused, under the code of its refusal.
     pub(super) fn record_refusal(&self, class: &ClassName, refusal: &QueryRefusal) {
         self.count_outcome(class, refusal.code.as_str());
     }
--- a/crates/ebonyfork/src/entry/model.rs
+++ b/crates/ebonyfork/src/entry/model.rs
@@ -36,7 +36,7 @@
     organisation: OrganisationName,
     arrived_at: Duration,
     results_deadline: Duration,
-    /// Whether the query started after the warm-up.
+    /// Whether the query started after the warm-up, so that its requests count in the results.
     is_counted: bool,
 }
 
@@ -96,7 +96,7 @@
     pub(super) queries_per_second: f64,
 }
 
-/// Results of one organisation's queries.
+/// Outcomes and latencies of one organisation's queries that started after the warm-up.
 #[derive(Debug, Default, Clone)]
 pub(super) struct OrganisationResult {
     pub(super) latencies: Vec<Duration>,
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -33,7 +33,7 @@
 /// The weight of a new service time in the moving average is one divided by this number.
 const SERVICE_TIME_SMOOTHING: u32 = 8;
 
-/// Whether a server may be chosen.
+/// Whether a server may be chosen for a request, as far as its failures decide.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaStatus {
     /// No recent failure is known.
@@ -49,7 +49,7 @@
 pub struct ReplicaHealth {
     /// Queue wait in the last report of the relay.
     reported_wait: Duration,
-    /// When the wait was reported.
+    /// When `reported_wait` was received.
     reported_at: Duration,
     /// When the last outcome arrived from the server.
     last_outcome_at: Duration,
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -90,7 +90,8 @@
         Some(index_routes)
     }
 
-    /// Records that some shard lacks a version.
+    /// Records that some shard lacks a version, so that another version is pinned for [`VERSION_AVOID_DURATION`] if
+    /// there is one.
     pub fn avoid_version(&mut self, index: &IndexName, version: SnapshotVersion, now: Duration) {
         if let Some(index_routes) = self.indexes.get_mut(index) {
             index_routes.avoided_version = Some((version, now + VERSION_AVOID_DURATION));
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -21,7 +21,7 @@
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 use crate::relay::{AttemptPurpose, RefusalReason, ShardTarget, SubmitBatch};
 
-/// Maximum number of attempts per shard.
+/// Maximum number of attempts that a query makes at one shard, hedges and retries included.
 const MAX_ATTEMPTS_PER_SHARD: u8 = 4;
 
 /// Whether the outcome of an attempt is still pending.
@@ -77,7 +77,7 @@
     pub(super) was_replanned: bool,
 }
 
-/// A query in flight.
+/// The parameters, attempts and progress of a query in flight.
 #[derive(Debug)]
 pub(super) struct QueryRun {
     pub(super) query_number: u64,
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -51,12 +51,12 @@
     }
 }
 
-/// Effective parameters of one query.
+/// Parameters of one query: the target of its class, limited by the caller's deadline.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueryParams {
     /// The query's class.
     pub class: ClassId,
-    /// Which shards the query needs.
+    /// Whether the query needs all shards or a single one.
     pub scope: ClassScope,
     /// Whether latency or coverage takes precedence when the target can't be met in full.
     pub priority: TargetPriority,
@@ -64,7 +64,7 @@
     pub latency_target: Duration,
     /// Percentile of queries that must meet the latency target, in per cent.
     pub latency_percentile: f64,
-    /// Coverage target, 0 to 1.
+    /// Share of the shards that must answer for the target to be met, from 0 to 1.
     pub coverage_target: f64,
     /// Whether an attempt may be run more than once.
     pub idempotent: bool,
--- a/crates/ebonyfork/src/gateway/follow/fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/fixture.rs
@@ -153,7 +153,7 @@
     pub store: FakeStore,
     /// The VMs of the fleet.
     pub vms: Vec<FollowVm>,
-    /// What gossip reports to all VMs.
+    /// The state of every VM as gossip reports it to all VMs.
     members: watch::Sender<Arc<MemberSnapshot>>,
     /// The port on which every VM listens for links.
     peer_port: u16,
--- a/crates/ebonyfork/src/gateway/follow/follow_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/follow_tests.rs
@@ -10,14 +10,16 @@
 /// Time within which a change must be in force on all VMs: the shortest that any deployment states.
 const MAX_CHANGE_DELAY: Duration = Duration::from_secs(3);
 
-/// Seeds of histories that guard against two failures. Seeds 123, 248, 349 and 423: a call that failed long ago, or a
-/// response that the store no longer keeps the requested changes, counts as an outage that has just ended, so that
-/// removals are delayed by 2.3 s. Seed 540, in some runs only: followers never receive what their source read ahead.
+/// Seeds of histories that guard against two failures. Seeds 123, 248, 349 and 423: an outage of the store is taken to
+/// have just ended, so that removals are delayed by 2.3 s. The reason is a call that failed long ago, or a response
+/// that the store no longer keeps the requested changes. Seed 540, in some runs only: followers never receive what
+/// their source read ahead.
 const REGRESSION_SEEDS: [u64; 5] = [123, 248, 349, 423, 540];
 
 /// A VM must not be followed any longer after its connection to the store has fallen silent. The VM itself needs up to
-/// 5 s to notice that. If it tells its followers until then that its copy is up to date, followers whose own connection
-/// to the store is good miss the changes of that time, and answer 404 for a route acknowledged 3.6 s before.
+/// 5 s to notice that. Until then it must not tell its followers that its copy is up to date. Otherwise followers whose
+/// own connection to the store is good miss the changes of that time, and answer 404 for a route that was acknowledged
+/// 3.6 s before.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_follower_leaves_a_vm_whose_store_connection_is_silent() {
@@ -108,9 +110,9 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// A silent source must be abandoned before the follower's copy is stale. A follower that waits for a frozen VM until
-/// its own copy is stale, after 2 s, and only then turns to the store, refuses requests for routes that do not exist
-/// with 503 instead of 404 for the 60 ms until the store's response.
+/// A silent source must be abandoned before the follower's copy is stale. Suppose that a follower waits for a frozen VM
+/// until its own copy is stale, after 2 s, and only then turns to the store. For the 60 ms until the store's response,
+/// it would refuse requests for routes that do not exist with 503 instead of 404.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_silent_source_is_left_before_the_copy_is_stale() {
@@ -158,10 +160,10 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// In any order of writes, removals, outages, silent connections, broken links, dropped change logs and restarts, a VM
-/// with a good connection to the store is up to date within [`MAX_CHANGE_DELAY`], no VM returns to an older
-/// configuration version, and at the end each VM holds what the store holds. This searches for failures similar to
-/// those in the tests above.
+/// Checks three invariants in random histories: a VM with a good connection to the store is up to date within
+/// [`MAX_CHANGE_DELAY`]; no VM returns to an older configuration version; at the end each VM holds what the store
+/// holds. The histories consist of writes, removals, outages, silent connections, broken links, dropped change logs and
+/// restarts in any order. They search for failures similar to those in the tests above.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn every_vm_matches_the_store_after_random_histories() {
--- a/crates/ebonyfork/src/gateway/follow/following.rs
+++ b/crates/ebonyfork/src/gateway/follow/following.rs
@@ -10,7 +10,7 @@
 /// Maximum wait for the first response of a followed VM, which includes opening a link to it.
 const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a VM is no longer followed.
+/// Why a VM is abandoned as the source of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SourceFault {
     /// There was no usable link to the VM.
@@ -39,7 +39,7 @@
     }
 }
 
-/// A VM that is being followed, and the state of following it.
+/// A VM that is being followed, with the polls sent to it and the transfer received from it.
 #[derive(Debug)]
 pub(super) struct VmFollowing {
     pub(super) vm: VmAddress,
@@ -49,7 +49,7 @@
     pub(super) received_bytes_before: u64,
     /// When the VM last responded.
     pub(super) responded_at: Option<Instant>,
-    /// The polls sent to the VM.
+    /// The polls sent to the VM, from whose sending times the age of its copy is measured.
     pub(super) polls: PendingPolls,
     /// The transfer being received from the VM.
     pub(super) incoming_transfer: IncomingTransfer,
@@ -86,8 +86,8 @@
     ///
     /// A VM with a transfer in progress is usable. Another source would have to send everything again from the start,
     /// and would be abandoned in turn: on links of 14 Mbit/s with one change a second, followers would never receive a
-    /// change of 1,400 routes. A VM that did not respond to two polls is abandoned before this VM's copy is stale,
-    /// because switching to another source takes about 60 ms, and a VM with a stale copy can't tell that a route does
+    /// change of 1,400 routes. A VM that did not respond to two polls is abandoned before this VM's copy is stale:
+    /// switching to another source takes about 60 ms, and while its copy is stale, this VM can't tell that a route does
     /// not exist.
     pub(super) fn check_source(
         &self,
--- a/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
+++ b/crates/ebonyfork/src/gateway/follow/large_config_tests.rs
@@ -10,7 +10,8 @@
 
 /// Time within which a change must be in force on all VMs of a large deployment.
 const MAX_CHANGE_DELAY: Duration = Duration::from_secs(5);
-/// Time after a disturbance of a VM until changes must be in force on it within [`MAX_CHANGE_DELAY`] again.
+/// Time that a VM may take to catch up after a disturbance. After that, changes must be in force on it within
+/// [`MAX_CHANGE_DELAY`] again.
 const RECOVERY_TIME: Duration = Duration::from_secs(6);
 /// Seeds of histories that guard against failures of the product or of the test. Seed 54: a VM that was without the
 /// store for 12 s requests all changes since then, 17 versions of the configuration, and uses a removed upstream until
@@ -53,9 +54,9 @@
 /// Large changes in quick succession must reach every VM in time. A configuration of 0.49 MB (2,850 routes) changes
 /// again while it is still being sent to 14 VMs on links of 14 Mbit/s. If each change sends the whole configuration to
 /// each follower, that takes 3.6 s of the link, with polls and gossip queued behind it. Followers take the delay for a
-/// silent or useless source and switch to another VM, which sends the same bytes from the start: a follower received
-/// 4.5 MB in ten seconds and could apply none of it, and VMs used the old routes 5.3 s after a change had been
-/// accepted, although each of them knew that its copy was stale.
+/// silent or useless source and switch to another VM, which sends the same bytes from the start. A follower received
+/// 4.5 MB in ten seconds and could apply none of it. VMs used the old routes 5.3 s after a change had been accepted,
+/// although each of them knew that its copy was stale.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn consecutive_large_changes_are_applied_within_the_bound() {
--- a/crates/ebonyfork/src/gateway/follow/source.rs
+++ b/crates/ebonyfork/src/gateway/follow/source.rs
@@ -67,8 +67,8 @@
     live_vms
 }
 
-/// Iterates over the ancestors of a VM, given by its index in the zone's order: the VM that it follows, the one that
-/// this VM follows in turn, and so on.
+/// Iterates over the ancestors of a VM, given by its index in the zone's order: the VM that it follows, the VM which
+/// that one follows, and so on up to a VM that reads the store.
 fn ancestors(order: &[VmAddress], index: usize) -> impl Iterator<Item = VmAddress> {
     let parent = |index: &usize| {
         index
--- a/crates/ebonyfork/src/gateway/follow/store_fixture.rs
+++ b/crates/ebonyfork/src/gateway/follow/store_fixture.rs
@@ -30,7 +30,7 @@
 /// Outcome of a VM's calls to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreReach {
-    /// Calls are answered.
+    /// The store responds to calls.
     Answers,
     /// New calls are refused at once, and waiting calls fail.
     Refuses,
--- a/crates/ebonyfork/src/gateway/mirror/content.rs
+++ b/crates/ebonyfork/src/gateway/mirror/content.rs
@@ -34,7 +34,7 @@
 /// Why content received from another VM can't be decoded.
 #[derive(Debug, Snafu)]
 pub enum ContentError {
-    /// The bytes are not a valid message.
+    /// The bytes can't be decoded as a message, or the message can't be encoded.
     #[snafu(display("malformed: {source}"))]
     Malformed {
         /// The decoding or encoding error.
@@ -61,7 +61,7 @@
 /// A value as it is encoded for the receiver.
 #[derive(Debug, Serialize, Deserialize)]
 enum SentValue {
-    /// The complete value.
+    /// The complete value, because the receiver holds no version from which patches lead to it.
     Plain(Bytes),
     /// The receiver already holds the value.
     Held,
--- a/crates/ebonyfork/src/gateway/mirror/copy.rs
+++ b/crates/ebonyfork/src/gateway/mirror/copy.rs
@@ -54,7 +54,7 @@
 /// The result of applying a change to a copy.
 #[derive(Debug, PartialEq, Eq)]
 pub struct ChangeOutcome {
-    /// Changes that were not known before and have to be put in force.
+    /// Changes that the copy did not know before. The caller has to put them in force.
     pub events: Vec<StoreEvent>,
     /// Success if the copy is complete up to the revision of the change, an error if the change leaves a gap.
     pub result: Result<(), CopyGap>,
@@ -241,9 +241,7 @@
     fn record_patch(&mut self, old_item: Option<StoreItem>, item: &StoreItem) {
         let is_long = |item: &StoreItem| item.value.len() >= LONG_VALUE_BYTES;
         match old_item.filter(is_long) {
-            Some(old_item) if is_long(item) && self.keeps_patches => {
-                self.patches.record_patch(&old_item, item)
-            }
+            Some(base) if is_long(item) && self.keeps_patches => self.patches.record(&base, item),
             _ => self.patches.forget_patches(&item.key),
         }
     }
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 struct MirrorFollower {
     link: LinkSender,
-    /// What the follower is known to have.
+    /// The revision and long values that the follower is known to have.
     position: FollowerPosition,
     /// Number of the last poll, and when it was received.
     last_poll: (u64, Instant),
@@ -136,7 +136,7 @@
         self.followers.insert(peer, follower);
     }
 
-    /// Removes a follower and cancels its transfer.
+    /// Removes a follower that needs no further changes, and drops the transfer to it.
     pub(super) fn remove(&mut self, peer: SessionId) {
         self.followers.remove(&peer);
     }
--- a/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/freshness_tests.rs
@@ -6,9 +6,9 @@
     Duration::from_millis(millis)
 }
 
-/// Without disturbances a follower's copy never becomes stale: the age at which the store's reader confirms that its
-/// own copy is up to date, the follower's poll interval and the time of the responses together are less than the
-/// maximum age.
+/// Without disturbances a follower's copy never becomes stale. Three times add up to less than the maximum age: the age
+/// at which the store's reader confirms that its own copy is up to date, the follower's poll interval, and the time of
+/// the responses.
 #[gtest]
 fn a_healthy_source_never_reaches_the_age_limit() {
     for max_change_delay_ms in [1_000, 3_000, 4_000, 5_000, 16_000] {
--- a/crates/ebonyfork/src/gateway/mirror/history.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history.rs
@@ -27,7 +27,8 @@
     pub bytes: Bytes,
 }
 
-/// The most recent patches of long values, oldest first. Each patch starts from the result of the one before it.
+/// The most recent patches of long values, oldest first. The base of each patch is the version that the patch before it
+/// results in.
 #[derive(Debug, Default)]
 pub struct PatchHistory {
     /// The consecutive patches of each value, by key.
@@ -37,7 +38,7 @@
 impl PatchHistory {
     /// Adds the patch from the old version of a value to the new one, and drops the oldest patches beyond the size
     /// limit.
-    pub fn record_patch(&mut self, old_item: &StoreItem, new_item: &StoreItem) {
+    pub fn record(&mut self, old_item: &StoreItem, new_item: &StoreItem) {
         let bytes = match compress(&old_item.value, &new_item.value) {
             Ok(bytes) => bytes,
             Err(error) => {
--- a/crates/ebonyfork/src/gateway/mirror/history_tests.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history_tests.rs
@@ -19,7 +19,7 @@
     for revision in 2..=last_revision {
         let old_item = item("config", &value_with_lines(100 + revision), revision - 1);
         let new_item = item("config", &value_with_lines(101 + revision), revision);
-        history.record_patch(&old_item, &new_item);
+        history.record(&old_item, &new_item);
     }
     history
 }
@@ -52,7 +52,7 @@
 #[gtest]
 fn a_gap_starts_a_new_chain() {
     let mut history = history_until(5);
-    history.record_patch(
+    history.record(
         &item("config", &value_with_lines(200), 7),
         &item("config", &value_with_lines(201), 8),
     );
--- a/crates/ebonyfork/src/gateway/mirror/message.rs
+++ b/crates/ebonyfork/src/gateway/mirror/message.rs
@@ -23,7 +23,7 @@
     Stale,
 }
 
-/// A message about the store's changes.
+/// A message between a VM and the VM that it follows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MirrorMessage {
     /// Asks for the changes after the sender's revision, and for the time as of which the receiver's copy was up to
--- a/crates/ebonyfork/src/gateway/route_check/mod.rs
+++ b/crates/ebonyfork/src/gateway/route_check/mod.rs
@@ -6,9 +6,9 @@
 //! are unchanged. Any other request is refused as not run: the caller retries on another VM, which has the current
 //! route.
 //!
-//! The same applies while the copy is up to date but other VMs have had a newer version for longer than a change may
-//! take to be in force: the store was restored from an older copy without that version, and this VM started since or
-//! had not received the version before.
+//! Routes are also checked while the copy is up to date, if other VMs have had a newer version for longer than a change
+//! may take to be in force. The store was then restored from an older copy without that version, and this VM started
+//! after that or had not received the version before.
 //!
 //! Only VMs that read the store directly announce their version in gossip, so a route is always checked with one of
 //! these.
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -47,13 +47,13 @@
     /// The version in force on this VM, and since when another VM has had a newer one in force; none if no other VM
     /// has.
     behind_since: Cell<Option<(ConfigVersion, Instant)>>,
-    /// The VMs that have the newest version in force; only those in this VM's zone if there are any.
+    /// The VMs that have the newest version in force; only those in this VM's zone if any of them are in it.
     holders: RefCell<SmallVec<[VmAddress; 8]>>,
     /// Routes that are the same in another VM's version as in this VM's own, each with that other version.
     matching_routes: RefCell<FxHashMap<RouteName, ConfigVersion>>,
     /// Requests without a response, by number, each with the sender that wakes its check.
     pending_requests: RefCell<FxHashMap<u64, oneshot::Sender<RouteState>>>,
-    /// Number of the next request.
+    /// Number that the next request gets.
     next_number: Cell<u64>,
     /// The version that this VM announces to others.
     announced_version: watch::Sender<ConfigVersion>,
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -45,7 +45,7 @@
     state: Mutex<QuarantineState>,
     /// Whether the table has no records. In this usual case requests are admitted without taking the lock.
     table_is_empty: AtomicBool,
-    /// Signals that notices may be queued.
+    /// Wakes the task that waits in [`QuarantineHandle::wait_for_notices`].
     notices_ready: Notify,
     metrics: QuarantineMetrics,
 }
@@ -126,8 +126,8 @@
     }
 
     /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_loss_at`] if the times of
-    /// sending are known. This function assumes that each request was sent when it was last admitted here as a suspect,
-    /// or else before any loss.
+    /// sending are known. This function assumes that a request was sent when this process last admitted it as a
+    /// suspect. A request without a stored admission is taken to have been sent before any loss.
     pub fn report_loss(&self, upstream: UpstreamAddress, fingerprints: &[RequestFingerprint]) {
         let now = self.now();
         let mut lost_requests = Vec::with_capacity(fingerprints.len());
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -39,7 +39,7 @@
     pub(super) expires_at: Duration,
 }
 
-/// What one process knows about a request.
+/// The losses, quarantine and lift of a request that one process knows of.
 #[derive(Debug, Default)]
 pub(super) struct RequestRecord {
     /// Losses that count against the request until they are older than [`SUSPICION_WINDOW`].
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -221,7 +221,7 @@
         self.records.is_empty()
     }
 
-    /// Returns whether notices are queued.
+    /// Returns whether notices wait to be sent to other VMs.
     pub fn has_notices(&self) -> bool {
         !self.outgoing_notices.is_empty()
     }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -235,7 +235,7 @@
         send_outcomes(link, outcome_batch);
     }
 
-    /// Executes the issued actions until there are none left, because some of them issue further ones.
+    /// Executes the issued actions, and then the further actions that these issue, until none are left.
     fn run_actions(&mut self, address: &WeakAddress<Self>) {
         loop {
             let mut actions = std::mem::take(&mut self.actions);
--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -45,7 +45,7 @@
 /// The windows and depth limits of all classes at one upstream.
 #[derive(Debug, Clone, Default)]
 pub struct ClassClamp {
-    /// End of the current window.
+    /// Time at which the current window ends.
     window_end: Duration,
     windows: SecondaryMap<ClassId, ClassWindow>,
 }
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -4,10 +4,10 @@
 //! in flight is useful while it adds throughput: with free slots the service time does not change; with all n slots
 //! busy, it grows by the factor (n + 1) / n, because every attempt waits a little longer. The limit is therefore found
 //! by *trials*. While the limit is used up (the upstream is *saturated*), a trial alternates for a short time, in
-//! blocks, between two neighbouring limits, and a sequential test on the difference between the mean log service times
-//! decides whether the higher one found a free slot. Because the blocks are close in time, a slowdown or warm-up of the
-//! whole upstream affects both limits and decides nothing; because of the logarithm and the clamping, neither do single
-//! stragglers.
+//! blocks, between two neighbouring limits. A sequential test on the difference between the mean log service times
+//! decides whether the upstream had a free slot for the additional attempt of the higher limit. Because the blocks are
+//! close in time, a slowdown or warm-up of the whole upstream affects both limits and decides nothing; because of the
+//! logarithm and the clamping, neither do single stragglers.
 //!
 //! A trial exceeds the limit by one attempt, for as few answers as the noise allows. Between trials the limit does not
 //! move unless the upstream sheds an attempt or is lost, and the pause between trials grows while they confirm the
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -40,7 +40,7 @@
     share_above_slots: f64,
     /// Seconds until the limit first reached the number of slots.
     time_to_reach_slots_s: f64,
-    /// Utilisation of the slots, as a fraction.
+    /// Share of the slots' time in which they served attempts, from 0 to 1.
     utilisation: f64,
 }
 
--- a/crates/ebonyfork/src/relay/loss.rs
+++ b/crates/ebonyfork/src/relay/loss.rs
@@ -15,7 +15,7 @@
 pub struct UpstreamLoss {
     /// The lost upstream.
     pub upstream: UpstreamAddress,
-    /// Time since the first connection broke.
+    /// Time between the break of the first connection and this report.
     pub age: Duration,
     /// The requests that were in flight on those connections.
     pub in_flight: SmallVec<[LostRequest; 4]>,
--- a/crates/ebonyfork/src/relay/mod.rs
+++ b/crates/ebonyfork/src/relay/mod.rs
@@ -1,8 +1,8 @@
 //! The relay: owns the connections, the queue and the concurrency limits of a set of upstreams.
 //!
-//! Because one relay sees every attempt in flight at an upstream, its count of them is exact: an upstream with two
-//! slots gets two requests, and the rest wait in the queue, where they can be reordered, cancelled, moved, or refused
-//! with the guarantee that they have not run.
+//! One relay sees every attempt in flight at an upstream, so its count of them is exact: an upstream with two slots
+//! gets two requests, and the other requests wait in the relay's queue. There they can be reordered, cancelled, moved,
+//! or refused with the guarantee that they have not run.
 //!
 //! The decision logic is pure and does no I/O: [`RelayQueue`] orders waiting attempts, [`ConcurrencyLimit`] bounds the
 //! attempts in flight, `upstream` combines both with the connection pool, and `state` routes each event to the upstream
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -32,7 +32,7 @@
     remaining_us: u64,
 }
 
-/// Results of one stream of attempts.
+/// Latencies and counts of the attempts of one stream.
 #[derive(Debug, Clone, Default)]
 struct StreamReport {
     /// Times from arrival to answer in microseconds, of the attempts answered before their deadline.
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -3,10 +3,10 @@
 //! Each organisation has a lane: a heap ordered by the latest time at which an attempt should start in order to be
 //! answered before its deadline, assuming [`START_MARGIN`] times its usual service time. A lane's *virtual time*
 //! advances by the expected cost of each attempt taken from it. A lane that was empty resumes at the queue's virtual
-//! time, or at its own if that is later: an organisation is neither credited nor charged for the time that it was idle,
-//! and is then served promptly however long another's backlog is. Among the lanes within [`FAIR_QUANTUM`] of the lane
-//! with the least virtual time, the attempt with the least slack goes first. Urgency therefore decides as long as no
-//! organisation is ahead of its share.
+//! time, or at its own if that is later. An organisation is thus neither credited nor charged for the time that it was
+//! idle, and its next attempts are sent promptly, however long the backlog of another organisation is. Among the lanes
+//! within [`FAIR_QUANTUM`] of the lane with the least virtual time, the attempt with the least slack goes first.
+//! Urgency therefore decides as long as no organisation is ahead of its share.
 //!
 //! Under overload, least slack first alone collapses: if attempts with almost no slack were still sent, every slot
 //! would work on attempts that just miss their deadlines. An attempt past its latest start is therefore dropped at once
@@ -50,7 +50,7 @@
     pub cost: Duration,
 }
 
-/// Result of pushing an attempt.
+/// Whether an attempt had to be removed from the queue when one was pushed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PushResult {
     /// The attempt was queued and none was removed.
@@ -128,7 +128,7 @@
     slots: SecondaryMap<WorkId, QueueSlot>,
     /// Number of waiting attempts.
     length: usize,
-    /// Number of attempts ever pushed.
+    /// Number of attempts pushed so far, which numbers the arrivals.
     arrival_count: u64,
     /// Greatest virtual time that a lane had when an attempt was taken from it, in microseconds.
     virtual_time: u64,
@@ -158,7 +158,7 @@
         self.length
     }
 
-    /// Returns whether no attempt waits.
+    /// Returns whether the queue holds no attempts.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
--- a/crates/ebonyfork/src/relay/service.rs
+++ b/crates/ebonyfork/src/relay/service.rs
@@ -19,11 +19,11 @@
 /// moderate outlier.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ServiceTimes {
-    /// Exponentially weighted mean of each class.
+    /// Exponentially weighted mean service time of each class; none before its first answer.
     class_means: SecondaryMap<ClassId, Option<f64>>,
-    /// Exponentially weighted mean over all classes.
+    /// Exponentially weighted mean service time over all classes; none before the first answer.
     overall_mean: Option<f64>,
-    /// Estimated median over all classes.
+    /// Estimated median service time over all classes; none before the first answer.
     median: Option<f64>,
 }
 
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -47,7 +47,7 @@
 /// What an upstream reports about itself on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OpenStatus {
-    /// The upstream accepts attempts.
+    /// The upstream does not say that it is leaving.
     Ready,
     /// The answer carries the draining header: the upstream is leaving.
     Draining,
@@ -87,7 +87,7 @@
     pub(super) config: &'a DeclaredConfig,
 }
 
-/// The decision state of one relay.
+/// The upstreams, attempts and interned names of one relay, on which it bases its decisions.
 #[derive(Debug)]
 pub(super) struct RelayState {
     vm: VmAddress,
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -39,7 +39,7 @@
     cancellation_count: usize,
     losses: Vec<UpstreamLoss>,
     /// Requests whose answers the relay has reported to the quarantine.
-    answered_requests: Vec<RequestFingerprint>,
+    answer_reports: Vec<RequestFingerprint>,
     submitted_attempt_count: u64,
 }
 
@@ -102,7 +102,7 @@
             open_connection_count: 0,
             cancellation_count: 0,
             losses: Vec::new(),
-            answered_requests: Vec::new(),
+            answer_reports: Vec::new(),
             submitted_attempt_count: 0,
         }
     }
@@ -260,9 +260,7 @@
                 assert_eq!(previous_verdict, None, "{query} finished twice");
             }
             RelayAction::ReportLoss(loss) => self.losses.push(loss),
-            RelayAction::ReportAnswer { fingerprint, .. } => {
-                self.answered_requests.push(fingerprint)
-            }
+            RelayAction::ReportAnswer { fingerprint, .. } => self.answer_reports.push(fingerprint),
             RelayAction::ReportLeaving(_) => {}
         }
     }
@@ -530,7 +528,7 @@
     fixture.answer(0, rows_verdict(), false);
     fixture.open_all_connections();
     expect_that!(
-        fixture.answered_requests,
+        fixture.answer_reports,
         elements_are![eq(&RequestFingerprint(queries[0]))]
     );
     expect_that!(queries_in_flight(&fixture).len(), eq(2));
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -190,8 +190,9 @@
 
     /// Adds the difference between the means of a cycle's two blocks to the evidence, and returns the verdict if that
     /// decides the trial. The expected difference is 0 with a free slot and at least `step` without one. With n busy
-    /// slots, the additional attempt waits for 1 / n of a service time, or, if it arrives at a random moment, for the
-    /// first of n residual service times, which is 1 / (n + 1) on average. `step` assumes the smaller of the two.
+    /// slots, the additional attempt waits for 1 / n of a service time. If it arrives at a random moment, it waits for
+    /// the first of n residual service times instead, which is 1 / (n + 1) on average. `step` assumes the smaller of
+    /// the two.
     fn add_cycle(&mut self, difference: f64, block_size: f64) -> Option<TrialVerdict> {
         let step = (1.0 + 1.0 / f64::from(self.low_limit + 1)).ln();
         let variance = self.squared_deviations / f64::from(self.degrees_of_freedom) * 2.0
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -47,7 +47,7 @@
     work: WorkId,
     item: WorkItem,
     connection: ConnectionId,
-    /// Number of attempts in flight at the upstream when this one was sent, itself included.
+    /// Number of attempts in flight at the upstream when this attempt was sent, itself included.
     attempts_in_flight: u32,
     epoch: LimitEpoch,
     /// When the attempt was sent.
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Applies parameters derived from changed views.
+    /// Applies parameters derived from changed views, closes the idle connections of an upstream that is leaving, and
+    /// sends what may be sent.
     pub(super) fn apply_params(
         &mut self,
         now: Duration,
