--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -286,7 +286,7 @@
     metrics_updated_at: Duration,
     /// When callers were last checked for disconnects.
     callers_checked_at: Duration,
-    /// Passes the time at which the actor must be woken next to the timer task.
+    /// Passes the timer task the time at which the actor must be woken next; `None` if it need not be woken.
     timer: watch::Sender<Option<Instant>>,
 }
 
--- a/crates/ebonyfork/src/entry/canary.rs
+++ b/crates/ebonyfork/src/entry/canary.rs
@@ -100,8 +100,9 @@
         (has_time_for_canary || has_recent_loss || self.is_suspect).then_some(*fastest_attempt)
     }
 
-    /// Requests the other shards once the canary's shard has answered or the canary has been overdue for
-    /// [`MAX_OVERDUE_CHECKS`] checks, or sends the canary to another shard if its shard is lost.
+    /// Ends the canary if its shard has answered or if it has been overdue for [`MAX_OVERDUE_CHECKS`] checks and has
+    /// broken no upstream: the other shards are then requested. If the canary's shard is lost, sends the canary to
+    /// another shard.
     pub(super) fn advance_canary(&mut self, shared: &mut SharedState, now: Duration) {
         let Some(canary) = self.canary else {
             return;
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -71,7 +71,7 @@
 pub struct FinishedQuery {
     /// Number of the query within the entry's session.
     pub query: u64,
-    /// The caller's own id of the query.
+    /// The caller's own id of the query, if it sent one.
     pub caller_id: Option<CompactString>,
     /// The query's class.
     pub class: ClassName,
--- a/crates/ebonyfork/src/entry/replica.rs
+++ b/crates/ebonyfork/src/entry/replica.rs
@@ -63,7 +63,7 @@
     consecutive_failures: u32,
     consecutive_overdue_attempts: u32,
     backoff_until: Duration,
-    /// When the probe that is in flight was sent.
+    /// When the probe that is in flight was sent; `None` if no probe is in flight.
     probe_sent_at: Option<Duration>,
 }
 
--- a/crates/ebonyfork/src/entry/route.rs
+++ b/crates/ebonyfork/src/entry/route.rs
@@ -29,11 +29,12 @@
     epoch: Option<u64>,
     /// The tables of the catalogue's versions, newest first.
     tables: Vec<Arc<RouteTable>>,
-    /// A version that some shard recently lacked, and until when it is not pinned.
+    /// The version that some shard last lacked, and until when another version is pinned instead; `None` if no shard
+    /// has lacked a version.
     avoided_version: Option<(SnapshotVersion, Duration)>,
 }
 
-/// How long a version that some shard lacked is not pinned if there is another.
+/// How long another version is pinned, if there is one, instead of a version that some shard lacked.
 const VERSION_AVOID_DURATION: Duration = Duration::from_millis(200);
 
 /// The route tables of all indexes that have been queried.
@@ -51,7 +52,8 @@
         }
     }
 
-    /// Pins the newest version of an index that no shard lacked recently, or the newest if there is no such version.
+    /// Pins the newest version of an index that no shard lacked recently, or the newest version if the catalogue lists
+    /// no other.
     pub fn pin_version(
         &mut self,
         index: &IndexName,
--- a/crates/ebonyfork/src/entry/run.rs
+++ b/crates/ebonyfork/src/entry/run.rs
@@ -71,7 +71,7 @@
     pub(super) may_have_run: bool,
     /// Number of upstreams whose connection broke while they ran part of the query.
     pub(super) broken_upstream_count: u8,
-    /// The most recent reason for which part of the query was not run.
+    /// Why the attempt that was refused last has not run; `None` if no attempt was refused.
     pub(super) last_refusal_reason: Option<RefusalReason>,
     /// Whether the query has been planned again at another version.
     pub(super) was_replanned: bool,
@@ -90,11 +90,11 @@
     pub(super) timer_at: Duration,
     /// Whether the query was admitted under load.
     pub(super) is_under_load: bool,
-    /// Whether the same request was in flight when an upstream was lost.
+    /// Whether a request with the same fingerprint was in flight when an upstream was lost.
     pub(super) is_suspect: bool,
     /// Whether a shard whose upstream was lost waits until another shard returns rows.
     pub(super) has_deferred_shards: bool,
-    /// The canary, while requests to the other shards are held back.
+    /// The canary for which requests to the other shards are held back; `None` if none are held back.
     pub(super) canary: Option<CanaryProbe>,
     /// Time before which no attempt in flight has to be checked as a straggler.
     pub(super) next_straggler_check: Duration,
--- a/crates/ebonyfork/src/entry/tools.rs
+++ b/crates/ebonyfork/src/entry/tools.rs
@@ -45,7 +45,7 @@
     pub(super) admission: AdmissionControl,
     pub(super) budget: AttemptBudget,
     pub(super) known_requests: KnownRequests,
-    /// When an upstream connection last broke during an attempt.
+    /// When an upstream connection last broke during an attempt; `None` if none has broken.
     pub(super) last_upstream_loss: Option<Duration>,
     /// Scratch space for the routes chosen for the query that is being planned.
     pub(super) planned_attempts: Vec<PlannedAttempt>,
--- a/crates/ebonyfork/src/gateway/follow/following.rs
+++ b/crates/ebonyfork/src/gateway/follow/following.rs
@@ -47,13 +47,13 @@
     pub(super) followed_since: Instant,
     /// Number of bytes received from the VM before it was followed.
     pub(super) received_bytes_before: u64,
-    /// When the VM last responded.
+    /// When the VM last responded; none if it has not responded yet.
     pub(super) responded_at: Option<Instant>,
     /// The polls sent to the VM, from whose sending times the age of its copy is measured.
     pub(super) polls: PendingPolls,
     /// The transfer being received from the VM.
     pub(super) incoming_transfer: IncomingTransfer,
-    /// When the last chunk was received from the VM.
+    /// When the last chunk was received from the VM; none if none was received yet.
     pub(super) progress_at: Option<Instant>,
 }
 
--- a/crates/ebonyfork/src/gateway/follow/mod.rs
+++ b/crates/ebonyfork/src/gateway/follow/mod.rs
@@ -92,7 +92,8 @@
     /// Since when calls of this VM to the store have failed; none once the store responds or a followed VM confirms
     /// that the copy is up to date.
     store_failing_since: Option<Instant>,
-    /// Until when another VM is followed because the store does not respond to this VM.
+    /// Until when another VM is followed because the store did not respond to this VM; none if that has not happened
+    /// yet.
     store_avoided_until: Option<Instant>,
     /// Polls of the VM that was followed last. They are kept while no VM is followed, so that poll numbers continue.
     polls: PendingPolls,
--- a/crates/ebonyfork/src/gateway/follow/random_history.rs
+++ b/crates/ebonyfork/src/gateway/follow/random_history.rs
@@ -139,11 +139,11 @@
     failing_reaches: BTreeMap<u8, StoreReach>,
     /// Number of the VM whose link was made slower; none if all links have the same rate.
     slow_vm: Option<u8>,
-    /// Number of the VM that gossip suspects.
+    /// Number of the VM that gossip suspects; none if it suspects no VM.
     suspected_vm: Option<u8>,
     /// The store's content at each step, from which the store may be restored; empty if it is never restored.
     store_copies: Vec<StoreContent>,
-    /// When the store was last restored from an older copy.
+    /// When the VMs were last checked after a restore of the store from an older copy; none before the first restore.
     restored_at: Option<Instant>,
 }
 
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -82,7 +82,7 @@
     followers: BTreeMap<SessionId, MirrorFollower>,
     /// Number of the last transfer; 0 before the first.
     last_transfer_number: u64,
-    /// The content encoded last, cached because most followers lack the same changes.
+    /// The content encoded last, cached because most followers lack the same changes; none if none is kept.
     cached_content: Option<CachedContent>,
     /// Counts the bytes of completed transfers.
     sent_bytes: Counter,
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -23,7 +23,7 @@
     pub(super) upstream: UpstreamAddress,
     /// When the upstream was lost; too recent by up to [`MAX_NOTICE_DELAY`] if another VM observed the loss.
     pub(super) lost_at: Duration,
-    /// When the request was sent to that upstream; known only for losses that this process observed.
+    /// When the request was sent to that upstream; none if another VM observed the loss.
     pub(super) sent_at: Option<Duration>,
 }
 
@@ -48,7 +48,7 @@
     /// still arrive.
     pub(super) cleared_losses: SmallVec<[NoticeId; 2]>,
     pub(super) quarantine: Option<QuarantineRecord>,
-    /// When an operator last lifted the quarantine or suspicion of the request.
+    /// When an operator last lifted the quarantine or suspicion of the request; none if no operator has.
     pub(super) lifted_at: Option<Duration>,
     /// When the record last changed, which decides the order of eviction.
     pub(super) changed_at: Duration,
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -312,9 +312,9 @@
         NoticeId(self.rng.random())
     }
 
-    /// Records a loss against a request. Returns false and records nothing if the loss is already recorded, if an
-    /// answer has cleared the request of it, or if an operator lifted the quarantine or suspicion of the request after
-    /// it.
+    /// Records a loss against a request. Returns false and records nothing in three cases: the loss is already
+    /// recorded, an answer has cleared the request of the loss, or an operator lifted the quarantine or suspicion of
+    /// the request after the loss.
     fn add_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -379,7 +379,8 @@
     }
 
     /// Merges another VM's quarantine of a request, or the extension of one. Returns false if an operator has lifted
-    /// the quarantine, or if it does not expire noticeably later than the known one.
+    /// the quarantine. Also returns false if a quarantine of the request is known already and the merged one does not
+    /// expire noticeably later.
     fn merge_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
--- a/crates/ebonyfork/src/relay/action.rs
+++ b/crates/ebonyfork/src/relay/action.rs
@@ -74,8 +74,8 @@
         self.suspicion != WorkSuspicion::Clear
     }
 
-    /// Returns the report to the quarantine that the upstream was lost while the attempt was in flight. Its `time_in_flight` is
-    /// zero until the loss window sets it.
+    /// Returns the report to the quarantine that the upstream was lost while the attempt was in flight. Its
+    /// `time_in_flight` is zero until the loss window sets it.
     pub(super) fn lost_request(&self) -> LostRequest {
         LostRequest {
             fingerprint: self.fingerprint,
@@ -90,10 +90,10 @@
 pub(super) struct RelayTables {
     /// Actions issued since this list was last taken.
     pub(super) actions: Vec<RelayAction>,
-    /// Properties of each attempt that is held.
+    /// Properties of each attempt that is held; `None` under an id that is free.
     items: PrimaryMap<WorkId, Option<WorkItem>>,
     free_work_ids: Vec<WorkId>,
-    /// Upstream of each connection that is being opened or open.
+    /// Upstream of each connection that is being opened or open; `None` under an id that is free.
     connections: PrimaryMap<ConnectionId, Option<UpstreamId>>,
     free_connection_ids: Vec<ConnectionId>,
     /// Latency target of each class, or `None` if the configuration declares none.
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -94,7 +94,7 @@
     epoch: LimitEpoch,
     /// The epoch of the attempts whose answers count. `epoch` moves past it once a block of a trial is full.
     sampled_epoch: LimitEpoch,
-    /// The running trial.
+    /// The running trial; `None` between trials.
     trial: Option<LimitTrial>,
     /// Direction of the running or the next trial.
     direction: TrialDirection,
--- a/crates/ebonyfork/src/relay/limit_tests.rs
+++ b/crates/ebonyfork/src/relay/limit_tests.rs
@@ -19,7 +19,7 @@
     straggler_percent: f64,
     /// Factor on the service time, as a function of the time in seconds.
     slowness: fn(f64) -> f64,
-    /// Number of requests in flight from which on the upstream sheds a further one.
+    /// Number of requests in flight at which the upstream sheds further ones; `None` if it never sheds requests.
     shedding_threshold: Option<usize>,
 }
 
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -85,7 +85,8 @@
     /// Sum of the clamped differences of the cycles, in steps from the midpoint between the differences expected with
     /// and without a free slot. Positive evidence means that no slot is free.
     evidence: f64,
-    /// The log service time around which samples are clamped: the mean of the previous block, or the first sample.
+    /// The log service time around which samples are clamped: the mean of the previous block, or the first sample in
+    /// the first block; `None` before the first sample.
     clamp_centre: Option<f64>,
     /// Squared deviations of the log service times from their block means, summed over all blocks.
     squared_deviations: f64,
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -78,7 +78,7 @@
     draining_until: Duration,
     /// The attempts in flight.
     sent_work: Vec<SentWork>,
-    /// The connections that broke within the current loss window.
+    /// The connections that broke within the current loss window; `None` if no loss window is open.
     loss_window: Option<LossWindow>,
     /// Buffer for attempts removed from the queues; empty between calls and kept for its allocation.
     removed_work: Vec<WorkId>,
