--- a/crates/ebonyfork/src/caller/server_tests.rs
+++ b/crates/ebonyfork/src/caller/server_tests.rs
@@ -19,8 +19,8 @@
     address: std::net::SocketAddr,
     stop: CancellationToken,
     outcome: Arc<Mutex<QueryOutcome>>,
-    query_started: Arc<Notify>,
-    query_release: Arc<Notify>,
+    query_start_notify: Arc<Notify>,
+    query_release_notify: Arc<Notify>,
     server_task: tokio::task::JoinHandle<()>,
     writers: crate::views::ViewWriters,
 }
@@ -42,17 +42,19 @@
     }
 }
 
-/// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release` is notified.
+/// Starts a server whose query outcome can be set; a query of class `held` waits until `query_release_notify` is
+/// notified.
 async fn start_server() -> CallerFixture {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (writers, views) = view_channels();
     writers.readiness.send_replace(NodeReadiness::Ready);
     let outcome = Arc::new(Mutex::new(Ok(whole_answer())));
-    let query_release = Arc::new(Notify::new());
-    let query_started = Arc::new(Notify::new());
-    let started_signal = Arc::clone(&query_started);
-    let (shared_outcome, release_signal) = (Arc::clone(&outcome), Arc::clone(&query_release));
+    let query_release_notify = Arc::new(Notify::new());
+    let query_start_notify = Arc::new(Notify::new());
+    let started_signal = Arc::clone(&query_start_notify);
+    let (shared_outcome, release_signal) =
+        (Arc::clone(&outcome), Arc::clone(&query_release_notify));
     let run = move |request: crate::query::QueryRequest| {
         let (shared_outcome, release_signal) =
             (Arc::clone(&shared_outcome), Arc::clone(&release_signal));
@@ -65,20 +67,20 @@
         }
         .boxed()
     };
-    let locate = |_organisation| LocateAnswer {
+    let answer_locate = |_organisation| LocateAnswer {
         addresses: smallvec::smallvec!["127.0.0.1:7100".parse().unwrap()],
         ttl: Duration::from_secs(5),
         session: "127.0.0.1-17".parse().unwrap(),
     };
     let stop = CancellationToken::new();
-    let service = CallerService::new(run, locate, views);
+    let service = CallerService::new(run, answer_locate, views);
     let server_task = tokio::spawn(serve_callers(listener, service, stop.clone()));
     CallerFixture {
         address,
         stop,
         outcome,
-        query_started,
-        query_release,
+        query_start_notify,
+        query_release_notify,
         server_task,
         writers,
     }
@@ -116,8 +118,8 @@
     expect_that!(response.headers()["x-snapshot"], eq("17"));
     let expected_body = br#"{"query":"q1","snapshot":17,"coverage":{"answered":2,"total":2,"missing":[]},"rows":["a","b","c"]}"#;
     expect_that!(response.body().as_ref(), eq(&expected_body[..]));
-    let locate = Request::get("/v1/locate").body(Full::default()).unwrap();
-    let response = send_request(fixture.address, locate).await;
+    let locate_request = Request::get("/v1/locate").body(Full::default()).unwrap();
+    let response = send_request(fixture.address, locate_request).await;
     let answer: LocateAnswer = serde_json::from_slice(response.body()).unwrap();
     expect_that!(answer.ttl, eq(Duration::from_secs(5)));
 }
@@ -209,9 +211,9 @@
         tokio::spawn(
             async move { send_request(address, query_request("held", &[], vec![])).await },
         );
-    fixture.query_started.notified().await;
+    fixture.query_start_notify.notified().await;
     fixture.stop.cancel();
-    fixture.query_release.notify_one();
+    fixture.query_release_notify.notify_one();
     let response = pending_response.await.unwrap();
     expect_that!(response.status(), eq(StatusCode::OK));
     expect_that!(response.headers()["connection"], eq("close"));
--- a/crates/ebonyfork/src/entry/actor.rs
+++ b/crates/ebonyfork/src/entry/actor.rs
@@ -33,7 +33,7 @@
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 type FingerprintPredicate = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
 
-/// Settings and inputs of an entry.
+/// Settings of an entry, the views that it reads, and the callbacks that connect it to the quarantine.
 #[derive(Clone)]
 pub struct EntrySettings {
     session: SessionId,
@@ -159,10 +159,10 @@
             return Err(refusal);
         }
         let (reply, outcome_receiver) = oneshot::channel();
-        let suspect = (self.is_suspect)(fingerprint);
+        let is_suspect = (self.is_suspect)(fingerprint);
         let start_query = StartQuery {
             request,
-            suspect,
+            is_suspect,
             reply,
         };
         let send_result = self.address.send(start_query).detach().await;
@@ -245,7 +245,7 @@
 /// Asks the actor to run a query and to send its outcome to `reply`.
 struct StartQuery {
     request: QueryRequest,
-    suspect: bool,
+    is_suspect: bool,
     reply: oneshot::Sender<QueryOutcome>,
 }
 
@@ -264,7 +264,7 @@
 /// Tells the actor that its timer is due.
 struct TimerFired;
 
-/// A caller whose query is in flight.
+/// What is needed to answer a caller whose query is in flight.
 struct WaitingCaller {
     reply: oneshot::Sender<QueryOutcome>,
     class: crate::ident::ClassName,
@@ -275,7 +275,7 @@
 struct EntryActor {
     core: EntryCore,
     views: NodeViews,
-    /// Zero of the entry's clock.
+    /// Start of the core's clock: times are passed to the core as durations since then.
     epoch: Instant,
     send: Box<SendFunction>,
     /// Callers of the queries in flight, by query number.
@@ -286,7 +286,7 @@
     metrics_updated_at: Duration,
     /// When callers were last checked for disconnects.
     callers_checked_at: Duration,
-    /// Passes the time at which the actor must be woken next to the timer task.
+    /// Passes the timer task the time at which the actor must be woken next; `None` if it need not be woken.
     timer: watch::Sender<Option<Instant>>,
 }
 
@@ -299,8 +299,8 @@
             catalog: Arc::clone(&self.views.catalog.borrow()),
         };
         self.core.refresh(&views);
-        let logging_enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
-        self.core.set_decision_logging(logging_enabled);
+        let is_logging_enabled = log::log_enabled!(target: DECISION_TARGET, log::Level::Info);
+        self.core.set_decision_logging(is_logging_enabled);
         self.epoch.elapsed()
     }
 
@@ -397,7 +397,7 @@
         };
         let query_number = self
             .core
-            .start_suspect(now, message.request, message.suspect);
+            .start_with_suspicion(now, message.request, message.is_suspect);
         self.callers.insert(query_number, caller);
         self.run_actions(now);
     }
--- a/crates/ebonyfork/src/entry/decision.rs
+++ b/crates/ebonyfork/src/entry/decision.rs
@@ -11,7 +11,7 @@
 use crate::query::{QueryCoverage, QueryOutcome, RefusalCode};
 use crate::relay::{AttemptPurpose, ShardVerdict};
 
-/// The route chosen for one attempt.
+/// The upstream and relay chosen for one attempt, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteDecision {
     /// Number of the query within the entry's session.
@@ -53,7 +53,7 @@
     }
 }
 
-/// An attempt that returned no rows.
+/// The failure of an attempt to return rows, for the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FailedAttempt {
     /// Number of the query within the entry's session.
@@ -66,12 +66,12 @@
     pub verdict: ShardVerdict,
 }
 
-/// A completed query.
+/// The result of a query, for the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishedQuery {
     /// Number of the query within the entry's session.
     pub query: u64,
-    /// The caller's own id of the query.
+    /// The caller's own id of the query, if it sent one.
     pub caller_id: Option<CompactString>,
     /// The query's class.
     pub class: ClassName,
@@ -104,7 +104,7 @@
     }
 }
 
-/// One entry of the decision log.
+/// What the entry decided or observed, as one line of the decision log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryDecision {
     /// An attempt was routed.
--- a/crates/ebonyfork/src/entry/gather.rs
+++ b/crates/ebonyfork/src/entry/gather.rs
@@ -28,11 +28,11 @@
     pub shard: ShardNumber,
     /// The service that holds the shard; updated if the shard has moved.
     pub service: ServiceId,
-    /// Number of attempts in flight.
+    /// Number of attempts at the shard that are in flight.
     pub attempts_in_flight: u8,
-    /// Number of attempts made.
+    /// Number of attempts at the shard that were sent, including those in flight.
     pub attempts_made: u8,
-    /// Replicas that must not be tried again.
+    /// Replicas that must not be tried again for this shard.
     pub excluded_replicas: SmallVec<[ReplicaId; 4]>,
     /// Relays that must not be used again because they refused an attempt or lost their link.
     pub excluded_relays: SmallVec<[RelayId; 2]>,
@@ -65,26 +65,27 @@
 pub struct ShardGather {
     version: SnapshotVersion,
     slots: Vec<ShardSlot>,
-    answered_count: u32,
-    lost_count: u32,
+    answered_shard_count: u32,
+    lost_shard_count: u32,
 }
 
 impl ShardGather {
-    /// Restarts at a version with the needed shards, in shard order, and reuses the allocation of the slots.
+    /// Resets the gather for a query that pins `version`. `shards` are the shards that the query needs, each with the
+    /// service that holds it, in ascending order of shard numbers. The allocation of the slots is reused.
     pub fn reset(
         &mut self,
         version: SnapshotVersion,
         shards: impl Iterator<Item = (ShardNumber, ServiceId)>,
     ) {
         self.version = version;
-        self.answered_count = 0;
-        self.lost_count = 0;
+        self.answered_shard_count = 0;
+        self.lost_shard_count = 0;
         self.slots.clear();
         let slots = shards.map(|(shard, service)| ShardSlot::new(shard, service));
         self.slots.extend(slots);
     }
 
-    /// Returns the pinned version.
+    /// Returns the version at which rows are accepted.
     pub fn version(&self) -> SnapshotVersion {
         self.version
     }
@@ -94,7 +95,7 @@
         &self.slots
     }
 
-    /// Returns one slot for modification.
+    /// Returns the slot at `slot_index` for modification.
     pub fn slot_mut(&mut self, slot_index: usize) -> &mut ShardSlot {
         &mut self.slots[slot_index]
     }
@@ -105,13 +106,13 @@
     }
 
     /// Returns the number of shards that have answered.
-    pub fn answered_count(&self) -> u32 {
-        self.answered_count
+    pub fn answered_shard_count(&self) -> u32 {
+        self.answered_shard_count
     }
 
     /// Returns the number of shards whose rows may still arrive.
-    pub fn open_count(&self) -> u32 {
-        self.shard_count() - self.answered_count - self.lost_count
+    pub fn open_shard_count(&self) -> u32 {
+        self.shard_count() - self.answered_shard_count - self.lost_shard_count
     }
 
     /// Returns the highest coverage that can still be reached, 0 to 1.
@@ -119,7 +120,7 @@
         if self.slots.is_empty() {
             return 1.0;
         }
-        f64::from(self.shard_count() - self.lost_count) / f64::from(self.shard_count())
+        f64::from(self.shard_count() - self.lost_shard_count) / f64::from(self.shard_count())
     }
 
     /// Stores a shard's rows and returns true if they are the shard's first rows and of the pinned version; else
@@ -138,11 +139,11 @@
             return false;
         }
         if slot.status == ShardStatus::Lost {
-            self.lost_count -= 1;
+            self.lost_shard_count -= 1;
         }
         slot.status = ShardStatus::Answered;
         slot.body = body;
-        self.answered_count += 1;
+        self.answered_shard_count += 1;
         true
     }
 
@@ -153,7 +154,7 @@
             return;
         }
         slot.status = ShardStatus::Lost;
-        self.lost_count += 1;
+        self.lost_shard_count += 1;
     }
 
     /// Returns the coverage of the rows received so far.
@@ -165,7 +166,7 @@
             .filter(is_unanswered)
             .map(|slot| slot.shard);
         QueryCoverage {
-            answered: self.answered_count,
+            answered: self.answered_shard_count,
             total: self.shard_count(),
             missing: missing_shards.collect(),
         }
@@ -173,7 +174,7 @@
 
     /// Takes the bodies of the answered shards, in shard order.
     pub fn take_bodies(&mut self) -> Vec<Bytes> {
-        let mut bodies = Vec::with_capacity(self.answered_count as usize);
+        let mut bodies = Vec::with_capacity(self.answered_shard_count as usize);
         for slot in &mut self.slots {
             if slot.status != ShardStatus::Answered {
                 continue;
--- a/crates/ebonyfork/src/entry/straggler.rs
+++ b/crates/ebonyfork/src/entry/straggler.rs
@@ -57,7 +57,7 @@
             match attempt.urgency {
                 // The attempt probes a server that failed recently: if it is overdue, the server has failed again.
                 AttemptUrgency::Urgent => replica.health.record_failure(now),
-                AttemptUrgency::Ordinary => replica.health.record_overdue(now),
+                AttemptUrgency::Ordinary => replica.health.record_overdue_attempt(now),
             }
         }
         let time_in_flight = now.saturating_sub(attempt.sent_at);
@@ -67,7 +67,7 @@
         let slot_index = attempt.slot_index as usize;
         if let Some(canary) = &mut self.canary {
             // The requests to all other shards wait for the canary.
-            canary.overdue_checks += 1;
+            canary.overdue_check_count += 1;
             self.send_hedge(
                 shared,
                 now,
@@ -107,7 +107,7 @@
         }
         // If most shards are still open, the cause is load rather than a straggler.
         if self.canary.is_none()
-            && self.gather.open_count() > (self.gather.shard_count() / 2).max(1)
+            && self.gather.open_shard_count() > (self.gather.shard_count() / 2).max(1)
         {
             return;
         }
@@ -117,17 +117,17 @@
         // An attempt that has been in flight for some time is likely to take as long again. A hedge is worth its load
         // only if it is expected to finish sooner than that; if the other replica has a long queue too, a hedge only
         // lengthens it.
-        let hedge_too_slow = route_choice.expected_time > time_in_flight;
-        let hedge_too_late = now + route_choice.expected_time > self.params.results_deadline();
-        if hedge_too_slow
-            || hedge_too_late
+        let is_hedge_too_slow = route_choice.expected_time > time_in_flight;
+        let is_hedge_too_late = now + route_choice.expected_time > self.params.results_deadline();
+        if is_hedge_too_slow
+            || is_hedge_too_late
             || !shared.try_withdraw_attempt(now, self.params.class, urgency)
         {
             return;
         }
         shared.directory.replicas[route_choice.replica]
             .health
-            .record_submit(now);
+            .record_submission(now);
         self.send_attempt(shared, now, slot_index, route_choice, AttemptPurpose::Hedge);
     }
 }
--- a/crates/ebonyfork/src/entry/terms.rs
+++ b/crates/ebonyfork/src/entry/terms.rs
@@ -15,14 +15,14 @@
 pub struct ClassId(u32);
 entity_impl!(ClassId, "class");
 
-/// Divisor of a time limit that gives the part of it reserved for returning the answer to the caller.
+/// A time limit divided by this number is the part of it that is reserved for returning the answer to the caller.
 const RETURN_MARGIN_DIVISOR: u32 = 20;
 /// Upper bound of the time reserved for returning the answer.
 const MAX_RETURN_MARGIN: Duration = Duration::from_millis(5);
 
-/// Divisor of the shard count that gives the number of outlier shards that admission may ignore.
+/// Admission may ignore at most as many outlier shards as the shard count divided by this number.
 const OUTLIER_SHARD_DIVISOR: usize = 4;
-/// Multiple of the latency target from which a shard's expected time makes it an outlier.
+/// A shard is an outlier if its expected time is at least the latency target multiplied by this number.
 const OUTLIER_LATENCY_FACTOR: u32 = 2;
 
 /// Subtracts the time reserved for returning the answer from a limit that the caller observes.
@@ -51,12 +51,12 @@
     }
 }
 
-/// Effective parameters of one query.
+/// Parameters of one query: the target of its class, limited by the caller's deadline.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueryParams {
     /// The query's class.
     pub class: ClassId,
-    /// Which shards the query needs.
+    /// Whether the query needs all shards or a single one.
     pub scope: ClassScope,
     /// Whether latency or coverage takes precedence when the target can't be met in full.
     pub priority: TargetPriority,
@@ -64,7 +64,7 @@
     pub latency_target: Duration,
     /// Percentile of queries that must meet the latency target, in per cent.
     pub latency_percentile: f64,
-    /// Coverage target, 0 to 1.
+    /// Share of the shards that must answer for the target to be met, from 0 to 1.
     pub coverage_target: f64,
     /// Whether an attempt may be run more than once.
     pub idempotent: bool,
@@ -118,13 +118,13 @@
     ) -> (Duration, Duration) {
         planned_attempts
             .sort_unstable_by_key(|planned_attempt| planned_attempt.route_choice.expected_time);
-        let required_count = match self.priority {
+        let required_shard_count = match self.priority {
             TargetPriority::LatencyFirst => {
                 (f64::from(shard_count) * self.coverage_target).ceil() as usize
             }
             TargetPriority::CoverageFirst => planned_attempts.len(),
         };
-        let mut last_index = required_count.clamp(1, planned_attempts.len().max(1)) - 1;
+        let mut last_index = required_shard_count.clamp(1, planned_attempts.len().max(1)) - 1;
         for _ in 0..shard_count as usize / OUTLIER_SHARD_DIVISOR {
             let Some(planned_attempt) = planned_attempts.get(last_index) else {
                 break;
--- a/crates/ebonyfork/src/gateway/mirror/followers.rs
+++ b/crates/ebonyfork/src/gateway/mirror/followers.rs
@@ -20,7 +20,7 @@
 /// meantime.
 const MAX_TRANSFERS: usize = 4;
 
-/// A transfer to a follower.
+/// A transfer that is being sent to a follower.
 #[derive(Debug)]
 struct FollowerTransfer {
     /// Number of the transfer, unique within the process.
@@ -46,13 +46,13 @@
 #[derive(Debug)]
 struct MirrorFollower {
     link: LinkSender,
-    /// What the follower is known to have.
+    /// The revision and long values that the follower is known to have.
     position: FollowerPosition,
     /// Number of the last poll, and when it was received.
     last_poll: (u64, Instant),
-    /// The transfer to the follower that is under way.
+    /// The transfer that is being sent to the follower; none if there is none.
     transfer: Option<FollowerTransfer>,
-    /// Since when the follower has lacked changes.
+    /// Since when the follower has lacked changes; none if it lacks none.
     behind_since: Option<Instant>,
 }
 
@@ -81,8 +81,8 @@
 pub(super) struct FollowerTable {
     followers: BTreeMap<SessionId, MirrorFollower>,
     /// Number of the last transfer; 0 before the first.
-    last_transfer: u64,
-    /// The content encoded last, cached because most followers lack the same changes.
+    last_transfer_number: u64,
+    /// The content encoded last, cached because most followers lack the same changes; none if none is kept.
     cached_content: Option<CachedContent>,
     /// Counts the bytes of completed transfers.
     sent_bytes: Counter,
@@ -93,7 +93,7 @@
     pub(super) fn new(sent_bytes: Counter) -> Self {
         Self {
             followers: BTreeMap::new(),
-            last_transfer: 0,
+            last_transfer_number: 0,
             cached_content: None,
             sent_bytes,
         }
@@ -136,14 +136,14 @@
         self.followers.insert(peer, follower);
     }
 
-    /// Removes a follower and cancels its transfer.
+    /// Removes a follower that needs no further changes, and drops the transfer to it.
     pub(super) fn remove(&mut self, peer: SessionId) {
         self.followers.remove(&peer);
     }
 
     /// Handles a follower's acknowledgement of the first `acked_bytes` bytes of transfer `number`, and sends the next
     /// chunks. Once the whole transfer is acknowledged, sends the time as of which its content was up to date instead.
-    pub(super) fn note_acked(
+    pub(super) fn note_acked_bytes(
         &mut self,
         peer: SessionId,
         number: u64,
@@ -157,7 +157,10 @@
         let Some(transfer) = transfer.filter(|transfer| transfer.number == number) else {
             return;
         };
-        if !transfer.outgoing_transfer.note_acked(acked_bytes, now) {
+        if !transfer
+            .outgoing_transfer
+            .note_acked_bytes(acked_bytes, now)
+        {
             follower.send_chunks();
             return;
         }
@@ -283,9 +286,9 @@
         let Some(follower) = self.followers.get_mut(&peer) else {
             return;
         };
-        self.last_transfer += 1;
+        self.last_transfer_number += 1;
         follower.transfer = Some(FollowerTransfer {
-            number: self.last_transfer,
+            number: self.last_transfer_number,
             outgoing_transfer: OutgoingTransfer::new(bytes, now),
             end_position,
             up_to_date_at,
--- a/crates/ebonyfork/src/gateway/mirror/history.rs
+++ b/crates/ebonyfork/src/gateway/mirror/history.rs
@@ -27,7 +27,8 @@
     pub bytes: Bytes,
 }
 
-/// The most recent patches of long values, oldest first. Each patch starts from the result of the one before it.
+/// The most recent patches of long values, oldest first. The base of each patch is the version that the patch before it
+/// results in.
 #[derive(Debug, Default)]
 pub struct PatchHistory {
     /// The consecutive patches of each value, by key.
@@ -47,7 +48,7 @@
                     new_item.key,
                     new_item.revision
                 );
-                self.forget(&new_item.key);
+                self.forget_patches(&new_item.key);
                 return;
             }
         };
@@ -74,13 +75,13 @@
     }
 
     /// Drops all patches of a value.
-    pub fn forget(&mut self, key: &CompactString) {
+    pub fn forget_patches(&mut self, key: &CompactString) {
         self.chains.remove(key);
     }
 
     /// Returns the patches from the version of a value at `base_revision` to the one at `revision`; none if `revision`
     /// is not the newest version or the patches do not reach back to `base_revision`.
-    pub fn between(
+    pub fn patches_between(
         &self,
         key: &CompactString,
         base_revision: StoreRevision,
--- a/crates/ebonyfork/src/gateway/mirror/message.rs
+++ b/crates/ebonyfork/src/gateway/mirror/message.rs
@@ -23,7 +23,7 @@
     Stale,
 }
 
-/// A message about the store's changes.
+/// A message between a VM and the VM that it follows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MirrorMessage {
     /// Asks for the changes after the sender's revision, and for the time as of which the receiver's copy was up to
@@ -33,7 +33,8 @@
         known_revision: StoreRevision,
         /// The long values that the sender holds.
         held_values: HeldValues,
-        /// Number of the poll. The receiver's state repeats it.
+        /// Number of the poll. The receiver repeats it in the [`MirrorMessage::State`] message that responds to the
+        /// poll.
         poll: u64,
     },
     /// Stops following: the sender needs no further changes.
--- a/crates/ebonyfork/src/gateway/mirror/transfer.rs
+++ b/crates/ebonyfork/src/gateway/mirror/transfer.rs
@@ -57,18 +57,18 @@
 
     /// Returns the next chunk, or none if the window is full or everything was sent.
     pub fn next_chunk(&mut self) -> Option<TransferChunk> {
-        let end = (self.sent_bytes + CHUNK_BYTES).min(self.content.len());
-        let fits_window = end <= self.acked_bytes + WINDOW_BYTES;
-        if self.sent_bytes == end || !fits_window {
+        let chunk_end = (self.sent_bytes + CHUNK_BYTES).min(self.content.len());
+        let fits_window = chunk_end <= self.acked_bytes + WINDOW_BYTES;
+        if self.sent_bytes == chunk_end || !fits_window {
             return None;
         }
-        let bytes = self.content.slice(self.sent_bytes..end);
-        let offset = std::mem::replace(&mut self.sent_bytes, end);
+        let bytes = self.content.slice(self.sent_bytes..chunk_end);
+        let offset = std::mem::replace(&mut self.sent_bytes, chunk_end);
         Some(TransferChunk { offset, bytes })
     }
 
     /// Records how many bytes of the message the receiver has acknowledged so far; returns whether that is all of it.
-    pub fn note_acked(&mut self, acked_bytes: usize, now: Instant) -> bool {
+    pub fn note_acked_bytes(&mut self, acked_bytes: usize, now: Instant) -> bool {
         if acked_bytes > self.acked_bytes && acked_bytes <= self.sent_bytes {
             self.acked_bytes = acked_bytes;
             self.progress_at = now;
--- a/crates/ebonyfork/src/gateway/route_check/state.rs
+++ b/crates/ebonyfork/src/gateway/route_check/state.rs
@@ -31,10 +31,11 @@
     CheckWith {
         /// The newest version that another VM has in force.
         newest_version: ConfigVersion,
-        /// A VM that has it in force.
+        /// A VM that has the newest version in force.
         vm: VmAddress,
     },
-    /// Another VM had a newer version in force, but no VM to check with is known.
+    /// Another VM was known to have a newer version in force, but no live VM is known that has it, so the route can't
+    /// be compared.
     Unknown,
 }
 
@@ -43,15 +44,16 @@
 pub struct RouteChecks {
     /// The newest version that another VM has in force.
     newest_version: Cell<ConfigVersion>,
-    /// This VM's version in force while another VM has a newer one, and since when that has been so.
+    /// The version in force on this VM, and since when another VM has had a newer one in force; none if no other VM
+    /// has.
     behind_since: Cell<Option<(ConfigVersion, Instant)>>,
-    /// The VMs that have the newest version in force; only those in this VM's zone if there are any.
+    /// The VMs that have the newest version in force; only those in this VM's zone if any of them are in it.
     holders: RefCell<SmallVec<[VmAddress; 8]>>,
     /// Routes that are the same in another VM's version as in this VM's own, each with that other version.
     matching_routes: RefCell<FxHashMap<RouteName, ConfigVersion>>,
     /// Requests without a response, by number, each with the sender that wakes its check.
     pending_requests: RefCell<FxHashMap<u64, oneshot::Sender<RouteState>>>,
-    /// Number of the next request.
+    /// Number that the next request gets.
     next_number: Cell<u64>,
     /// The version that this VM announces to others.
     announced_version: watch::Sender<ConfigVersion>,
@@ -60,9 +62,9 @@
 impl RouteChecks {
     /// Sets the version to announce to other VMs, unless a newer one is announced already.
     pub fn announce_version(&self, version: ConfigVersion) {
-        self.announced_version.send_if_modified(|announced| {
-            let is_newer = version > *announced;
-            *announced = version.max(*announced);
+        self.announced_version.send_if_modified(|newest_announced| {
+            let is_newer = version > *newest_announced;
+            *newest_announced = version.max(*newest_announced);
             is_newer
         });
     }
@@ -176,7 +178,7 @@
 
     /// Returns the number of requests without a response.
     #[cfg(test)]
-    pub(super) fn pending_requests(&self) -> usize {
+    pub(super) fn pending_request_count(&self) -> usize {
         self.pending_requests.borrow().len()
     }
 
--- a/crates/ebonyfork/src/quarantine/handle.rs
+++ b/crates/ebonyfork/src/quarantine/handle.rs
@@ -45,7 +45,7 @@
     state: Mutex<QuarantineState>,
     /// Whether the table has no records. In this usual case requests are admitted without taking the lock.
     table_is_empty: AtomicBool,
-    /// Signals that notices may be queued.
+    /// Wakes the task that waits in [`QuarantineHandle::wait_for_notices`].
     notices_ready: Notify,
     metrics: QuarantineMetrics,
 }
@@ -63,10 +63,10 @@
 struct QuarantineMetrics {
     losses: Counter,
     refusals: Counter,
-    suspected: Counter,
-    quarantined: Counter,
-    cleared: Counter,
-    lifted: Counter,
+    suspected_requests: Counter,
+    quarantined_requests: Counter,
+    cleared_requests: Counter,
+    lifted_quarantines: Counter,
     entries: Gauge,
 }
 
@@ -117,7 +117,7 @@
                 self.shared.metrics.refusals.inc();
             }
         }
-        state.remove_outdated_if_due(now);
+        state.remove_outdated_records_if_due(now);
         self.finish_update(state, &[]);
         if quarantine_status == QuarantineStatus::Quarantined {
             log::info!(target: "ebonyfork::decision", "quarantine refuse request={fingerprint}");
@@ -126,16 +126,17 @@
     }
 
     /// Reports the loss of an upstream with these requests in flight. Prefer [`Self::report_loss_at`] if the times of
-    /// sending are known. This function assumes that each request was sent when it was last admitted here as a suspect,
-    /// or else before any loss.
-    pub fn report_loss(&self, upstream: UpstreamAddress, in_flight: &[RequestFingerprint]) {
+    /// sending are known. This function assumes that a request was sent when this process last admitted it as a
+    /// suspect. A request without a stored admission is taken to have been sent before any loss.
+    pub fn report_loss(&self, upstream: UpstreamAddress, fingerprints: &[RequestFingerprint]) {
         let now = self.now();
-        let mut lost_requests = Vec::with_capacity(in_flight.len());
+        let mut lost_requests = Vec::with_capacity(fingerprints.len());
         let state = self.lock();
-        for fingerprint in in_flight {
+        for fingerprint in fingerprints {
             let last_admission = state.last_admissions.get(fingerprint);
-            let flight = last_admission.map_or(now, |admitted_at| now.saturating_sub(*admitted_at));
-            lost_requests.push(LostRequest::new(*fingerprint, flight));
+            let time_in_flight =
+                last_admission.map_or(now, |admitted_at| now.saturating_sub(*admitted_at));
+            lost_requests.push(LostRequest::new(*fingerprint, time_in_flight));
         }
         drop(state);
         self.report_loss_at(upstream, &lost_requests, Duration::ZERO);
@@ -159,15 +160,15 @@
         self.finish_update(state, &decisions);
     }
 
-    /// Reports that an attempt sent `flight` ago was answered, which clears the request of earlier losses. Takes no
-    /// lock while the table has no records.
-    pub fn report_answer(&self, fingerprint: RequestFingerprint, flight: Duration) {
+    /// Reports that an attempt sent `time_in_flight` ago was answered, which clears the request of earlier losses.
+    /// Takes no lock while the table has no records.
+    pub fn report_answer(&self, fingerprint: RequestFingerprint, time_in_flight: Duration) {
         if self.shared.table_is_empty.load(Ordering::Acquire) {
             return;
         }
         let now = self.now();
         let mut state = self.lock();
-        let decisions = state.table.report_answer(fingerprint, flight, now);
+        let decisions = state.table.report_answer(fingerprint, time_in_flight, now);
         self.finish_update(state, &decisions);
     }
 
@@ -178,7 +179,7 @@
         let mut state = self.lock();
         let is_lifted = state.table.lift(fingerprint, now);
         if is_lifted {
-            self.shared.metrics.lifted.inc();
+            self.shared.metrics.lifted_quarantines.inc();
             log::info!(target: "ebonyfork::decision", "quarantine lift request={fingerprint}");
         }
         self.finish_update(state, &[]);
@@ -195,7 +196,7 @@
     pub fn take_notices(&self) -> Vec<QuarantineNotice> {
         let now = self.now();
         let mut state = self.lock();
-        state.table.remove_outdated(now);
+        state.table.remove_outdated_records(now);
         let entries = state.table.entries(now).len();
         self.shared.metrics.entries.set(entries as i64);
         let notices = state.table.take_notices(now);
@@ -237,18 +238,22 @@
             (
                 "suspected",
                 "Requests that became suspects",
-                &metrics.suspected,
+                &metrics.suspected_requests,
             ),
             (
                 "quarantined",
                 "Requests that were quarantined",
-                &metrics.quarantined,
+                &metrics.quarantined_requests,
+            ),
+            (
+                "cleared",
+                "Requests that were cleared",
+                &metrics.cleared_requests,
             ),
-            ("cleared", "Requests that were cleared", &metrics.cleared),
             (
                 "lifted",
                 "Quarantines lifted by operators here",
-                &metrics.lifted,
+                &metrics.lifted_quarantines,
             ),
         ];
         for (name, help, counter) in counters {
@@ -290,10 +295,10 @@
 }
 
 impl QuarantineState {
-    fn remove_outdated_if_due(&mut self, now: Duration) {
+    fn remove_outdated_records_if_due(&mut self, now: Duration) {
         if now > self.last_removal_at + REMOVAL_INTERVAL {
             self.last_removal_at = now;
-            self.table.remove_outdated(now);
+            self.table.remove_outdated_records(now);
         }
     }
 
@@ -308,9 +313,9 @@
 impl QuarantineMetrics {
     fn count(&self, decision: &QuarantineDecision) {
         let counter = match decision {
-            QuarantineDecision::Suspect(_) => &self.suspected,
-            QuarantineDecision::Quarantine { .. } => &self.quarantined,
-            QuarantineDecision::Clear(_) => &self.cleared,
+            QuarantineDecision::Suspect(_) => &self.suspected_requests,
+            QuarantineDecision::Quarantine { .. } => &self.quarantined_requests,
+            QuarantineDecision::Clear(_) => &self.cleared_requests,
         };
         counter.inc();
     }
--- a/crates/ebonyfork/src/quarantine/record.rs
+++ b/crates/ebonyfork/src/quarantine/record.rs
@@ -23,13 +23,13 @@
     pub(super) upstream: UpstreamAddress,
     /// When the upstream was lost; too recent by up to [`MAX_NOTICE_DELAY`] if another VM observed the loss.
     pub(super) lost_at: Duration,
-    /// When the request was sent to that upstream; known only for losses that this process observed.
+    /// When the request was sent to that upstream; none if another VM observed the loss.
     pub(super) sent_at: Option<Duration>,
 }
 
-/// The quarantine of a request, which may have expired.
+/// The last quarantine of a request. It is in force until `expires_at`.
 #[derive(Debug, Clone)]
-pub(super) struct ActiveQuarantine {
+pub(super) struct QuarantineRecord {
     pub(super) id: NoticeId,
     pub(super) lost_upstreams: SmallVec<[UpstreamAddress; 2]>,
     pub(super) ambiguous: bool,
@@ -39,7 +39,7 @@
     pub(super) expires_at: Duration,
 }
 
-/// What one process knows about a request.
+/// The losses, quarantine and lift of a request that one process knows of.
 #[derive(Debug, Default)]
 pub(super) struct RequestRecord {
     /// Losses that count against the request until they are older than [`SUSPICION_WINDOW`].
@@ -47,8 +47,8 @@
     /// Losses that no longer count because a later attempt was answered. They are kept because notices of them may
     /// still arrive.
     pub(super) cleared_losses: SmallVec<[NoticeId; 2]>,
-    pub(super) quarantine: Option<ActiveQuarantine>,
-    /// When an operator last lifted the quarantine or suspicion of the request.
+    pub(super) quarantine: Option<QuarantineRecord>,
+    /// When an operator last lifted the quarantine or suspicion of the request; none if no operator has.
     pub(super) lifted_at: Option<Duration>,
     /// When the record last changed, which decides the order of eviction.
     pub(super) changed_at: Duration,
@@ -69,7 +69,7 @@
     }
 }
 
-impl ActiveQuarantine {
+impl QuarantineRecord {
     pub(super) fn notice(
         &self,
         fingerprint: RequestFingerprint,
@@ -99,7 +99,7 @@
     }
 
     /// Returns the quarantine of the request if there is one that has not expired at `now`.
-    pub(super) fn quarantine_at(&self, now: Duration) -> Option<&ActiveQuarantine> {
+    pub(super) fn quarantine_at(&self, now: Duration) -> Option<&QuarantineRecord> {
         let quarantine = self.quarantine.as_ref();
         quarantine.filter(|quarantine| quarantine.expires_at > now)
     }
@@ -116,7 +116,7 @@
     }
 
     /// Returns whether an attempt that this process sent after one loss has lost its upstream as well.
-    pub(super) fn is_repeated(&self, now: Duration) -> bool {
+    pub(super) fn has_repeated_loss(&self, now: Duration) -> bool {
         for later_loss in self.recent_losses(now) {
             let Some(sent_at) = later_loss.sent_at else {
                 continue;
@@ -146,7 +146,7 @@
 
     /// Extends the quarantine if at least a tenth of its term has passed, and returns the notice of the extension. An
     /// ambiguous quarantine is not extended.
-    pub(super) fn extend(
+    pub(super) fn extend_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
         now: Duration,
@@ -162,7 +162,7 @@
     }
 
     /// Stops counting the losses that happened before `sent_at` against the request, and returns their ids.
-    pub(super) fn clear_before(&mut self, sent_at: Duration) -> SmallVec<[NoticeId; 2]> {
+    pub(super) fn clear_losses_before(&mut self, sent_at: Duration) -> SmallVec<[NoticeId; 2]> {
         let mut losses = SmallVec::new();
         for loss in &self.losses {
             if loss.lost_at < sent_at {
--- a/crates/ebonyfork/src/quarantine/table.rs
+++ b/crates/ebonyfork/src/quarantine/table.rs
@@ -21,7 +21,7 @@
 };
 use crate::quarantine::notice::{NoticeId, QuarantineNotice};
 use crate::quarantine::record::{
-    ActiveQuarantine, LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, RequestRecord,
+    LOSS_LIMIT, LossRecord, MAX_NOTICE_DELAY, QuarantineRecord, RequestRecord,
 };
 
 /// How long a loss counts against the requests that were in flight at the lost upstream.
@@ -80,7 +80,7 @@
         };
         let quarantine_status = record.quarantine_status(now);
         if quarantine_status == QuarantineStatus::Quarantined
-            && let Some(notice) = record.extend(fingerprint, now)
+            && let Some(notice) = record.extend_quarantine(fingerprint, now)
         {
             self.queue_notice(notice, now);
         }
@@ -121,14 +121,14 @@
                 id,
                 upstream,
                 lost_at: now,
-                sent_at: Some(now.saturating_sub(request.flight)),
+                sent_at: Some(now.saturating_sub(request.time_in_flight)),
             };
             if !self.add_loss(fingerprint, loss, now, &mut decisions) {
                 continue;
             }
             self.queue_loss_notice(fingerprint, loss, now);
             let record = &self.records[&fingerprint];
-            let is_repeated_loss = request.after_loss || record.is_repeated(now);
+            let is_repeated_loss = request.after_loss || record.has_repeated_loss(now);
             if is_repeated_loss && !repeated_requests.contains(&fingerprint) {
                 repeated_requests.push(fingerprint);
             }
@@ -140,20 +140,20 @@
         decisions
     }
 
-    /// Handles the answer to an attempt that was sent `flight` ago: clears the request of the losses before the attempt
-    /// was sent, because the request did not cause them.
+    /// Handles the answer to an attempt that was sent `time_in_flight` ago: clears the request of the losses before the
+    /// attempt was sent, because the request did not cause them.
     pub fn report_answer(
         &mut self,
         fingerprint: RequestFingerprint,
-        flight: Duration,
+        time_in_flight: Duration,
         now: Duration,
     ) -> Vec<QuarantineDecision> {
         let mut decisions = Vec::new();
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return decisions;
         };
-        let sent_at = now.saturating_sub(flight);
-        let losses = record.clear_before(sent_at);
+        let sent_at = now.saturating_sub(time_in_flight);
+        let losses = record.clear_losses_before(sent_at);
         if losses.is_empty() {
             return decisions;
         }
@@ -221,7 +221,7 @@
         self.records.is_empty()
     }
 
-    /// Returns whether notices are queued.
+    /// Returns whether notices wait to be sent to other VMs.
     pub fn has_notices(&self) -> bool {
         !self.outgoing_notices.is_empty()
     }
@@ -276,7 +276,7 @@
                 remaining,
                 ..
             } => {
-                let quarantine = ActiveQuarantine {
+                let quarantine = QuarantineRecord {
                     id: *id,
                     lost_upstreams: lost_upstreams.clone(),
                     ambiguous: *ambiguous,
@@ -297,7 +297,7 @@
 
     /// Removes losses that no longer count, and records that have neither losses nor a quarantine and have not changed
     /// for so long that no notice of a loss before the change can still count.
-    pub fn remove_outdated(&mut self, now: Duration) {
+    pub fn remove_outdated_records(&mut self, now: Duration) {
         self.records.retain(|_fingerprint, record| {
             record
                 .losses
@@ -312,9 +312,9 @@
         NoticeId(self.rng.random())
     }
 
-    /// Records a loss against a request. Returns false and records nothing if the loss is already recorded, if an
-    /// answer has cleared the request of it, or if an operator lifted the quarantine or suspicion of the request after
-    /// it.
+    /// Records a loss against a request. Returns false and records nothing in three cases: the loss is already
+    /// recorded, an answer has cleared the request of the loss, or an operator lifted the quarantine or suspicion of
+    /// the request after the loss.
     fn add_loss(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -350,7 +350,7 @@
         if !self.add_loss(fingerprint, loss, now, decisions) {
             return false;
         }
-        if self.records[&fingerprint].is_repeated(now) {
+        if self.records[&fingerprint].has_repeated_loss(now) {
             self.quarantine(fingerprint, false, now, decisions);
         }
         true
@@ -379,11 +379,12 @@
     }
 
     /// Merges another VM's quarantine of a request, or the extension of one. Returns false if an operator has lifted
-    /// the quarantine, or if it does not expire noticeably later than the known one.
+    /// the quarantine. Also returns false if a quarantine of the request is known already and the merged one does not
+    /// expire noticeably later.
     fn merge_quarantine(
         &mut self,
         fingerprint: RequestFingerprint,
-        quarantine: ActiveQuarantine,
+        quarantine: QuarantineRecord,
         now: Duration,
         decisions: &mut Vec<QuarantineDecision>,
     ) -> bool {
@@ -453,7 +454,7 @@
                 lost_upstreams.push(loss.upstream);
             }
         }
-        let quarantine = ActiveQuarantine {
+        let quarantine = QuarantineRecord {
             id,
             lost_upstreams,
             ambiguous,
@@ -489,7 +490,7 @@
     /// Removes outdated records and, if that is not enough, an eighth of all: least recently changed first, quarantined
     /// requests last.
     fn evict_records(&mut self, now: Duration) {
-        self.remove_outdated(now);
+        self.remove_outdated_records(now);
         if self.records.len() < RECORD_LIMIT {
             return;
         }
--- a/crates/ebonyfork/src/relay/actor.rs
+++ b/crates/ebonyfork/src/relay/actor.rs
@@ -76,9 +76,9 @@
     /// Buffer for the actions being executed; empty between events and kept for its allocation.
     actions: Vec<RelayAction>,
     /// Whether a [`Tick`] is scheduled and was not handled yet.
-    tick_scheduled: bool,
+    is_tick_scheduled: bool,
     /// Number of attempts without an outcome, shared with the handle.
-    outstanding_attempts: Arc<AtomicUsize>,
+    outstanding_attempt_count: Arc<AtomicUsize>,
     metrics: RelayMetrics,
 }
 
@@ -112,7 +112,7 @@
 impl RelayActor {
     pub(super) fn new(
         settings: RelaySettings,
-        outstanding_attempts: Arc<AtomicUsize>,
+        outstanding_attempt_count: Arc<AtomicUsize>,
         metrics: RelayMetrics,
     ) -> Self {
         Self {
@@ -123,8 +123,8 @@
             connections: SecondaryMap::new(),
             cancellers: FxHashMap::default(),
             actions: Vec::new(),
-            tick_scheduled: false,
-            outstanding_attempts,
+            is_tick_scheduled: false,
+            outstanding_attempt_count,
             metrics,
         }
     }
@@ -191,7 +191,8 @@
             return;
         };
         self.pending_attempts[work] = Some(pending_attempt);
-        self.outstanding_attempts.fetch_add(1, Ordering::Relaxed);
+        self.outstanding_attempt_count
+            .fetch_add(1, Ordering::Relaxed);
         self.run_actions(address);
     }
 
@@ -234,7 +235,7 @@
         send_outcomes(link, outcome_batch);
     }
 
-    /// Executes the issued actions until there are none left, because some of them issue further ones.
+    /// Executes the issued actions, and then the further actions that these issue, until none are left.
     fn run_actions(&mut self, address: &WeakAddress<Self>) {
         loop {
             let mut actions = std::mem::take(&mut self.actions);
@@ -261,13 +262,13 @@
             RelayAction::Send {
                 connection, work, ..
             } => self.send_attempt(connection, work),
-            RelayAction::CancelSent { upstream, work } => self.cancel_sent(upstream, work),
+            RelayAction::CancelSent { upstream, work } => self.cancel_sent_attempt(upstream, work),
             RelayAction::Finish { work, verdict } => self.finish_attempt(work, verdict),
             RelayAction::ReportLoss(loss) => (self.settings.report_loss)(loss),
             RelayAction::ReportAnswer {
                 fingerprint,
-                flight,
-            } => (self.settings.report_answer)(fingerprint, flight),
+                time_in_flight,
+            } => (self.settings.report_answer)(fingerprint, time_in_flight),
             RelayAction::ReportLeaving(upstream) => (self.settings.report_leaving)(upstream),
         }
     }
@@ -280,7 +281,7 @@
     ) {
         let (sender, jobs) = mpsc::channel(1);
         self.connections[connection] = Some(sender);
-        self.metrics.count_opened();
+        self.metrics.count_opened_connection();
         let route = self.route_to(upstream);
         let address = address.clone();
         tokio::spawn(run_connection(route, jobs, async move |event| {
@@ -296,12 +297,13 @@
             return;
         };
         if pending_attempt.link.is_closed() {
-            self.state.refuse_unsent(now, work, RefusalReason::LinkDown);
+            self.state
+                .refuse_unsent_work(now, work, RefusalReason::LinkDown);
             return;
         }
         if (self.settings.refuses)(pending_attempt.batch.fingerprint) {
             self.state
-                .refuse_unsent(now, work, RefusalReason::Quarantined);
+                .refuse_unsent_work(now, work, RefusalReason::Quarantined);
             return;
         }
         let quarantine_status =
@@ -321,7 +323,8 @@
             remaining_ms,
         );
         let Some(request) = request else {
-            self.state.refuse_unsent(now, work, RefusalReason::NotReady);
+            self.state
+                .refuse_unsent_work(now, work, RefusalReason::NotReady);
             return;
         };
         let job = ConnectionJob {
@@ -331,7 +334,7 @@
         };
         let sender = self.connections[connection].as_ref();
         if sender.is_none_or(|sender| sender.try_send(job).is_err()) {
-            self.state.requeue_unsent(now, work);
+            self.state.requeue_unsent_work(now, work);
             return;
         }
         pending_attempt.sent_at = Some(Instant::now());
@@ -345,7 +348,7 @@
         }
     }
 
-    fn cancel_sent(&mut self, upstream: UpstreamId, work: WorkId) {
+    fn cancel_sent_attempt(&mut self, upstream: UpstreamId, work: WorkId) {
         let Some(pending_attempt) = &self.pending_attempts[work] else {
             return;
         };
@@ -363,7 +366,8 @@
         let Some(pending_attempt) = self.pending_attempts[work].take() else {
             return;
         };
-        self.outstanding_attempts.fetch_sub(1, Ordering::Relaxed);
+        self.outstanding_attempt_count
+            .fetch_sub(1, Ordering::Relaxed);
         self.metrics
             .count_verdict(&pending_attempt.batch.class, &verdict);
         decision::log_verdict(self.settings.vm, &pending_attempt, &verdict);
@@ -394,10 +398,10 @@
 
     /// Schedules the next [`Tick`] if none is scheduled and there is time-based work.
     fn schedule_tick(&mut self, address: &WeakAddress<Self>) {
-        if self.tick_scheduled || !self.state.needs_tick() {
+        if self.is_tick_scheduled || !self.state.needs_tick() {
             return;
         }
-        self.tick_scheduled = true;
+        self.is_tick_scheduled = true;
         let address = address.clone();
         tokio::spawn(async move {
             tokio::time::sleep(TICK_INTERVAL).await;
@@ -465,10 +469,12 @@
     type Return = ();
 
     async fn handle(&mut self, _tick: Tick, ctx: &mut Context<Self>) {
-        self.tick_scheduled = false;
+        self.is_tick_scheduled = false;
         self.state.tick(self.now());
-        self.metrics.set_occupancy(self.state.occupancy());
-        self.metrics.set_connections(self.state.connection_count());
+        self.metrics
+            .set_waiting_and_in_flight_counts(self.state.waiting_and_in_flight_counts());
+        self.metrics
+            .set_connection_count(self.state.connection_count());
         self.run_actions(&ctx.mailbox().address());
     }
 }
--- a/crates/ebonyfork/src/relay/limit.rs
+++ b/crates/ebonyfork/src/relay/limit.rs
@@ -4,10 +4,10 @@
 //! in flight is useful while it adds throughput: with free slots the service time does not change; with all n slots
 //! busy, it grows by the factor (n + 1) / n, because every attempt waits a little longer. The limit is therefore found
 //! by *trials*. While the limit is used up (the upstream is *saturated*), a trial alternates for a short time, in
-//! blocks, between two neighbouring limits, and a sequential test on the difference between the mean log service times
-//! decides whether the higher one found a free slot. Because the blocks are close in time, a slowdown or warm-up of the
-//! whole upstream affects both limits and decides nothing; because of the logarithm and the clamping, neither do single
-//! stragglers.
+//! blocks, between two neighbouring limits. A sequential test on the difference between the mean log service times
+//! decides whether the upstream had a free slot for the additional attempt of the higher limit. Because the blocks are
+//! close in time, a slowdown or warm-up of the whole upstream affects both limits and decides nothing; because of the
+//! logarithm and the clamping, neither do single stragglers.
 //!
 //! A trial exceeds the limit by one attempt, for as few answers as the noise allows. Between trials the limit does not
 //! move unless the upstream sheds an attempt or is lost, and the pause between trials grows while they confirm the
@@ -35,7 +35,7 @@
 const MIN_PAUSE_LIMIT: Duration = Duration::from_secs(2);
 /// Number of upward trials that must have ended with the lower limit before a limit that did not grow is compared with
 /// one less. Downward trials cost throughput, so they are rare.
-const REJECTIONS_PER_DOWN_TRIAL: u32 = 8;
+const REJECTED_UP_TRIALS_BEFORE_DOWN_TRIAL: u32 = 8;
 /// Time after which a trial is aborted if it has received no answer to an attempt that used up the limit.
 const TRIAL_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -94,14 +94,14 @@
     epoch: LimitEpoch,
     /// The epoch of the attempts whose answers count. `epoch` moves past it once a block of a trial is full.
     sampled_epoch: LimitEpoch,
-    /// The running trial.
+    /// The running trial; `None` between trials.
     trial: Option<LimitTrial>,
     /// Direction of the running or the next trial.
     direction: TrialDirection,
     /// Whether the limit has grown, or was reset, since a downward trial last confirmed it.
-    growth_unverified: bool,
+    has_unverified_growth: bool,
     /// Number of upward trials that ended with the lower limit since a downward trial last confirmed the limit.
-    rejected_up_trials: u32,
+    rejected_up_trial_count: u32,
     /// Earliest time of the next trial.
     next_trial_at: Duration,
     /// Length of the next pause, unless the duration of the trial before it requires a longer one.
@@ -124,8 +124,8 @@
             sampled_epoch: LimitEpoch::default(),
             trial: None,
             direction: TrialDirection::Up,
-            growth_unverified: true,
-            rejected_up_trials: 0,
+            has_unverified_growth: true,
+            rejected_up_trial_count: 0,
             next_trial_at: Duration::ZERO,
             next_pause: INITIAL_PAUSE,
             trial_started_at: Duration::ZERO,
@@ -170,15 +170,15 @@
         }
         let is_saturated = self.is_saturated(sample.epoch, sample.in_flight);
         if self.trial.is_some() {
-            self.record_in_trial(now, sample, is_saturated);
+            self.record_trial_sample(now, sample, is_saturated);
         } else if is_saturated && now >= self.next_trial_at {
             self.start_trial(now, sample.has_backlog);
         }
     }
 
-    /// Records that an attempt was sent and that `in_flight` attempts are now in flight.
-    pub fn record_sent(&mut self, in_flight: u32) {
-        let is_saturated = self.is_saturated(self.epoch, in_flight);
+    /// Records that an attempt was sent and that `attempts_in_flight` attempts are now in flight.
+    pub fn record_sent(&mut self, attempts_in_flight: u32) {
+        let is_saturated = self.is_saturated(self.epoch, attempts_in_flight);
         let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) else {
             return;
         };
@@ -188,9 +188,9 @@
         }
     }
 
-    /// Records that an attempt ended without rows; it was sent in `epoch` with `in_flight` attempts in flight.
-    pub fn record_lost(&mut self, epoch: LimitEpoch, in_flight: u32) {
-        let is_saturated = self.is_saturated(epoch, in_flight);
+    /// Records that an attempt ended without rows; it was sent in `epoch` with `attempts_in_flight` attempts in flight.
+    pub fn record_lost(&mut self, epoch: LimitEpoch, attempts_in_flight: u32) {
+        let is_saturated = self.is_saturated(epoch, attempts_in_flight);
         if let Some(trial) = self.trial.as_mut().filter(|_| is_saturated) {
             trial.record_lost();
             self.epoch = self.sampled_epoch;
@@ -198,15 +198,16 @@
     }
 
     /// Returns whether an attempt used up the limit: it was sent in the epoch whose answers count, as the last attempt
-    /// that the limit, or during a trial the limit of the current block, admitted. `in_flight` is the number of
-    /// attempts in flight after it was sent. Only such attempts count in a trial, because the others say nothing about
-    /// the limit.
-    fn is_saturated(&self, epoch: LimitEpoch, in_flight: u32) -> bool {
+    /// that the limit, or during a trial the limit of the current block, admitted. `attempts_in_flight` is the number
+    /// of attempts in flight after it was sent. Only such attempts count in a trial, because the others say nothing
+    /// about the limit.
+    fn is_saturated(&self, epoch: LimitEpoch, attempts_in_flight: u32) -> bool {
         let block_limit = self
             .trial
             .as_ref()
             .map_or(self.limit, LimitTrial::block_limit);
-        epoch == self.sampled_epoch && in_flight == u32::min(block_limit, self.connection_share)
+        epoch == self.sampled_epoch
+            && attempts_in_flight == u32::min(block_limit, self.connection_share)
     }
 
     /// Records that the upstream shed an attempt sent in `epoch`: ends the running trial, if any, and lowers the limit
@@ -231,7 +232,7 @@
     pub fn restart(&mut self, now: Duration) {
         self.limit = RESTART_LIMIT;
         self.direction = TrialDirection::Up;
-        self.growth_unverified = true;
+        self.has_unverified_growth = true;
         self.next_pause = INITIAL_PAUSE;
         self.end_trial(now);
     }
@@ -255,7 +256,7 @@
 
     /// Passes a sample to the running trial if it comes from an attempt that used up the limit, and ends the trial if
     /// it is decided or has timed out.
-    fn record_in_trial(&mut self, now: Duration, sample: LimitSample, is_saturated: bool) {
+    fn record_trial_sample(&mut self, now: Duration, sample: LimitSample, is_saturated: bool) {
         if now > self.last_sample_at + TRIAL_TIMEOUT {
             self.pause_trials(now);
             return;
@@ -282,20 +283,20 @@
         self.limit = accepted_limit;
         match self.direction {
             TrialDirection::Up if is_confirmed => {
-                self.rejected_up_trials += 1;
-                let is_verified =
-                    !self.growth_unverified && self.rejected_up_trials < REJECTIONS_PER_DOWN_TRIAL;
+                self.rejected_up_trial_count += 1;
+                let is_verified = !self.has_unverified_growth
+                    && self.rejected_up_trial_count < REJECTED_UP_TRIALS_BEFORE_DOWN_TRIAL;
                 if self.limit == 1 || is_verified {
                     self.pause_trials(now);
                     return;
                 }
                 self.direction = TrialDirection::Down;
             }
-            TrialDirection::Up => self.growth_unverified = true,
+            TrialDirection::Up => self.has_unverified_growth = true,
             TrialDirection::Down if is_confirmed => {
                 self.direction = TrialDirection::Up;
-                self.growth_unverified = false;
-                self.rejected_up_trials = 0;
+                self.has_unverified_growth = false;
+                self.rejected_up_trial_count = 0;
                 self.pause_trials(now);
                 return;
             }
--- a/crates/ebonyfork/src/relay/queue.rs
+++ b/crates/ebonyfork/src/relay/queue.rs
@@ -3,10 +3,10 @@
 //! Each organisation has a lane: a heap ordered by the latest time at which an attempt should start in order to be
 //! answered before its deadline, assuming [`START_MARGIN`] times its usual service time. A lane's *virtual time*
 //! advances by the expected cost of each attempt taken from it. A lane that was empty resumes at the queue's virtual
-//! time, or at its own if that is later: an organisation is neither credited nor charged for the time that it was idle,
-//! and is then served promptly however long another's backlog is. Among the lanes within [`FAIR_QUANTUM`] of the lane
-//! with the least virtual time, the attempt with the least slack goes first. Urgency therefore decides as long as no
-//! organisation is ahead of its share.
+//! time, or at its own if that is later. An organisation is thus neither credited nor charged for the time that it was
+//! idle, and its next attempts are sent promptly, however long the backlog of another organisation is. Among the lanes
+//! within [`FAIR_QUANTUM`] of the lane with the least virtual time, the attempt with the least slack goes first.
+//! Urgency therefore decides as long as no organisation is ahead of its share.
 //!
 //! Under overload, least slack first alone collapses: if attempts with almost no slack were still sent, every slot
 //! would work on attempts that just miss their deadlines. An attempt past its latest start is therefore dropped at once
@@ -26,12 +26,13 @@
 pub const QUEUE_LIMIT: usize = 1_024;
 /// Maximum number of attempts of one organisation waiting for one upstream.
 pub const ORGANISATION_LIMIT: usize = QUEUE_LIMIT / 2;
-/// Maximum lead of a lane's virtual time over that of the lane furthest behind, in attempts of mean cost, with which
-/// its attempts are still sent in the order of their slack. Beyond it they wait, however urgent they are.
+/// Maximum lead of a lane's virtual time over the least virtual time of the lanes that may send, as a multiple of the
+/// mean cost of an attempt. Lanes within this lead send their attempts in the order of slack. The attempts of a lane
+/// that is further ahead wait, however urgent they are.
 pub const FAIR_QUANTUM: u64 = 4;
 /// Number of usual service times that an attempt should have left before its deadline when it is sent.
 pub const START_MARGIN: u64 = 2;
-/// Number of idle lanes from which on an idle lane is reused for another organisation.
+/// An idle lane is reused for another organisation only while at least this many lanes are idle.
 const IDLE_LANE_LIMIT: usize = 64;
 
 /// A waiting attempt.
@@ -49,7 +50,7 @@
     pub cost: Duration,
 }
 
-/// Result of pushing an attempt.
+/// Whether an attempt had to be removed from the queue when one was pushed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PushResult {
     /// The attempt was queued and none was removed.
@@ -127,7 +128,7 @@
     slots: SecondaryMap<WorkId, QueueSlot>,
     /// Number of waiting attempts.
     length: usize,
-    /// Number of attempts ever pushed.
+    /// Number of attempts pushed so far, which numbers the arrivals.
     arrival_count: u64,
     /// Greatest virtual time that a lane had when an attempt was taken from it, in microseconds.
     virtual_time: u64,
@@ -157,7 +158,7 @@
         self.length
     }
 
-    /// Returns whether no attempt waits.
+    /// Returns whether the queue holds no attempts.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
@@ -239,11 +240,11 @@
 
     /// Moves every attempt whose deadline has passed to `expired_work`. If lanes
     /// are ordered by slack, expired attempts that are not at the head of their lane may remain.
-    pub fn drop_expired(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
+    pub fn drop_expired_work(&mut self, now: Duration, expired_work: &mut Vec<WorkId>) {
         let mut index = 0;
         while index < self.active_lanes.len() {
             let lane = self.active_lanes[index];
-            self.drop_expired_in(lane, now, expired_work);
+            self.drop_expired_work_in_lane(lane, now, expired_work);
             if !self.lanes[lane].heap.is_empty() {
                 index += 1;
             }
@@ -261,7 +262,12 @@
 
     /// Drops the expired attempts of one lane. In a heap ordered by slack they are nearly always at the head, so only
     /// the head is checked; in order of arrival they may be anywhere.
-    fn drop_expired_in(&mut self, lane: LaneId, now: Duration, expired_work: &mut Vec<WorkId>) {
+    fn drop_expired_work_in_lane(
+        &mut self,
+        lane: LaneId,
+        now: Duration,
+        expired_work: &mut Vec<WorkId>,
+    ) {
         match self.order {
             QueueOrder::Slack => {
                 while let Some(head) = self.lanes[lane].heap.first().copied()
@@ -294,8 +300,8 @@
         }
     }
 
-    /// Returns the lane of an organisation, creating it if needed. In order of arrival all organisations share one
-    /// lane.
+    /// Returns the lane of an organisation, creating it if needed. With [`QueueOrder::Arrival`], all organisations
+    /// share a single lane.
     fn lane_for(&mut self, organisation: OrganisationId) -> LaneId {
         let organisation = match self.order {
             QueueOrder::Slack => organisation,
--- a/crates/ebonyfork/src/relay/state.rs
+++ b/crates/ebonyfork/src/relay/state.rs
@@ -47,7 +47,7 @@
 /// What an upstream reports about itself on a new connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OpenStatus {
-    /// The upstream accepts attempts.
+    /// The upstream does not say that it is leaving.
     Ready,
     /// The answer carries the draining header: the upstream is leaving.
     Draining,
@@ -87,7 +87,7 @@
     pub(super) config: &'a DeclaredConfig,
 }
 
-/// The decision state of one relay.
+/// The upstreams, attempts and interned names of one relay, on which it bases its decisions.
 #[derive(Debug)]
 pub(super) struct RelayState {
     vm: VmAddress,
@@ -97,10 +97,10 @@
     free_upstream_ids: Vec<UpstreamId>,
     upstreams_by_address: FxHashMap<UpstreamAddress, UpstreamId>,
     work_by_key: FxHashMap<AttemptKey, WorkId>,
-    /// Reverse of `work_by_key`.
+    /// Key of each attempt that is held; the inverse of `work_by_key`.
     keys_by_work: FxHashMap<WorkId, AttemptKey>,
-    organisations: FxHashMap<OrganisationName, OrganisationId>,
-    classes: FxHashMap<ClassName, ClassId>,
+    organisation_ids: FxHashMap<OrganisationName, OrganisationId>,
+    class_ids: FxHashMap<ClassName, ClassId>,
     tables: RelayTables,
 }
 
@@ -114,28 +114,28 @@
             upstreams_by_address: FxHashMap::default(),
             work_by_key: FxHashMap::default(),
             keys_by_work: FxHashMap::default(),
-            organisations: FxHashMap::default(),
-            classes: FxHashMap::default(),
+            organisation_ids: FxHashMap::default(),
+            class_ids: FxHashMap::default(),
             tables: RelayTables::default(),
         }
     }
 
     pub(super) fn intern_organisation(&mut self, name: &OrganisationName) -> OrganisationId {
-        if let Some(organisation) = self.organisations.get(name) {
+        if let Some(organisation) = self.organisation_ids.get(name) {
             return *organisation;
         }
-        let organisation = OrganisationId::from_u32(self.organisations.len() as u32);
-        self.organisations.insert(name.clone(), organisation);
+        let organisation = OrganisationId::from_u32(self.organisation_ids.len() as u32);
+        self.organisation_ids.insert(name.clone(), organisation);
         organisation
     }
 
     pub(super) fn intern_class(&mut self, name: &ClassName, config: &DeclaredConfig) -> ClassId {
-        if let Some(class) = self.classes.get(name) {
+        if let Some(class) = self.class_ids.get(name) {
             return *class;
         }
-        let class = ClassId::from_u32(self.classes.len() as u32);
+        let class = ClassId::from_u32(self.class_ids.len() as u32);
         self.tables.latency_targets[class] = latency_target(config, name);
-        self.classes.insert(name.clone(), class);
+        self.class_ids.insert(name.clone(), class);
         class
     }
 
@@ -163,7 +163,7 @@
         self.work_by_key.insert(request.key, work);
         self.keys_by_work.insert(work, request.key);
         self.upstreams[upstream].submit(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
         Some(work)
     }
 
@@ -174,16 +174,21 @@
             return;
         };
         self.upstreams[item.upstream].cancel(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Refuses an attempt for which a [`RelayAction::Send`] was issued but which was not handed to its connection.
-    pub(super) fn refuse_unsent(&mut self, now: Duration, work: WorkId, reason: RefusalReason) {
+    pub(super) fn refuse_unsent_work(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        reason: RefusalReason,
+    ) {
         let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[item.upstream].refuse_unsent(now, work, reason, &mut self.tables);
-        self.forget_released();
+        self.upstreams[item.upstream].refuse_unsent_work(now, work, reason, &mut self.tables);
+        self.forget_released_work();
     }
 
     /// Requeues an attempt for which a [`RelayAction::Send`] was issued, as one of a suspected request.
@@ -192,7 +197,7 @@
             return;
         };
         self.upstreams[item.upstream].isolate(now, work, &mut self.tables);
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Returns whether an attempt belongs to a suspected request and is sent only while nothing else is in flight at
@@ -203,12 +208,12 @@
     }
 
     /// Requeues an attempt for which a [`RelayAction::Send`] was issued but whose connection was gone.
-    pub(super) fn requeue_unsent(&mut self, now: Duration, work: WorkId) {
+    pub(super) fn requeue_unsent_work(&mut self, now: Duration, work: WorkId) {
         let Some(item) = self.tables.item(work) else {
             return;
         };
-        self.upstreams[item.upstream].requeue_unsent(now, work, &mut self.tables);
-        self.forget_released();
+        self.upstreams[item.upstream].requeue_unsent_work(now, work, &mut self.tables);
+        self.forget_released_work();
     }
 
     pub(super) fn handle_connection_event(
@@ -224,7 +229,7 @@
         match event {
             ConnectionEvent::Opened { status } => state.on_opened(now, connection, status, tables),
             ConnectionEvent::OpenFailed => state.on_open_failed(now, connection, tables),
-            ConnectionEvent::Unsent { work } => state.requeue_unsent(now, work, tables),
+            ConnectionEvent::Unsent { work } => state.requeue_unsent_work(now, work, tables),
             ConnectionEvent::Overdue { work } => state.on_overdue(work, tables),
             ConnectionEvent::Answered { work, answer } => {
                 state.on_answer(now, work, answer, tables);
@@ -233,14 +238,14 @@
             ConnectionEvent::Dropped { work } => state.on_dropped(now, connection, work, tables),
             ConnectionEvent::Closed => state.on_closed(now, connection, tables),
         }
-        self.forget_released();
+        self.forget_released_work();
     }
 
     pub(super) fn tick(&mut self, now: Duration) {
         for state in self.upstreams.values_mut() {
             state.tick(now, &mut self.tables);
         }
-        self.forget_released();
+        self.forget_released_work();
     }
 
     pub(super) fn needs_tick(&self) -> bool {
@@ -250,7 +255,7 @@
     /// Applies changed views. An upstream that is no longer listed is removed once it has no attempts and no
     /// connections.
     pub(super) fn apply_views(&mut self, now: Duration, views: ViewPair<'_>) {
-        for (name, class) in &self.classes {
+        for (name, class) in &self.class_ids {
             self.tables.latency_targets[*class] = latency_target(views.config, name);
         }
         let (upstreams, tables) = (&mut self.upstreams, &mut self.tables);
@@ -265,7 +270,7 @@
             }
             is_kept
         });
-        self.forget_released();
+        self.forget_released_work();
     }
 
     /// Returns the address of an upstream.
@@ -299,12 +304,12 @@
     }
 
     /// Returns the number of waiting attempts and the number of attempts in flight, summed over all upstreams.
-    pub(super) fn occupancy(&self) -> (usize, usize) {
+    pub(super) fn waiting_and_in_flight_counts(&self) -> (usize, usize) {
         let states = self.upstreams.values();
-        states.fold((0, 0), |(waiting_count, in_flight), state| {
+        states.fold((0, 0), |(waiting_count, attempts_in_flight), state| {
             (
                 waiting_count + state.waiting_count(),
-                in_flight + state.in_flight(),
+                attempts_in_flight + state.attempts_in_flight(),
             )
         })
     }
@@ -337,7 +342,7 @@
         upstream
     }
 
-    fn forget_released(&mut self) {
+    fn forget_released_work(&mut self) {
         for work in self.tables.released_work.drain(..) {
             if let Some(key) = self.keys_by_work.remove(&work) {
                 self.work_by_key.remove(&key);
--- a/crates/ebonyfork/src/relay/state_tests.rs
+++ b/crates/ebonyfork/src/relay/state_tests.rs
@@ -35,12 +35,12 @@
     /// Connections that the relay has asked to close.
     closing_connections: Vec<ConnectionId>,
     /// Number of connections that were opened and have not ended.
-    open_count: usize,
-    cancel_count: usize,
+    open_connection_count: usize,
+    cancellation_count: usize,
     losses: Vec<UpstreamLoss>,
     /// Requests whose answers the relay has reported to the quarantine.
-    answers: Vec<RequestFingerprint>,
-    submitted_count: u64,
+    answer_reports: Vec<RequestFingerprint>,
+    submitted_attempt_count: u64,
 }
 
 fn upstream() -> UpstreamAddress {
@@ -67,7 +67,7 @@
     TopologyView::new([own_vm], [upstream])
 }
 
-fn rows() -> ShardVerdict {
+fn rows_verdict() -> ShardVerdict {
     ShardVerdict::Rows {
         version: SnapshotVersion(1),
         body: Bytes::from_static(b"{\"rows\":[]}"),
@@ -99,11 +99,11 @@
             opening_connections: Vec::new(),
             busy_connections: Vec::new(),
             closing_connections: Vec::new(),
-            open_count: 0,
-            cancel_count: 0,
+            open_connection_count: 0,
+            cancellation_count: 0,
             losses: Vec::new(),
-            answers: Vec::new(),
-            submitted_count: 0,
+            answer_reports: Vec::new(),
+            submitted_attempt_count: 0,
         }
     }
 
@@ -117,12 +117,17 @@
     }
 
     fn submit(&mut self, organisation: u32, remaining_ms: u64) -> u64 {
-        self.submit_as(organisation, remaining_ms, WorkSuspicion::Clear)
+        self.submit_with_suspicion(organisation, remaining_ms, WorkSuspicion::Clear)
     }
 
-    fn submit_as(&mut self, organisation: u32, remaining_ms: u64, suspicion: WorkSuspicion) -> u64 {
-        let query = self.submitted_count;
-        self.submitted_count += 1;
+    fn submit_with_suspicion(
+        &mut self,
+        organisation: u32,
+        remaining_ms: u64,
+        suspicion: WorkSuspicion,
+    ) -> u64 {
+        let query = self.submitted_attempt_count;
+        self.submitted_attempt_count += 1;
         let request = WorkRequest {
             key: Self::key(query),
             upstream: upstream(),
@@ -149,10 +154,10 @@
 
     fn report_event(&mut self, connection: ConnectionId, event: ConnectionEvent) {
         match event {
-            ConnectionEvent::Opened { .. } => self.open_count += 1,
+            ConnectionEvent::Opened { .. } => self.open_connection_count += 1,
             ConnectionEvent::Broken { .. }
             | ConnectionEvent::Dropped { .. }
-            | ConnectionEvent::Closed => self.open_count -= 1,
+            | ConnectionEvent::Closed => self.open_connection_count -= 1,
             _ => {}
         }
         self.state
@@ -160,7 +165,7 @@
         self.run_issued_actions();
     }
 
-    fn open_all(&mut self) {
+    fn open_all_connections(&mut self) {
         while let Some(connection) = self.opening_connections.pop() {
             let status = OpenStatus::Ready;
             self.report_event(connection, ConnectionEvent::Opened { status });
@@ -214,7 +219,7 @@
             self.run_action(action);
         }
         self.actions = actions;
-        let connection_count = self.opening_connections.len() + self.open_count;
+        let connection_count = self.opening_connections.len() + self.open_connection_count;
         assert!(
             connection_count <= ATTEMPT_CONNECTIONS,
             "{connection_count} connections"
@@ -248,24 +253,24 @@
                 );
                 self.busy_connections.push((connection, work));
             }
-            RelayAction::CancelSent { .. } => self.cancel_count += 1,
+            RelayAction::CancelSent { .. } => self.cancellation_count += 1,
             RelayAction::Finish { work, verdict } => {
                 let query = self.queries_by_work[&work];
                 let previous_verdict = self.verdicts.insert(query, verdict);
                 assert_eq!(previous_verdict, None, "{query} finished twice");
             }
             RelayAction::ReportLoss(loss) => self.losses.push(loss),
-            RelayAction::ReportAnswer { fingerprint, .. } => self.answers.push(fingerprint),
+            RelayAction::ReportAnswer { fingerprint, .. } => self.answer_reports.push(fingerprint),
             RelayAction::ReportLeaving(_) => {}
         }
     }
 
     /// Answers all attempts in flight and lets the waiting ones expire.
     fn finish(&mut self) {
-        self.open_all();
+        self.open_all_connections();
         while !self.busy_connections.is_empty() {
-            self.answer(0, rows(), false);
-            self.open_all();
+            self.answer(0, rows_verdict(), false);
+            self.open_all_connections();
         }
         self.tick(60_000);
     }
@@ -296,7 +301,7 @@
 
 fn relay_steps() -> impl Strategy<Value = Vec<RelayStep>> {
     let verdict = prop_oneof![
-        4 => Just(rows()),
+        4 => Just(rows_verdict()),
         1 => Just(ShardVerdict::NotRun(RefusalReason::Shed)),
         1 => Just(ShardVerdict::VersionGone { newest: SnapshotVersion(2) }),
     ];
@@ -333,7 +338,7 @@
                 1 => WorkSuspicion::AfterLoss,
                 _ => WorkSuspicion::Clear,
             };
-            fixture.submit_as(organisation, remaining_ms, suspicion);
+            fixture.submit_with_suspicion(organisation, remaining_ms, suspicion);
         }
         RelayStep::Isolate if !fixture.busy_connections.is_empty() => fixture.isolate(),
         RelayStep::Cancel(query) => fixture.cancel(query),
@@ -395,8 +400,11 @@
         }
         fixture.finish();
         let finished_queries: BTreeSet<u64> = fixture.verdicts.keys().copied().collect();
-        assert_eq!(finished_queries, (0..fixture.submitted_count).collect());
-        assert_eq!(fixture.state.occupancy(), (0, 0));
+        assert_eq!(
+            finished_queries,
+            (0..fixture.submitted_attempt_count).collect()
+        );
+        assert_eq!(fixture.state.waiting_and_in_flight_counts(), (0, 0));
         Ok(())
     };
     runner.run(&relay_steps(), check_steps).unwrap();
@@ -407,25 +415,25 @@
     let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     let (first_query, second_query) = (fixture.submit(0, 100), fixture.submit(0, 100));
     let third_query = fixture.submit(0, 100);
-    fixture.open_all();
+    fixture.open_all_connections();
     fixture.cancel(first_query);
     fixture.cancel(third_query);
     fixture.break_connection(1);
-    let failed = |reason| ShardVerdict::Failed {
+    let failed_verdict = |reason| ShardVerdict::Failed {
         ran: RunState::Unknown,
         reason,
     };
     expect_that!(
         fixture.verdicts[&first_query],
-        eq(&failed(FailureReason::Cancelled))
+        eq(&failed_verdict(FailureReason::Cancelled))
     );
     expect_that!(
         fixture.verdicts[&second_query],
-        eq(&failed(FailureReason::Broken))
+        eq(&failed_verdict(FailureReason::Broken))
     );
     let cancelled_verdict = ShardVerdict::NotRun(RefusalReason::Cancelled);
     expect_that!(fixture.verdicts[&third_query], eq(&cancelled_verdict));
-    expect_that!(fixture.cancel_count, eq(1));
+    expect_that!(fixture.cancellation_count, eq(1));
 }
 
 #[gtest]
@@ -433,10 +441,10 @@
     for announced_in_answer in [true, false] {
         let mut fixture = RelayFixture::new(LimitMode::Adaptive);
         let queries: Vec<u64> = (0..6).map(|_| fixture.submit(0, 100)).collect();
-        fixture.open_all();
-        let sent_count = fixture.busy_connections.len();
+        fixture.open_all_connections();
+        let sent_attempt_count = fixture.busy_connections.len();
         if announced_in_answer {
-            fixture.answer(0, rows(), true);
+            fixture.answer(0, rows_verdict(), true);
         } else {
             fixture.set_leaving(true);
         }
@@ -445,7 +453,10 @@
             .verdicts
             .values()
             .filter(|verdict| **verdict == leaving_verdict);
-        expect_that!(refused_verdicts.count(), eq(queries.len() - sent_count));
+        expect_that!(
+            refused_verdicts.count(),
+            eq(queries.len() - sent_attempt_count)
+        );
         let late_query = fixture.submit(0, 100);
         expect_that!(fixture.verdicts[&late_query], eq(&leaving_verdict));
     }
@@ -455,7 +466,7 @@
 fn removed_upstream_is_dropped_once_unused() {
     let mut fixture = RelayFixture::new(LimitMode::Adaptive);
     fixture.submit(0, 100);
-    fixture.open_all();
+    fixture.open_all_connections();
     fixture.topology = TopologyView::default();
     let views = ViewPair {
         topology: &fixture.topology,
@@ -463,7 +474,7 @@
     };
     fixture.state.apply_views(fixture.now, views);
     expect_that!(fixture.state.loads(fixture.now).len(), eq(1));
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     while let Some(connection) = fixture.closing_connections.pop() {
         fixture.report_event(connection, ConnectionEvent::Closed);
     }
@@ -485,7 +496,7 @@
     for _query in 0..4 {
         fixture.submit(0, 100);
     }
-    fixture.open_all();
+    fixture.open_all_connections();
     expect_that!(fixture.busy_connections.len(), eq(2));
     fixture.break_connection(0);
     expect_that!(fixture.losses.len(), eq(0));
@@ -504,8 +515,8 @@
         WorkSuspicion::Clear,
         WorkSuspicion::Clear,
     ]
-    .map(|suspicion| fixture.submit_as(0, 100, suspicion));
-    fixture.open_all();
+    .map(|suspicion| fixture.submit_with_suspicion(0, 100, suspicion));
+    fixture.open_all_connections();
     let queries_in_flight = |fixture: &RelayFixture| {
         let queries = fixture
             .busy_connections
@@ -514,19 +525,19 @@
         queries.collect::<Vec<_>>()
     };
     expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[0])]);
-    fixture.answer(0, rows(), false);
-    fixture.open_all();
+    fixture.answer(0, rows_verdict(), false);
+    fixture.open_all_connections();
     expect_that!(
-        fixture.answers,
+        fixture.answer_reports,
         elements_are![eq(&RequestFingerprint(queries[0]))]
     );
     expect_that!(queries_in_flight(&fixture).len(), eq(2));
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     expect_that!(queries_in_flight(&fixture).len(), eq(1));
-    fixture.answer(0, rows(), false);
+    fixture.answer(0, rows_verdict(), false);
     expect_that!(queries_in_flight(&fixture), elements_are![eq(&queries[1])]);
     fixture.break_connection(0);
-    fixture.open_all();
+    fixture.open_all_connections();
     expect_that!(fixture.losses[0].in_flight.len(), eq(1));
     expect_that!(fixture.losses[0].in_flight[0].fingerprint.0, eq(queries[1]));
 }
--- a/crates/ebonyfork/src/relay/trial.rs
+++ b/crates/ebonyfork/src/relay/trial.rs
@@ -18,9 +18,9 @@
 const MIN_EVIDENCE: f64 = 1.5;
 /// Minimum number of cycles for a decision.
 const MIN_CYCLES: u32 = 2;
-/// Maximum evidence of one cycle, in steps from the midpoint between the differences expected with and without a free
-/// slot; one standard deviation of a cycle where that is larger. The clamp keeps a slowdown of the upstream within a
-/// single cycle from deciding the trial.
+/// Largest deviation of one cycle from the midpoint between the differences expected with and without a free slot, in
+/// steps. If one standard deviation of a cycle is larger, it is used instead. The clamp keeps a slowdown of the
+/// upstream within a single cycle from deciding the trial.
 const CYCLE_CLAMP: f64 = 0.75;
 /// Variance of a cycle, in squared steps, beyond which the required evidence no longer grows, because a decision would
 /// take too long.
@@ -44,20 +44,20 @@
 /// Count, sum and sum of squares of the log service times in one block.
 #[derive(Debug, Clone, Copy, Default)]
 struct BlockSums {
-    count: u32,
+    sample_count: u32,
     sum: f64,
     sum_of_squares: f64,
 }
 
 impl BlockSums {
     fn add(&mut self, sample: f64) {
-        self.count += 1;
+        self.sample_count += 1;
         self.sum += sample;
         self.sum_of_squares += sample * sample;
     }
 
     fn mean(&self) -> f64 {
-        self.sum / f64::from(self.count)
+        self.sum / f64::from(self.sample_count)
     }
 
     /// Returns the sum of the squared deviations from the mean.
@@ -70,12 +70,12 @@
 /// out.
 #[derive(Debug, Clone)]
 pub(super) struct LimitTrial {
-    /// The lower of the two limits.
+    /// The lower of the two limits that the trial compares; the other one is `low_limit + 1`.
     low_limit: u32,
     /// Log service times recorded in the current block.
     block_sums: BlockSums,
     /// Number of attempts sent for the current block that are in flight or were answered.
-    sent_count: u32,
+    sent_attempt_count: u32,
     /// Mean log service time of the first block in the current cycle, once that block has ended.
     first_block_mean: Option<f64>,
     /// Whether the current block is under the higher limit.
@@ -85,7 +85,8 @@
     /// Sum of the clamped differences of the cycles, in steps from the midpoint between the differences expected with
     /// and without a free slot. Positive evidence means that no slot is free.
     evidence: f64,
-    /// The log service time around which samples are clamped: the mean of the previous block, or the first sample.
+    /// The log service time around which samples are clamped: the mean of the previous block, or the first sample in
+    /// the first block; `None` before the first sample.
     clamp_centre: Option<f64>,
     /// Squared deviations of the log service times from their block means, summed over all blocks.
     squared_deviations: f64,
@@ -99,7 +100,7 @@
         Self {
             low_limit,
             block_sums: BlockSums::default(),
-            sent_count: 0,
+            sent_attempt_count: 0,
             first_block_mean: None,
             in_high_block: false,
             cycle_count: 0,
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Returns the lower of the two limits.
+    /// Returns the lower of the two limits that the trial compares.
     pub(super) fn low_limit(&self) -> u32 {
         self.low_limit
     }
@@ -129,12 +130,12 @@
     /// Returns whether enough attempts were sent for the current block. Later attempts don't count: if they did, the
     /// block would consist of whichever answers come back first, which are the fast ones.
     pub(super) fn is_block_full(&self) -> bool {
-        self.sent_count >= self.block_size()
+        self.sent_attempt_count >= self.block_size()
     }
 
     /// Returns whether no attempt was sent yet for the current block.
     pub(super) fn is_block_empty(&self) -> bool {
-        self.sent_count == 0
+        self.sent_attempt_count == 0
     }
 
     /// Returns whether the current block is under the higher limit.
@@ -144,12 +145,12 @@
 
     /// Records that an attempt was sent for the current block.
     pub(super) fn record_sent(&mut self) {
-        self.sent_count += 1;
+        self.sent_attempt_count += 1;
     }
 
     /// Records that an attempt of the current block ended without a service time; another one is sent in its place.
     pub(super) fn record_lost(&mut self) {
-        self.sent_count = self.sent_count.saturating_sub(1);
+        self.sent_attempt_count = self.sent_attempt_count.saturating_sub(1);
     }
 
     /// Returns the number of attempts to send for one block.
@@ -166,14 +167,14 @@
         );
         let block_size = self.block_size();
         let needed_samples = block_size - block_size / TRIM_DIVISOR;
-        if self.block_sums.count < needed_samples {
+        if self.block_sums.sample_count < needed_samples {
             return None;
         }
         let finished_block = std::mem::take(&mut self.block_sums);
-        self.sent_count = 0;
+        self.sent_attempt_count = 0;
         self.clamp_centre = Some(finished_block.mean());
         self.squared_deviations += finished_block.squared_deviations();
-        self.degrees_of_freedom += finished_block.count - 1;
+        self.degrees_of_freedom += finished_block.sample_count - 1;
         let Some(first_block_mean) = self.first_block_mean.take() else {
             self.first_block_mean = Some(finished_block.mean());
             self.in_high_block = !self.in_high_block;
@@ -190,8 +191,9 @@
 
     /// Adds the difference between the means of a cycle's two blocks to the evidence, and returns the verdict if that
     /// decides the trial. The expected difference is 0 with a free slot and at least `step` without one. With n busy
-    /// slots, the additional attempt waits for 1 / n of a service time, or, if it arrives at a random moment, for the
-    /// first of n residual service times, which is 1 / (n + 1) on average. `step` assumes the smaller of the two.
+    /// slots, the additional attempt waits for 1 / n of a service time. If it arrives at a random moment, it waits for
+    /// the first of n residual service times instead, which is 1 / (n + 1) on average. `step` assumes the smaller of
+    /// the two.
     fn add_cycle(&mut self, difference: f64, block_size: f64) -> Option<TrialVerdict> {
         let step = (1.0 + 1.0 / f64::from(self.low_limit + 1)).ln();
         let variance = self.squared_deviations / f64::from(self.degrees_of_freedom) * 2.0
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -47,8 +47,8 @@
     work: WorkId,
     item: WorkItem,
     connection: ConnectionId,
-    /// Number of attempts in flight at the upstream when this one was sent, itself included.
-    in_flight: u32,
+    /// Number of attempts in flight at the upstream when this attempt was sent, itself included.
+    attempts_in_flight: u32,
     epoch: LimitEpoch,
     /// When the attempt was sent.
     sent_at: Duration,
@@ -66,7 +66,8 @@
     suspects: SuspectQueue,
     limit: ConcurrencyLimit,
     service_times: ServiceTimes,
-    /// Limits on the attempts in flight per class, if the clamp experiment is on.
+    /// Limits on the attempts in flight of each class; none unless
+    /// [`clamp`](crate::settings::ExperimentSwitches::clamp) is enabled.
     clamp: Option<ClassClamp>,
     pool: ConnectionPool,
     /// Whether this VM may hold a further connection for cancellations.
@@ -77,7 +78,7 @@
     draining_until: Duration,
     /// The attempts in flight.
     sent_work: Vec<SentWork>,
-    /// The connections that broke within the current loss window.
+    /// The connections that broke within the current loss window; `None` if no loss window is open.
     loss_window: Option<LossWindow>,
     /// Buffer for attempts removed from the queues; empty between calls and kept for its allocation.
     removed_work: Vec<WorkId>,
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Applies parameters derived from changed views.
+    /// Applies parameters derived from changed views, closes the idle connections of an upstream that is leaving, and
+    /// sends what may be sent.
     pub(super) fn apply_params(
         &mut self,
         now: Duration,
@@ -131,7 +133,7 @@
         self.pool
             .set_connection_share(params.connection_share, tables);
         if params.leaving {
-            self.pool.close_idle(tables);
+            self.pool.close_idle_connections(tables);
         }
         self.dispatch(now, tables);
     }
@@ -188,17 +190,17 @@
             tables.refuse(work, RefusalReason::Cancelled);
             return;
         }
-        self.finish_early(work, FailureReason::Cancelled, tables);
+        self.finish_work_early(work, FailureReason::Cancelled, tables);
         self.dispatch(now, tables);
     }
 
     /// Fails an attempt whose deadline passed while it was in flight.
     pub(super) fn on_overdue(&mut self, work: WorkId, tables: &mut RelayTables) {
-        self.finish_early(work, FailureReason::Timeout, tables);
+        self.finish_work_early(work, FailureReason::Timeout, tables);
     }
 
     /// Gives an in-flight attempt its verdict before the upstream answers, and asks the upstream to cancel the attempt.
-    fn finish_early(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
+    fn finish_work_early(&mut self, work: WorkId, reason: FailureReason, tables: &mut RelayTables) {
         let Some(sent_work) = self
             .sent_work
             .iter_mut()
@@ -225,13 +227,13 @@
         status: OpenStatus,
         tables: &mut RelayTables,
     ) {
-        self.pool.add_opened(now, connection);
+        self.pool.add_opened_connection(now, connection);
         match status {
             OpenStatus::Ready => {}
             OpenStatus::Draining => self.mark_draining(now, tables),
             OpenStatus::DrainingHint => {
                 self.draining_until = now + DRAINING_HINT_HOLD;
-                self.pool.close_idle(tables);
+                self.pool.close_idle_connections(tables);
             }
         }
         self.dispatch(now, tables);
@@ -244,9 +246,9 @@
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_failed(now, connection, tables);
+        self.pool.remove_failed_connection(now, connection, tables);
         if self.pool.connection_count() == 0 {
-            self.refuse_queued(RefusalReason::Unreachable, tables);
+            self.refuse_queued_work(RefusalReason::Unreachable, tables);
         }
     }
 
@@ -257,13 +259,18 @@
         connection: ConnectionId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_ended(connection, tables);
+        self.pool.remove_ended_connection(connection, tables);
         self.dispatch(now, tables);
     }
 
     /// Requeues an attempt that did not reach its connection.
-    pub(super) fn requeue_unsent(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(sent_work) = self.take_unanswered(work) else {
+    pub(super) fn requeue_unsent_work(
+        &mut self,
+        now: Duration,
+        work: WorkId,
+        tables: &mut RelayTables,
+    ) {
+        let Some(sent_work) = self.take_unanswered_work(work) else {
             return;
         };
         if sent_work.has_verdict {
@@ -274,17 +281,17 @@
     }
 
     /// Refuses an attempt that was not handed to its connection; the connection becomes idle again.
-    pub(super) fn refuse_unsent(
+    pub(super) fn refuse_unsent_work(
         &mut self,
         now: Duration,
         work: WorkId,
         reason: RefusalReason,
         tables: &mut RelayTables,
     ) {
-        let Some(sent_work) = self.take_unanswered(work) else {
+        let Some(sent_work) = self.take_unanswered_work(work) else {
             return;
         };
-        self.pool.put_back(now, sent_work.connection);
+        self.pool.put_back_connection(now, sent_work.connection);
         tables.refuse(work, reason);
         self.dispatch(now, tables);
     }
@@ -292,10 +299,10 @@
     /// Requeues an attempt that was not handed to its connection because its request has become a suspect; it is sent
     /// alone later.
     pub(super) fn isolate(&mut self, now: Duration, work: WorkId, tables: &mut RelayTables) {
-        let Some(sent_work) = self.take_unanswered(work) else {
+        let Some(sent_work) = self.take_unanswered_work(work) else {
             return;
         };
-        self.pool.put_back(now, sent_work.connection);
+        self.pool.put_back_connection(now, sent_work.connection);
         if sent_work.has_verdict {
             tables.release(work);
             self.dispatch(now, tables);
@@ -313,10 +320,10 @@
         answer: UpstreamAnswer,
         tables: &mut RelayTables,
     ) {
-        let Some(sent_work) = self.take_sent(work) else {
+        let Some(sent_work) = self.take_sent_work(work) else {
             return;
         };
-        self.pool.put_back(now, sent_work.connection);
+        self.pool.put_back_connection(now, sent_work.connection);
         self.record_answer(now, &sent_work, &answer);
         if !sent_work.has_verdict {
             record_time_spent(&mut self.clamp, now, &sent_work.item, tables);
@@ -324,7 +331,7 @@
         if sent_work.item.is_suspect() && matches!(answer.verdict, ShardVerdict::Rows { .. }) {
             tables.actions.push(RelayAction::ReportAnswer {
                 fingerprint: sent_work.item.fingerprint,
-                flight: now.saturating_sub(sent_work.sent_at),
+                time_in_flight: now.saturating_sub(sent_work.sent_at),
             });
         }
         if answer.draining {
@@ -334,7 +341,7 @@
             tables.finish(work, answer.verdict);
         }
         tables.release(work);
-        self.pool.close_surplus(tables);
+        self.pool.close_surplus_connections(tables);
         self.dispatch(now, tables);
     }
 
@@ -346,11 +353,11 @@
         work: WorkId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_ended(connection, tables);
+        self.pool.remove_ended_connection(connection, tables);
         // The idle connections most likely lead to the same lost process: an attempt sent on them would break as well,
         // without having run.
-        self.pool.close_idle(tables);
-        if let Some(sent_work) = self.take_unanswered(work) {
+        self.pool.close_idle_connections(tables);
+        if let Some(sent_work) = self.take_unanswered_work(work) {
             if !sent_work.has_verdict {
                 tables.fail(work, FailureReason::Broken);
             }
@@ -372,8 +379,8 @@
         work: WorkId,
         tables: &mut RelayTables,
     ) {
-        self.pool.remove_ended(connection, tables);
-        if self.take_unanswered(work).is_some() {
+        self.pool.remove_ended_connection(connection, tables);
+        if self.take_unanswered_work(work).is_some() {
             tables.release(work);
         }
         self.dispatch(now, tables);
@@ -382,9 +389,9 @@
     /// Refuses expired attempts, advances the clamp, reports a loss whose window has ended, closes connections that
     /// have been idle for too long, and sends what may be sent.
     pub(super) fn tick(&mut self, now: Duration, tables: &mut RelayTables) {
-        self.queue.drop_expired(now, &mut self.removed_work);
-        self.suspects.drop_expired(now, &mut self.removed_work);
-        self.refuse_expired(now, tables);
+        self.queue.drop_expired_work(now, &mut self.removed_work);
+        self.suspects.drop_expired_work(now, &mut self.removed_work);
+        self.refuse_expired_work(now, tables);
         if let Some(clamp) = &mut self.clamp {
             clamp.advance(now, self.limit.base_limit(), |class| {
                 tables.latency_targets[class]
@@ -397,13 +404,15 @@
         {
             self.report_loss(now, tables);
         }
-        self.pool.close_timed_out(now, tables);
+        self.pool.close_timed_out_connections(now, tables);
         self.dispatch(now, tables);
     }
 
     /// Returns whether [`Self::tick`] may have work to do.
     pub(super) fn needs_tick(&self) -> bool {
-        self.waiting_count() > 0 || self.pool.idle_count() > 0 || self.loss_window.is_some()
+        self.waiting_count() > 0
+            || self.pool.idle_connection_count() > 0
+            || self.loss_window.is_some()
     }
 
     /// Returns whether the upstream has no attempts, waiting or in flight, and no connections.
@@ -417,7 +426,7 @@
     }
 
     /// Returns the number of attempts in flight, including those that already have a verdict.
-    pub(super) fn in_flight(&self) -> usize {
+    pub(super) fn attempts_in_flight(&self) -> usize {
         self.sent_work.len()
     }
 
@@ -455,13 +464,14 @@
     }
 
     /// Removes and returns an attempt that is no longer in flight and ended without a service time.
-    fn take_unanswered(&mut self, work: WorkId) -> Option<SentWork> {
-        let sent_work = self.take_sent(work)?;
-        self.limit.record_lost(sent_work.epoch, sent_work.in_flight);
+    fn take_unanswered_work(&mut self, work: WorkId) -> Option<SentWork> {
+        let sent_work = self.take_sent_work(work)?;
+        self.limit
+            .record_lost(sent_work.epoch, sent_work.attempts_in_flight);
         Some(sent_work)
     }
 
-    fn take_sent(&mut self, work: WorkId) -> Option<SentWork> {
+    fn take_sent_work(&mut self, work: WorkId) -> Option<SentWork> {
         let position = self
             .sent_work
             .iter()
@@ -478,7 +488,7 @@
                     .record_sample(sent_work.item.class, answer.service_time);
                 let sample = LimitSample {
                     epoch: sent_work.epoch,
-                    in_flight: sent_work.in_flight,
+                    in_flight: sent_work.attempts_in_flight,
                     log_service_time,
                     has_backlog: !self.queue.is_empty(),
                 };
@@ -489,7 +499,9 @@
             {
                 self.limit.record_shed(now, sent_work.epoch);
             }
-            _ => self.limit.record_lost(sent_work.epoch, sent_work.in_flight),
+            _ => self
+                .limit
+                .record_lost(sent_work.epoch, sent_work.attempts_in_flight),
         }
     }
 
@@ -501,7 +513,7 @@
             tables.actions.push(RelayAction::ReportLeaving(address));
         }
         self.draining_until = now + DRAINING_HOLD;
-        self.pool.close_idle(tables);
+        self.pool.close_idle_connections(tables);
     }
 
     /// Adds a broken connection to the current loss window. The loss is reported at once if nothing else is in flight,
@@ -531,6 +543,6 @@
 ) {
     let target = tables.latency_targets[item.class];
     if let (Some(clamp), Some(target)) = (clamp, target) {
-        clamp.record(item.class, target, now.saturating_sub(item.arrived_at));
+        clamp.record_attempt(item.class, target, now.saturating_sub(item.arrived_at));
     }
 }
--- a/crates/ebonyfork/src/relay/upstream/dispatch.rs
+++ b/crates/ebonyfork/src/relay/upstream/dispatch.rs
@@ -12,12 +12,12 @@
     /// Sends every attempt that may be sent now and opens connections for the rest.
     pub(super) fn dispatch(&mut self, now: Duration, tables: &mut RelayTables) {
         if self.is_leaving(now) {
-            self.refuse_queued(RefusalReason::Leaving, tables);
+            self.refuse_queued_work(RefusalReason::Leaving, tables);
             return;
         }
         while self.send_next(now, tables) {}
-        self.refuse_expired(now, tables);
-        self.open_needed(now, tables);
+        self.refuse_expired_work(now, tables);
+        self.open_needed_connections(now, tables);
     }
 
     /// Sends one attempt and returns true, or returns false if none may be sent now. A suspect is sent only when
@@ -26,7 +26,7 @@
     fn send_next(&mut self, now: Duration, tables: &mut RelayTables) -> bool {
         let unused_limit =
             (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
-        let send_capacity = usize::min(unused_limit, self.pool.idle_count());
+        let send_capacity = usize::min(unused_limit, self.pool.idle_connection_count());
         if send_capacity == 0
             || self
                 .sent_work
@@ -39,11 +39,11 @@
             if !self.sent_work.is_empty() {
                 return false;
             }
-            let others_before_suspect = self.limit.current_limit();
+            let regular_attempts_before_suspect = self.limit.current_limit();
             self.suspects
-                .pop(now, others_before_suspect, &mut self.removed_work)
+                .pop(now, regular_attempts_before_suspect, &mut self.removed_work)
         } else {
-            self.suspects.record_other_sent();
+            self.suspects.record_regular_attempt_sent();
             let (clamp, sent_work) = (&self.clamp, &self.sent_work);
             let allows_class = |class: ClassId| {
                 clamp.as_ref().is_none_or(|clamp| {
@@ -69,17 +69,17 @@
         let Some(item) = tables.item(work) else {
             return;
         };
-        let Some(connection) = self.pool.take_idle() else {
+        let Some(connection) = self.pool.take_idle_connection() else {
             return;
         };
-        let in_flight = self.sent_work.len() as u32 + 1;
+        let attempts_in_flight = self.sent_work.len() as u32 + 1;
         let epoch = self.limit.epoch();
-        self.limit.record_sent(in_flight);
+        self.limit.record_sent(attempts_in_flight);
         self.sent_work.push(SentWork {
             work,
             item,
             connection,
-            in_flight,
+            attempts_in_flight,
             epoch,
             sent_at: now,
             has_verdict: false,
@@ -93,16 +93,17 @@
     }
 
     /// Opens as many connections as the queue and the limit can use.
-    fn open_needed(&mut self, now: Duration, tables: &mut RelayTables) {
+    fn open_needed_connections(&mut self, now: Duration, tables: &mut RelayTables) {
         let send_capacity =
             (self.limit.current_limit() as usize).saturating_sub(self.sent_work.len());
         let waiting_count = self.queue.len() + usize::from(!self.suspects.is_empty());
         let wanted_connections = usize::min(waiting_count, send_capacity) as u32;
-        self.pool.open_needed(now, wanted_connections, tables);
+        self.pool
+            .open_needed_connections(now, wanted_connections, tables);
     }
 
     /// Refuses the attempts in `removed_work` as expired.
-    pub(super) fn refuse_expired(&mut self, now: Duration, tables: &mut RelayTables) {
+    pub(super) fn refuse_expired_work(&mut self, now: Duration, tables: &mut RelayTables) {
         for work in &self.removed_work {
             if let Some(item) = tables.item(*work) {
                 record_time_spent(&mut self.clamp, now, &item, tables);
@@ -112,7 +113,7 @@
     }
 
     /// Refuses all waiting attempts.
-    pub(super) fn refuse_queued(&mut self, reason: RefusalReason, tables: &mut RelayTables) {
+    pub(super) fn refuse_queued_work(&mut self, reason: RefusalReason, tables: &mut RelayTables) {
         self.queue.drain(&mut self.removed_work);
         self.suspects.drain(&mut self.removed_work);
         tables.refuse_all(&mut self.removed_work, reason);
