--- a/crates/ebonyfork/src/revision/acceptance.rs
+++ b/crates/ebonyfork/src/revision/acceptance.rs
@@ -75,8 +75,8 @@
 /// use ebonyfork::ident::RevisionNumber;
 /// use ebonyfork::revision::{AcceptanceState, LiveZones, evaluate_acceptance};
 ///
-/// let live = BTreeSet::from(["127.0.0.1".parse()?]);
-/// let zones = LiveZones::from([("zone-a".parse()?, live)]);
+/// let live_vms = BTreeSet::from(["127.0.0.1".parse()?]);
+/// let zones = LiveZones::from([("zone-a".parse()?, live_vms)]);
 /// let state = evaluate_acceptance(RevisionNumber(7), &zones, &[], 0);
 /// assert!(matches!(state, AcceptanceState::Waiting { gaps } if gaps.len() == 1));
 /// # Ok::<(), ebonyfork::ident::IdentError>(())
@@ -139,7 +139,7 @@
 ) -> Result<AcceptanceState, StoreError> {
     let zones = live_zones(&read_vm_list(client).await?);
     let mut relations: BTreeMap<CompactString, HeldRelation> = BTreeMap::new();
-    let mut related_evidence = Vec::new();
+    let mut evidence_with_relations = Vec::new();
     for evidence in read_evidence(client).await? {
         let key = CompactString::from(evidence.held.change);
         let relation = match relations.get(&key) {
@@ -147,12 +147,12 @@
             None => find_relation(client, head, evidence.held).await?,
         };
         relations.insert(key, relation);
-        related_evidence.push((evidence, relation));
+        evidence_with_relations.push((evidence, relation));
     }
     Ok(evaluate_acceptance(
         head.revision,
         &zones,
-        &related_evidence,
+        &evidence_with_relations,
         time_ms,
     ))
 }
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -74,9 +74,10 @@
     feed: FeedState,
     evidence: EvidenceState,
     serve_budget: ServeBudget,
-    held: Option<HeldRevision>,
+    held_revision: Option<HeldRevision>,
     /// End of the period during which the held revision is provisional, as time since the actor's start.
     provisional_until: Duration,
+    /// The revision that is being collected, with the peer that was asked for its parts.
     assembly: Option<(VmAddress, RevisionAssembly)>,
     observed_head: ObservedHead,
     /// A settled peer's revision that is being collected to replace the provisional one.
@@ -101,7 +102,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("RevisionActor")
             .field("own", &self.own_vm)
-            .field("held", &self.held.as_ref().map(HeldRevision::head))
+            .field("held", &self.held_revision.as_ref().map(HeldRevision::head))
             .finish_non_exhaustive()
     }
 }
@@ -162,7 +163,7 @@
             feed: FeedState::new(HEAD_KEY, own_vm, zone.clone(), rand::random()),
             evidence: EvidenceState::new(own_vm, zone),
             serve_budget: ServeBudget::default(),
-            held: None,
+            held_revision: None,
             provisional_until: Duration::ZERO,
             assembly: None,
             observed_head: ObservedHead::NotRead,
@@ -189,13 +190,17 @@
     }
 
     fn held_change(&self) -> Option<&ChangeRecord> {
-        self.held.as_ref().map(|held| &held.change)
+        self.held_revision
+            .as_ref()
+            .map(|held_revision| &held_revision.change)
     }
 
     fn held_revision_number(&self) -> RevisionNumber {
-        self.held
+        self.held_revision
             .as_ref()
-            .map_or(RevisionNumber(0), |held| held.change.revision)
+            .map_or(RevisionNumber(0), |held_revision| {
+                held_revision.change.revision
+            })
     }
 
     fn run_actions(&mut self, actions: FeedActions, address: &WeakAddress<Self>) {
@@ -208,8 +213,8 @@
                     self.send_to(vm, RevisionMessage::Ask { above });
                 }
                 FeedAction::Announce(vm) => {
-                    if let Some(held) = &self.held {
-                        let head = held.head();
+                    if let Some(held_revision) = &self.held_revision {
+                        let head = held_revision.head();
                         self.send_to(vm, RevisionMessage::Held(head));
                     }
                 }
@@ -271,7 +276,7 @@
 
     /// Reports an error if a peer or the store shows another change under the revision number that is in force here.
     fn check_divergence(&self, shown_head: HeadRecord, observer: impl fmt::Display) {
-        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held_revision.as_ref().map(HeldRevision::head) else {
             return;
         };
         if held_head.revision == shown_head.revision && held_head.change != shown_head.change {
@@ -298,7 +303,7 @@
     fn start_assembly(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         let now = self.now();
         self.feed.record_pull_progress(now);
-        let assembly = RevisionAssembly::new(change, self.held.as_ref());
+        let assembly = RevisionAssembly::new(change, self.held_revision.as_ref());
         for sha256 in assembly.missing_parts() {
             self.send_to(vm, RevisionMessage::AskPart { sha256 });
         }
@@ -336,7 +341,7 @@
         };
         match assembly.finish() {
             Ok(assembled_revision) => self.put_in_force(assembled_revision, "peer", vm, address),
-            Err(unfinished) => self.assembly = Some((vm, *unfinished)),
+            Err(unfinished_assembly) => self.assembly = Some((vm, *unfinished_assembly)),
         }
     }
 
@@ -384,13 +389,13 @@
             self.held_revision_number(),
         );
         self.config_sender.send_replace(Arc::new(config));
-        if self.held.is_none() {
+        if self.held_revision.is_none() {
             self.provisional_until = self.now() + PROVISIONAL_TIME;
         }
         if is_adopted {
             self.provisional_until = self.now();
         }
-        self.held = Some(assembled_revision);
+        self.held_revision = Some(assembled_revision);
         self.metrics.held_revision.set(head.revision.0 as i64);
         self.metrics
             .revisions_taken
@@ -408,10 +413,11 @@
 
     /// Asks a peer for its settled change if the peer's revision isn't an ancestor of the provisional one held here.
     fn check_ancestry(&self, vm: VmAddress, shown_head: HeadRecord) {
-        let Some(held) = self.held_change() else {
+        let Some(held_change) = self.held_change() else {
             return;
         };
-        let is_unrelated = shown_head.revision <= held.revision && must_adopt(held, shown_head);
+        let is_unrelated =
+            shown_head.revision <= held_change.revision && must_adopt(held_change, shown_head);
         if is_unrelated && self.is_provisional() {
             self.send_to(vm, RevisionMessage::AskSettled);
         }
@@ -422,7 +428,8 @@
         let is_provisional = self.is_provisional();
         let head = change.head();
         let held_change = self.held_change();
-        if !is_provisional || !held_change.is_some_and(|held| must_adopt(held, head)) {
+        if !is_provisional || !held_change.is_some_and(|held_change| must_adopt(held_change, head))
+        {
             return;
         }
         log::warn!(target: "ebonyfork::decision", "adopt {head} of the settled peer {vm}");
@@ -442,16 +449,20 @@
             return;
         }
         self.is_loading = true;
-        let (client, held, address) = (self.client.clone(), self.held.clone(), address.clone());
+        let (client, held_revision, address) = (
+            self.client.clone(),
+            self.held_revision.clone(),
+            address.clone(),
+        );
         self.tasks.spawn(async move {
-            let load_result = load_revision(&client, head, held.as_ref()).await;
+            let load_result = load_revision(&client, head, held_revision.as_ref()).await;
             let _send_result = address.send(RevisionLoaded { head, load_result }).await;
         });
     }
 
     /// Returns whether the store's head lacks the held revision.
     fn store_lacks_held_revision(&self) -> bool {
-        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held_revision.as_ref().map(HeldRevision::head) else {
             return false;
         };
         match self.observed_head {
@@ -475,14 +486,14 @@
         if self.is_restoring || now < store_behind_since + ROLLBACK_GRACE_TIME {
             return;
         }
-        let Some(held) = self.held.clone() else {
+        let Some(held_revision) = self.held_revision.clone() else {
             return;
         };
         self.store_behind_since = Some(now);
         self.is_restoring = true;
         let (client, address) = (self.client.clone(), address.clone());
         self.tasks.spawn(async move {
-            let restore_result = restore_head(&client, &held).await;
+            let restore_result = restore_head(&client, &held_revision).await;
             let restore_result = restore_result.map_err(|error| error.to_compact_string());
             let _send_result = address.send(RestoreFinished { restore_result }).await;
         });
@@ -493,7 +504,7 @@
         if self.is_writing_evidence || !self.feed.is_watching() {
             return;
         }
-        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held_revision.as_ref().map(HeldRevision::head) else {
             return;
         };
         let Some(evidence) = self
--- a/crates/ebonyfork/src/revision/actor/inbox.rs
+++ b/crates/ebonyfork/src/revision/actor/inbox.rs
@@ -18,7 +18,7 @@
 /// Stops the feed.
 pub(in crate::revision) struct StopFeed;
 
-/// Revisions that peers have revisions by gossip.
+/// Revisions that peers have shown by gossip.
 pub(in crate::revision) struct GossipedRevisions {
     pub(in crate::revision) revisions: Vec<(VmAddress, RevisionNumber)>,
 }
@@ -34,7 +34,7 @@
     pub(in crate::revision) head: Option<HeadRecord>,
 }
 
-/// Result of an attempt to restore a head that went back: whether the head was moved.
+/// Result of an attempt to restore the head after the store has lost its last writes: whether the head was moved.
 pub(in crate::revision) struct RestoreFinished {
     pub(in crate::revision) restore_result: Result<bool, CompactString>,
 }
@@ -145,16 +145,16 @@
 
 impl RevisionActor {
     fn reply_to_ask(&self, above: RevisionNumber) -> Option<RevisionMessage> {
-        let held = self.held.as_ref()?;
-        if held.change.revision > above {
-            return Some(RevisionMessage::Change(held.change.clone()));
+        let held_revision = self.held_revision.as_ref()?;
+        if held_revision.change.revision > above {
+            return Some(RevisionMessage::Change(held_revision.change.clone()));
         }
-        Some(RevisionMessage::Held(held.head()))
+        Some(RevisionMessage::Held(held_revision.head()))
     }
 
     fn part_text(&mut self, sha256: PartDigest) -> Option<bytes::Bytes> {
         let now = self.now();
-        let text = self.held.as_ref()?.texts.get(&sha256)?.clone();
+        let text = self.held_revision.as_ref()?.texts.get(&sha256)?.clone();
         if !self.serve_budget.try_take(now, text.len()) {
             self.metrics.refused_parts.inc();
             return None;
@@ -220,7 +220,7 @@
                 self.next_load_at = self.now() + retry_wait;
                 // The record and the parts are written before the head is moved, so the store has lost them: treat its
                 // head as refused, so that the held revision is restored.
-                if matches!(error, LoadError::Lost { .. }) && self.held.is_some() {
+                if matches!(error, LoadError::Lost { .. }) && self.held_revision.is_some() {
                     self.refused_head = Some(message.head);
                 }
             }
--- a/crates/ebonyfork/src/revision/assembly.rs
+++ b/crates/ebonyfork/src/revision/assembly.rs
@@ -48,10 +48,10 @@
 
 impl RevisionAssembly {
     /// Creates an assembly that already has the parts shared with the held revision.
-    pub fn new(change: ChangeRecord, held: Option<&HeldRevision>) -> Self {
+    pub fn new(change: ChangeRecord, held_revision: Option<&HeldRevision>) -> Self {
         let mut texts = PartTexts::new();
         for part in &change.parts {
-            let held_text = held.and_then(|held| held.texts.get(&part.sha256));
+            let held_text = held_revision.and_then(|revision| revision.texts.get(&part.sha256));
             if let Some(text) = held_text {
                 texts.insert(part.sha256, text.clone());
             }
--- a/crates/ebonyfork/src/revision/assembly_tests.rs
+++ b/crates/ebonyfork/src/revision/assembly_tests.rs
@@ -32,12 +32,12 @@
     expect_true!(assembly.add_part(part_digests[0], texts[0].clone()));
     expect_false!(assembly.add_part(part_digests[1], texts[0].clone()));
     expect_false!(assembly.add_part(PartDigest::new("; c\n"), Bytes::from("; c\n")));
-    let unfinished = assembly.finish().expect_err("a part is missing");
+    let unfinished_assembly = assembly.finish().expect_err("a part is missing");
     expect_that!(
-        unfinished.missing_parts(),
+        unfinished_assembly.missing_parts(),
         elements_are![eq(&part_digests[1])]
     );
-    let mut assembly = *unfinished;
+    let mut assembly = *unfinished_assembly;
     expect_true!(assembly.add_part(part_digests[1], texts[1].clone()));
     expect_that!(assembly.finish(), ok(anything()));
 }
@@ -49,9 +49,9 @@
     for text in texts {
         assembly.add_part(PartDigest::new(&text), text);
     }
-    let held = assembly.finish().expect("whole");
+    let held_revision = assembly.finish().expect("whole");
     let (second_change, _) = change(2, &["; a\n", "; c\n"]);
-    let assembly = RevisionAssembly::new(second_change, Some(&held));
+    let assembly = RevisionAssembly::new(second_change, Some(&held_revision));
     expect_that!(
         assembly.missing_parts(),
         elements_are![eq(&PartDigest::new("; c\n"))]
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -24,7 +24,9 @@
 pub const GROUP_FENCE_DELAY: Duration = Duration::from_mins(10);
 /// Interval at which evidence is written even if nothing has changed.
 pub const REFRESH_PERIOD: Duration = Duration::from_secs(10);
-/// How long a process must have run before its revision counts: its first revision may still be replaced by a peer's.
+/// How long a process must have run before evidence counts it with the revision it has shown; until then it counts with
+/// zero, because a peer's revision may still replace its first one. [`PROVISIONAL_TIME`] begins only when the process
+/// takes its first revision, so 2 s are added for the time from the start to then.
 const SETTLE_TIME_MS: u64 = PROVISIONAL_TIME.as_millis() as u64 + 2_000;
 /// Minimum time between two writes of evidence.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
@@ -99,11 +101,12 @@
                 });
             }
         }
-        self.mark_group_departures(now);
+        self.mark_simultaneous_departures(now);
     }
 
-    /// Marks members that vanished without announcing their stop, if several did so within one [`FENCE_DELAY`].
-    fn mark_group_departures(&mut self, now: Duration) {
+    /// Sets `in_group` for the members that vanished within the last [`FENCE_DELAY`] without announcing their stop, if
+    /// there are at least two of them.
+    fn mark_simultaneous_departures(&mut self, now: Duration) {
         let mut recently_departed_vms = Vec::new();
         for (vm, member) in &self.members {
             let departure = member.departure.filter(|_| !member.leaving);
--- a/crates/ebonyfork/src/revision/evidence_tests.rs
+++ b/crates/ebonyfork/src/revision/evidence_tests.rs
@@ -107,9 +107,10 @@
     }
     expect_that!(write_times_s, elements_are![eq(&0), eq(&10), eq(&20)]);
     zone.evidence.record_write_failure();
-    let later = Duration::from_secs(21);
+    let retry_time = Duration::from_secs(21);
     expect_that!(
-        zone.evidence.due_evidence(later, 0, head(7), &zone.feed),
+        zone.evidence
+            .due_evidence(retry_time, 0, head(7), &zone.feed),
         some(anything())
     );
 }
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -73,7 +73,7 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct FeedState {
-    key: &'static str,
+    watched_key: &'static str,
     own_vm: VmAddress,
     peers: ZonePeers,
     rng: ChaCha8Rng,
@@ -92,9 +92,9 @@
 
 impl FeedState {
     /// Creates a feed that holds no revision and knows no other VM.
-    pub fn new(key: &'static str, own_vm: VmAddress, zone: ZoneName, seed: u64) -> Self {
+    pub fn new(watched_key: &'static str, own_vm: VmAddress, zone: ZoneName, seed: u64) -> Self {
         Self {
-            key,
+            watched_key,
             own_vm,
             peers: ZonePeers::new(own_vm, zone),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -132,7 +132,7 @@
         self.peers.update(view);
         self.shown_revisions
             .retain(|vm, _| view.vms.contains_key(vm));
-        let is_watcher = self.peers.is_watcher(self.key);
+        let is_watcher = self.peers.is_watcher(self.watched_key);
         let mut actions = FeedActions::new();
         if is_watcher != self.is_watcher {
             self.is_watcher = is_watcher;
@@ -167,6 +167,8 @@
         self.record_shown_revision(now, vm, revision, true)
     }
 
+    /// Records the revision that a peer has shown, and asks the peer for it if it is wanted. A peer to which a link
+    /// exists already (`is_linked`) is asked without waiting for a partner.
     fn record_shown_revision(
         &mut self,
         now: Duration,
--- a/crates/ebonyfork/src/revision/feed_tests.rs
+++ b/crates/ebonyfork/src/revision/feed_tests.rs
@@ -29,9 +29,9 @@
 fn only_a_higher_revision_starts_a_pull_and_only_one_pull_runs() {
     let mut feed = feed(9);
     feed.record_held_revision(5);
-    for (revision, expected) in [(4, false), (5, false), (6, true), (7, false)] {
+    for (revision, starts_pull) in [(4, false), (5, false), (6, true), (7, false)] {
         let actions = feed.record_gossiped_revision(START, vm(1), revision);
-        expect_that!(!actions.is_empty(), eq(expected), "{revision}");
+        expect_that!(!actions.is_empty(), eq(starts_pull), "{revision}");
     }
 }
 
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -121,8 +121,9 @@
 
     /// Draws a random partner to ask, mostly from the own zone.
     pub fn draw_ask_target(&self, rng: &mut impl rand::Rng) -> Option<VmAddress> {
-        let pick_far = self.near_partners.is_empty() || rng.random_ratio(1, FAR_ASK_RATIO);
-        let candidates = if pick_far && !self.far_partners.is_empty() {
+        let prefers_other_zone =
+            self.near_partners.is_empty() || rng.random_ratio(1, FAR_ASK_RATIO);
+        let candidates = if prefers_other_zone && !self.far_partners.is_empty() {
             &self.far_partners
         } else {
             &self.near_partners
--- a/crates/ebonyfork/src/revision/peers_tests.rs
+++ b/crates/ebonyfork/src/revision/peers_tests.rs
@@ -10,12 +10,14 @@
 }
 
 fn view(members: &[(u8, &str, bool)]) -> TopologyView {
-    let vms = members.iter().map(|(last_octet, zone, leaving)| VmEntry {
-        vm: vm(*last_octet),
-        zone: zone.parse().unwrap(),
-        incarnation: None,
-        leaving: *leaving,
-    });
+    let vms = members
+        .iter()
+        .map(|(last_octet, zone, is_leaving)| VmEntry {
+            vm: vm(*last_octet),
+            zone: zone.parse().unwrap(),
+            incarnation: None,
+            leaving: *is_leaving,
+        });
     TopologyView::new(vms, [])
 }
 
@@ -39,8 +41,11 @@
             members.push((last_octet, "zone-a", false));
             members.push((last_octet + 100, "zone-b", false));
         }
-        let expected = 2 * usize::from(zone_size.min(2));
-        expect_that!(watchers(&view(&members), "config/head").len(), eq(expected));
+        let expected_count = 2 * usize::from(zone_size.min(2));
+        expect_that!(
+            watchers(&view(&members), "config/head").len(),
+            eq(expected_count)
+        );
     }
 }
 
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -335,7 +335,7 @@
         self.revision = RevisionNumber(base_revision.0 + 1);
         match self.stored_base {
             Some(_) => self.enter_step(PublishStep::ReadBaseChange),
-            None => self.next_part(0),
+            None => self.put_next_part(0),
         }
     }
 
@@ -364,11 +364,12 @@
             );
         }
         self.base_change = change;
-        self.next_part(0)
+        self.put_next_part(0)
     }
 
-    /// Returns the action that writes the next part the base doesn't have, or the record once there is none.
-    fn next_part(&mut self, first_index: usize) -> PublishAction {
+    /// Moves on to the first part from `first_index` on that the base change lacks, or to the change record if there is
+    /// no such part. Returns the action that writes it.
+    fn put_next_part(&mut self, first_index: usize) -> PublishAction {
         for index in first_index..self.request.parts.entries.len() {
             let digest = self.request.parts.entries[index].sha256;
             let base_parts = self.base_change.iter().flat_map(|change| &change.parts);
@@ -381,7 +382,7 @@
 
     fn handle_written(&mut self) -> PublishAction {
         match self.step {
-            PublishStep::PutPart(index) => self.next_part(index + 1),
+            PublishStep::PutPart(index) => self.put_next_part(index + 1),
             _ => match self.outcome_after_rewrite.take() {
                 Some(outcome) => PublishAction::Finish(outcome),
                 None => self.enter_step(PublishStep::MoveHead),
@@ -465,8 +466,9 @@
         PublishAction::Finish(PublishOutcome::Unknown { head, reason })
     }
 
-    /// Checks that the store still holds the own change record after the head has moved. A store that went back between
-    /// the write of the record and the swap has the head without the record.
+    /// Starts to check that the store still holds this run's change record now that the head names it. If the store lost
+    /// its last writes after the record was written and before the head was moved, it holds the head without the record.
+    /// `followed_by` is the later head that descends from this run's change, if there is one.
     fn verify_published(&mut self, followed_by: Option<HeadRecord>) -> PublishAction {
         self.enter_step(PublishStep::VerifyRecord { followed_by })
     }
--- a/crates/ebonyfork/src/revision/publish_tests.rs
+++ b/crates/ebonyfork/src/revision/publish_tests.rs
@@ -190,7 +190,7 @@
             1,
         ),
     ];
-    for (case, (swap_answers, head_after_swap, other_record, expected, swaps_received)) in
+    for (case, (swap_answers, head_after_swap, other_record, expected_outcome, swaps_received)) in
         cases.into_iter().enumerate()
     {
         let mut store = ScriptedStore {
@@ -205,7 +205,7 @@
         let outcome = run_to_outcome(&mut store);
         expect_that!(
             outcome_name(&outcome),
-            eq(expected),
+            eq(expected_outcome),
             "case {case}: {outcome:?}"
         );
         expect_that!(store.swaps_received, eq(swaps_received), "case {case}");
--- a/crates/ebonyfork/src/revision/publisher.rs
+++ b/crates/ebonyfork/src/revision/publisher.rs
@@ -73,7 +73,8 @@
 }
 
 impl PublishRequest {
-    /// Makes the request fail with a conflict unless the head is the one that the author has seen.
+    /// Sets the head that the author has seen; `None` means that the store had no head yet. If the store has another
+    /// head when the change is published, the outcome is a conflict; if it has lost its head, nothing is published.
     #[must_use]
     pub fn with_base(mut self, base: Option<HeadRecord>) -> Self {
         self.base = ExpectedBase::Exactly(base);
@@ -99,8 +100,8 @@
             PublishAction::ReadChange(change) => {
                 PublishReply::Change(read_change(client, change).await)
             }
-            PublishAction::PutPart(number) => {
-                let (digest, text) = run.part(number);
+            PublishAction::PutPart(index) => {
+                let (digest, text) = run.part(index);
                 PublishReply::Written(put_if_absent(client, digest.key(), text).await)
             }
             PublishAction::PutChange(change) => {
--- a/crates/ebonyfork/src/revision/record.rs
+++ b/crates/ebonyfork/src/revision/record.rs
@@ -238,6 +238,7 @@
             time_ms,
         }
     }
+
     /// Returns the head record that names this change.
     pub fn head(&self) -> HeadRecord {
         HeadRecord {
--- a/crates/ebonyfork/src/revision/record_tests.rs
+++ b/crates/ebonyfork/src/revision/record_tests.rs
@@ -44,8 +44,12 @@
         (change(7, 7, &[6, 5]), change(8, 80, &[70, 6]), false),
         (change(7, 7, &[6, 5]), change(6, 6, &[5]), false),
     ];
-    for (held, offered, expected) in cases {
-        expect_that!(offered.follows(held.head()), eq(expected), "{offered:?}");
+    for (held_change, offered_change, may_replace) in cases {
+        expect_that!(
+            offered_change.follows(held_change.head()),
+            eq(may_replace),
+            "{offered_change:?}"
+        );
     }
 }
 
--- a/crates/ebonyfork/src/revision/restore.rs
+++ b/crates/ebonyfork/src/revision/restore.rs
@@ -22,36 +22,41 @@
 }
 
 /// Returns whether a change may replace the held one, no matter whether a peer or the store showed it.
-pub fn may_replace(held: Option<&ChangeRecord>, provisional: bool, change: &ChangeRecord) -> bool {
-    let Some(held) = held else {
+pub fn may_replace(
+    held_change: Option<&ChangeRecord>,
+    is_provisional: bool,
+    change: &ChangeRecord,
+) -> bool {
+    let Some(held_change) = held_change else {
         return true;
     };
-    change.follows(held.head()) || provisional && change.revision > held.revision
+    change.follows(held_change.head()) || is_provisional && change.revision > held_change.revision
 }
 
 /// Returns whether a settled peer's change must replace a provisional one, because it isn't among its ancestors.
-pub fn must_adopt(held: &ChangeRecord, settled: HeadRecord) -> bool {
-    held.change != settled.change && !held.lineage.contains(&settled.change)
+pub fn must_adopt(held_change: &ChangeRecord, settled_head: HeadRecord) -> bool {
+    held_change.change != settled_head.change && !held_change.lineage.contains(&settled_head.change)
 }
 
-/// Plans the repair of the store's head while `held` is in force; `head` is the change that the store shows, if any.
+/// Plans the repair of the store's head while `held_change` is in force; `head` is the change that the store shows, if
+/// any.
 ///
 /// A head that is an ancestor of the held change is moved back to the held change. If other changes were published
 /// after the store had lost the held one, the held files are published again on top of them, as the change `change_id`.
 pub fn plan_restore(
     head: Option<&ChangeRecord>,
-    held: &ChangeRecord,
+    held_change: &ChangeRecord,
     change_id: ChangeId,
     time_ms: u64,
 ) -> RestorePlan {
     let Some(head) = head else {
-        return RestorePlan::MoveHead(held.clone());
+        return RestorePlan::MoveHead(held_change.clone());
     };
-    if head.change == held.change || head.follows(held.head()) {
+    if head.change == held_change.change || head.follows(held_change.head()) {
         return RestorePlan::Nothing;
     }
-    if held.follows(head.head()) {
-        return RestorePlan::MoveHead(held.clone());
+    if held_change.follows(head.head()) {
+        return RestorePlan::MoveHead(held_change.clone());
     }
-    RestorePlan::MoveHead(held.restored_onto(head, change_id, time_ms))
+    RestorePlan::MoveHead(held_change.restored_onto(head, change_id, time_ms))
 }
--- a/crates/ebonyfork/src/revision/store.rs
+++ b/crates/ebonyfork/src/revision/store.rs
@@ -96,13 +96,15 @@
     }
 }
 
-/// Moves the head if its key is still at the expected revision.
+/// Moves the head if its key is still at `expected_version`.
 pub(super) async fn move_head(
     client: &StoreClient,
-    expected: StoreRevision,
+    expected_version: StoreRevision,
     head: HeadRecord,
 ) -> Result<StoreRevision, StoreError> {
-    client.put(HEAD_KEY, to_json(&head), Some(expected)).await
+    client
+        .put(HEAD_KEY, to_json(&head), Some(expected_version))
+        .await
 }
 
 /// Encodes a record as JSON. This can't fail, because records have neither map keys nor floats that JSON can't
--- a/crates/ebonyfork/src/revision/watcher.rs
+++ b/crates/ebonyfork/src/revision/watcher.rs
@@ -1,4 +1,5 @@
-//! The store calls of a zone's watcher: watching the head, loading revisions, and restoring a head that went back.
+//! The store calls of a zone's watcher: watching the head, loading revisions, and restoring the head
+//! after the store has lost its last writes.
 
 use compact_str::{CompactString, format_compact};
 use snafu::Snafu;
@@ -20,7 +21,7 @@
     let mut watch = KeyWatch::new(client, HEAD_KEY);
     while address.is_connected() {
         let head = match watch.next().await.map(parse_head).transpose() {
-            Ok(stored_item) => stored_item.map(|(_revision, head)| head),
+            Ok(stored_head) => stored_head.map(|(_revision, head)| head),
             Err(error) => {
                 log::warn!("{HEAD_KEY} can't be read, the revision in force stays: {error}");
                 continue;
@@ -52,13 +53,13 @@
 pub(super) async fn load_revision(
     client: &StoreClient,
     head: HeadRecord,
-    held: Option<&HeldRevision>,
+    held_revision: Option<&HeldRevision>,
 ) -> Result<HeldRevision, LoadError> {
     let lost_error = |missing_item| LoadError::Lost { missing_item };
     let change = read_change(client, head.change).await?;
     let change = change.filter(|change| change.head() == head);
     let change = change.ok_or_else(|| lost_error(format_compact!("the record of {head}")))?;
-    let mut assembly = RevisionAssembly::new(change, held);
+    let mut assembly = RevisionAssembly::new(change, held_revision);
     for sha256 in assembly.missing_parts() {
         let text = read_part(client, sha256).await?;
         let text = text.ok_or_else(|| lost_error(format_compact!("part {sha256}")))?;
@@ -73,17 +74,25 @@
 /// Returns whether the head was moved.
 pub(super) async fn restore_head(
     client: &StoreClient,
-    held: &HeldRevision,
+    held_revision: &HeldRevision,
 ) -> Result<bool, StoreError> {
     let (version, change) = match read_head(client).await? {
-        Some((version, head)) => (version, Some(read_head_change(client, held, head).await?)),
+        Some((version, head)) => (
+            version,
+            Some(read_head_change(client, held_revision, head).await?),
+        ),
         None => (StoreRevision::ABSENT, None),
     };
     let change_id = ChangeId::random(&mut rand::rng());
-    match plan_restore(change.as_ref(), &held.change, change_id, unix_millis()) {
+    match plan_restore(
+        change.as_ref(),
+        &held_revision.change,
+        change_id,
+        unix_millis(),
+    ) {
         RestorePlan::Nothing => Ok(false),
         RestorePlan::MoveHead(change) => {
-            let texts = held.texts.clone();
+            let texts = held_revision.texts.clone();
             move_head_forward(client, version, HeldRevision { change, texts }).await
         }
     }
@@ -93,11 +102,11 @@
 /// store.
 async fn read_head_change(
     client: &StoreClient,
-    held: &HeldRevision,
+    held_revision: &HeldRevision,
     head: HeadRecord,
 ) -> Result<ChangeRecord, StoreError> {
-    if head == held.head() {
-        return Ok(held.change.clone());
+    if head == held_revision.head() {
+        return Ok(held_revision.change.clone());
     }
     let change = read_change(client, head.change).await?;
     Ok(change.unwrap_or_else(|| ChangeRecord::placeholder(head)))
@@ -106,17 +115,22 @@
 async fn move_head_forward(
     client: &StoreClient,
     version: StoreRevision,
-    held: HeldRevision,
+    restored_revision: HeldRevision,
 ) -> Result<bool, StoreError> {
-    let head = held.head();
+    let head = restored_revision.head();
     log::warn!(
         target: "ebonyfork::decision",
         "the store has lost the held revision: move its head from version {version} to {head}",
     );
-    for (sha256, text) in held.texts {
+    for (sha256, text) in restored_revision.texts {
         put_if_absent(client, sha256.key(), text).await?;
     }
-    put_if_absent(client, head.change.key(), to_json(&held.change)).await?;
+    put_if_absent(
+        client,
+        head.change.key(),
+        to_json(&restored_revision.change),
+    )
+    .await?;
     move_head(client, version, head).await?;
     Ok(true)
 }
