--- a/crates/ebonyfork/src/store/backoff.rs
+++ b/crates/ebonyfork/src/store/backoff.rs
@@ -18,8 +18,8 @@
 ///
 /// let mut rng = ChaCha8Rng::seed_from_u64(1);
 /// let mut backoff = Backoff::new(Duration::from_millis(100), Duration::from_secs(5));
-/// let first = backoff.next_wait(&mut rng);
-/// assert!(first >= Duration::from_millis(50) && first <= Duration::from_millis(100));
+/// let first_wait = backoff.next_wait(&mut rng);
+/// assert!(first_wait >= Duration::from_millis(50) && first_wait <= Duration::from_millis(100));
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct Backoff {
--- a/crates/ebonyfork/src/store/client.rs
+++ b/crates/ebonyfork/src/store/client.rs
@@ -24,7 +24,7 @@
 pub const VALUE_LIMIT: usize = 1 << 20;
 /// Average store calls per second allowed for one process: a quarter of the 400 writes per second that all VMs share.
 const CALLS_PER_SECOND: f64 = 100.0;
-/// Maximum burst of store calls for one process: as many as the writes that all VMs may make in one second.
+/// Maximum burst of store calls for one process. It equals the 400 writes per second that all VMs share.
 const CALL_BURST: f64 = 400.0;
 
 type AnswerFuture<'a, T> = BoxFuture<'a, Result<T, StoreError>>;
@@ -187,8 +187,8 @@
         let prefix = prefix.as_ref();
         let mut items: Vec<StoreItem> = Vec::new();
         loop {
-            let after = items.last().map(|item| item.key.clone());
-            let page = StorePort::read_page(self, prefix, after.as_deref()).await?;
+            let last_key = items.last().map(|item| item.key.clone());
+            let page = StorePort::read_page(self, prefix, last_key.as_deref()).await?;
             let is_last_page = page.items.is_empty() || !page.has_more;
             items.extend(page.items);
             if is_last_page {
--- a/crates/ebonyfork/src/store/feed.rs
+++ b/crates/ebonyfork/src/store/feed.rs
@@ -82,7 +82,7 @@
     /// When the first page of the range was requested, while the range is being read.
     reading_since: Option<Instant>,
     /// Whether the store states a lower era than before; keeps the warning from being logged for every answer.
-    era_fallen: bool,
+    era_has_fallen: bool,
 }
 
 impl<P: StorePort> MirrorFeed<P> {
@@ -98,7 +98,7 @@
             store_answers: true,
             next_watch_at: Instant::now(),
             reading_since: None,
-            era_fallen: false,
+            era_has_fallen: false,
         }
     }
 
@@ -244,7 +244,7 @@
     /// Logs once that the store states a lower era than before.
     fn check_era(&mut self, stated_revision: StoreRevision) {
         let has_fallen = stated_revision.era() < self.state.era();
-        if has_fallen && !self.era_fallen {
+        if has_fallen && !self.era_has_fallen {
             log::warn!(
                 "store era fell prefix=`{}` stated={} known={}: its answers count as answers of the known era",
                 self.settings.prefix,
@@ -252,7 +252,7 @@
                 self.state.era()
             );
         }
-        self.era_fallen = has_fallen;
+        self.era_has_fallen = has_fallen;
     }
 
     fn record_failure(&mut self, error: &StoreError, called_at: Instant) {
--- a/crates/ebonyfork/src/store/mirror.rs
+++ b/crates/ebonyfork/src/store/mirror.rs
@@ -23,8 +23,8 @@
 /// First wait after a failed call; it doubles with each further failure. Up to 90 VMs then make at most 900 calls per
 /// second in the first moment of an outage, less than the store's rate limits.
 const FIRST_RETRY_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait after a failed call: half of the two seconds within which lapsed entries have to be back after an
-/// outage.
+/// Longest wait after a failed call: half of the two seconds after an outage within which entries whose leases
+/// lapsed have to be back.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(1);
 
 /// The next action of a mirror.
@@ -57,7 +57,7 @@
     /// Returns the number of items or events in the change.
     #[expect(
         clippy::len_without_is_empty,
-        reason = "a change that tells of nothing is none"
+        reason = "no caller asks whether a change is empty"
     )]
     pub fn len(&self) -> usize {
         match self {
@@ -82,9 +82,8 @@
         first_revision: Option<StoreRevision>,
         items: Vec<StoreItem>,
     },
-    Watching {
-        after: StoreRevision,
-    },
+    /// The range has been read, and all of its changes up to `known_revision` are known.
+    Watching { known_revision: StoreRevision },
 }
 
 impl MirrorPhase {
@@ -103,6 +102,7 @@
     /// The highest era seen in any answer.
     era: StoreEra,
     backoff: Backoff,
+    /// Wait before the next call, after a failed one.
     pause: Option<Duration>,
 }
 
@@ -141,7 +141,9 @@
             MirrorPhase::Reading { items, .. } => MirrorStep::Read {
                 after: items.last().map(|item| item.key.clone()),
             },
-            MirrorPhase::Watching { after } => MirrorStep::Watch { after: *after },
+            MirrorPhase::Watching { known_revision } => MirrorStep::Watch {
+                after: *known_revision,
+            },
         }
     }
 
@@ -157,8 +159,8 @@
         else {
             return None;
         };
-        let after = *first_revision.get_or_insert(page.revision);
-        if after.era() < page.revision.era() {
+        let known_revision = *first_revision.get_or_insert(page.revision);
+        if known_revision.era() < page.revision.era() {
             self.phase = MirrorPhase::reading_first_page();
             return None;
         }
@@ -168,7 +170,7 @@
             return None;
         }
         let items = std::mem::take(items);
-        self.phase = MirrorPhase::Watching { after };
+        self.phase = MirrorPhase::Watching { known_revision };
         Some(MirrorChange::Replaced(items))
     }
 
@@ -177,14 +179,14 @@
         self.backoff.reset();
         let era = self.raise_era(watch.revision.era());
         let watch = watch.with_era(era);
-        let MirrorPhase::Watching { after } = &mut self.phase else {
+        let MirrorPhase::Watching { known_revision } = &mut self.phase else {
             return None;
         };
-        if after.era() < watch.revision.era() {
+        if known_revision.era() < watch.revision.era() {
             self.phase = MirrorPhase::reading_first_page();
             return None;
         }
-        *after = watch.revision.max(*after);
+        *known_revision = watch.revision.max(*known_revision);
         let newest_changes = newest_events(watch.events);
         (!newest_changes.is_empty()).then_some(MirrorChange::Changed(newest_changes))
     }
@@ -222,7 +224,7 @@
     pub fn revision(&self) -> StoreRevision {
         match &self.phase {
             MirrorPhase::Reading { first_revision, .. } => first_revision.unwrap_or_default(),
-            MirrorPhase::Watching { after } => *after,
+            MirrorPhase::Watching { known_revision } => *known_revision,
         }
     }
 
@@ -232,7 +234,9 @@
         self.pause = None;
         if revision > self.revision() && revision.era() >= self.era {
             self.era = revision.era();
-            self.phase = MirrorPhase::Watching { after: revision };
+            self.phase = MirrorPhase::Watching {
+                known_revision: revision,
+            };
         }
     }
 
--- a/crates/ebonyfork/src/store/mirror_tests.rs
+++ b/crates/ebonyfork/src/store/mirror_tests.rs
@@ -57,7 +57,7 @@
     let after = StoreRevision::new(10);
     expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
     // The watch returns this change although the second page already contained it: it comes after the first page's
-    // revision, and someone who gets the changes from the reader may lack it.
+    // revision, and a process that gets the changes from the reader may lack it.
     let repeated_event = StoreEvent::Written(item("b", 12));
     let change = mirror.apply_watch(watch(vec![repeated_event.clone()], 13));
     expect_that!(
@@ -77,8 +77,8 @@
     ];
     let change = mirror.apply_watch(watch(events, 5));
     // The removal of `b` is returned although the mirror never saw `b`: the reader may know the key from another VM.
-    let expected = vec![removed_event("b", 4), StoreEvent::Written(item("a", 5))];
-    expect_that!(change, some(eq(&MirrorChange::Changed(expected))));
+    let expected_events = vec![removed_event("b", 4), StoreEvent::Written(item("a", 5))];
+    expect_that!(change, some(eq(&MirrorChange::Changed(expected_events))));
 }
 
 fn revision_in_era(number: u64, era: u64) -> StoreRevision {
@@ -131,8 +131,11 @@
     for stated_era in [0, 1] {
         let watch_result = watch(vec![StoreEvent::Written(item("a", 6))], 6);
         let change = mirror.apply_watch(watch_result.with_era(StoreEra(stated_era)));
-        let expected = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
-        expect_that!(change, some(eq(&MirrorChange::Changed(vec![expected]))));
+        let expected_event = StoreEvent::Written(item("a", 6)).with_era(StoreEra(2));
+        expect_that!(
+            change,
+            some(eq(&MirrorChange::Changed(vec![expected_event])))
+        );
         let after = revision_in_era(6, 2);
         expect_that!(mirror.next_step(), eq(&MirrorStep::Watch { after }));
     }
--- a/crates/ebonyfork/src/store/mod.rs
+++ b/crates/ebonyfork/src/store/mod.rs
@@ -315,10 +315,10 @@
     tokio::pin!(call);
     let mut wait = first_timeout;
     loop {
-        let received = traffic.received();
+        let byte_count = traffic.received();
         match tokio::time::timeout(wait, &mut call).await {
             Ok(result) => return result,
-            Err(_elapsed) if traffic.received() == received => return Err(timeout_error(wait)),
+            Err(_elapsed) if traffic.received() == byte_count => return Err(timeout_error(wait)),
             Err(_elapsed) => wait = silence_timeout,
         }
     }
--- a/crates/ebonyfork/src/store/revision.rs
+++ b/crates/ebonyfork/src/store/revision.rs
@@ -56,11 +56,11 @@
 /// ```
 /// use ebonyfork::store::{StoreEra, StoreRevision};
 ///
-/// let before = StoreRevision::new(63).with_era(StoreEra(1));
-/// let after = StoreRevision::new(60).with_era(StoreEra(2));
-/// assert!(before < after);
-/// assert_eq!(after.to_string(), "2:60");
-/// assert_eq!("2:60".parse(), Ok(after));
+/// let earlier_revision = StoreRevision::new(63).with_era(StoreEra(1));
+/// let later_revision = StoreRevision::new(60).with_era(StoreEra(2));
+/// assert!(earlier_revision < later_revision);
+/// assert_eq!(later_revision.to_string(), "2:60");
+/// assert_eq!("2:60".parse(), Ok(later_revision));
 /// assert_eq!("63".parse(), Ok(StoreRevision::new(63)));
 /// ```
 #[derive(
--- a/crates/ebonyfork/src/store/revision_tests.rs
+++ b/crates/ebonyfork/src/store/revision_tests.rs
@@ -26,8 +26,8 @@
         StoreRevision::new(u64::MAX),
         StoreRevision::new(7).with_era(StoreEra(u64::MAX)),
     ] {
-        let parsed: StoreRevision = revision.to_string().parse().expect("a revision");
-        expect_that!(parsed, eq(revision));
+        let parsed_revision: StoreRevision = revision.to_string().parse().expect("a revision");
+        expect_that!(parsed_revision, eq(revision));
     }
     for text in [
         "",
