--- a/crates/ebonyfork/src/catalog/feed.rs
+++ b/crates/ebonyfork/src/catalog/feed.rs
@@ -171,10 +171,10 @@
     let mut watch = KeyWatch::new(client, catalog_key(&index));
     while address.is_connected() {
         // The catalogue in force stays if its key is removed from the store.
-        let Some(stored) = watch.next().await else {
+        let Some(stored_item) = watch.next().await else {
             continue;
         };
-        let (index, text) = (index.clone(), stored.value);
+        let (index, text) = (index.clone(), stored_item.value);
         let _send_result = address.send(CatalogObserved { index, text }).await;
     }
 }
--- a/crates/ebonyfork/src/catalog/spread.rs
+++ b/crates/ebonyfork/src/catalog/spread.rs
@@ -53,6 +53,7 @@
     named_indexes: BTreeSet<IndexName>,
     watched_indexes: BTreeSet<IndexName>,
     held_catalogs: BTreeMap<IndexName, HeldCatalog>,
+    /// For each requested catalogue, the time from which it may be requested again.
     requested_until: BTreeMap<IndexName, Duration>,
     next_ask_at: Duration,
 }
@@ -149,11 +150,11 @@
     pub fn newer_catalogs(&self, peer_epochs: &[CatalogEpoch]) -> Vec<CatalogMessage> {
         let mut messages = Vec::new();
         for entry in peer_epochs {
-            let Some(held) = self.held_catalogs.get(&entry.index) else {
+            let Some(held_catalog) = self.held_catalogs.get(&entry.index) else {
                 continue;
             };
-            if held.epoch > entry.epoch {
-                let (index, text) = (entry.index.clone(), held.text.clone());
+            if held_catalog.epoch > entry.epoch {
+                let (index, text) = (entry.index.clone(), held_catalog.text.clone());
                 messages.push(CatalogMessage::Value { index, text });
             }
         }
@@ -187,7 +188,9 @@
     }
 
     fn held_epoch(&self, index: &IndexName) -> u64 {
-        self.held_catalogs.get(index).map_or(0, |held| held.epoch)
+        self.held_catalogs
+            .get(index)
+            .map_or(0, |held_catalog| held_catalog.epoch)
     }
 
     fn held_epoch_entry(&self, index: &IndexName) -> CatalogEpoch {
--- a/crates/ebonyfork/src/catalog/spread_tests.rs
+++ b/crates/ebonyfork/src/catalog/spread_tests.rs
@@ -41,13 +41,17 @@
 fn a_lower_epoch_never_replaces_a_higher_one() {
     let mut spread = spread(0, 3);
     spread.set_named_indexes([index("tenders")]);
-    for (epoch, expected) in [(5, true), (4, false), (5, false), (6, true), (0, false)] {
+    for (epoch, is_replaced) in [(5, true), (4, false), (5, false), (6, true), (0, false)] {
         let actions = spread
             .apply_catalog(&index("tenders"), &catalog_text(epoch))
             .unwrap();
         let is_put_in_force =
             |action: &CatalogAction| matches!(action, CatalogAction::PutInForce(_, _));
-        expect_that!(actions.iter().any(is_put_in_force), eq(expected), "{epoch}");
+        expect_that!(
+            actions.iter().any(is_put_in_force),
+            eq(is_replaced),
+            "{epoch}"
+        );
     }
 }
 
@@ -86,10 +90,10 @@
         spread.apply_peer_epochs(START, vm(2), &epoch_entries("tenders", 6)),
         is_empty()
     );
-    let later = START + ANSWER_TIMEOUT;
+    let retry_time = START + ANSWER_TIMEOUT;
     expect_that!(
         spread
-            .apply_peer_epochs(later, vm(2), &epoch_entries("tenders", 6))
+            .apply_peer_epochs(retry_time, vm(2), &epoch_entries("tenders", 6))
             .len(),
         eq(1)
     );
@@ -113,9 +117,9 @@
     let mut spread = spread(0, 1);
     spread.set_named_indexes([index("tenders")]);
     let actions = spread.set_named_indexes([index("awards")]);
-    let expected = [
+    let expected_actions = [
         CatalogAction::Unwatch(index("tenders")),
         CatalogAction::Watch(index("awards")),
     ];
-    expect_that!(actions, eq(&expected));
+    expect_that!(actions, eq(&expected_actions));
 }
