--- a/crates/ebonyfork/src/declaration/parse.rs
+++ b/crates/ebonyfork/src/declaration/parse.rs
@@ -20,7 +20,7 @@
 pub const DEFAULT_BOUND_FACTOR: u32 = 4;
 /// Default percentile of a class's target latency, in per cent.
 pub const DEFAULT_PERCENTILE: f64 = 99.0;
-/// Default drain time of a service.
+/// Drain time of a service whose section doesn't state `drain`.
 pub const DEFAULT_DRAIN_TIME: Duration = Duration::from_secs(10);
 /// Maximum duration that a declaration may state.
 const MAX_DURATION: Duration = Duration::from_hours(1);
@@ -150,7 +150,7 @@
     fn read_file(&mut self, file: &DeclaredFile) {
         let document = IniDocument::parse(&file.name, &file.text, &mut self.findings);
         for section in &document.sections {
-            if !self.register_entry(&file.name, section) {
+            if !self.register_if_first(&file.name, section) {
                 continue;
             }
             match section.kind.as_str() {
@@ -162,8 +162,9 @@
         }
     }
 
-    /// Records where an entry is declared. Returns `false` if the same kind and name was declared before.
-    fn register_entry(&mut self, file: &str, section: &IniSection) -> bool {
+    /// Records where a section is declared. Returns whether it is the first of its kind and name; a duplicate in another
+    /// file is reported as a finding.
+    fn register_if_first(&mut self, file: &str, section: &IniSection) -> bool {
         let key = (section.kind.clone(), section.name.clone());
         let Some(first_location) = self.entry_locations.get(&key) else {
             let location = EntryLocation {
@@ -311,18 +312,18 @@
     let scope = reader.choice("scope", &scopes).unwrap_or(ClassScope::All);
     let latency = read_span(reader, "latency", true);
     let percentile = read_share(reader, "percentile", 100.0, false).unwrap_or(DEFAULT_PERCENTILE);
-    let coverage = has_required(reader, "coverage")
+    let coverage = has_required_key(reader, "coverage")
         .then(|| read_share(reader, "coverage", 1.0, true))
         .flatten();
     let priorities = [
         ("latency", TargetPriority::CoverageFirst),
         ("coverage", TargetPriority::LatencyFirst),
     ];
-    let priority = has_required(reader, "gives-way")
+    let priority = has_required_key(reader, "gives-way")
         .then(|| reader.choice("gives-way", &priorities))
         .flatten();
     let yes_no_values = [("yes", true), ("no", false)];
-    let idempotent = has_required(reader, "idempotent")
+    let idempotent = has_required_key(reader, "idempotent")
         .then(|| reader.choice("idempotent", &yes_no_values))
         .flatten();
     if scope == ClassScope::All && idempotent == Some(false) {
@@ -356,10 +357,11 @@
 }
 
 /// Returns whether a key without a default is present, and records a finding if it isn't.
-fn has_required(reader: &mut SectionReader<'_>, key: &'static str) -> bool {
+fn has_required_key(reader: &mut SectionReader<'_>, key: &'static str) -> bool {
     reader.required::<CompactString>(key).is_some()
 }
 
+/// Reads a duration above zero and up to [`MAX_DURATION`].
 fn read_span(
     reader: &mut SectionReader<'_>,
     key: &'static str,
@@ -386,8 +388,8 @@
     is_inclusive: bool,
 ) -> Option<f64> {
     let share = reader.optional::<f64>(key)?;
-    let in_range = share > 0.0 && (share < max || is_inclusive && share <= max);
-    if in_range {
+    let is_in_range = share > 0.0 && (share < max || is_inclusive && share <= max);
+    if is_in_range {
         return Some(share);
     }
     let limit_word = if is_inclusive { "up to" } else { "below" };
@@ -398,6 +400,7 @@
     None
 }
 
+/// Returns the line of a key, or the line of the section if it lacks the key.
 fn line_of(section: &IniSection, key: &str) -> u32 {
     let mut properties = section.properties.iter();
     properties
