--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -49,6 +49,7 @@
 /// Maximum wait after a failed attempt to load a revision from the store.
 const MAX_LOAD_WAIT: Duration = Duration::from_secs(5);
 
+/// A function that sends a message to a VM over the link to it.
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 
 /// The last observation of the store's head.
@@ -68,12 +69,14 @@
     own_vm: VmAddress,
     client: StoreClient,
     config_sender: watch::Sender<Arc<DeclaredConfig>>,
-    send: Arc<SendFunction>,
+    send_message: Arc<SendFunction>,
     metrics: RevisionMetrics,
     started_at: Instant,
     feed: FeedState,
     evidence: EvidenceState,
+    /// Limits the bytes of parts sent to peers.
     serve_budget: ServeBudget,
+    /// The revision in force; `None` before the first one.
     held_revision: Option<HeldRevision>,
     /// End of the period during which the held revision is provisional, as time since the actor's start.
     provisional_until: Duration,
@@ -87,13 +90,17 @@
     refused_head: Option<HeadRecord>,
     /// Since when the store's head has lacked the held revision.
     store_behind_since: Option<Duration>,
+    /// Whether a task that restores the store's head is running.
     is_restoring: bool,
+    /// Whether a task that loads a revision from the store is running.
     is_loading: bool,
     /// Earliest time of the next attempt to load a revision from the store, after one has failed.
     next_load_at: Duration,
     load_backoff: Backoff,
     rng: ChaCha8Rng,
+    /// Whether a task that writes the zone's evidence is running.
     is_writing_evidence: bool,
+    /// The task that watches the store's head, while this VM is a watcher.
     watch_task: Option<AbortHandle>,
     tasks: JoinSet<()>,
 }
@@ -157,7 +164,7 @@
             own_vm,
             client,
             config_sender,
-            send: Arc::new(send),
+            send_message: Arc::new(send),
             metrics,
             started_at: Instant::now(),
             feed: FeedState::new(HEAD_KEY, own_vm, zone.clone(), rand::random()),
@@ -203,6 +210,7 @@
             })
     }
 
+    /// Carries out the actions that the feed requests.
     fn run_actions(&mut self, actions: FeedActions, address: &WeakAddress<Self>) {
         for action in actions {
             match action {
@@ -222,6 +230,7 @@
         }
     }
 
+    /// Starts to watch the store's head, ending an earlier watch.
     fn start_watch(&mut self, address: WeakAddress<Self>) {
         self.stop_watch();
         self.metrics.is_watching.set(1);
@@ -238,7 +247,7 @@
     }
 
     fn send_to(&self, vm: VmAddress, message: RevisionMessage) {
-        if let Err(error) = (self.send)(vm, PeerMessage::Revision(message)) {
+        if let Err(error) = (self.send_message)(vm, PeerMessage::Revision(message)) {
             log::debug!("revision message to {vm}: {error}");
         }
     }
@@ -300,6 +309,7 @@
         self.start_assembly(vm, change, address);
     }
 
+    /// Starts to collect a change's parts and asks the peer for those that aren't held.
     fn start_assembly(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         let now = self.now();
         self.feed.record_pull_progress(now);
@@ -311,6 +321,8 @@
         self.finish_assembly(address);
     }
 
+    /// Adds a part that a peer has sent. If the peer that was asked sends none that fits, gives up the assembly, and
+    /// the feed pulls from another peer.
     fn handle_part(
         &mut self,
         vm: VmAddress,
@@ -335,6 +347,7 @@
         }
     }
 
+    /// Puts the collected revision in force if it is complete.
     fn finish_assembly(&mut self, address: &WeakAddress<Self>) {
         let Some((vm, assembly)) = self.assembly.take() else {
             return;
@@ -499,6 +512,7 @@
         });
     }
 
+    /// Writes the zone's evidence if this VM is a watcher and the evidence is due.
     fn write_due_evidence(&mut self, address: &WeakAddress<Self>) {
         let now = self.now();
         if self.is_writing_evidence || !self.feed.is_watching() {
--- a/crates/ebonyfork/src/revision/actor/inbox.rs
+++ b/crates/ebonyfork/src/revision/actor/inbox.rs
@@ -144,6 +144,7 @@
 }
 
 impl RevisionActor {
+    /// Returns the held change if it is above the asker's revision, otherwise only the held head.
     fn reply_to_ask(&self, above: RevisionNumber) -> Option<RevisionMessage> {
         let held_revision = self.held_revision.as_ref()?;
         if held_revision.change.revision > above {
@@ -152,6 +153,7 @@
         Some(RevisionMessage::Held(held_revision.head()))
     }
 
+    /// Returns the text of a held part; `None` if it isn't held or the byte budget is used up.
     fn part_text(&mut self, sha256: PartDigest) -> Option<bytes::Bytes> {
         let now = self.now();
         let text = self.held_revision.as_ref()?.texts.get(&sha256)?.clone();
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -32,16 +32,20 @@
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
+/// A VM of the zone that evidence counts.
 struct ZoneMember {
+    /// Whether the VM has announced its stop.
     leaving: bool,
     /// Start time of the member's process in milliseconds since the Unix epoch, if membership has reported it.
     started_at_ms: Option<u64>,
+    /// Set once the VM is no longer in the topology view.
     departure: Option<MemberDeparture>,
 }
 
 /// State of a member that is no longer in the topology view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct MemberDeparture {
+    /// When the VM was first missing from the view, in the caller's time.
     departed_at: Duration,
     /// The revision that the member had shown last.
     last_shown: u64,
@@ -161,6 +165,7 @@
         self.last_written = None;
     }
 
+    /// Removes the members that have been missing from the view for longer than they still count.
     fn remove_departed_members(&mut self, now: Duration) {
         self.members.retain(|_, member| {
             let Some(departure) = member.departure else {
@@ -175,6 +180,7 @@
         });
     }
 
+    /// Builds the evidence from the revisions that the members have shown.
     fn build_evidence(&self, time_ms: u64, held: HeadRecord, feed: &FeedState) -> HeldEvidence {
         let mut lowest = held.revision;
         let mut lagging = Vec::new();
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -47,6 +47,7 @@
 pub type FeedActions = SmallVec<[FeedAction; 8]>;
 
 #[derive(Debug, Clone, Copy)]
+/// A question to a peer for a newer revision that is not answered completely yet.
 struct PendingPull {
     vm: VmAddress,
     deadline: Duration,
@@ -73,6 +74,7 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct FeedState {
+    /// Store key of the record that the zone's watchers watch.
     watched_key: &'static str,
     own_vm: VmAddress,
     peers: ZonePeers,
@@ -80,7 +82,9 @@
     held_revision: u64,
     /// The highest revision that was fetched and found unusable.
     rejected_revision: u64,
+    /// The revision that each other VM has shown last.
     shown_revisions: FxHashMap<VmAddress, u64>,
+    /// Whether this VM watches `watched_key` in the store.
     is_watcher: bool,
     /// Number of announcement rounds left for the held revision.
     announce_rounds_left: u32,
@@ -321,6 +325,7 @@
         self.pull_from(now, vm, actions);
     }
 
+    /// Starts a pull from a VM.
     fn pull_from(&mut self, now: Duration, vm: VmAddress, actions: &mut FeedActions) {
         let deadline = now + PULL_TIMEOUT;
         self.pending_pull = Some(PendingPull { vm, deadline });
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -146,6 +146,7 @@
     vms.sort_unstable();
 }
 
+/// Returns the rendezvous hash of a VM for a key; the VMs with the highest hashes are selected.
 fn rendezvous_score(vm: VmAddress, key: &str) -> u64 {
     let mut hasher = Xxh3Default::new();
     match vm.0 {
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -140,6 +140,7 @@
 }
 
 #[derive(Debug, Clone)]
+/// The step that a publish run is at; each makes one store call.
 enum PublishStep {
     ReadBase,
     ReadEvidence,
@@ -168,8 +169,11 @@
 pub struct PublishRun {
     request: PublishRequest,
     step: PublishStep,
+    /// The head that the change is published on, with the store revision of its key.
     stored_base: StoredHead,
+    /// The change record of that head.
     base_change: Option<ChangeRecord>,
+    /// The revision that the change makes; zero until the base is known.
     revision: RevisionNumber,
     /// Number of failed attempts at the current step.
     step_failures: u32,
@@ -236,6 +240,7 @@
         self.stored_base.map(|(_, head)| head)
     }
 
+    /// Returns the store revision that the head's key must have when the head is moved.
     fn base_version(&self) -> StoreRevision {
         self.stored_base
             .map_or(StoreRevision::ABSENT, |(version, _)| version)
@@ -300,6 +305,7 @@
         }
     }
 
+    /// Checks that the head is the one the author expects, and goes on with it as the base.
     fn handle_base(&mut self, head: StoredHead) -> PublishAction {
         let current_head = head.map(|(_, head)| head);
         if let ExpectedBase::Exactly(expected) = self.request.base
@@ -350,6 +356,8 @@
         }
     }
 
+    /// Ends the run if the base already has exactly these files or its record is lost; otherwise starts to write the
+    /// parts.
     fn handle_base_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
         let parts = &self.request.parts.entries;
         let is_unchanged = change.as_ref().is_some_and(|change| change.parts == *parts);
@@ -390,6 +398,8 @@
         }
     }
 
+    /// Retries a swap that certainly had no effect; after any other error reads the head to find out whether the swap
+    /// took effect.
     fn handle_move_error(&mut self, error: &StoreError) -> PublishAction {
         if error.is_refusal() {
             return self.handle_failure(error);
@@ -440,6 +450,7 @@
         }
     }
 
+    /// Retries a failed store call, or ends the run after [`MAX_ATTEMPTS`] attempts at the step.
     fn handle_failure(&mut self, error: &StoreError) -> PublishAction {
         self.step_failures += 1;
         if self.step_failures < MAX_ATTEMPTS {
@@ -466,13 +477,15 @@
         PublishAction::Finish(PublishOutcome::Unknown { head, reason })
     }
 
-    /// Starts to check that the store still holds this run's change record now that the head names it. If the store lost
-    /// its last writes after the record was written and before the head was moved, it holds the head without the record.
+    /// Starts to check that the store still holds this run's change record now that the head names it. If the store
+    /// lost its last writes after the record was written and before the head was moved, it holds the head without the
+    /// record.
     /// `followed_by` is the later head that descends from this run's change, if there is one.
     fn verify_published(&mut self, followed_by: Option<HeadRecord>) -> PublishAction {
         self.enter_step(PublishStep::VerifyRecord { followed_by })
     }
 
+    /// Ends the run if the record is there; otherwise writes the parts and the record again first.
     fn verify_record(
         &mut self,
         followed_by: Option<HeadRecord>,
--- a/crates/ebonyfork/src/revision/watcher.rs
+++ b/crates/ebonyfork/src/revision/watcher.rs
@@ -112,6 +112,8 @@
     Ok(change.unwrap_or_else(|| ChangeRecord::placeholder(head)))
 }
 
+/// Writes the parts and the record of a revision if the store lacks them, then moves the head to it. Fails if the
+/// head's key is no longer at `version`.
 async fn move_head_forward(
     client: &StoreClient,
     version: StoreRevision,
