--- a/crates/ebonyfork/src/store/client.rs
+++ b/crates/ebonyfork/src/store/client.rs
@@ -89,11 +89,13 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
+/// Labels of the `store_calls` counter: the kind of a call and its result.
 struct CallLabels {
     call: &'static str,
     result: &'static str,
 }
 
+/// What all clones of a client share.
 struct ClientShared {
     port: Box<dyn ErasedPort>,
     timeout: Duration,
--- a/crates/ebonyfork/src/store/feed.rs
+++ b/crates/ebonyfork/src/store/feed.rs
@@ -25,6 +25,7 @@
     watch_wait: Duration,
     answer_timeout: Duration,
     min_watch_interval: Duration,
+    /// Whether the whole range is read again after a failed call.
     rereads_after_failure: bool,
 }
 
@@ -219,6 +220,7 @@
         answer_while_receiving(timeout, self.settings.answer_timeout, &self.traffic, call).await
     }
 
+    /// Returns the step of a call that failed, or of a wait after one.
     fn failed_step(&self) -> FeedStep {
         FeedStep {
             change: None,
