--- a/crates/ebonyfork/src/catalog/feed.rs
+++ b/crates/ebonyfork/src/catalog/feed.rs
@@ -33,6 +33,7 @@
 /// Interval at which the actor checks its timers.
 const TICK_PERIOD: Duration = Duration::from_millis(200);
 
+/// A function that sends a message to a VM over the link to it.
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 
 /// Handle to the feed of index catalogues. Cheap to clone; the feed ends when the last handle is dropped.
@@ -98,6 +99,7 @@
     sender: LinkSender,
     message: CatalogMessage,
 }
+/// A catalogue that the store shows.
 struct CatalogObserved {
     index: IndexName,
     text: Bytes,
@@ -108,10 +110,11 @@
 pub struct CatalogActor {
     client: StoreClient,
     catalog_sender: watch::Sender<Arc<CatalogSet>>,
-    send: Arc<SendFunction>,
+    send_message: Arc<SendFunction>,
     started_at: Instant,
     epoch_gauges: EpochFamily,
     spread: CatalogSpread,
+    /// The tasks that watch the store, by the index whose catalogue they watch.
     watch_tasks: FxHashMap<IndexName, AbortHandle>,
     tasks: JoinSet<()>,
 }
@@ -167,6 +170,7 @@
     }
 }
 
+/// Reports each version of an index's catalogue in the store to the actor until the feed ends.
 async fn watch_catalog(client: StoreClient, index: IndexName, address: WeakAddress<CatalogActor>) {
     let mut watch = KeyWatch::new(client, catalog_key(&index));
     while address.is_connected() {
@@ -189,7 +193,7 @@
         Self {
             client,
             catalog_sender,
-            send: Arc::new(send),
+            send_message: Arc::new(send),
             started_at: Instant::now(),
             epoch_gauges: EpochFamily::default(),
             spread: CatalogSpread::new(peers, rand::random()),
@@ -219,7 +223,7 @@
     }
 
     fn send_to(&self, vm: VmAddress, message: CatalogMessage) {
-        if let Err(error) = (self.send)(vm, PeerMessage::Catalog(message)) {
+        if let Err(error) = (self.send_message)(vm, PeerMessage::Catalog(message)) {
             log::debug!("catalogue message to {vm}: {error}");
         }
     }
--- a/crates/ebonyfork/src/catalog/spread.rs
+++ b/crates/ebonyfork/src/catalog/spread.rs
@@ -40,6 +40,7 @@
 }
 
 #[derive(Debug, Clone)]
+/// A catalogue in force, with its published text for peers that ask for it.
 struct HeldCatalog {
     epoch: u64,
     text: Bytes,
@@ -50,7 +51,9 @@
 pub struct CatalogSpread {
     peers: ZonePeers,
     rng: ChaCha8Rng,
+    /// The indexes that the declared classes name.
     named_indexes: BTreeSet<IndexName>,
+    /// The indexes whose catalogue this VM watches in the store.
     watched_indexes: BTreeSet<IndexName>,
     held_catalogs: BTreeMap<IndexName, HeldCatalog>,
     /// For each requested catalogue, the time from which it may be requested again.
@@ -200,6 +203,7 @@
         }
     }
 
+    /// Starts or stops watches so that this VM watches the named indexes that it is a watcher of.
     fn update_watches(&mut self) -> Vec<CatalogAction> {
         let mut indexes_to_watch = BTreeSet::new();
         for index in &self.named_indexes {
