--- a/crates/ebonyfork/src/declaration/parse.rs
+++ b/crates/ebonyfork/src/declaration/parse.rs
@@ -125,6 +125,7 @@
 struct ConfigDraft {
     config: DeclaredConfig,
     findings: FindingList,
+    /// Where each section was first declared, by the section's kind and name.
     entry_locations: BTreeMap<(CompactString, CompactString), EntryLocation>,
     /// Every declared class, including those with findings, so that an organisation naming one doesn't cause a second
     /// finding.
@@ -162,8 +163,8 @@
         }
     }
 
-    /// Records where a section is declared. Returns whether it is the first of its kind and name; a duplicate in another
-    /// file is reported as a finding.
+    /// Records where a section is declared. Returns whether it is the first of its kind and name; a duplicate in
+    /// another file is reported as a finding.
     fn register_if_first(&mut self, file: &str, section: &IniSection) -> bool {
         let key = (section.kind.clone(), section.name.clone());
         let Some(first_location) = self.entry_locations.get(&key) else {
@@ -186,6 +187,7 @@
         false
     }
 
+    /// Records a finding for a section of an unknown kind.
     fn reject_section(&mut self, file: &str, line: u32, kind: &str) {
         let message = if ROUTING_SECTIONS.contains(&kind) {
             format!("section `{kind}`: {}", routing_message())
@@ -265,6 +267,7 @@
         }
     }
 
+    /// Parses a section's name; records a finding if it is missing or invalid.
     fn read_name<T>(&mut self, file: &str, section: &IniSection) -> Option<T>
     where
         T: FromStr,
@@ -306,6 +309,7 @@
     }
 }
 
+/// Reads the keys of a class section; returns `None` if a required key is missing or invalid.
 fn read_target(reader: &mut SectionReader<'_>, name: Option<ClassName>) -> Option<ClassTarget> {
     let index = reader.required("index");
     let scopes = [("all", ClassScope::All), ("one", ClassScope::One)];
