--- a/crates/ebonyfork/src/catalog/spread.rs
+++ b/crates/ebonyfork/src/catalog/spread.rs
@@ -39,8 +39,8 @@
     PutInForce(IndexName, IndexCatalog),
 }
 
-#[derive(Debug, Clone)]
 /// A catalogue in force, with its published text for peers that ask for it.
+#[derive(Debug, Clone)]
 struct HeldCatalog {
     epoch: u64,
     text: Bytes,
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -82,6 +82,7 @@
     provisional_until: Duration,
     /// The revision that is being collected, with the peer that was asked for its parts.
     assembly: Option<(VmAddress, RevisionAssembly)>,
+    /// The store's head as this VM has seen it last.
     observed_head: ObservedHead,
     /// A settled peer's revision that is being collected to replace the provisional one.
     adopting_head: Option<HeadRecord>,
@@ -96,6 +97,7 @@
     is_loading: bool,
     /// Earliest time of the next attempt to load a revision from the store, after one has failed.
     next_load_at: Duration,
+    /// Computes the wait after a failed attempt to load a revision.
     load_backoff: Backoff,
     rng: ChaCha8Rng,
     /// Whether a task that writes the zone's evidence is running.
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -31,8 +31,8 @@
 /// Minimum time between two writes of evidence.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-#[derive(Debug, Clone, PartialEq, Eq)]
 /// A VM of the zone that evidence counts.
+#[derive(Debug, Clone, PartialEq, Eq)]
 struct ZoneMember {
     /// Whether the VM has announced its stop.
     leaving: bool,
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -46,8 +46,8 @@
 /// The actions that the feed requests in response to one event.
 pub type FeedActions = SmallVec<[FeedAction; 8]>;
 
-#[derive(Debug, Clone, Copy)]
 /// A question to a peer for a newer revision that is not answered completely yet.
+#[derive(Debug, Clone, Copy)]
 struct PendingPull {
     vm: VmAddress,
     deadline: Duration,
--- a/crates/ebonyfork/src/revision/peers.rs
+++ b/crates/ebonyfork/src/revision/peers.rs
@@ -2,12 +2,12 @@
 //! questions to.
 //!
 //! Every VM ranks the VMs of its zone that aren't leaving, for each watched key, by rendezvous hashing; the first
-//! [`WATCHERS_PER_ZONE`] watch the key. While two VMs have different views, both may watch, or neither. The first costs
-//! a few extra calls; in the second case VMs still learn of changes by asking peers.
+//! [`WATCHERS_PER_ZONE`] watch the key. While the views of two VMs differ, a key may have a watcher too many, which
+//! costs a few extra calls, or none at all; VMs then still learn of changes by asking peers.
 //!
-//! A VM sends announcements and questions only to its *partners*, the few VMs that rank highest by rendezvous hashing
-//! with the VM's own address. A partner stays the same as long as it is live, so a VM of a large fleet needs links to a
-//! few VMs only.
+//! A VM sends its announcements and the questions that it asks at random only to its *partners*, the few VMs that rank
+//! highest by rendezvous hashing with the VM's own address. Partners change only as VMs join or leave, so a VM of a
+//! large fleet needs links to a few VMs only.
 
 use rand::RngExt;
 use smallvec::SmallVec;
@@ -18,11 +18,12 @@
 
 /// Number of VMs per zone that watch a key of the store.
 pub const WATCHERS_PER_ZONE: usize = 2;
-/// Maximum number of peers in the own zone that receive an announcement.
+/// Maximum number of peers that a VM sends one announcement to, all of them in its own zone.
 pub const ANNOUNCE_FAN_OUT: usize = 4;
-/// Number of partners in the own zone. Among 490 VMs, one in 3,000 is nobody's partner; it learns of changes by asking.
+/// Number of partners that a VM has in its own zone. Among 490 VMs, one in 3,000 is nobody's partner; it learns of
+/// changes by asking.
 pub const NEAR_PARTNER_COUNT: usize = 8;
-/// Number of partners in other zones.
+/// Number of partners that a VM has in other zones.
 pub const FAR_PARTNER_COUNT: usize = 3;
 /// One question in this many goes to a VM of another zone.
 const FAR_ASK_RATIO: u32 = 4;
@@ -32,11 +33,11 @@
 pub struct ZonePeers {
     own_vm: VmAddress,
     zone: ZoneName,
-    /// Partners in the own zone.
+    /// Partners in this VM's zone.
     near_partners: Vec<VmAddress>,
     /// Partners in other zones.
     far_partners: Vec<VmAddress>,
-    /// VMs of the own zone that aren't leaving, including this one unless it is leaving.
+    /// VMs of this VM's zone that aren't leaving, including this one unless it is leaving.
     active_vms: Vec<VmAddress>,
 }
 
@@ -100,7 +101,7 @@
         higher_ranked < WATCHERS_PER_ZONE
     }
 
-    /// Draws the random partners in the own zone that receive an announcement.
+    /// Draws the random partners in this VM's zone that receive an announcement.
     pub fn draw_announce_targets(
         &self,
         rng: &mut impl rand::Rng,
@@ -119,7 +120,7 @@
         targets
     }
 
-    /// Draws a random partner to ask, mostly from the own zone.
+    /// Draws a random partner to ask, mostly from this VM's zone.
     pub fn draw_ask_target(&self, rng: &mut impl rand::Rng) -> Option<VmAddress> {
         let prefers_other_zone =
             self.near_partners.is_empty() || rng.random_ratio(1, FAR_ASK_RATIO);
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -1,7 +1,7 @@
 //! The steps of publishing a revision, as a state machine without I/O that is driven by the store's answers.
 //!
 //! Parts and the change record are written first. They have no effect until the head names them, so an attempt that
-//! stops half-way leaves nothing in force. Then the head is moved by compare-and-swap. If the answer to the swap is
+//! stops half-way leaves nothing in force. Then the head is moved by compare-and-swap, the *swap*. If its answer is
 //! lost, the run reads the head: the swap took effect if the head is the run's own change or descends from it, and
 //! failed if somebody else has moved the head. The swap is sent again only while the head still has the expected
 //! version, and the store carries out at most one of two such swaps.
@@ -139,14 +139,20 @@
     }
 }
 
-#[derive(Debug, Clone)]
 /// The step that a publish run is at; each makes one store call.
+#[derive(Debug, Clone)]
 enum PublishStep {
+    /// Reads the head that the change is to be published on.
     ReadBase,
+    /// Reads the evidence of all zones.
     ReadEvidence,
+    /// Reads the change record of the base head.
     ReadBaseChange,
+    /// Writes the part with this index.
     PutPart(usize),
+    /// Writes the run's change record.
     PutRecord,
+    /// Moves the head to the run's change by compare-and-swap.
     MoveHead,
     /// Reads the head, because the answer to a swap was lost or was a conflict.
     ResolveSwap,
@@ -158,10 +164,9 @@
     },
     /// Reads the change record of a head that isn't the expected base.
     ReadOtherChange(ChangeId),
-    /// Reads the run's own change record back after the head has moved; `followed_by` is a later head, if there is one.
-    VerifyRecord {
-        followed_by: Option<HeadRecord>,
-    },
+    /// Reads the run's own change record back after the head has moved; `followed_by` is a later head that descends
+    /// from the run's change, if there is one.
+    VerifyRecord { followed_by: Option<HeadRecord> },
 }
 
 /// One attempt to publish a change.
--- a/crates/ebonyfork/src/store/client.rs
+++ b/crates/ebonyfork/src/store/client.rs
@@ -88,8 +88,8 @@
     }
 }
 
-#[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 /// Labels of the `store_calls` counter: the kind of a call and its result.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CallLabels {
     call: &'static str,
     result: &'static str,
