--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -45,7 +45,7 @@
 /// State of a member that is no longer in the topology view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct MemberDeparture {
-    /// When the VM was first missing from the view, in the caller's time.
+    /// When the VM was first missing from the view, as the `now` of [`EvidenceState::apply_topology`].
     departed_at: Duration,
     /// The revision that the member had shown last.
     last_shown: u64,
@@ -54,6 +54,7 @@
 }
 
 impl ZoneMember {
+    /// Returns whether the member's process is known to have run for less than [`SETTLE_TIME_MS`].
     fn has_just_started(&self, time_ms: u64) -> bool {
         self.started_at_ms
             .is_some_and(|started| started + SETTLE_TIME_MS > time_ms)
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -46,7 +46,7 @@
 /// The actions that the feed requests in response to one event.
 pub type FeedActions = SmallVec<[FeedAction; 8]>;
 
-/// A question to a peer for a newer revision that is not answered completely yet.
+/// The running pull: the peer that was asked for a newer revision, and when the pull fails without progress.
 #[derive(Debug, Clone, Copy)]
 struct PendingPull {
     vm: VmAddress,
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -393,6 +393,7 @@
         self.enter_step(PublishStep::PutRecord)
     }
 
+    /// Goes on after a write: to the next part, or after the change record to the swap or to the end of the run.
     fn handle_written(&mut self) -> PublishAction {
         match self.step {
             PublishStep::PutPart(index) => self.put_next_part(index + 1),
--- a/crates/ebonyfork/src/store/mirror.rs
+++ b/crates/ebonyfork/src/store/mirror.rs
@@ -20,8 +20,8 @@
     Backoff, StoreEra, StoreError, StoreEvent, StoreItem, StorePage, StoreRevision, StoreWatch,
 };
 
-/// First wait after a failed call; it doubles with each further failure. Up to 90 VMs then make at most 900 calls per
-/// second in the first moment of an outage, less than the store's rate limits.
+/// First wait after a failed call; it doubles with each further failure. A fleet of 7 to 90 VMs then makes at most 900
+/// calls per second in the first moment of an outage, less than the store's rate limits.
 const FIRST_RETRY_WAIT: Duration = Duration::from_millis(100);
 /// Longest wait after a failed call: half of the two seconds after an outage within which entries whose leases
 /// lapsed have to be back.
