--- a/crates/ebonyfork/src/catalog/spread.rs
+++ b/crates/ebonyfork/src/catalog/spread.rs
@@ -39,6 +39,7 @@
     PutInForce(IndexName, IndexCatalog),
 }
 
+/// A catalogue in force, with its published text for peers that ask for it.
 #[derive(Debug, Clone)]
 struct HeldCatalog {
     epoch: u64,
@@ -50,9 +51,12 @@
 pub struct CatalogSpread {
     peers: ZonePeers,
     rng: ChaCha8Rng,
+    /// The indexes that the declared classes name.
     named_indexes: BTreeSet<IndexName>,
+    /// The indexes whose catalogue this VM watches in the store.
     watched_indexes: BTreeSet<IndexName>,
     held_catalogs: BTreeMap<IndexName, HeldCatalog>,
+    /// For each requested catalogue, the time from which it may be requested again.
     requested_until: BTreeMap<IndexName, Duration>,
     next_ask_at: Duration,
 }
@@ -149,11 +153,11 @@
     pub fn newer_catalogs(&self, peer_epochs: &[CatalogEpoch]) -> Vec<CatalogMessage> {
         let mut messages = Vec::new();
         for entry in peer_epochs {
-            let Some(held) = self.held_catalogs.get(&entry.index) else {
+            let Some(held_catalog) = self.held_catalogs.get(&entry.index) else {
                 continue;
             };
-            if held.epoch > entry.epoch {
-                let (index, text) = (entry.index.clone(), held.text.clone());
+            if held_catalog.epoch > entry.epoch {
+                let (index, text) = (entry.index.clone(), held_catalog.text.clone());
                 messages.push(CatalogMessage::Value { index, text });
             }
         }
@@ -187,7 +191,9 @@
     }
 
     fn held_epoch(&self, index: &IndexName) -> u64 {
-        self.held_catalogs.get(index).map_or(0, |held| held.epoch)
+        self.held_catalogs
+            .get(index)
+            .map_or(0, |held_catalog| held_catalog.epoch)
     }
 
     fn held_epoch_entry(&self, index: &IndexName) -> CatalogEpoch {
@@ -197,6 +203,7 @@
         }
     }
 
+    /// Starts or stops watches so that this VM watches the named indexes that it is a watcher of.
     fn update_watches(&mut self) -> Vec<CatalogAction> {
         let mut indexes_to_watch = BTreeSet::new();
         for index in &self.named_indexes {
--- a/crates/ebonyfork/src/revision/actor.rs
+++ b/crates/ebonyfork/src/revision/actor.rs
@@ -49,6 +49,7 @@
 /// Maximum wait after a failed attempt to load a revision from the store.
 const MAX_LOAD_WAIT: Duration = Duration::from_secs(5);
 
+/// A function that sends a message to a VM over the link to it.
 type SendFunction = dyn Fn(VmAddress, PeerMessage) -> Result<(), LinkError> + Send + Sync;
 
 /// The last observation of the store's head.
@@ -68,16 +69,20 @@
     own_vm: VmAddress,
     client: StoreClient,
     config_sender: watch::Sender<Arc<DeclaredConfig>>,
-    send: Arc<SendFunction>,
+    send_message: Arc<SendFunction>,
     metrics: RevisionMetrics,
     started_at: Instant,
     feed: FeedState,
     evidence: EvidenceState,
+    /// Limits the bytes of parts sent to peers.
     serve_budget: ServeBudget,
-    held: Option<HeldRevision>,
+    /// The revision in force; `None` before the first one.
+    held_revision: Option<HeldRevision>,
     /// End of the period during which the held revision is provisional, as time since the actor's start.
     provisional_until: Duration,
+    /// The revision that is being collected, with the peer that was asked for its parts.
     assembly: Option<(VmAddress, RevisionAssembly)>,
+    /// The store's head as this VM has seen it last.
     observed_head: ObservedHead,
     /// A settled peer's revision that is being collected to replace the provisional one.
     adopting_head: Option<HeadRecord>,
@@ -86,13 +91,18 @@
     refused_head: Option<HeadRecord>,
     /// Since when the store's head has lacked the held revision.
     store_behind_since: Option<Duration>,
+    /// Whether a task that restores the store's head is running.
     is_restoring: bool,
+    /// Whether a task that loads a revision from the store is running.
     is_loading: bool,
     /// Earliest time of the next attempt to load a revision from the store, after one has failed.
     next_load_at: Duration,
+    /// Computes the wait after a failed attempt to load a revision.
     load_backoff: Backoff,
     rng: ChaCha8Rng,
+    /// Whether a task that writes the zone's evidence is running.
     is_writing_evidence: bool,
+    /// The task that watches the store's head, while this VM is a watcher.
     watch_task: Option<AbortHandle>,
     tasks: JoinSet<()>,
 }
@@ -101,7 +111,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("RevisionActor")
             .field("own", &self.own_vm)
-            .field("held", &self.held.as_ref().map(HeldRevision::head))
+            .field("held", &self.held_revision.as_ref().map(HeldRevision::head))
             .finish_non_exhaustive()
     }
 }
@@ -156,13 +166,13 @@
             own_vm,
             client,
             config_sender,
-            send: Arc::new(send),
+            send_message: Arc::new(send),
             metrics,
             started_at: Instant::now(),
             feed: FeedState::new(HEAD_KEY, own_vm, zone.clone(), rand::random()),
             evidence: EvidenceState::new(own_vm, zone),
             serve_budget: ServeBudget::default(),
-            held: None,
+            held_revision: None,
             provisional_until: Duration::ZERO,
             assembly: None,
             observed_head: ObservedHead::NotRead,
@@ -189,15 +199,20 @@
     }
 
     fn held_change(&self) -> Option<&ChangeRecord> {
-        self.held.as_ref().map(|held| &held.change)
+        self.held_revision
+            .as_ref()
+            .map(|held_revision| &held_revision.change)
     }
 
     fn held_revision_number(&self) -> RevisionNumber {
-        self.held
+        self.held_revision
             .as_ref()
-            .map_or(RevisionNumber(0), |held| held.change.revision)
+            .map_or(RevisionNumber(0), |held_revision| {
+                held_revision.change.revision
+            })
     }
 
+    /// Carries out the actions that the feed requests.
     fn run_actions(&mut self, actions: FeedActions, address: &WeakAddress<Self>) {
         for action in actions {
             match action {
@@ -208,8 +223,8 @@
                     self.send_to(vm, RevisionMessage::Ask { above });
                 }
                 FeedAction::Announce(vm) => {
-                    if let Some(held) = &self.held {
-                        let head = held.head();
+                    if let Some(held_revision) = &self.held_revision {
+                        let head = held_revision.head();
                         self.send_to(vm, RevisionMessage::Held(head));
                     }
                 }
@@ -217,6 +232,7 @@
         }
     }
 
+    /// Starts to watch the store's head, ending an earlier watch.
     fn start_watch(&mut self, address: WeakAddress<Self>) {
         self.stop_watch();
         self.metrics.is_watching.set(1);
@@ -233,7 +249,7 @@
     }
 
     fn send_to(&self, vm: VmAddress, message: RevisionMessage) {
-        if let Err(error) = (self.send)(vm, PeerMessage::Revision(message)) {
+        if let Err(error) = (self.send_message)(vm, PeerMessage::Revision(message)) {
             log::debug!("revision message to {vm}: {error}");
         }
     }
@@ -271,7 +287,7 @@
 
     /// Reports an error if a peer or the store shows another change under the revision number that is in force here.
     fn check_divergence(&self, shown_head: HeadRecord, observer: impl fmt::Display) {
-        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held_revision.as_ref().map(HeldRevision::head) else {
             return;
         };
         if held_head.revision == shown_head.revision && held_head.change != shown_head.change {
@@ -295,10 +311,11 @@
         self.start_assembly(vm, change, address);
     }
 
+    /// Starts to collect a change's parts and asks the peer for those that aren't held.
     fn start_assembly(&mut self, vm: VmAddress, change: ChangeRecord, address: &WeakAddress<Self>) {
         let now = self.now();
         self.feed.record_pull_progress(now);
-        let assembly = RevisionAssembly::new(change, self.held.as_ref());
+        let assembly = RevisionAssembly::new(change, self.held_revision.as_ref());
         for sha256 in assembly.missing_parts() {
             self.send_to(vm, RevisionMessage::AskPart { sha256 });
         }
@@ -306,6 +323,8 @@
         self.finish_assembly(address);
     }
 
+    /// Adds a part that a peer has sent. If the peer that was asked sends none that fits, gives up the assembly, and
+    /// the feed pulls from another peer.
     fn handle_part(
         &mut self,
         vm: VmAddress,
@@ -330,13 +349,14 @@
         }
     }
 
+    /// Puts the collected revision in force if it is complete.
     fn finish_assembly(&mut self, address: &WeakAddress<Self>) {
         let Some((vm, assembly)) = self.assembly.take() else {
             return;
         };
         match assembly.finish() {
             Ok(assembled_revision) => self.put_in_force(assembled_revision, "peer", vm, address),
-            Err(unfinished) => self.assembly = Some((vm, *unfinished)),
+            Err(unfinished_assembly) => self.assembly = Some((vm, *unfinished_assembly)),
         }
     }
 
@@ -384,13 +404,13 @@
             self.held_revision_number(),
         );
         self.config_sender.send_replace(Arc::new(config));
-        if self.held.is_none() {
+        if self.held_revision.is_none() {
             self.provisional_until = self.now() + PROVISIONAL_TIME;
         }
         if is_adopted {
             self.provisional_until = self.now();
         }
-        self.held = Some(assembled_revision);
+        self.held_revision = Some(assembled_revision);
         self.metrics.held_revision.set(head.revision.0 as i64);
         self.metrics
             .revisions_taken
@@ -408,10 +428,11 @@
 
     /// Asks a peer for its settled change if the peer's revision isn't an ancestor of the provisional one held here.
     fn check_ancestry(&self, vm: VmAddress, shown_head: HeadRecord) {
-        let Some(held) = self.held_change() else {
+        let Some(held_change) = self.held_change() else {
             return;
         };
-        let is_unrelated = shown_head.revision <= held.revision && must_adopt(held, shown_head);
+        let is_unrelated =
+            shown_head.revision <= held_change.revision && must_adopt(held_change, shown_head);
         if is_unrelated && self.is_provisional() {
             self.send_to(vm, RevisionMessage::AskSettled);
         }
@@ -422,7 +443,8 @@
         let is_provisional = self.is_provisional();
         let head = change.head();
         let held_change = self.held_change();
-        if !is_provisional || !held_change.is_some_and(|held| must_adopt(held, head)) {
+        if !is_provisional || !held_change.is_some_and(|held_change| must_adopt(held_change, head))
+        {
             return;
         }
         log::warn!(target: "ebonyfork::decision", "adopt {head} of the settled peer {vm}");
@@ -442,16 +464,20 @@
             return;
         }
         self.is_loading = true;
-        let (client, held, address) = (self.client.clone(), self.held.clone(), address.clone());
+        let (client, held_revision, address) = (
+            self.client.clone(),
+            self.held_revision.clone(),
+            address.clone(),
+        );
         self.tasks.spawn(async move {
-            let load_result = load_revision(&client, head, held.as_ref()).await;
+            let load_result = load_revision(&client, head, held_revision.as_ref()).await;
             let _send_result = address.send(RevisionLoaded { head, load_result }).await;
         });
     }
 
     /// Returns whether the store's head lacks the held revision.
     fn store_lacks_held_revision(&self) -> bool {
-        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held_revision.as_ref().map(HeldRevision::head) else {
             return false;
         };
         match self.observed_head {
@@ -475,25 +501,26 @@
         if self.is_restoring || now < store_behind_since + ROLLBACK_GRACE_TIME {
             return;
         }
-        let Some(held) = self.held.clone() else {
+        let Some(held_revision) = self.held_revision.clone() else {
             return;
         };
         self.store_behind_since = Some(now);
         self.is_restoring = true;
         let (client, address) = (self.client.clone(), address.clone());
         self.tasks.spawn(async move {
-            let restore_result = restore_head(&client, &held).await;
+            let restore_result = restore_head(&client, &held_revision).await;
             let restore_result = restore_result.map_err(|error| error.to_compact_string());
             let _send_result = address.send(RestoreFinished { restore_result }).await;
         });
     }
 
+    /// Writes the zone's evidence if this VM is a watcher and the evidence is due.
     fn write_due_evidence(&mut self, address: &WeakAddress<Self>) {
         let now = self.now();
         if self.is_writing_evidence || !self.feed.is_watching() {
             return;
         }
-        let Some(held_head) = self.held.as_ref().map(HeldRevision::head) else {
+        let Some(held_head) = self.held_revision.as_ref().map(HeldRevision::head) else {
             return;
         };
         let Some(evidence) = self
--- a/crates/ebonyfork/src/revision/evidence.rs
+++ b/crates/ebonyfork/src/revision/evidence.rs
@@ -24,22 +24,28 @@
 pub const GROUP_FENCE_DELAY: Duration = Duration::from_mins(10);
 /// Interval at which evidence is written even if nothing has changed.
 pub const REFRESH_PERIOD: Duration = Duration::from_secs(10);
-/// How long a process must have run before its revision counts: its first revision may still be replaced by a peer's.
+/// How long a process must have run before evidence counts it with the revision it has shown; until then it counts with
+/// zero, because a peer's revision may still replace its first one. [`PROVISIONAL_TIME`] begins only when the process
+/// takes its first revision, so 2 s are added for the time from the start to then.
 const SETTLE_TIME_MS: u64 = PROVISIONAL_TIME.as_millis() as u64 + 2_000;
 /// Minimum time between two writes of evidence.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
+/// A VM of the zone that evidence counts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct ZoneMember {
+    /// Whether the VM has announced its stop.
     leaving: bool,
     /// Start time of the member's process in milliseconds since the Unix epoch, if membership has reported it.
     started_at_ms: Option<u64>,
+    /// Set once the VM is no longer in the topology view.
     departure: Option<MemberDeparture>,
 }
 
 /// State of a member that is no longer in the topology view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct MemberDeparture {
+    /// When the VM was first missing from the view, as the `now` of [`EvidenceState::apply_topology`].
     departed_at: Duration,
     /// The revision that the member had shown last.
     last_shown: u64,
@@ -48,6 +54,7 @@
 }
 
 impl ZoneMember {
+    /// Returns whether the member's process is known to have run for less than [`SETTLE_TIME_MS`].
     fn has_just_started(&self, time_ms: u64) -> bool {
         self.started_at_ms
             .is_some_and(|started| started + SETTLE_TIME_MS > time_ms)
@@ -99,11 +106,12 @@
                 });
             }
         }
-        self.mark_group_departures(now);
+        self.mark_simultaneous_departures(now);
     }
 
-    /// Marks members that vanished without announcing their stop, if several did so within one [`FENCE_DELAY`].
-    fn mark_group_departures(&mut self, now: Duration) {
+    /// Sets `in_group` for the members that vanished within the last [`FENCE_DELAY`] without announcing their stop, if
+    /// there are at least two of them.
+    fn mark_simultaneous_departures(&mut self, now: Duration) {
         let mut recently_departed_vms = Vec::new();
         for (vm, member) in &self.members {
             let departure = member.departure.filter(|_| !member.leaving);
@@ -158,6 +166,7 @@
         self.last_written = None;
     }
 
+    /// Removes the members that have been missing from the view for longer than they still count.
     fn remove_departed_members(&mut self, now: Duration) {
         self.members.retain(|_, member| {
             let Some(departure) = member.departure else {
@@ -172,6 +181,7 @@
         });
     }
 
+    /// Builds the evidence from the revisions that the members have shown.
     fn build_evidence(&self, time_ms: u64, held: HeadRecord, feed: &FeedState) -> HeldEvidence {
         let mut lowest = held.revision;
         let mut lagging = Vec::new();
--- a/crates/ebonyfork/src/revision/feed.rs
+++ b/crates/ebonyfork/src/revision/feed.rs
@@ -46,6 +46,7 @@
 /// The actions that the feed requests in response to one event.
 pub type FeedActions = SmallVec<[FeedAction; 8]>;
 
+/// The running pull: the peer that was asked for a newer revision, and when the pull fails without progress.
 #[derive(Debug, Clone, Copy)]
 struct PendingPull {
     vm: VmAddress,
@@ -73,14 +74,17 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct FeedState {
-    key: &'static str,
+    /// Store key of the record that the zone's watchers watch.
+    watched_key: &'static str,
     own_vm: VmAddress,
     peers: ZonePeers,
     rng: ChaCha8Rng,
     held_revision: u64,
     /// The highest revision that was fetched and found unusable.
     rejected_revision: u64,
+    /// The revision that each other VM has shown last.
     shown_revisions: FxHashMap<VmAddress, u64>,
+    /// Whether this VM watches `watched_key` in the store.
     is_watcher: bool,
     /// Number of announcement rounds left for the held revision.
     announce_rounds_left: u32,
@@ -92,9 +96,9 @@
 
 impl FeedState {
     /// Creates a feed that holds no revision and knows no other VM.
-    pub fn new(key: &'static str, own_vm: VmAddress, zone: ZoneName, seed: u64) -> Self {
+    pub fn new(watched_key: &'static str, own_vm: VmAddress, zone: ZoneName, seed: u64) -> Self {
         Self {
-            key,
+            watched_key,
             own_vm,
             peers: ZonePeers::new(own_vm, zone),
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -132,7 +136,7 @@
         self.peers.update(view);
         self.shown_revisions
             .retain(|vm, _| view.vms.contains_key(vm));
-        let is_watcher = self.peers.is_watcher(self.key);
+        let is_watcher = self.peers.is_watcher(self.watched_key);
         let mut actions = FeedActions::new();
         if is_watcher != self.is_watcher {
             self.is_watcher = is_watcher;
@@ -167,6 +171,8 @@
         self.record_shown_revision(now, vm, revision, true)
     }
 
+    /// Records the revision that a peer has shown, and asks the peer for it if it is wanted. A peer to which a link
+    /// exists already (`is_linked`) is asked without waiting for a partner.
     fn record_shown_revision(
         &mut self,
         now: Duration,
@@ -319,6 +325,7 @@
         self.pull_from(now, vm, actions);
     }
 
+    /// Starts a pull from a VM.
     fn pull_from(&mut self, now: Duration, vm: VmAddress, actions: &mut FeedActions) {
         let deadline = now + PULL_TIMEOUT;
         self.pending_pull = Some(PendingPull { vm, deadline });
--- a/crates/ebonyfork/src/revision/publish.rs
+++ b/crates/ebonyfork/src/revision/publish.rs
@@ -1,7 +1,7 @@
 //! The steps of publishing a revision, as a state machine without I/O that is driven by the store's answers.
 //!
 //! Parts and the change record are written first. They have no effect until the head names them, so an attempt that
-//! stops half-way leaves nothing in force. Then the head is moved by compare-and-swap. If the answer to the swap is
+//! stops half-way leaves nothing in force. Then the head is moved by compare-and-swap, the *swap*. If its answer is
 //! lost, the run reads the head: the swap took effect if the head is the run's own change or descends from it, and
 //! failed if somebody else has moved the head. The swap is sent again only while the head still has the expected
 //! version, and the store carries out at most one of two such swaps.
@@ -139,13 +139,20 @@
     }
 }
 
+/// The step that a publish run is at; each makes one store call.
 #[derive(Debug, Clone)]
 enum PublishStep {
+    /// Reads the head that the change is to be published on.
     ReadBase,
+    /// Reads the evidence of all zones.
     ReadEvidence,
+    /// Reads the change record of the base head.
     ReadBaseChange,
+    /// Writes the part with this index.
     PutPart(usize),
+    /// Writes the run's change record.
     PutRecord,
+    /// Moves the head to the run's change by compare-and-swap.
     MoveHead,
     /// Reads the head, because the answer to a swap was lost or was a conflict.
     ResolveSwap,
@@ -157,10 +164,9 @@
     },
     /// Reads the change record of a head that isn't the expected base.
     ReadOtherChange(ChangeId),
-    /// Reads the run's own change record back after the head has moved; `followed_by` is a later head, if there is one.
-    VerifyRecord {
-        followed_by: Option<HeadRecord>,
-    },
+    /// Reads the run's own change record back after the head has moved; `followed_by` is a later head that descends
+    /// from the run's change, if there is one.
+    VerifyRecord { followed_by: Option<HeadRecord> },
 }
 
 /// One attempt to publish a change.
@@ -168,8 +174,11 @@
 pub struct PublishRun {
     request: PublishRequest,
     step: PublishStep,
+    /// The head that the change is published on, with the store revision of its key.
     stored_base: StoredHead,
+    /// The change record of that head.
     base_change: Option<ChangeRecord>,
+    /// The revision that the change makes; zero until the base is known.
     revision: RevisionNumber,
     /// Number of failed attempts at the current step.
     step_failures: u32,
@@ -236,6 +245,7 @@
         self.stored_base.map(|(_, head)| head)
     }
 
+    /// Returns the store revision that the head's key must have when the head is moved.
     fn base_version(&self) -> StoreRevision {
         self.stored_base
             .map_or(StoreRevision::ABSENT, |(version, _)| version)
@@ -300,6 +310,7 @@
         }
     }
 
+    /// Checks that the head is the one the author expects, and goes on with it as the base.
     fn handle_base(&mut self, head: StoredHead) -> PublishAction {
         let current_head = head.map(|(_, head)| head);
         if let ExpectedBase::Exactly(expected) = self.request.base
@@ -335,7 +346,7 @@
         self.revision = RevisionNumber(base_revision.0 + 1);
         match self.stored_base {
             Some(_) => self.enter_step(PublishStep::ReadBaseChange),
-            None => self.next_part(0),
+            None => self.put_next_part(0),
         }
     }
 
@@ -350,6 +361,8 @@
         }
     }
 
+    /// Ends the run if the base already has exactly these files or its record is lost; otherwise starts to write the
+    /// parts.
     fn handle_base_change(&mut self, change: Option<ChangeRecord>) -> PublishAction {
         let parts = &self.request.parts.entries;
         let is_unchanged = change.as_ref().is_some_and(|change| change.parts == *parts);
@@ -364,11 +377,12 @@
             );
         }
         self.base_change = change;
-        self.next_part(0)
+        self.put_next_part(0)
     }
 
-    /// Returns the action that writes the next part the base doesn't have, or the record once there is none.
-    fn next_part(&mut self, first_index: usize) -> PublishAction {
+    /// Moves on to the first part from `first_index` on that the base change lacks, or to the change record if there is
+    /// no such part. Returns the action that writes it.
+    fn put_next_part(&mut self, first_index: usize) -> PublishAction {
         for index in first_index..self.request.parts.entries.len() {
             let digest = self.request.parts.entries[index].sha256;
             let base_parts = self.base_change.iter().flat_map(|change| &change.parts);
@@ -379,9 +393,10 @@
         self.enter_step(PublishStep::PutRecord)
     }
 
+    /// Goes on after a write: to the next part, or after the change record to the swap or to the end of the run.
     fn handle_written(&mut self) -> PublishAction {
         match self.step {
-            PublishStep::PutPart(index) => self.next_part(index + 1),
+            PublishStep::PutPart(index) => self.put_next_part(index + 1),
             _ => match self.outcome_after_rewrite.take() {
                 Some(outcome) => PublishAction::Finish(outcome),
                 None => self.enter_step(PublishStep::MoveHead),
@@ -389,6 +404,8 @@
         }
     }
 
+    /// Retries a swap that certainly had no effect; after any other error reads the head to find out whether the swap
+    /// took effect.
     fn handle_move_error(&mut self, error: &StoreError) -> PublishAction {
         if error.is_refusal() {
             return self.handle_failure(error);
@@ -439,6 +456,7 @@
         }
     }
 
+    /// Retries a failed store call, or ends the run after [`MAX_ATTEMPTS`] attempts at the step.
     fn handle_failure(&mut self, error: &StoreError) -> PublishAction {
         self.step_failures += 1;
         if self.step_failures < MAX_ATTEMPTS {
@@ -465,12 +483,15 @@
         PublishAction::Finish(PublishOutcome::Unknown { head, reason })
     }
 
-    /// Checks that the store still holds the own change record after the head has moved. A store that went back between
-    /// the write of the record and the swap has the head without the record.
+    /// Starts to check that the store still holds this run's change record now that the head names it. If the store
+    /// lost its last writes after the record was written and before the head was moved, it holds the head without the
+    /// record.
+    /// `followed_by` is the later head that descends from this run's change, if there is one.
     fn verify_published(&mut self, followed_by: Option<HeadRecord>) -> PublishAction {
         self.enter_step(PublishStep::VerifyRecord { followed_by })
     }
 
+    /// Ends the run if the record is there; otherwise writes the parts and the record again first.
     fn verify_record(
         &mut self,
         followed_by: Option<HeadRecord>,
--- a/crates/ebonyfork/src/store/mod.rs
+++ b/crates/ebonyfork/src/store/mod.rs
@@ -315,10 +315,10 @@
     tokio::pin!(call);
     let mut wait = first_timeout;
     loop {
-        let received = traffic.received_bytes();
+        let byte_count = traffic.received_bytes();
         match tokio::time::timeout(wait, &mut call).await {
             Ok(result) => return result,
-            Err(_elapsed) if traffic.received_bytes() == received => {
+            Err(_elapsed) if traffic.received_bytes() == byte_count => {
                 return Err(timeout_error(wait));
             }
             Err(_elapsed) => wait = silence_timeout,
