--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -37,7 +37,7 @@
 /// Settings of membership in one process.
 #[derive(Clone)]
 pub struct MemberSettings {
-    own: SessionId,
+    own_session: SessionId,
     zone: ZoneName,
     peer_port: u16,
     /// Seed of the random choices.
@@ -51,17 +51,20 @@
 impl fmt::Debug for MemberSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("MemberSettings");
-        debug.field("own", &self.own).field("zone", &self.zone);
+        debug
+            .field("own", &self.own_session)
+            .field("zone", &self.zone);
         debug.field("peer_port", &self.peer_port);
         debug.finish_non_exhaustive()
     }
 }
 
 impl MemberSettings {
-    /// Creates the settings of process `own`. `peer_port` is the same on every VM; `seed` seeds the random choices.
-    pub fn new(own: SessionId, zone: ZoneName, peer_port: u16, seed: u64) -> Self {
+    /// Creates the settings of process `own_session`. `peer_port` is the same on every VM; `seed` seeds the random
+    /// choices.
+    pub fn new(own_session: SessionId, zone: ZoneName, peer_port: u16, seed: u64) -> Self {
         Self {
-            own,
+            own_session,
             zone,
             peer_port,
             seed,
@@ -259,8 +262,8 @@
     snapshot: watch::Sender<Arc<MemberSnapshot>>,
     notices: broadcast::Sender<GossipNotice>,
     metrics: Arc<Mutex<MemberMetrics>>,
-    /// Datagrams to send; reused as a buffer.
-    out: Vec<OutgoingDatagram>,
+    /// Datagrams to send; empty between two messages, kept to reuse its allocation.
+    outbox: Vec<OutgoingDatagram>,
     /// Change since the last published snapshot.
     pending_change: SnapshotChange,
     /// Other members in each state, as of the last published snapshot.
@@ -276,9 +279,9 @@
         socket: Arc<UdpSocket>,
         notices: broadcast::Sender<GossipNotice>,
     ) -> Self {
-        let (own, zone) = (settings.own, settings.zone.clone());
+        let (own_session, zone) = (settings.own_session, settings.zone.clone());
         let (deployment, seed) = (settings.deployment, settings.seed);
-        let protocol = MemberProtocol::new(Duration::ZERO, own, zone, deployment, seed);
+        let protocol = MemberProtocol::new(Duration::ZERO, own_session, zone, deployment, seed);
         let snapshot = watch::Sender::new(Arc::new(protocol.snapshot()));
         Self {
             protocol,
@@ -288,7 +291,7 @@
             snapshot,
             notices,
             metrics: Arc::default(),
-            out: Vec::new(),
+            outbox: Vec::new(),
             pending_change: SnapshotChange::None,
             state_counts: [0; 4],
             ticks: 0,
@@ -307,11 +310,11 @@
 
     /// Sends the queued datagrams, reports the events and records what has changed.
     fn flush(&mut self) {
-        let mut out = std::mem::take(&mut self.out);
-        for datagram in out.drain(..) {
+        let mut outbox = std::mem::take(&mut self.outbox);
+        for datagram in outbox.drain(..) {
             self.send(datagram);
         }
-        self.out = out;
+        self.outbox = outbox;
         for event in self.protocol.take_events() {
             self.report(event);
         }
@@ -412,7 +415,7 @@
         for (source, bytes) in message.0 {
             let now = self.now();
             self.protocol
-                .receive_datagram(now, source, &bytes, &mut self.out);
+                .receive_datagram(now, source, &bytes, &mut self.outbox);
         }
         self.flush();
     }
@@ -439,7 +442,7 @@
 
     async fn handle(&mut self, _message: AnnounceLeaving, _context: &mut Context<Self>) {
         let now = self.now();
-        self.protocol.announce_leaving(now, &mut self.out);
+        self.protocol.announce_leaving(now, &mut self.outbox);
         self.flush();
         self.publish();
     }
@@ -459,7 +462,7 @@
     async fn handle(&mut self, _message: Tick, _context: &mut Context<Self>) {
         let now = self.now();
         self.ticks = self.ticks.wrapping_add(1);
-        self.protocol.tick(now, &mut self.out);
+        self.protocol.tick(now, &mut self.outbox);
         self.flush();
         self.publish_if_due();
         self.update_metrics();
--- a/crates/ebonyfork/src/membership/actor_tests.rs
+++ b/crates/ebonyfork/src/membership/actor_tests.rs
@@ -11,8 +11,8 @@
     let ip: IpAddr = [127, 83, 1, host].into();
     let socket = UdpSocket::bind((ip, port)).await.unwrap();
     let port = socket.local_addr().unwrap().port();
-    let own = SessionId::new(VmAddress(ip), IncarnationNumber(5));
-    let settings = MemberSettings::new(own, "a".parse().unwrap(), port, u64::from(host))
+    let own_session = SessionId::new(VmAddress(ip), IncarnationNumber(5));
+    let settings = MemberSettings::new(own_session, "a".parse().unwrap(), port, u64::from(host))
         .with_delay(|_vm| Duration::from_millis(1));
     let (_sender, seeds) = watch::channel(seeds.into());
     (MemberHandle::start(settings, socket, seeds), port)
--- a/crates/ebonyfork/src/membership/belief.rs
+++ b/crates/ebonyfork/src/membership/belief.rs
@@ -138,19 +138,19 @@
 
     /// Handles an update about this process itself: refutes a suspicion, reports a newer incarnation on this VM.
     pub(super) fn handle_own_update(&mut self, update: &MemberUpdate) {
-        if update.version.incarnation > self.own.version.incarnation {
+        if update.version.incarnation > self.own_header.version.incarnation {
             self.counters.superseded += 1;
             let session = SessionId::new(update.vm, update.version.incarnation);
             self.events.push(MemberEvent::Superseded(session));
         }
         if update.health == MemberHealth::Alive
-            || update.version.incarnation != self.own.version.incarnation
-            || update.version.refutation < self.own.version.refutation
+            || update.version.incarnation != self.own_header.version.incarnation
+            || update.version.refutation < self.own_header.version.refutation
         {
             return;
         }
         self.counters.refutations += 1;
-        self.own.version.refutation = update.version.refutation.saturating_add(1);
-        self.gossip_queues.members.push(self.own.vm);
+        self.own_header.version.refutation = update.version.refutation.saturating_add(1);
+        self.gossip_queues.members.push(self.own_header.vm);
     }
 }
--- a/crates/ebonyfork/src/membership/fleet_fixture.rs
+++ b/crates/ebonyfork/src/membership/fleet_fixture.rs
@@ -47,9 +47,15 @@
 
 /// Creates the protocol state of a node that starts at `now`.
 pub(super) fn protocol(now: Duration, index: usize, incarnation: u64) -> MemberProtocol {
-    let own = SessionId::new(vm(index), IncarnationNumber(incarnation));
+    let own_session = SessionId::new(vm(index), IncarnationNumber(incarnation));
     let zone = format!("zone-{}", index % 3).parse().unwrap();
-    MemberProtocol::new(now, own, zone, 0, incarnation * 10_000 + index as u64)
+    MemberProtocol::new(
+        now,
+        own_session,
+        zone,
+        0,
+        incarnation * 10_000 + index as u64,
+    )
 }
 
 impl Fleet {
@@ -92,7 +98,7 @@
         let updates: Vec<MemberUpdate> = fleet
             .nodes
             .iter()
-            .map(|node| own_update(&node.own))
+            .map(|node| own_update(&node.own_header))
             .collect();
         for (index, node) in fleet.nodes.iter_mut().enumerate() {
             for (subject, update) in updates.iter().enumerate() {
@@ -160,7 +166,7 @@
     pub(super) fn step(&mut self) {
         self.now += STEP;
         self.steps += 1;
-        let mut out = Vec::new();
+        let mut outbox = Vec::new();
         while let Some(entry) = self.in_flight.first_entry() {
             if *entry.key() > self.now {
                 break;
@@ -172,8 +178,8 @@
         for index in 0..self.nodes.len() {
             let runs = self.running[index] && self.stalled != Some(index);
             if runs && (self.steps + index).is_multiple_of(TICK_STEPS) {
-                self.nodes[index].tick(self.now, &mut out);
-                self.enqueue(index, &mut out);
+                self.nodes[index].tick(self.now, &mut outbox);
+                self.enqueue(index, &mut outbox);
             }
         }
     }
@@ -192,14 +198,14 @@
         if !self.running[to] || !(self.delivers)(self.now, from, to) {
             return;
         }
-        let mut out = Vec::new();
-        self.nodes[to].receive_datagram(self.now, vm(from), &datagram.bytes, &mut out);
-        self.enqueue(to, &mut out);
+        let mut outbox = Vec::new();
+        self.nodes[to].receive_datagram(self.now, vm(from), &datagram.bytes, &mut outbox);
+        self.enqueue(to, &mut outbox);
     }
 
     /// Puts datagrams in flight, each with a random latency.
-    pub(super) fn enqueue(&mut self, from: usize, out: &mut Vec<OutgoingDatagram>) {
-        for datagram in out.drain(..) {
+    pub(super) fn enqueue(&mut self, from: usize, outbox: &mut Vec<OutgoingDatagram>) {
+        for datagram in outbox.drain(..) {
             let arrives_at = self.now + Duration::from_millis(self.rng.random_range(1..25));
             self.in_flight
                 .entry(arrives_at)
--- a/crates/ebonyfork/src/membership/message.rs
+++ b/crates/ebonyfork/src/membership/message.rs
@@ -81,7 +81,7 @@
 }
 
 impl SenderHeader {
-    /// Returns the process incarnation of the sender.
+    /// Returns the session of the sender: its VM and its process incarnation.
     pub fn session(&self) -> SessionId {
         SessionId::new(self.vm, self.version.incarnation)
     }
@@ -156,7 +156,7 @@
     Member(MemberUpdate),
     /// Load and revision of a member.
     Digest(DigestUpdate),
-    /// Notice that a subsystem broadcasts, such as a quarantined request.
+    /// Notice that a subsystem broadcasts to all members, for example that a request has been quarantined.
     Notice(GossipNotice),
 }
 
--- a/crates/ebonyfork/src/membership/message_tests.rs
+++ b/crates/ebonyfork/src/membership/message_tests.rs
@@ -123,13 +123,13 @@
                 *target = byte;
             }
         }
-        let own = SessionId::new(VmAddress([10, 0, 0, 1].into()), IncarnationNumber(5));
+        let own_session = SessionId::new(VmAddress([10, 0, 0, 1].into()), IncarnationNumber(5));
         let now = std::time::Duration::ZERO;
-        let mut protocol = MemberProtocol::new(now, own, "a".parse().unwrap(), 0, 1);
-        let mut out = Vec::new();
-        protocol.receive_datagram(now, sender().vm, &bytes, &mut out);
-        protocol.tick(now + std::time::Duration::from_millis(100), &mut out);
-        prop_assert!(out.iter().all(|datagram| datagram.bytes.len() <= DATAGRAM_LIMIT));
-        prop_assert!(out.len() < 16);
+        let mut protocol = MemberProtocol::new(now, own_session, "a".parse().unwrap(), 0, 1);
+        let mut outbox = Vec::new();
+        protocol.receive_datagram(now, sender().vm, &bytes, &mut outbox);
+        protocol.tick(now + std::time::Duration::from_millis(100), &mut outbox);
+        prop_assert!(outbox.iter().all(|datagram| datagram.bytes.len() <= DATAGRAM_LIMIT));
+        prop_assert!(outbox.len() < 16);
     }
 }
--- a/crates/ebonyfork/src/membership/paging.rs
+++ b/crates/ebonyfork/src/membership/paging.rs
@@ -55,7 +55,7 @@
 
 impl MemberProtocol {
     /// Requests the next page, or starts a repair if one is due.
-    pub(super) fn tick_page(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    pub(super) fn tick_page(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         if self.page.next_page == NextPage::Nothing && now >= self.page.next_repair {
             self.start_repair(now);
         }
@@ -73,7 +73,7 @@
             return;
         };
         self.page.requested = Some((peer, now));
-        self.send(now, peer, MemberMessage::PageRequest { after }, out);
+        self.send(now, peer, MemberMessage::PageRequest { after }, outbox);
     }
 
     /// Starts the repair of one page and schedules the next repair.
@@ -115,7 +115,7 @@
         now: Duration,
         to: VmAddress,
         after: Option<VmAddress>,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         if self.budget_room() < DATAGRAM_LIMIT + PACKET_OVERHEAD {
             self.counters.withheld += 1;
@@ -125,7 +125,7 @@
         let placeholder = MemberMessage::Page { next: Some(to) };
         let (_, last) = self.write_page(now, to, after, placeholder);
         let (page, _) = self.write_page(now, to, after, MemberMessage::Page { next: last });
-        self.output_datagram(to, page, out);
+        self.output_datagram(to, page, outbox);
     }
 
     /// Encodes a page; returns it with the address of its last member if more members follow.
@@ -136,7 +136,8 @@
         after: Option<VmAddress>,
         message: MemberMessage,
     ) -> (Vec<u8>, Option<VmAddress>) {
-        let mut writer = DatagramWriter::new(self.deployment, DATAGRAM_LIMIT, &self.own, message);
+        let mut writer =
+            DatagramWriter::new(self.deployment, DATAGRAM_LIMIT, &self.own_header, message);
         if let Some(requester_update) = self.table.update(now, to) {
             writer.push(&GossipFact::Member(requester_update));
         }
--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -149,15 +149,15 @@
 
 impl MemberProtocol {
     /// Ends the open probe and starts the next one if it is due, requests indirect probes, and probes seeds.
-    pub(super) fn tick_probe(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    pub(super) fn tick_probe(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         self.probe.relays.retain(|relay| relay.expires_at > now);
         if now >= self.probe.next_probe {
             self.conclude_probe(now);
-            self.start_probe(now, out);
+            self.start_probe(now, outbox);
         } else {
-            self.ask_helpers(now, out);
+            self.ask_helpers(now, outbox);
         }
-        self.probe_seeds(now, out);
+        self.probe_seeds(now, outbox);
     }
 
     /// Suspects the target of the open probe, unless the missing answer may be due to this process.
@@ -183,7 +183,7 @@
     }
 
     /// Pings the next member of the round.
-    fn start_probe(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    fn start_probe(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         self.probe.next_probe = now + PROBE_PERIOD;
         let target = self.probe.next_target(&self.table, &mut self.rng);
         let Some(target) = target else {
@@ -201,11 +201,11 @@
             helpers: SmallVec::new(),
             helpers_asked: false,
         });
-        self.send(now, target, MemberMessage::Ping { sequence }, out);
+        self.send(now, target, MemberMessage::Ping { sequence }, outbox);
     }
 
     /// Requests indirect probes when the direct one has not been answered within [`DIRECT_TIMEOUT`].
-    fn ask_helpers(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    fn ask_helpers(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         let Some(probe) = &mut self.probe.current else {
             return;
         };
@@ -225,7 +225,7 @@
         }
         for helper in &helpers {
             let request = MemberMessage::PingRequest { sequence, target };
-            self.send(now, *helper, request, out);
+            self.send(now, *helper, request, outbox);
         }
         if let Some(probe) = &mut self.probe.current {
             probe.helpers = helpers;
@@ -238,7 +238,7 @@
         now: Duration,
         from: VmAddress,
         sequence: u32,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         self.last_ack = Some(now);
         let answered = self.probe.current.as_ref().is_some_and(|probe| {
@@ -255,7 +255,12 @@
         };
         let relay = self.probe.relays.swap_remove(index);
         let sequence = relay.requester_sequence;
-        self.send(now, relay.requester, MemberMessage::Ack { sequence }, out);
+        self.send(
+            now,
+            relay.requester,
+            MemberMessage::Ack { sequence },
+            outbox,
+        );
     }
 
     /// Pings `target` for another member and remembers to forward the answer.
@@ -265,7 +270,7 @@
         requester: VmAddress,
         requester_sequence: u32,
         target: VmAddress,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         let known = self.table.get(target).is_some();
         if !known || self.probe.relays.len() >= MAX_RELAYS {
@@ -279,17 +284,17 @@
             requester_sequence,
             expires_at: now + RELAY_TIMEOUT,
         });
-        self.send(now, target, MemberMessage::Ping { sequence }, out);
+        self.send(now, target, MemberMessage::Ping { sequence }, outbox);
     }
 
     /// Probes listed VMs that have never answered, often while few members are known. Also probes failed members, every
     /// [`RECONNECT_PERIOD`], so that the end of a network partition is detected.
-    fn probe_seeds(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    fn probe_seeds(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         let reconnect_due = now >= self.probe.next_reconnect;
         if reconnect_due {
             self.probe.next_reconnect = now + RECONNECT_PERIOD;
             if let Some(failed) = self.random_failed() {
-                self.ping_once(now, failed, out);
+                self.ping_once(now, failed, outbox);
             }
         }
         let has_few_members = self.table.present_count() < MIN_KNOWN_MEMBERS;
@@ -303,15 +308,15 @@
         let fanout = if has_few_members { SEED_FANOUT } else { 1 };
         for _seed in 0..fanout {
             if let Some(seed) = self.random_seed() {
-                self.ping_once(now, seed, out);
+                self.ping_once(now, seed, outbox);
             }
         }
     }
 
     /// Sends a ping without tracking its answer.
-    fn ping_once(&mut self, now: Duration, to: VmAddress, out: &mut Vec<OutgoingDatagram>) {
+    fn ping_once(&mut self, now: Duration, to: VmAddress, outbox: &mut Vec<OutgoingDatagram>) {
         let sequence = self.draw_sequence();
-        self.send(now, to, MemberMessage::Ping { sequence }, out);
+        self.send(now, to, MemberMessage::Ping { sequence }, outbox);
     }
 
     /// Returns a random failed member.
--- a/crates/ebonyfork/src/membership/protocol.rs
+++ b/crates/ebonyfork/src/membership/protocol.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct MemberProtocol {
     /// State of this process, sent in every datagram.
-    pub(super) own: SenderHeader,
+    pub(super) own_header: SenderHeader,
     /// Number of the deployment, sent in every datagram.
     pub(super) deployment: u32,
     pub(super) table: MemberTable,
@@ -69,16 +69,22 @@
 }
 
 impl MemberProtocol {
-    /// Creates the state of process `own` in `zone`. Random choices depend only on `seed` and the VM address.
-    pub fn new(now: Duration, own: SessionId, zone: ZoneName, deployment: u32, seed: u64) -> Self {
+    /// Creates the state of process `own_session` in `zone`. Random choices depend only on `seed` and the VM address.
+    pub fn new(
+        now: Duration,
+        own_session: SessionId,
+        zone: ZoneName,
+        deployment: u32,
+        seed: u64,
+    ) -> Self {
         // Processes started with the same seed must not probe the same members in the same order.
-        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ vm_hash(own.vm));
+        let mut rng = ChaCha8Rng::seed_from_u64(seed ^ vm_hash(own_session.vm));
         let version = MemberVersion {
-            incarnation: own.incarnation,
+            incarnation: own_session.incarnation,
             refutation: 0,
         };
-        let own = SenderHeader {
-            vm: own.vm,
+        let own_header = SenderHeader {
+            vm: own_session.vm,
             version,
             zone,
             leaving: false,
@@ -88,7 +94,7 @@
         let probe = ProbeState::new(now, &mut rng);
         let page = PageState::new(now, &mut rng);
         Self {
-            own,
+            own_header,
             deployment,
             table: MemberTable::default(),
             seeds: Vec::new(),
@@ -115,15 +121,15 @@
 
     /// Replaces the addresses from the VM list, which are probed until they are known as members.
     pub fn set_seeds(&mut self, seeds: &[VmAddress]) {
-        let own = self.own.vm;
-        let others = seeds.iter().filter(|seed| **seed != own);
+        let own_vm = self.own_header.vm;
+        let others = seeds.iter().filter(|seed| **seed != own_vm);
         self.seeds = others.copied().take(MEMBER_LIMIT).collect();
     }
 
     /// Replaces the digest of this process. A new revision is announced at once, a new load when the next digest is
     /// due.
     pub fn set_digest(&mut self, now: Duration, digest: MemberDigest) {
-        if digest.revision != self.own.digest.revision {
+        if digest.revision != self.own_header.digest.revision {
             self.next_digest = now;
         }
         self.pending_digest = Some(digest);
@@ -131,16 +137,16 @@
     }
 
     /// Announces a planned stop by gossip to several members at once.
-    pub fn announce_leaving(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    pub fn announce_leaving(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         self.advance_clock(now);
-        if self.own.leaving {
+        if self.own_header.leaving {
             return;
         }
-        self.own.leaving = true;
+        self.own_header.leaving = true;
         self.change = SnapshotChange::Members;
-        self.gossip_queues.members.push(self.own.vm);
+        self.gossip_queues.members.push(self.own_header.vm);
         for _datagram in 0..LEAVE_FANOUT.min(self.table.present_count()) {
-            self.gossip(now, out);
+            self.gossip(now, outbox);
         }
     }
 
@@ -152,7 +158,7 @@
     }
 
     /// Runs all periodic work; call it about once every [`TICK_PERIOD`](super::TICK_PERIOD).
-    pub fn tick(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    pub fn tick(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         self.advance_clock(now);
         if now.saturating_sub(self.last_tick_at) > LATE_TICK_GAP {
             self.probe.postpone(now);
@@ -163,13 +169,13 @@
         self.check_isolation(now);
         self.expire_suspects(now);
         self.announce_digest(now);
-        self.tick_probe(now, out);
-        self.tick_page(now, out);
+        self.tick_probe(now, outbox);
+        self.tick_page(now, outbox);
         let urgent = self.gossip_queues.is_urgent();
         let digests_due =
             !self.gossip_queues.digests.is_empty() && self.ticks.is_multiple_of(DIGEST_TICKS);
         if urgent || digests_due {
-            self.gossip(now, out);
+            self.gossip(now, outbox);
         }
         self.clean_up(now);
     }
@@ -205,14 +211,15 @@
         self.probe.suspend(now);
     }
 
-    /// Returns whether any datagram has arrived recently, so that a missing answer can count against its member.
+    /// Returns whether any datagram has arrived within [`RECEIVE_SILENCE_TIME`]. If none has, a missing answer may be the
+    /// fault of this process and raises no suspicion.
     pub(super) fn has_recent_contact(&self, now: Duration) -> bool {
         self.last_received
             .is_some_and(|received| now.saturating_sub(received) < RECEIVE_SILENCE_TIME)
     }
 
-    /// Returns whether any ping of this process was answered recently, so that a missing answer can count against its
-    /// member.
+    /// Returns whether any ping of this process was answered within [`ACK_SILENCE_TIME`]. If none was, the pings may not
+    /// leave this VM, and a missing answer raises no suspicion.
     pub(super) fn has_recent_ack(&self, now: Duration) -> bool {
         self.last_ack
             .is_some_and(|received| now.saturating_sub(received) < ACK_SILENCE_TIME)
@@ -244,17 +251,17 @@
         let Some(digest) = self.pending_digest.take() else {
             return;
         };
-        if digest == self.own.digest {
+        if digest == self.own_header.digest {
             return;
         }
-        let queue = if digest.revision == self.own.digest.revision {
+        let queue = if digest.revision == self.own_header.digest.revision {
             &mut self.gossip_queues.digests
         } else {
             &mut self.gossip_queues.revisions
         };
-        queue.push(self.own.vm);
-        self.own.digest = digest;
-        self.own.digest_sequence = self.own.digest_sequence.saturating_add(1);
+        queue.push(self.own_header.vm);
+        self.own_header.digest = digest;
+        self.own_header.digest_sequence = self.own_header.digest_sequence.saturating_add(1);
         // Without jitter, processes that start together would send their digests at the same times forever.
         let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
         self.next_digest = now + digest_period(self.table.present_count()).mul_f64(jitter);
@@ -263,16 +270,16 @@
 
     /// Returns the state of all members as this process sees them, itself included.
     pub fn snapshot(&self) -> MemberSnapshot {
-        let own = MemberEntry {
-            vm: self.own.vm,
-            zone: self.own.zone.clone(),
-            incarnation: self.own.version.incarnation,
-            state: if self.own.leaving {
+        let own_entry = MemberEntry {
+            vm: self.own_header.vm,
+            zone: self.own_header.zone.clone(),
+            incarnation: self.own_header.version.incarnation,
+            state: if self.own_header.leaving {
                 MemberState::Leaving
             } else {
                 MemberState::Alive
             },
-            digest: self.pending_digest.unwrap_or(self.own.digest),
+            digest: self.pending_digest.unwrap_or(self.own_header.digest),
         };
         let others = self.table.records().map(|(vm, record)| {
             let mut entry = member_entry(vm, record);
@@ -281,7 +288,7 @@
             }
             entry
         });
-        MemberSnapshot::new(others.chain([own]))
+        MemberSnapshot::new(others.chain([own_entry]))
     }
 
     /// Returns the number of other members in each state: alive, suspect, leaving, failed.
--- a/crates/ebonyfork/src/membership/protocol_tests.rs
+++ b/crates/ebonyfork/src/membership/protocol_tests.rs
@@ -54,9 +54,9 @@
 fn leaving_spreads_at_once_and_persists() {
     for (size, loss) in [(7, 0.0), (40, 0.1)] {
         let mut fleet = Fleet::converged(size).with_loss(loss);
-        let mut out = Vec::new();
-        fleet.nodes[1].announce_leaving(fleet.now, &mut out);
-        fleet.enqueue(1, &mut out);
+        let mut outbox = Vec::new();
+        fleet.nodes[1].announce_leaving(fleet.now, &mut outbox);
+        fleet.enqueue(1, &mut outbox);
         let seconds = fleet.seconds_until(&[1], MemberState::Leaving, 10);
         expect_that!(seconds, some(le(2)), "{size} {loss}");
         fleet.run(20);
--- a/crates/ebonyfork/src/membership/receive.rs
+++ b/crates/ebonyfork/src/membership/receive.rs
@@ -18,14 +18,14 @@
         now: Duration,
         source: VmAddress,
         bytes: &[u8],
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         self.advance_clock(now);
         self.counters.received_bytes += (bytes.len() + PACKET_OVERHEAD) as u64;
         match self.decode(source, bytes) {
             Ok(datagram) => {
                 self.counters.received_datagrams += 1;
-                self.handle_datagram(now, &datagram, out);
+                self.handle_datagram(now, &datagram, outbox);
             }
             Err(error) => self.counters.dropped[error as usize] += 1,
         }
@@ -35,7 +35,7 @@
     fn decode(&self, source: VmAddress, bytes: &[u8]) -> Result<MemberDatagram, DatagramError> {
         let datagram = MemberDatagram::decode(self.deployment, bytes)?;
         let sender = &datagram.sender;
-        if sender.vm != source || sender.vm == self.own.vm {
+        if sender.vm != source || sender.vm == self.own_header.vm {
             return Err(DatagramError::Source);
         }
         let known = self.table.get(sender.vm);
@@ -50,7 +50,7 @@
         &mut self,
         now: Duration,
         datagram: &MemberDatagram,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         self.record_contact(now);
         self.apply_sender(now, &datagram.sender);
@@ -66,14 +66,14 @@
         let from = datagram.sender.vm;
         match datagram.message {
             MemberMessage::Ping { sequence } => {
-                self.send(now, from, MemberMessage::Ack { sequence }, out);
+                self.send(now, from, MemberMessage::Ack { sequence }, outbox);
             }
-            MemberMessage::Ack { sequence } => self.handle_ack(now, from, sequence, out),
+            MemberMessage::Ack { sequence } => self.handle_ack(now, from, sequence, outbox),
             MemberMessage::PingRequest { sequence, target } => {
-                self.handle_ping_request(now, from, sequence, target, out);
+                self.handle_ping_request(now, from, sequence, target, outbox);
             }
             MemberMessage::Gossip => {}
-            MemberMessage::PageRequest { after } => self.send_page(now, from, after, out),
+            MemberMessage::PageRequest { after } => self.send_page(now, from, after, outbox),
             MemberMessage::Page { next } => self.handle_page(from, next),
         }
     }
@@ -91,7 +91,7 @@
 
     /// Applies an update about another member, or handles one about this process.
     fn handle_update(&mut self, now: Duration, update: &MemberUpdate, forward: bool) {
-        if update.vm == self.own.vm {
+        if update.vm == self.own_header.vm {
             self.handle_own_update(update);
             return;
         }
--- a/crates/ebonyfork/src/membership/snapshot.rs
+++ b/crates/ebonyfork/src/membership/snapshot.rs
@@ -51,8 +51,8 @@
 /// Maximum payload of a notice, in bytes; several notices fit into one datagram.
 pub const NOTICE_PAYLOAD_LIMIT: usize = 192;
 
-/// A short message that a subsystem broadcasts to all members, such as a quarantined request. Membership does not
-/// interpret the payload; it only tracks the age.
+/// A short message that a subsystem broadcasts to all members, for example that a request has been quarantined.
+/// Membership does not interpret the payload; it only tracks the age.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GossipNotice {
     /// Identifies the notice: of two with the same number, only the first is broadcast.
@@ -113,7 +113,7 @@
 }
 
 impl MemberEntry {
-    /// Returns the VM and process incarnation of the member.
+    /// Returns the session of the member: its VM and its process incarnation.
     pub fn session(&self) -> SessionId {
         SessionId::new(self.vm, self.incarnation)
     }
--- a/crates/ebonyfork/src/membership/telling.rs
+++ b/crates/ebonyfork/src/membership/telling.rs
@@ -36,7 +36,7 @@
 
 impl MemberProtocol {
     /// Sends queued facts to one random member, if there is one and the byte budget allows a full datagram.
-    pub(super) fn gossip(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    pub(super) fn gossip(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         if self.budget.available() < DATAGRAM_LIMIT {
             self.counters.withheld += 1;
             return;
@@ -44,7 +44,7 @@
         let Some(to) = self.random_member(None) else {
             return;
         };
-        self.send(now, to, MemberMessage::Gossip, out);
+        self.send(now, to, MemberMessage::Gossip, outbox);
     }
 
     /// Returns a random member that is not failed, other than `except`.
@@ -58,10 +58,10 @@
         now: Duration,
         to: VmAddress,
         message: MemberMessage,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         let limit = self.budget.available().min(DATAGRAM_LIMIT);
-        let mut writer = DatagramWriter::new(self.deployment, limit, &self.own, message);
+        let mut writer = DatagramWriter::new(self.deployment, limit, &self.own_header, message);
         // A suspected or failed receiver is informed of its own state first, so that it can refute it.
         let receiver = self.table.get(to);
         if receiver.is_some_and(|record| record.health != MemberHealth::Alive)
@@ -70,7 +70,7 @@
             writer.push_mandatory(&GossipFact::Member(update));
         }
         self.fill(now, to, &mut writer);
-        self.output_datagram(to, writer.finish(), out);
+        self.output_datagram(to, writer.finish(), outbox);
     }
 
     /// Adds queued facts to a datagram while they fit.
@@ -80,15 +80,15 @@
             Some(fact) if writer.push(&fact) => OfferResult::Added,
             Some(_fact) => OfferResult::Full,
         };
-        let (own, table, notices) = (&self.own, &self.table, &self.notices);
+        let (own_header, table, notices) = (&self.own_header, &self.table, &self.notices);
         let max_transmissions = max_transmissions(table.present_count());
         self.gossip_queues.members.fill(max_transmissions, |vm| {
             if vm == to {
                 // The receiver needs no update about itself; `send` has added its suspicion, if any.
                 return OfferResult::Added;
             }
-            let update = if vm == own.vm {
-                Some(own_update(own))
+            let update = if vm == own_header.vm {
+                Some(own_update(own_header))
             } else {
                 table.update(now, vm)
             };
@@ -100,8 +100,8 @@
                 offer_fact(writer, notices.notice(now, number).map(GossipFact::Notice))
             });
         let mut digest = |vm| {
-            let update = if vm == own.vm {
-                Some(own_digest(own))
+            let update = if vm == own_header.vm {
+                Some(own_digest(own_header))
             } else {
                 table.get(vm).map(|record| DigestUpdate {
                     session: SessionId::new(vm, record.version.incarnation),
@@ -124,7 +124,7 @@
         &mut self,
         to: VmAddress,
         bytes: Vec<u8>,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         let size = bytes.len() + PACKET_OVERHEAD;
         if !self.budget.try_spend(size) {
@@ -133,7 +133,7 @@
         }
         self.counters.sent_datagrams += 1;
         self.counters.sent_bytes += size as u64;
-        out.push(OutgoingDatagram { to, bytes });
+        outbox.push(OutgoingDatagram { to, bytes });
     }
 
     /// Returns the number of bytes that the budget allows to send now.
@@ -147,23 +147,23 @@
     }
 }
 
-/// Returns the membership update of the process that sends `own` as its header.
-pub(super) fn own_update(own: &SenderHeader) -> MemberUpdate {
+/// Returns the membership update of the process that sends `header` in its datagrams.
+pub(super) fn own_update(header: &SenderHeader) -> MemberUpdate {
     MemberUpdate {
-        vm: own.vm,
-        version: own.version,
+        vm: header.vm,
+        version: header.version,
         health: MemberHealth::Alive,
-        leaving: own.leaving,
+        leaving: header.leaving,
         age_ds: 0,
-        zone: Some(own.zone.clone()),
+        zone: Some(header.zone.clone()),
     }
 }
 
-/// Returns the digest update of the process that sends `own` as its header.
-fn own_digest(own: &SenderHeader) -> DigestUpdate {
+/// Returns the digest update of the process that sends `header` in its datagrams.
+fn own_digest(header: &SenderHeader) -> DigestUpdate {
     DigestUpdate {
-        session: own.session(),
-        digest_sequence: own.digest_sequence,
-        digest: own.digest,
+        session: header.session(),
+        digest_sequence: header.digest_sequence,
+        digest: header.digest,
     }
 }
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -74,7 +74,7 @@
         Ok(NodeAssembly::new(settings, options, session, client).assemble(sockets))
     }
 
-    /// Returns the VM and process incarnation of this node.
+    /// Returns the session of this node: its VM and its process incarnation.
     pub fn session(&self) -> SessionId {
         self.session
     }
@@ -197,7 +197,7 @@
             readiness,
         } = writers;
         let topology_settings = TopologySettings::new(self.session, self.settings.zone.clone());
-        let members = self.start_membership(sockets.members, &topology_settings);
+        let members = self.start_membership(sockets.membership_socket, &topology_settings);
         let lifecycle = start_lifecycle(&views, &members, readiness);
         let topology = self.start_topology(topology_settings, &members, &lifecycle, topology);
         let entry = self.start_entry(&views);
@@ -218,9 +218,15 @@
             &self.quarantine,
             &views,
         );
-        self.start_links(sockets.peers, &dispatch, &views);
-        self.start_callers(sockets.callers, &dispatch, &views, &members, &lifecycle);
-        self.start_operators(sockets.operators, &dispatch, &views);
+        self.start_links(sockets.peer_listener, &dispatch, &views);
+        self.start_callers(
+            sockets.caller_listener,
+            &dispatch,
+            &views,
+            &members,
+            &lifecycle,
+        );
+        self.start_operators(sockets.operator_listener, &dispatch, &views);
         let feeds = FeedStopGuard {
             revision: dispatch.revision.clone(),
             catalog: dispatch.catalog.clone(),
--- a/crates/ebonyfork/src/node/listening.rs
+++ b/crates/ebonyfork/src/node/listening.rs
@@ -26,33 +26,33 @@
 #[derive(Debug)]
 pub(super) struct NodeSockets {
     /// Listener for HTTP requests of callers.
-    pub(super) callers: TcpListener,
+    pub(super) caller_listener: TcpListener,
     /// Listener for links of peers.
-    pub(super) peers: TcpListener,
+    pub(super) peer_listener: TcpListener,
     /// Socket for membership datagrams.
-    pub(super) members: UdpSocket,
+    pub(super) membership_socket: UdpSocket,
     /// Listener for HTTP requests of operators.
-    pub(super) operators: TcpListener,
+    pub(super) operator_listener: TcpListener,
 }
 
 impl NodeSockets {
     /// Binds all sockets of a node.
     pub(super) async fn bind(settings: &NodeSettings) -> Result<Self, NodeError> {
-        let callers = listen("callers", settings.caller_address(settings.vm)).await?;
+        let caller_listener = listen("callers", settings.caller_address(settings.vm)).await?;
         let address = settings.peer_address(settings.vm);
-        let peers = listen("peers", address).await?;
-        let members = UdpSocket::bind(address).await;
-        let members = members.context(BindSnafu {
+        let peer_listener = listen("peers", address).await?;
+        let bind_result = UdpSocket::bind(address).await;
+        let membership_socket = bind_result.context(BindSnafu {
             role: "membership",
             address,
         })?;
         let address = SocketAddr::new(settings.vm.0, settings.operator_port);
-        let operators = listen("operators", address).await?;
+        let operator_listener = listen("operators", address).await?;
         Ok(Self {
-            callers,
-            peers,
-            members,
-            operators,
+            caller_listener,
+            peer_listener,
+            membership_socket,
+            operator_listener,
         })
     }
 }
--- a/crates/ebonyfork/src/topology/feed.rs
+++ b/crates/ebonyfork/src/topology/feed.rs
@@ -30,7 +30,7 @@
 /// Settings of the topology feed.
 #[derive(Debug)]
 pub struct TopologySettings {
-    own: SessionId,
+    own_session: SessionId,
     zone: ZoneName,
     list_period: Duration,
     /// The deployment's other VMs on the list, published for membership.
@@ -38,10 +38,10 @@
 }
 
 impl TopologySettings {
-    /// Creates the settings of process `own` in `zone`.
-    pub fn new(own: SessionId, zone: ZoneName) -> Self {
+    /// Creates the settings of process `own_session` in `zone`.
+    pub fn new(own_session: SessionId, zone: ZoneName) -> Self {
         Self {
-            own,
+            own_session,
             zone,
             list_period: LIST_PERIOD,
             seeds: watch::Sender::new(Arc::from([])),
@@ -82,7 +82,7 @@
         let period = settings.list_period;
         let mut actor = FeedActor {
             started: Instant::now(),
-            join: TopologyJoin::new(settings.own, settings.zone),
+            join: TopologyJoin::new(settings.own_session, settings.zone),
             members: members.clone(),
             seeds: settings.seeds,
             writer,
--- a/crates/ebonyfork/src/topology/feed_tests.rs
+++ b/crates/ebonyfork/src/topology/feed_tests.rs
@@ -20,7 +20,7 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn the_view_survives_list_outages_and_applies_leaving_reports() {
-    let own = SessionId::new(VmAddress([10, 0, 0, 1].into()), IncarnationNumber(5));
+    let own_session = SessionId::new(VmAddress([10, 0, 0, 1].into()), IncarnationNumber(5));
     let peer = VmAddress([10, 0, 0, 2].into());
     let reads = Arc::new(AtomicU32::new(0));
     let list = {
@@ -41,7 +41,7 @@
             })
         }
     };
-    let settings = TopologySettings::new(own, "a".parse().unwrap());
+    let settings = TopologySettings::new(own_session, "a".parse().unwrap());
     let mut seeds = settings.seeds();
     let (writer, mut view) = watch::channel(Arc::default());
     let (_members, members) = watch::channel(Arc::default());
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -28,7 +28,7 @@
 /// Inputs of the topology view. Times are durations since the process started.
 #[derive(Debug)]
 pub struct TopologyJoin {
-    own: SessionId,
+    own_session: SessionId,
     zone: ZoneName,
     /// The deployment's VMs on the last accepted list.
     vms: BTreeMap<VmAddress, ListedVm>,
@@ -49,15 +49,15 @@
 struct ListedVm {
     zone: ZoneName,
     leaving: bool,
-    /// When the VM first appeared on the list, without interruption since.
+    /// When the VM was added to the list; starts again if the VM leaves the list and returns.
     first_listed: Duration,
 }
 
 impl TopologyJoin {
     /// Creates the state with this process as the only VM.
-    pub fn new(own: SessionId, zone: ZoneName) -> Self {
+    pub fn new(own_session: SessionId, zone: ZoneName) -> Self {
         Self {
-            own,
+            own_session,
             zone,
             vms: BTreeMap::new(),
             upstreams: BTreeMap::new(),
@@ -173,14 +173,15 @@
         grace_ends.filter(|grace_end| *grace_end > now).min()
     }
 
-    /// Returns how long a listed VM that membership does not know is included.
+    /// Returns how long the view includes a listed VM that membership has not discovered; the time counts from its
+    /// `first_listed`.
     fn unconfirmed_grace(&self) -> Duration {
         UNCONFIRMED_GRACE + UNCONFIRMED_GRACE_PER_VM * self.vms.len() as u32
     }
 
     /// Returns the deployment's VMs on the list, except the own one.
     pub fn listed_peers(&self) -> Vec<VmAddress> {
-        let peers = self.vms.keys().filter(|vm| **vm != self.own.vm);
+        let peers = self.vms.keys().filter(|vm| **vm != self.own_session.vm);
         peers.copied().collect()
     }
 
@@ -188,13 +189,13 @@
     pub fn view(&self, now: Duration) -> TopologyView {
         let mut vms = Vec::with_capacity(self.vms.len().max(self.members.members().len()) + 1);
         for member in self.members.members() {
-            if member.vm == self.own.vm || !member.state.is_present() {
+            if member.vm == self.own_session.vm || !member.state.is_present() {
                 continue;
             }
             vms.push(self.member_entry(member));
         }
         for (vm, listed) in &self.vms {
-            if *vm == self.own.vm || !self.includes_unconfirmed(now, *vm, listed) {
+            if *vm == self.own_session.vm || !self.includes_unconfirmed(now, *vm, listed) {
                 continue;
             }
             vms.push(VmEntry {
@@ -210,13 +211,13 @@
 
     /// Returns the view entry of this VM.
     fn own_entry(&self) -> VmEntry {
-        let member = self.members.get(self.own.vm);
+        let member = self.members.get(self.own_session.vm);
         let announced_leaving = member.is_some_and(|member| member.state == MemberState::Leaving);
-        let listed = self.vms.get(&self.own.vm);
+        let listed = self.vms.get(&self.own_session.vm);
         VmEntry {
-            vm: self.own.vm,
+            vm: self.own_session.vm,
             zone: self.zone.clone(),
-            incarnation: Some(self.own.incarnation),
+            incarnation: Some(self.own_session.incarnation),
             leaving: announced_leaving || listed.is_some_and(|listed| listed.leaving),
         }
     }
@@ -233,13 +234,13 @@
         }
     }
 
-    /// Returns whether a listed VM is included although membership does not know it.
+    /// Returns whether the view includes a listed VM that membership has not discovered; false if membership knows it.
     fn includes_unconfirmed(&self, now: Duration, vm: VmAddress, listed: &ListedVm) -> bool {
         if self.members.get(vm).is_some() {
             return false;
         }
         let mut peers = self.members.members().iter();
-        let any_peer_answered = peers.any(|member| member.vm != self.own.vm);
+        let any_peer_answered = peers.any(|member| member.vm != self.own_session.vm);
         !any_peer_answered || now.saturating_sub(listed.first_listed) < self.unconfirmed_grace()
     }
 }
--- a/crates/ebonyfork/src/topology/join_tests.rs
+++ b/crates/ebonyfork/src/topology/join_tests.rs
@@ -9,7 +9,7 @@
     VmAddress([10, 0, 0, last_octet].into())
 }
 
-fn own() -> SessionId {
+fn own_session() -> SessionId {
     SessionId::new(vm(1), IncarnationNumber(100))
 }
 
@@ -46,7 +46,7 @@
 }
 
 fn join() -> TopologyJoin {
-    TopologyJoin::new(own(), "a".parse().unwrap())
+    TopologyJoin::new(own_session(), "a".parse().unwrap())
 }
 
 fn seconds(seconds: u64) -> Duration {
--- a/crates/ebonyfork/src/wire/link.rs
+++ b/crates/ebonyfork/src/wire/link.rs
@@ -136,11 +136,11 @@
 pub(super) async fn exchange_hellos(
     reader: &mut FrameReader,
     writer: &mut FrameWriter,
-    own: SessionId,
+    own_session: SessionId,
 ) -> Result<SessionId, LinkError> {
     let hello = LinkHello {
         protocol: PROTOCOL_VERSION,
-        session: own,
+        session: own_session,
     };
     write_message(writer, &PeerMessage::Hello(hello)).await?;
     match read_message(reader).await? {
--- a/crates/ebonyfork/src/wire/pool.rs
+++ b/crates/ebonyfork/src/wire/pool.rs
@@ -56,7 +56,7 @@
 /// Settings of a [`PeerPool`].
 #[derive(Clone)]
 pub struct PoolSettings {
-    own: SessionId,
+    own_session: SessionId,
     peer_port: u16,
     delay: Arc<DelayFunction>,
 }
@@ -65,17 +65,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("PoolSettings");
         debug
-            .field("own", &self.own)
+            .field("own", &self.own_session)
             .field("peer_port", &self.peer_port)
             .finish_non_exhaustive()
     }
 }
 
 impl PoolSettings {
-    /// Creates the settings of process `own`; `peer_port` is the same on every VM.
-    pub fn new(own: SessionId, peer_port: u16) -> Self {
+    /// Creates the settings of process `own_session`; `peer_port` is the same on every VM.
+    pub fn new(own_session: SessionId, peer_port: u16) -> Self {
         Self {
-            own,
+            own_session,
             peer_port,
             delay: Arc::new(|_vm| Duration::ZERO),
         }
@@ -188,7 +188,7 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         links.retain(|vm, link| {
-            let wanted = *vm == self.shared.settings.own.vm || is_wanted(*vm);
+            let wanted = *vm == self.shared.settings.own_session.vm || is_wanted(*vm);
             if !wanted {
                 link.closing.cancel();
             }
@@ -221,7 +221,7 @@
             },
         );
         let pool = self.clone();
-        if vm == self.shared.settings.own.vm {
+        if vm == self.shared.settings.own_session.vm {
             tokio::spawn(pool.serve_local(receiver));
         } else {
             tokio::spawn(pool.serve_opened(vm, receiver, closing, traffic));
@@ -233,7 +233,7 @@
     async fn serve_local(self, mut queue: mpsc::Receiver<QueuedMessage>) {
         let (replies, mut reply_receiver) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
         let reply_sender = LinkSender {
-            peer: Some(self.shared.settings.own),
+            peer: Some(self.shared.settings.own_session),
             queue: replies,
         };
         let handle_requests = async {
@@ -302,7 +302,8 @@
         let stream = TcpStream::connect(address).await;
         let stream = stream.map_err(|source| LinkError::Socket { source })?;
         let (mut reader, mut writer) = framed_halves(stream, traffic)?;
-        let peer = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own).await?;
+        let peer =
+            exchange_hellos(&mut reader, &mut writer, self.shared.settings.own_session).await?;
         Ok((reader, writer, peer))
     }
 
@@ -311,7 +312,7 @@
         let Ok((mut reader, mut writer)) = framed_halves(stream, LinkTraffic::default()) else {
             return;
         };
-        let handshake = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own);
+        let handshake = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own_session);
         let peer = match tokio::time::timeout(OPEN_TIMEOUT, handshake).await {
             Ok(Ok(peer)) => peer,
             Ok(Err(error)) => {
--- a/crates/ebonyfork/src/wire/pool_tests.rs
+++ b/crates/ebonyfork/src/wire/pool_tests.rs
@@ -25,9 +25,9 @@
     })
 }
 
-fn pool(own: SessionId, peer_port: u16) -> (PeerPool, EventReceiver) {
+fn pool(own_session: SessionId, peer_port: u16) -> (PeerPool, EventReceiver) {
     let (sender, receiver) = mpsc::unbounded_channel();
-    let settings = PoolSettings::new(own, peer_port);
+    let settings = PoolSettings::new(own_session, peer_port);
     let pool = PeerPool::new(settings, CancellationToken::new(), move |event| {
         let sent = sender.send(event);
         Box::pin(async move { drop(sent) })
