--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -182,7 +182,7 @@
         MemberActor: Handler<M>,
     {
         // Sending to an unbounded mailbox completes at the first poll; the return value is not awaited.
-        let _queued = self.actor.send(message).detach().now_or_never();
+        let _send_result = self.actor.send(message).detach().now_or_never();
     }
 }
 
@@ -225,8 +225,8 @@
     mut seeds: watch::Receiver<Arc<[VmAddress]>>,
 ) {
     while seeds.changed().await.is_ok() {
-        let current = Arc::clone(&seeds.borrow_and_update());
-        if actor.send(SetSeeds(current)).await.is_err() {
+        let current_seeds = Arc::clone(&seeds.borrow_and_update());
+        if actor.send(SetSeeds(current_seeds)).await.is_err() {
             return;
         }
     }
@@ -323,8 +323,12 @@
 
     /// Sends a datagram, after its simulated delay if there is one.
     fn send(&self, datagram: OutgoingDatagram) {
-        let target = SocketAddr::new(datagram.to.0, self.settings.peer_port);
-        let delay = self.settings.delay.as_ref().map(|delay| delay(datagram.to));
+        let target = SocketAddr::new(datagram.destination.0, self.settings.peer_port);
+        let delay = self
+            .settings
+            .delay
+            .as_ref()
+            .map(|delay| delay(datagram.destination));
         match delay {
             Some(delay) if !delay.is_zero() => {
                 let socket = Arc::clone(&self.socket);
@@ -349,7 +353,7 @@
             }
             MemberEvent::Notice(notice) => {
                 // An error means that there are no subscribers.
-                let _readers = self.notices.send(notice);
+                let _send_result = self.notices.send(notice);
             }
             MemberEvent::Paused(gap) => {
                 log::warn!("process was paused for {gap:?}; dropping the open membership probe");
@@ -370,28 +374,29 @@
         self.published_tick = self.ticks;
         self.state_counts = self.protocol.count_states();
         let snapshot = self.protocol.snapshot();
-        self.snapshot.send_if_modified(|current| {
-            let changed = **current != snapshot;
-            if changed {
-                *current = Arc::new(snapshot);
+        self.snapshot.send_if_modified(|current_snapshot| {
+            let is_changed = **current_snapshot != snapshot;
+            if is_changed {
+                *current_snapshot = Arc::new(snapshot);
             }
-            changed
+            is_changed
         });
     }
 
     /// Publishes a snapshot if one is pending and enough ticks have passed.
     fn publish_if_due(&mut self) {
-        let elapsed = self.ticks.wrapping_sub(self.published_tick);
-        let members = self.snapshot.borrow().members().len();
-        let wait = 1 + (members / MEMBERS_PER_PUBLISH_TICK) as u32;
+        // Age of the last snapshot and the age from which it is replaced, in ticks.
+        let age = self.ticks.wrapping_sub(self.published_tick);
+        let member_count = self.snapshot.borrow().members().len();
+        let min_age = 1 + (member_count / MEMBERS_PER_PUBLISH_TICK) as u32;
         match self.pending_change {
-            SnapshotChange::Members if elapsed >= wait => self.publish(),
-            SnapshotChange::Digests if elapsed >= wait.max(DIGEST_PUBLISH_TICKS) => self.publish(),
+            SnapshotChange::Members if age >= min_age => self.publish(),
+            SnapshotChange::Digests if age >= min_age.max(DIGEST_PUBLISH_TICKS) => self.publish(),
             _ => {}
         }
     }
 
-    /// Copies the counters and gauges to where they are scraped.
+    /// Copies the counters and gauges into `metrics`, from which they are scraped.
     fn update_metrics(&self) {
         let last_received = self.protocol.last_received();
         let mut metrics = self.metrics.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/ebonyfork/src/membership/actor_tests.rs
+++ b/crates/ebonyfork/src/membership/actor_tests.rs
@@ -6,7 +6,7 @@
 use crate::ident::{IncarnationNumber, RevisionNumber};
 use crate::membership::MemberState;
 
-/// Members in one test share a port and differ in their loopback address.
+/// Starts a member on the loopback address 127.83.1.`host`. The members of one test share a port.
 async fn start(host: u8, port: u16, seeds: &[VmAddress]) -> (MemberHandle, u16) {
     let ip: IpAddr = [127, 83, 1, host].into();
     let socket = UdpSocket::bind((ip, port)).await.unwrap();
@@ -21,32 +21,35 @@
 #[gtest]
 #[tokio::test]
 async fn two_members_exchange_state_over_real_sockets() {
-    let (first, port) = start(1, 0, &[]).await;
-    let (second, _) = start(2, port, &[VmAddress([127, 83, 1, 1].into())]).await;
+    let (first_member, port) = start(1, 0, &[]).await;
+    let (second_member, _) = start(2, port, &[VmAddress([127, 83, 1, 1].into())]).await;
     let vm = VmAddress([127, 83, 1, 2].into());
-    let mut notices = first.notices();
-    let mut snapshot = first.snapshot();
-    let joined = snapshot.wait_for(|snapshot| snapshot.get(vm).is_some());
-    expect_that!(joined.await.is_ok(), eq(true));
-    second.set_digest(MemberDigest {
+    let mut notices = first_member.notices();
+    let mut snapshot = first_member.snapshot();
+    let join_wait = snapshot.wait_for(|snapshot| snapshot.get(vm).is_some());
+    expect_that!(join_wait.await.is_ok(), eq(true));
+    second_member.set_digest(MemberDigest {
         revision: RevisionNumber(3),
         load: 5,
     });
     let notice = GossipNotice::new(b"news");
-    second.publish_notice(notice.clone());
-    second.announce_leaving();
-    let updated = snapshot.wait_for(|snapshot| {
+    second_member.publish_notice(notice.clone());
+    second_member.announce_leaving();
+    let update_wait = snapshot.wait_for(|snapshot| {
         let member = snapshot.get(vm);
         member.is_some_and(|member| {
             member.state == MemberState::Leaving && member.digest.revision == RevisionNumber(3)
         })
     });
-    expect_that!(updated.await.is_ok(), eq(true));
-    let received = notices.recv().await;
-    expect_that!(received.map(|notice| notice.number), ok(eq(&notice.number)));
-    expect_that!(first.last_peer_contact(), some(anything()));
+    expect_that!(update_wait.await.is_ok(), eq(true));
+    let received_notice = notices.recv().await;
+    expect_that!(
+        received_notice.map(|notice| notice.number),
+        ok(eq(&notice.number))
+    );
+    expect_that!(first_member.last_peer_contact(), some(anything()));
     let mut registry = Registry::default();
-    first.register(&mut registry);
+    first_member.register(&mut registry);
     let mut text = String::new();
     prometheus_client::encoding::text::encode(&mut text, &registry).unwrap();
     expect_that!(text, contains_substring("members{state=\"leaving\"} 1"));
--- a/crates/ebonyfork/src/membership/belief.rs
+++ b/crates/ebonyfork/src/membership/belief.rs
@@ -22,10 +22,10 @@
 }
 
 impl MemberProtocol {
-    /// Extends all suspicions to `earliest` at least.
-    pub(super) fn postpone_suspects(&mut self, earliest: Duration) {
-        for suspect in &mut self.suspects {
-            suspect.deadline = suspect.deadline.max(earliest);
+    /// Extends all suspicions to `earliest_deadline` at least.
+    pub(super) fn postpone_suspects(&mut self, earliest_deadline: Duration) {
+        for timer in &mut self.suspect_timers {
+            timer.deadline = timer.deadline.max(earliest_deadline);
         }
     }
 
@@ -36,21 +36,21 @@
             self.postpone_suspects(now + RECEIVE_SILENCE_TIME);
             return;
         }
-        let mut expired: Vec<SuspectTimer> = Vec::new();
+        let mut expired_timers: Vec<SuspectTimer> = Vec::new();
         let table = &self.table;
-        self.suspects.retain(|suspect| {
-            let is_pending = table.get(suspect.vm).is_some_and(|record| {
-                record.version == suspect.version && record.health == MemberHealth::Suspect
+        self.suspect_timers.retain(|timer| {
+            let is_pending = table.get(timer.vm).is_some_and(|record| {
+                record.version == timer.version && record.health == MemberHealth::Suspect
             });
-            if is_pending && suspect.deadline <= now {
-                expired.push(*suspect);
+            if is_pending && timer.deadline <= now {
+                expired_timers.push(*timer);
             }
-            is_pending && suspect.deadline > now
+            is_pending && timer.deadline > now
         });
-        for suspect in expired {
+        for timer in expired_timers {
             self.counters.failures += 1;
-            let failed = self.health_update(suspect.vm, suspect.version, MemberHealth::Failed);
-            self.apply_update(now, &failed, true);
+            let failure = self.health_update(timer.vm, timer.version, MemberHealth::Failed);
+            self.apply_update(now, &failure, true);
         }
     }
 
@@ -93,7 +93,7 @@
             let suspicion_end = record.health_since + suspicion_time(self.table.present_count());
             let deadline = suspicion_end.max(now + MIN_REFUTE_TIME);
             let vm = update.vm;
-            self.suspects.push(SuspectTimer {
+            self.suspect_timers.push(SuspectTimer {
                 vm,
                 version,
                 deadline,
--- a/crates/ebonyfork/src/membership/event.rs
+++ b/crates/ebonyfork/src/membership/event.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
     /// Destination VM.
-    pub to: VmAddress,
+    pub destination: VmAddress,
     /// Encoded datagram.
     pub bytes: Vec<u8>,
 }
@@ -26,9 +26,9 @@
     /// Bytes received from any sender, IP and UDP headers included.
     pub received_bytes: u64,
     /// Received datagrams that were dropped, indexed by [`super::DatagramError`].
-    pub dropped: [u64; 6],
+    pub dropped_datagrams: [u64; 6],
     /// Datagrams not sent because the byte budget was exhausted.
-    pub withheld: u64,
+    pub withheld_datagrams: u64,
     /// Suspicions that this process raised after a probe of its own.
     pub suspicions: u64,
     /// Suspicions that expired in this process.
@@ -59,7 +59,8 @@
     Paused(Duration),
     /// An update names a newer incarnation on this VM: its clock ran backwards, or two processes run there.
     Superseded(SessionId),
-    /// True: no datagram has arrived from a peer for [`super::ISOLATION_TIME`]. False: one has arrived again.
+    /// This process has become isolated (true), because no datagram has arrived from a peer for
+    /// [`super::ISOLATION_TIME`], or has received a datagram again (false).
     Isolated(bool),
 }
 
--- a/crates/ebonyfork/src/membership/fleet_fixture.rs
+++ b/crates/ebonyfork/src/membership/fleet_fixture.rs
@@ -28,7 +28,7 @@
     /// Whether each node runs; a node that does not run loses its datagrams.
     pub(super) running: Vec<bool>,
     /// Node whose process is not scheduled; datagrams to it wait in its socket.
-    pub(super) stalled: Option<usize>,
+    pub(super) stalled_node: Option<usize>,
     /// Datagrams in flight with their senders, by time of arrival.
     pub(super) in_flight: BTreeMap<Duration, Vec<(usize, OutgoingDatagram)>>,
     /// Rule by which datagrams arrive or are lost.
@@ -72,7 +72,7 @@
             now: Duration::ZERO,
             steps: 0,
             running: vec![true; size],
-            stalled: None,
+            stalled_node: None,
             last_sent_bytes: vec![0; size],
             nodes,
             in_flight: BTreeMap::new(),
@@ -113,29 +113,35 @@
 
     /// Prints how many failures have been detected, how many are false, the peak send rate and the total bytes sent.
     pub(super) fn print_progress(&self, second: u64) {
-        let stopped: Vec<usize> = (0..self.nodes.len())
+        let stopped_nodes: Vec<usize> = (0..self.nodes.len())
             .filter(|index| !self.running[*index])
             .collect();
-        let (mut detected, mut false_failures) = (0, 0);
+        let (mut detected_count, mut false_failures) = (0, 0);
         for node in self.observers() {
             let table = &self.nodes[node].table;
-            let failed = |vm| {
+            let is_failed = |vm| {
                 table
                     .get(vm)
                     .is_some_and(|record| record.health == MemberHealth::Failed)
             };
-            detected += stopped.iter().filter(|index| failed(vm(**index))).count();
-            false_failures += self.observers().filter(|index| failed(vm(*index))).count();
+            detected_count += stopped_nodes
+                .iter()
+                .filter(|index| is_failed(vm(**index)))
+                .count();
+            false_failures += self
+                .observers()
+                .filter(|index| is_failed(vm(*index)))
+                .count();
         }
-        let expected = stopped.len() * self.observers().count();
-        let sent: u64 = self
+        let expected_count = stopped_nodes.len() * self.observers().count();
+        let sent_bytes: u64 = self
             .nodes
             .iter()
             .map(|node| node.counters().sent_bytes)
             .sum();
-        let (size, peak) = (self.nodes.len(), self.peak_bytes_per_s);
+        let (size, peak_rate) = (self.nodes.len(), self.peak_bytes_per_s);
         println!(
-            "{size} {second} s: {detected} of {expected} detected, {false_failures} false, peak {peak} B/s, sent {sent} B"
+            "{size} {second} s: {detected_count} of {expected_count} detected, {false_failures} false, peak {peak_rate} B/s, sent {sent_bytes} B"
         );
     }
 
@@ -153,11 +159,11 @@
                 self.step();
             }
             for (index, node) in self.nodes.iter().enumerate() {
-                let sent = node.counters().sent_bytes;
+                let sent_bytes = node.counters().sent_bytes;
                 self.peak_bytes_per_s = self
                     .peak_bytes_per_s
-                    .max(sent.saturating_sub(self.last_sent_bytes[index]));
-                self.last_sent_bytes[index] = sent;
+                    .max(sent_bytes.saturating_sub(self.last_sent_bytes[index]));
+                self.last_sent_bytes[index] = sent_bytes;
             }
         }
     }
@@ -171,13 +177,13 @@
             if *entry.key() > self.now {
                 break;
             }
-            for (from, datagram) in entry.remove() {
-                self.deliver(from, &datagram);
+            for (sender, datagram) in entry.remove() {
+                self.deliver(sender, &datagram);
             }
         }
         for index in 0..self.nodes.len() {
-            let runs = self.running[index] && self.stalled != Some(index);
-            if runs && (self.steps + index).is_multiple_of(TICK_STEPS) {
+            let is_running = self.running[index] && self.stalled_node != Some(index);
+            if is_running && (self.steps + index).is_multiple_of(TICK_STEPS) {
                 self.nodes[index].tick(self.now, &mut outbox);
                 self.enqueue(index, &mut outbox);
             }
@@ -185,32 +191,32 @@
     }
 
     /// Delivers a datagram to a running node, unless the delivery rule drops it; retries later if the node is stalled.
-    pub(super) fn deliver(&mut self, from: usize, datagram: &OutgoingDatagram) {
-        let std::net::IpAddr::V4(ip) = datagram.to.0 else {
+    pub(super) fn deliver(&mut self, sender: usize, datagram: &OutgoingDatagram) {
+        let std::net::IpAddr::V4(ip) = datagram.destination.0 else {
             return;
         };
-        let to = (u32::from(ip) - 0x0a00_0001) as usize;
-        if self.stalled == Some(to) {
-            let later = self.in_flight.entry(self.now + 2 * STEP).or_default();
-            later.push((from, datagram.clone()));
+        let receiver = (u32::from(ip) - 0x0a00_0001) as usize;
+        if self.stalled_node == Some(receiver) {
+            let retry_queue = self.in_flight.entry(self.now + 2 * STEP).or_default();
+            retry_queue.push((sender, datagram.clone()));
             return;
         }
-        if !self.running[to] || !(self.delivers)(self.now, from, to) {
+        if !self.running[receiver] || !(self.delivers)(self.now, sender, receiver) {
             return;
         }
         let mut outbox = Vec::new();
-        self.nodes[to].receive_datagram(self.now, vm(from), &datagram.bytes, &mut outbox);
-        self.enqueue(to, &mut outbox);
+        self.nodes[receiver].receive_datagram(self.now, vm(sender), &datagram.bytes, &mut outbox);
+        self.enqueue(receiver, &mut outbox);
     }
 
     /// Puts datagrams in flight, each with a random latency.
-    pub(super) fn enqueue(&mut self, from: usize, outbox: &mut Vec<OutgoingDatagram>) {
+    pub(super) fn enqueue(&mut self, sender: usize, outbox: &mut Vec<OutgoingDatagram>) {
         for datagram in outbox.drain(..) {
             let arrives_at = self.now + Duration::from_millis(self.rng.random_range(1..25));
             self.in_flight
                 .entry(arrives_at)
                 .or_default()
-                .push((from, datagram));
+                .push((sender, datagram));
         }
     }
 
@@ -236,13 +242,13 @@
         limit: u64,
     ) -> Option<u64> {
         for second in 0..limit {
-            let agreed = self.observers().all(|observer| {
+            let all_agree = self.observers().all(|observer| {
                 subjects.contains(&observer)
                     || subjects
                         .iter()
                         .all(|subject| self.state(observer, *subject) == Some(state))
             });
-            if agreed {
+            if all_agree {
                 return Some(second);
             }
             self.run(1);
--- a/crates/ebonyfork/src/membership/message.rs
+++ b/crates/ebonyfork/src/membership/message.rs
@@ -183,13 +183,13 @@
         if bytes[4..PREFIX_SIZE] != deployment.to_be_bytes() {
             return Err(DatagramError::Deployment);
         }
-        let malformed = |_error| DatagramError::Malformed;
+        let to_malformed = |_error| DatagramError::Malformed;
         let rest = &bytes[PREFIX_SIZE..];
-        let (sender, rest) = postcard::take_from_bytes(rest).map_err(malformed)?;
-        let (message, mut rest) = postcard::take_from_bytes(rest).map_err(malformed)?;
+        let (sender, rest) = postcard::take_from_bytes(rest).map_err(to_malformed)?;
+        let (message, mut rest) = postcard::take_from_bytes(rest).map_err(to_malformed)?;
         let mut facts = Vec::new();
         while !rest.is_empty() {
-            let (fact, remainder) = postcard::take_from_bytes(rest).map_err(malformed)?;
+            let (fact, remainder) = postcard::take_from_bytes(rest).map_err(to_malformed)?;
             facts.push(fact);
             rest = remainder;
         }
--- a/crates/ebonyfork/src/membership/message_tests.rs
+++ b/crates/ebonyfork/src/membership/message_tests.rs
@@ -58,18 +58,21 @@
 #[gtest]
 fn a_datagram_round_trips_within_its_limit() {
     let bytes = datagram();
-    let read = MemberDatagram::decode(0, &bytes).unwrap();
-    expect_that!(read.sender, eq(&sender()));
-    expect_that!(read.message, eq(MemberMessage::Ping { sequence: 7 }));
-    expect_that!(read.facts, eq(&facts()));
-    let mut writer = DatagramWriter::new(0, 300, &sender(), read.message);
+    let decoded_datagram = MemberDatagram::decode(0, &bytes).unwrap();
+    expect_that!(decoded_datagram.sender, eq(&sender()));
+    expect_that!(
+        decoded_datagram.message,
+        eq(MemberMessage::Ping { sequence: 7 })
+    );
+    expect_that!(decoded_datagram.facts, eq(&facts()));
+    let mut writer = DatagramWriter::new(0, 300, &sender(), decoded_datagram.message);
     while writer.push(&facts()[0]) {}
     expect_that!(writer.finish().len(), all![le(300), gt(250)]);
 }
 
 #[gtest]
 fn invalid_datagrams_are_rejected() {
-    let changed = |index: usize, byte: u8| {
+    let with_byte = |index: usize, byte: u8| {
         let mut bytes = datagram();
         bytes[index] = byte;
         bytes
@@ -78,14 +81,14 @@
         (vec![], DatagramError::Foreign),
         (b"GET / HTTP/1.1\r\n".to_vec(), DatagramError::Foreign),
         (vec![0; DATAGRAM_LIMIT + 1], DatagramError::Foreign),
-        (changed(3, 9), DatagramError::Version),
-        (changed(7, 9), DatagramError::Deployment),
+        (with_byte(3, 9), DatagramError::Version),
+        (with_byte(7, 9), DatagramError::Deployment),
         (datagram()[..20].to_vec(), DatagramError::Malformed),
         (
             datagram()[..datagram().len() - 1].to_vec(),
             DatagramError::Malformed,
         ),
-        (changed(8, 7), DatagramError::Malformed),
+        (with_byte(8, 7), DatagramError::Malformed),
     ];
     for (bytes, error) in cases {
         expect_that!(
@@ -111,13 +114,13 @@
     /// Arbitrary input neither panics nor causes oversized or unbounded output.
     #[test]
     fn arbitrary_bytes_are_tolerated(
-        tail in proptest::collection::vec(any::<u8>(), 0..200),
-        cut in 0_usize..120,
+        appended_bytes in proptest::collection::vec(any::<u8>(), 0..200),
+        cut_length in 0_usize..120,
         flips in proptest::collection::vec((8_usize..100, any::<u8>()), 0..4),
     ) {
         let mut bytes = datagram();
-        bytes.truncate(cut.max(8));
-        bytes.extend(tail);
+        bytes.truncate(cut_length.max(8));
+        bytes.extend(appended_bytes);
         for (index, byte) in flips {
             if let Some(target) = bytes.get_mut(index) {
                 *target = byte;
--- a/crates/ebonyfork/src/membership/metrics.rs
+++ b/crates/ebonyfork/src/membership/metrics.rs
@@ -10,7 +10,7 @@
 
 use crate::membership::event::MemberCounters;
 
-/// Label values for [`MemberCounters::dropped`], in the same order.
+/// Label values for [`MemberCounters::dropped_datagrams`], in the same order.
 const DROP_CAUSES: [&str; 6] = [
     "foreign",
     "version",
@@ -73,7 +73,7 @@
             (
                 "member_withheld_datagrams",
                 "Datagrams that the byte budget did not bear",
-                counters.withheld,
+                counters.withheld_datagrams,
             ),
             (
                 "member_suspicions",
@@ -108,7 +108,7 @@
         let help = "Datagrams dropped unbelieved";
         let name = "member_dropped_datagrams";
         let mut family = encoder.encode_descriptor(name, help, None, MetricType::Counter)?;
-        for (cause, value) in DROP_CAUSES.into_iter().zip(counters.dropped) {
+        for (cause, value) in DROP_CAUSES.into_iter().zip(counters.dropped_datagrams) {
             encode_counter(family.encode_family(&[("cause", cause)])?, value)?;
         }
         let help = "Other members by what is believed about them";
--- a/crates/ebonyfork/src/membership/notice.rs
+++ b/crates/ebonyfork/src/membership/notice.rs
@@ -35,57 +35,61 @@
 /// Notices that are known to this process, by notice number.
 #[derive(Debug, Default)]
 pub struct NoticeTable {
-    held: FxHashMap<u64, HeldNotice>,
+    notices: FxHashMap<u64, HeldNotice>,
 }
 
 impl NoticeTable {
     /// Stores a notice; returns false if it was known, expired or too long, or was evicted at once.
     pub fn merge(&mut self, now: Duration, notice: &GossipNotice) -> bool {
         let age = notice.age();
-        let known = self.held.contains_key(&notice.number);
-        if known || age >= NOTICE_AGE || notice.payload.len() > NOTICE_PAYLOAD_LIMIT {
+        let is_known = self.notices.contains_key(&notice.number);
+        if is_known || age >= NOTICE_AGE || notice.payload.len() > NOTICE_PAYLOAD_LIMIT {
             return false;
         }
-        let held = HeldNotice {
+        let held_notice = HeldNotice {
             published_at: now.saturating_sub(age),
             age_at_start: age.saturating_sub(now),
             payload: notice.payload.clone(),
         };
-        self.held.insert(notice.number, held);
+        self.notices.insert(notice.number, held_notice);
         self.evict_oldest(now);
-        self.held.contains_key(&notice.number)
+        self.notices.contains_key(&notice.number)
     }
 
     /// Evicts the oldest notices beyond [`NOTICE_LIMIT`].
     fn evict_oldest(&mut self, now: Duration) {
-        while self.held.len() > NOTICE_LIMIT {
-            let oldest = self.held.iter().max_by_key(|(_, held)| held.age(now));
-            let Some(number) = oldest.map(|(number, _)| *number) else {
+        while self.notices.len() > NOTICE_LIMIT {
+            let oldest_entry = self
+                .notices
+                .iter()
+                .max_by_key(|(_, held_notice)| held_notice.age(now));
+            let Some(number) = oldest_entry.map(|(number, _)| *number) else {
                 return;
             };
-            self.held.remove(&number);
+            self.notices.remove(&number);
         }
     }
 
     /// Removes expired notices.
     pub fn remove_expired(&mut self, now: Duration) {
-        self.held.retain(|_, held| held.age(now) < NOTICE_AGE);
+        self.notices
+            .retain(|_, held_notice| held_notice.age(now) < NOTICE_AGE);
     }
 
     /// Returns a notice with its age at `now`, for sending.
     pub fn notice(&self, now: Duration, number: u64) -> Option<GossipNotice> {
-        let held = self.held.get(&number)?;
-        let age_s = held.age(now).as_millis().div_ceil(1_000) as u32;
+        let held_notice = self.notices.get(&number)?;
+        let age_s = held_notice.age(now).as_millis().div_ceil(1_000) as u32;
         Some(GossipNotice {
             number,
             age_s,
-            payload: held.payload.clone(),
+            payload: held_notice.payload.clone(),
         })
     }
 
     /// Iterates over the numbers of the stored notices.
     pub fn numbers(&self) -> impl Iterator<Item = u64> {
-        self.held.keys().copied()
+        self.notices.keys().copied()
     }
 }
 
--- a/crates/ebonyfork/src/membership/notice_tests.rs
+++ b/crates/ebonyfork/src/membership/notice_tests.rs
@@ -23,18 +23,18 @@
         (notice(1, 0), notice(2, 899), true),
         (notice(1, 0), notice(2, 900), false),
     ];
-    for (held, received, is_new) in cases {
+    for (held_notice, received_notice, is_new) in cases {
         let mut notices = NoticeTable::default();
-        expect_that!(notices.merge(seconds(100.0), &held), eq(true));
+        expect_that!(notices.merge(seconds(100.0), &held_notice), eq(true));
         expect_that!(
-            notices.merge(seconds(110.0), &received),
+            notices.merge(seconds(110.0), &received_notice),
             eq(is_new),
-            "{held:?} {received:?}"
+            "{held_notice:?} {received_notice:?}"
         );
     }
-    let oversized = GossipNotice::new([0; NOTICE_PAYLOAD_LIMIT + 1]);
+    let oversized_notice = GossipNotice::new([0; NOTICE_PAYLOAD_LIMIT + 1]);
     expect_that!(
-        NoticeTable::default().merge(seconds(0.0), &oversized),
+        NoticeTable::default().merge(seconds(0.0), &oversized_notice),
         eq(false)
     );
 }
@@ -46,11 +46,11 @@
     tables[0].merge(seconds(0.0), &notice(1, 0));
     for hop in 1..10 {
         let now = seconds(hop as f64 * 0.4);
-        let forwarded = tables[hop - 1].notice(now, number).unwrap();
-        tables[hop].merge(now, &forwarded);
+        let forwarded_notice = tables[hop - 1].notice(now, number).unwrap();
+        tables[hop].merge(now, &forwarded_notice);
         let age = tables[hop].notice(now, number).unwrap().age_s;
         expect_that!(f64::from(age), ge(now.as_secs_f64()));
-        expect_that!(tables[0].merge(now, &forwarded), eq(false));
+        expect_that!(tables[0].merge(now, &forwarded_notice), eq(false));
     }
 }
 
--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -27,13 +27,13 @@
     /// Index of the next member in `order` to probe.
     position: usize,
     /// Probe that waits for an answer.
-    current: Option<OpenProbe>,
+    open_probe: Option<OpenProbe>,
     /// When the open probe ends and the next one starts.
-    next_probe: Duration,
+    next_probe_at: Duration,
     /// When the next failed member and unanswered seed are tried again.
-    next_reconnect: Duration,
+    next_reconnect_at: Duration,
     /// When seeds may be probed again.
-    next_seed: Duration,
+    next_seed_at: Duration,
     /// Current backoff between probes of seeds.
     seed_backoff: Duration,
     /// Probes made for other members whose answers are to be forwarded.
@@ -69,10 +69,10 @@
         Self {
             order: Vec::new(),
             position: 0,
-            current: None,
-            next_probe: now + PROBE_PERIOD.mul_f64(rng.random()),
-            next_reconnect: now,
-            next_seed: now,
+            open_probe: None,
+            next_probe_at: now + PROBE_PERIOD.mul_f64(rng.random()),
+            next_reconnect_at: now,
+            next_seed_at: now,
             seed_backoff: INITIAL_SEED_BACKOFF,
             relays: Vec::new(),
         }
@@ -80,13 +80,13 @@
 
     /// Drops the open probe after a pause. The next one starts a period later, when the queued answers have been read.
     pub(super) fn suspend(&mut self, now: Duration) {
-        self.current = None;
-        self.next_probe = now + PROBE_PERIOD;
+        self.open_probe = None;
+        self.next_probe_at = now + PROBE_PERIOD;
     }
 
     /// Keeps the open probe open for at least another [`DIRECT_TIMEOUT`].
     pub(super) fn postpone(&mut self, now: Duration) {
-        self.next_probe = self.next_probe.max(now + DIRECT_TIMEOUT);
+        self.next_probe_at = self.next_probe_at.max(now + DIRECT_TIMEOUT);
     }
 
     /// Inserts a member at a random position of the round, so that new members are probed as evenly as old ones.
@@ -96,8 +96,8 @@
         }
         let index = rng.random_range(0..=self.order.len());
         self.order.push(vm);
-        let last = self.order.len() - 1;
-        self.order.swap(index, last);
+        let last_index = self.order.len() - 1;
+        self.order.swap(index, last_index);
     }
 
     /// Returns the next member of the round that is not failed; starts a new shuffled round when this one is exhausted.
@@ -120,19 +120,19 @@
         None
     }
 
-    /// Returns a random member that is not failed, other than `except`; none if no draw finds one.
-    pub(super) fn random(
+    /// Returns a random member that is not failed, other than `excluded_vm`; none if no draw finds one.
+    pub(super) fn random_member(
         &self,
         table: &MemberTable,
         rng: &mut impl Rng,
-        except: Option<VmAddress>,
+        excluded_vm: Option<VmAddress>,
     ) -> Option<VmAddress> {
         if self.order.is_empty() {
             return None;
         }
         for _draw in 0..MAX_DRAWS {
             let vm = self.order[rng.random_range(0..self.order.len())];
-            if Some(vm) != except && is_present(table, vm) {
+            if Some(vm) != excluded_vm && is_present(table, vm) {
                 return Some(vm);
             }
         }
@@ -151,7 +151,7 @@
     /// Ends the open probe and starts the next one if it is due, requests indirect probes, and probes seeds.
     pub(super) fn tick_probe(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         self.probe.relays.retain(|relay| relay.expires_at > now);
-        if now >= self.probe.next_probe {
+        if now >= self.probe.next_probe_at {
             self.conclude_probe(now);
             self.start_probe(now, outbox);
         } else {
@@ -162,7 +162,7 @@
 
     /// Suspects the target of the open probe, unless the missing answer may be due to this process.
     fn conclude_probe(&mut self, now: Duration) {
-        let Some(probe) = self.probe.current.take() else {
+        let Some(probe) = self.probe.open_probe.take() else {
             return;
         };
         let received_since = self
@@ -184,7 +184,7 @@
 
     /// Pings the next member of the round.
     fn start_probe(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
-        self.probe.next_probe = now + PROBE_PERIOD;
+        self.probe.next_probe_at = now + PROBE_PERIOD;
         let target = self.probe.next_target(&self.table, &mut self.rng);
         let Some(target) = target else {
             return;
@@ -193,7 +193,7 @@
             return;
         };
         let sequence = self.draw_sequence();
-        self.probe.current = Some(OpenProbe {
+        self.probe.open_probe = Some(OpenProbe {
             target,
             version,
             sequence,
@@ -206,7 +206,7 @@
 
     /// Requests indirect probes when the direct one has not been answered within [`DIRECT_TIMEOUT`].
     fn ask_helpers(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
-        let Some(probe) = &mut self.probe.current else {
+        let Some(probe) = &mut self.probe.open_probe else {
             return;
         };
         if probe.helpers_asked || now < probe.sent_at + DIRECT_TIMEOUT {
@@ -227,7 +227,7 @@
             let request = MemberMessage::PingRequest { sequence, target };
             self.send(now, *helper, request, outbox);
         }
-        if let Some(probe) = &mut self.probe.current {
+        if let Some(probe) = &mut self.probe.open_probe {
             probe.helpers = helpers;
         }
     }
@@ -236,21 +236,23 @@
     pub(super) fn handle_ack(
         &mut self,
         now: Duration,
-        from: VmAddress,
+        sender: VmAddress,
         sequence: u32,
         outbox: &mut Vec<OutgoingDatagram>,
     ) {
         self.last_ack = Some(now);
-        let answered = self.probe.current.as_ref().is_some_and(|probe| {
-            probe.sequence == sequence && (probe.target == from || probe.helpers.contains(&from))
+        let answers_open_probe = self.probe.open_probe.as_ref().is_some_and(|probe| {
+            probe.sequence == sequence
+                && (probe.target == sender || probe.helpers.contains(&sender))
         });
-        if answered {
-            self.probe.current = None;
+        if answers_open_probe {
+            self.probe.open_probe = None;
             return;
         }
         let mut relays = self.probe.relays.iter();
-        let found = relays.position(|relay| relay.sequence == sequence && relay.target == from);
-        let Some(index) = found else {
+        let relay_index =
+            relays.position(|relay| relay.sequence == sequence && relay.target == sender);
+        let Some(index) = relay_index else {
             return;
         };
         let relay = self.probe.relays.swap_remove(index);
@@ -272,8 +274,8 @@
         target: VmAddress,
         outbox: &mut Vec<OutgoingDatagram>,
     ) {
-        let known = self.table.get(target).is_some();
-        if !known || self.probe.relays.len() >= MAX_RELAYS {
+        let is_known = self.table.get(target).is_some();
+        if !is_known || self.probe.relays.len() >= MAX_RELAYS {
             return;
         }
         let sequence = self.draw_sequence();
@@ -290,21 +292,21 @@
     /// Probes listed VMs that have never answered, often while few members are known. Also probes failed members, every
     /// [`RECONNECT_PERIOD`], so that the end of a network partition is detected.
     fn probe_seeds(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
-        let reconnect_due = now >= self.probe.next_reconnect;
+        let reconnect_due = now >= self.probe.next_reconnect_at;
         if reconnect_due {
-            self.probe.next_reconnect = now + RECONNECT_PERIOD;
+            self.probe.next_reconnect_at = now + RECONNECT_PERIOD;
             if let Some(failed) = self.random_failed() {
                 self.ping_once(now, failed, outbox);
             }
         }
         let has_few_members = self.table.present_count() < MIN_KNOWN_MEMBERS;
-        if now < self.probe.next_seed || !(has_few_members || reconnect_due) {
+        if now < self.probe.next_seed_at || !(has_few_members || reconnect_due) {
             return;
         }
         // When a whole fleet starts at once, the seeds probed first can't answer every process.
         self.probe.seed_backoff = (self.probe.seed_backoff * 2).min(RECONNECT_PERIOD);
         let jitter = 0.5 + self.rng.random::<f64>();
-        self.probe.next_seed = now + self.probe.seed_backoff.mul_f64(jitter);
+        self.probe.next_seed_at = now + self.probe.seed_backoff.mul_f64(jitter);
         let fanout = if has_few_members { SEED_FANOUT } else { 1 };
         for _seed in 0..fanout {
             if let Some(seed) = self.random_seed() {
@@ -314,17 +316,22 @@
     }
 
     /// Sends a ping without tracking its answer.
-    fn ping_once(&mut self, now: Duration, to: VmAddress, outbox: &mut Vec<OutgoingDatagram>) {
+    fn ping_once(
+        &mut self,
+        now: Duration,
+        destination: VmAddress,
+        outbox: &mut Vec<OutgoingDatagram>,
+    ) {
         let sequence = self.draw_sequence();
-        self.send(now, to, MemberMessage::Ping { sequence }, outbox);
+        self.send(now, destination, MemberMessage::Ping { sequence }, outbox);
     }
 
     /// Returns a random failed member.
     fn random_failed(&mut self) -> Option<VmAddress> {
         let records = self.table.records();
-        let failed = records.filter(|(_, record)| record.health == MemberHealth::Failed);
-        let failed: Vec<VmAddress> = failed.map(|(vm, _)| vm).collect();
-        pick(&failed, &mut self.rng)
+        let failed_records = records.filter(|(_, record)| record.health == MemberHealth::Failed);
+        let failed_vms: Vec<VmAddress> = failed_records.map(|(vm, _)| vm).collect();
+        pick(&failed_vms, &mut self.rng)
     }
 
     /// Returns a random listed VM that is not a known member.
--- a/crates/ebonyfork/src/membership/protocol.rs
+++ b/crates/ebonyfork/src/membership/protocol.rs
@@ -54,17 +54,17 @@
     pub(super) change: SnapshotChange,
     pub(super) gossip_queues: GossipQueues,
     /// Deadlines of the current suspicions.
-    pub(super) suspects: Vec<SuspectTimer>,
+    pub(super) suspect_timers: Vec<SuspectTimer>,
     pub(super) budget: ByteBudget,
     /// Time of the last call of [`Self::advance_clock`], used to detect pauses.
     last_call_at: Duration,
     last_tick_at: Duration,
     /// Whether no datagram has arrived from a peer for [`ISOLATION_TIME`].
     isolated: bool,
-    /// Digest to announce once `next_digest` is reached.
+    /// Digest to announce once `next_digest_at` is reached.
     pending_digest: Option<MemberDigest>,
     /// Earliest time of the next digest with a new load.
-    next_digest: Duration,
+    next_digest_at: Duration,
     ticks: u32,
 }
 
@@ -108,13 +108,13 @@
             events: Vec::new(),
             change: SnapshotChange::Members,
             gossip_queues: GossipQueues::default(),
-            suspects: Vec::new(),
+            suspect_timers: Vec::new(),
             budget: ByteBudget::new(now, SEND_RATE, SEND_BURST),
             last_call_at: now,
             last_tick_at: now,
             isolated: false,
             pending_digest: None,
-            next_digest: now,
+            next_digest_at: now,
             ticks: 0,
         }
     }
@@ -122,15 +122,15 @@
     /// Replaces the addresses from the VM list, which are probed until they are known as members.
     pub fn set_seeds(&mut self, seeds: &[VmAddress]) {
         let own_vm = self.own_header.vm;
-        let others = seeds.iter().filter(|seed| **seed != own_vm);
-        self.seeds = others.copied().take(MEMBER_LIMIT).collect();
+        let other_vms = seeds.iter().filter(|seed| **seed != own_vm);
+        self.seeds = other_vms.copied().take(MEMBER_LIMIT).collect();
     }
 
     /// Replaces the digest of this process. A new revision is announced at once, a new load when the next digest is
     /// due.
     pub fn set_digest(&mut self, now: Duration, digest: MemberDigest) {
         if digest.revision != self.own_header.digest.revision {
-            self.next_digest = now;
+            self.next_digest_at = now;
         }
         self.pending_digest = Some(digest);
         self.announce_digest(now);
@@ -171,10 +171,10 @@
         self.announce_digest(now);
         self.tick_probe(now, outbox);
         self.tick_page(now, outbox);
-        let urgent = self.gossip_queues.is_urgent();
+        let is_urgent = self.gossip_queues.is_urgent();
         let digests_due =
             !self.gossip_queues.digests.is_empty() && self.ticks.is_multiple_of(DIGEST_TICKS);
-        if urgent || digests_due {
+        if is_urgent || digests_due {
             self.gossip(now, outbox);
         }
         self.clean_up(now);
@@ -203,37 +203,37 @@
         // Deadlines that passed during the pause show no failure: this process could not receive any answer.
         self.counters.pauses += 1;
         self.events.push(MemberEvent::Paused(gap));
-        for suspect in &mut self.suspects {
-            suspect.deadline += gap;
+        for timer in &mut self.suspect_timers {
+            timer.deadline += gap;
         }
-        self.last_received = self.last_received.map(|received| received + gap);
-        self.last_ack = self.last_ack.map(|received| received + gap);
+        self.last_received = self.last_received.map(|received_at| received_at + gap);
+        self.last_ack = self.last_ack.map(|received_at| received_at + gap);
         self.probe.suspend(now);
     }
 
-    /// Returns whether any datagram has arrived within [`RECEIVE_SILENCE_TIME`]. If none has, a missing answer may be the
-    /// fault of this process and raises no suspicion.
+    /// Returns whether any datagram has arrived within [`RECEIVE_SILENCE_TIME`]. If none has, a missing answer may be
+    /// the fault of this process and raises no suspicion.
     pub(super) fn has_recent_contact(&self, now: Duration) -> bool {
         self.last_received
-            .is_some_and(|received| now.saturating_sub(received) < RECEIVE_SILENCE_TIME)
+            .is_some_and(|received_at| now.saturating_sub(received_at) < RECEIVE_SILENCE_TIME)
     }
 
-    /// Returns whether any ping of this process was answered within [`ACK_SILENCE_TIME`]. If none was, the pings may not
-    /// leave this VM, and a missing answer raises no suspicion.
+    /// Returns whether any ping of this process was answered within [`ACK_SILENCE_TIME`]. If none was, the pings may
+    /// not leave this VM, and a missing answer raises no suspicion.
     pub(super) fn has_recent_ack(&self, now: Duration) -> bool {
         self.last_ack
-            .is_some_and(|received| now.saturating_sub(received) < ACK_SILENCE_TIME)
+            .is_some_and(|received_at| now.saturating_sub(received_at) < ACK_SILENCE_TIME)
     }
 
     /// Updates whether this process counts as isolated, and reports a change.
     fn check_isolation(&mut self, now: Duration) {
-        let isolated = self
+        let is_isolated = self
             .last_received
-            .is_some_and(|received| now.saturating_sub(received) >= ISOLATION_TIME);
-        if isolated != self.isolated {
-            self.isolated = isolated;
+            .is_some_and(|received_at| now.saturating_sub(received_at) >= ISOLATION_TIME);
+        if is_isolated != self.isolated {
+            self.isolated = is_isolated;
             self.change = SnapshotChange::Members;
-            self.events.push(MemberEvent::Isolated(isolated));
+            self.events.push(MemberEvent::Isolated(is_isolated));
         }
     }
 
@@ -245,7 +245,7 @@
 
     /// Publishes and gossips the pending digest, once the next one is due.
     fn announce_digest(&mut self, now: Duration) {
-        if now < self.next_digest {
+        if now < self.next_digest_at {
             return;
         }
         let Some(digest) = self.pending_digest.take() else {
@@ -264,7 +264,7 @@
         self.own_header.digest_sequence = self.own_header.digest_sequence.saturating_add(1);
         // Without jitter, processes that start together would send their digests at the same times forever.
         let jitter = 0.75 + 0.5 * self.rng.random::<f64>();
-        self.next_digest = now + digest_period(self.table.present_count()).mul_f64(jitter);
+        self.next_digest_at = now + digest_period(self.table.present_count()).mul_f64(jitter);
         self.change = self.change.max(SnapshotChange::Digests);
     }
 
@@ -281,14 +281,14 @@
             },
             digest: self.pending_digest.unwrap_or(self.own_header.digest),
         };
-        let others = self.table.records().map(|(vm, record)| {
+        let other_entries = self.table.records().map(|(vm, record)| {
             let mut entry = member_entry(vm, record);
             if self.isolated {
                 entry.state = MemberState::Failed;
             }
             entry
         });
-        MemberSnapshot::new(others.chain([own_entry]))
+        MemberSnapshot::new(other_entries.chain([own_entry]))
     }
 
     /// Returns the number of other members in each state: alive, suspect, leaving, failed.
--- a/crates/ebonyfork/src/membership/protocol_tests.rs
+++ b/crates/ebonyfork/src/membership/protocol_tests.rs
@@ -20,16 +20,20 @@
         (40, 1, 0.0, 10),
         (40, 13, 0.05, 12),
     ];
-    for (size, stopped, loss, limit) in cases {
+    for (size, stopped_count, loss, limit) in cases {
         let mut fleet = Fleet::converged(size).with_loss(loss);
-        let stopped: Vec<usize> = (size - stopped..size).collect();
-        for index in &stopped {
+        let stopped_nodes: Vec<usize> = (size - stopped_count..size).collect();
+        for index in &stopped_nodes {
             fleet.running[*index] = false;
         }
-        let seconds = fleet.seconds_until(&stopped, MemberState::Failed, 60);
-        expect_that!(seconds, some(le(limit)), "{size} {stopped:?} {loss}");
+        let seconds = fleet.seconds_until(&stopped_nodes, MemberState::Failed, 60);
+        expect_that!(seconds, some(le(limit)), "{size} {stopped_nodes:?} {loss}");
         fleet.run(30);
-        expect_that!(fleet.false_failures(), eq(0), "{size} {stopped:?} {loss}");
+        expect_that!(
+            fleet.false_failures(),
+            eq(0),
+            "{size} {stopped_nodes:?} {loss}"
+        );
         expect_that!(
             fleet.peak_bytes_per_s,
             le(u64::from(SEND_RATE + 2 * SEND_BURST))
@@ -97,14 +101,14 @@
         let mut fleet = Fleet::converged(7);
         for round in 0..100 {
             // The first tick after the stall runs before the datagrams that waited in the socket are read.
-            fleet.stalled = Some(0);
+            fleet.stalled_node = Some(0);
             for _step in 0..stall_ticks * TICK_STEPS {
                 fleet.step();
             }
             while !(fleet.steps + 1).is_multiple_of(TICK_STEPS) {
                 fleet.step();
             }
-            fleet.stalled = None;
+            fleet.stalled_node = None;
             for _step in 0..100 + round % 13 * 7 {
                 fleet.step();
             }
@@ -150,7 +154,7 @@
     fleet.run(20);
     expect_that!(fleet.state(0, 2), some(eq(MemberState::Failed)));
     expect_that!(
-        fleet.nodes[0].counters().dropped[DatagramError::Stale as usize],
+        fleet.nodes[0].counters().dropped_datagrams[DatagramError::Stale as usize],
         gt(0)
     );
     fleet.run(FAILED_RETENTION_TIME.as_secs() + 120);
@@ -256,14 +260,14 @@
     fleet.run(5);
     for node in &mut fleet.nodes[1..] {
         expect_that!(node.snapshot().get(vm(0)).unwrap().digest, eq(digest));
-        let received = node
+        let received_number = node
             .take_events()
             .into_iter()
             .find_map(|event| match event {
                 MemberEvent::Notice(notice) => Some(notice.number),
                 _ => None,
             });
-        expect_that!(received, some(eq(notice.number)));
+        expect_that!(received_number, some(eq(notice.number)));
     }
 }
 
@@ -280,14 +284,14 @@
     fleet.run(3);
     expect_that!(fleet.count(150, MemberState::Alive), eq(151));
     let events = fleet.nodes[150].take_events();
-    let notified = events
+    let was_notified = events
         .iter()
         .any(|event| matches!(event, MemberEvent::Notice(_)));
-    expect_that!(notified, eq(true));
-    let known = fleet
+    expect_that!(was_notified, eq(true));
+    let knowing_nodes = fleet
         .observers()
         .filter(|observer| fleet.state(*observer, 150).is_some());
-    expect_that!(known.count(), eq(151));
+    expect_that!(knowing_nodes.count(), eq(151));
     expect_that!(
         fleet.peak_bytes_per_s,
         le(u64::from(SEND_RATE + 2 * SEND_BURST))
@@ -317,14 +321,15 @@
         let mut incarnations = [1_u64; 9];
         for _round in 0..8 {
             fleet.delivers = random_loss(&mut rng);
-            let (paused, replaced) = (rng.random_range(3..9), rng.random_range(3..9));
-            fleet.running[paused] = false;
-            incarnations[replaced] += 1;
-            fleet.nodes[replaced] = protocol(fleet.now, replaced, incarnations[replaced]);
-            fleet.nodes[replaced].set_seeds(&[vm(0), vm(1), vm(2)]);
-            fleet.last_sent_bytes[replaced] = 0;
+            let (paused_node, replaced_node) = (rng.random_range(3..9), rng.random_range(3..9));
+            fleet.running[paused_node] = false;
+            incarnations[replaced_node] += 1;
+            fleet.nodes[replaced_node] =
+                protocol(fleet.now, replaced_node, incarnations[replaced_node]);
+            fleet.nodes[replaced_node].set_seeds(&[vm(0), vm(1), vm(2)]);
+            fleet.last_sent_bytes[replaced_node] = 0;
             fleet.run(rng.random_range(1..12));
-            fleet.running[paused] = true;
+            fleet.running[paused_node] = true;
         }
         fleet.delivers = Box::new(|_, _, _| true);
         fleet.running[8] = false;
@@ -333,19 +338,20 @@
             let snapshot = fleet.nodes[observer].snapshot();
             for (subject, incarnation) in incarnations.iter().enumerate() {
                 let member = snapshot.get(vm(subject));
-                let expected = if subject == 8 {
+                let expected_state = if subject == 8 {
                     MemberState::Failed
                 } else {
                     MemberState::Alive
                 };
-                let known = member.map(|member| (member.state, member.incarnation.0));
+                let known_state = member.map(|member| (member.state, member.incarnation.0));
                 // Node 8 may have stopped before any other node learned of its last incarnation.
-                if subject == 8 && known.is_none_or(|(state, _)| state == MemberState::Failed) {
+                if subject == 8 && known_state.is_none_or(|(state, _)| state == MemberState::Failed)
+                {
                     continue;
                 }
                 expect_that!(
-                    known,
-                    some(eq((expected, *incarnation))),
+                    known_state,
+                    some(eq((expected_state, *incarnation))),
                     "{seed} {observer} {subject}"
                 );
             }
@@ -364,18 +370,18 @@
 fn a_large_fleet_starts_at_once() {
     for size in [300, 1_000] {
         let mut fleet = Fleet::new(size, size);
-        let known = |fleet: &Fleet| {
+        let min_known_members = |fleet: &Fleet| {
             let counts = fleet
                 .observers()
                 .map(|node| fleet.count(node, MemberState::Alive));
             counts.min().unwrap_or_default()
         };
-        while known(&fleet) < size && fleet.now < Duration::from_mins(5) {
+        while min_known_members(&fleet) < size && fleet.now < Duration::from_mins(5) {
             fleet.run(5);
         }
         println!(
             "{size}: {} known by all after {:?}",
-            known(&fleet),
+            min_known_members(&fleet),
             fleet.now
         );
     }
--- a/crates/ebonyfork/src/membership/receive.rs
+++ b/crates/ebonyfork/src/membership/receive.rs
@@ -27,7 +27,7 @@
                 self.counters.received_datagrams += 1;
                 self.handle_datagram(now, &datagram, outbox);
             }
-            Err(error) => self.counters.dropped[error as usize] += 1,
+            Err(error) => self.counters.dropped_datagrams[error as usize] += 1,
         }
     }
 
@@ -38,8 +38,10 @@
         if sender.vm != source || sender.vm == self.own_header.vm {
             return Err(DatagramError::Source);
         }
-        let known = self.table.get(sender.vm);
-        if known.is_some_and(|record| record.version.incarnation > sender.version.incarnation) {
+        let known_record = self.table.get(sender.vm);
+        if known_record
+            .is_some_and(|record| record.version.incarnation > sender.version.incarnation)
+        {
             return Err(DatagramError::Stale);
         }
         Ok(datagram)
@@ -63,18 +65,18 @@
                 GossipFact::Notice(notice) => self.apply_notice(now, notice.clone()),
             }
         }
-        let from = datagram.sender.vm;
+        let sender_vm = datagram.sender.vm;
         match datagram.message {
             MemberMessage::Ping { sequence } => {
-                self.send(now, from, MemberMessage::Ack { sequence }, outbox);
+                self.send(now, sender_vm, MemberMessage::Ack { sequence }, outbox);
             }
-            MemberMessage::Ack { sequence } => self.handle_ack(now, from, sequence, outbox),
+            MemberMessage::Ack { sequence } => self.handle_ack(now, sender_vm, sequence, outbox),
             MemberMessage::PingRequest { sequence, target } => {
-                self.handle_ping_request(now, from, sequence, target, outbox);
+                self.handle_ping_request(now, sender_vm, sequence, target, outbox);
             }
             MemberMessage::Gossip => {}
-            MemberMessage::PageRequest { after } => self.send_page(now, from, after, outbox),
-            MemberMessage::Page { next } => self.handle_page(from, next),
+            MemberMessage::PageRequest { after } => self.send_page(now, sender_vm, after, outbox),
+            MemberMessage::Page { next } => self.handle_page(sender_vm, next),
         }
     }
 
@@ -97,9 +99,9 @@
         }
         // A failure reported by another member is treated as a suspicion if this process had none yet, so that the
         // member can still refute it.
-        let known = self.table.get(update.vm);
+        let known_record = self.table.get(update.vm);
         let skips_suspicion = update.health == MemberHealth::Failed
-            && known.is_some_and(|record| {
+            && known_record.is_some_and(|record| {
                 record.health == MemberHealth::Alive
                     && record.version.incarnation == update.version.incarnation
             });
--- a/crates/ebonyfork/src/membership/snapshot.rs
+++ b/crates/ebonyfork/src/membership/snapshot.rs
@@ -155,8 +155,8 @@
 
     /// Returns the member on a VM.
     pub fn get(&self, vm: VmAddress) -> Option<&MemberEntry> {
-        let found = self.members.binary_search_by_key(&vm, |member| member.vm);
-        found.ok().map(|index| &self.members[index])
+        let search_result = self.members.binary_search_by_key(&vm, |member| member.vm);
+        search_result.ok().map(|index| &self.members[index])
     }
 
     /// Returns all members in ascending order of address.
--- a/crates/ebonyfork/src/membership/spread.rs
+++ b/crates/ebonyfork/src/membership/spread.rs
@@ -27,20 +27,20 @@
     /// Keys with their generations, indexed by the number of transmissions so far.
     by_transmissions: Vec<VecDeque<(K, u32)>>,
     /// Current generation of each queued key; entries of `by_transmissions` with an older one are skipped.
-    queued: FxHashMap<K, u32>,
+    queued_generations: FxHashMap<K, u32>,
     /// Generation of the last pushed key.
     generation: u32,
     /// Keys that the current call of `fill` has sent, with their new number of transmissions.
-    sent: Vec<(usize, K, u32)>,
+    sent_keys: Vec<(usize, K, u32)>,
 }
 
 impl<K> Default for GossipQueue<K> {
     fn default() -> Self {
         Self {
             by_transmissions: Vec::new(),
-            queued: FxHashMap::default(),
+            queued_generations: FxHashMap::default(),
             generation: 0,
-            sent: Vec::new(),
+            sent_keys: Vec::new(),
         }
     }
 }
@@ -49,7 +49,7 @@
     /// Queues a fact that has changed, with its number of transmissions reset to zero.
     pub fn push(&mut self, key: K) {
         self.generation = self.generation.wrapping_add(1);
-        self.queued.insert(key, self.generation);
+        self.queued_generations.insert(key, self.generation);
         if self.by_transmissions.is_empty() {
             self.by_transmissions.push(VecDeque::new());
         }
@@ -58,45 +58,46 @@
 
     /// Removes a fact from the queue.
     pub fn remove(&mut self, key: K) {
-        self.queued.remove(&key);
+        self.queued_generations.remove(&key);
     }
 
     /// Returns whether no fact is queued.
     pub fn is_empty(&self) -> bool {
-        self.queued.is_empty()
+        self.queued_generations.is_empty()
     }
 
-    /// Offers facts until the datagram is full, each at most once. A fact that has been sent `limit` times is removed.
-    pub fn fill(&mut self, limit: usize, mut offer: impl FnMut(K) -> OfferResult) {
-        let mut full = false;
+    /// Offers facts until the datagram is full, each at most once. A fact that has been sent `max_transmissions` times
+    /// is removed.
+    pub fn fill(&mut self, max_transmissions: usize, mut offer: impl FnMut(K) -> OfferResult) {
+        let mut is_full = false;
         for transmissions in 0..self.by_transmissions.len() {
-            while !full {
+            while !is_full {
                 let Some((key, generation)) = self.by_transmissions[transmissions].pop_front()
                 else {
                     break;
                 };
-                if self.queued.get(&key) != Some(&generation) {
+                if self.queued_generations.get(&key) != Some(&generation) {
                     continue;
                 }
                 match offer(key) {
-                    OfferResult::Added => self.sent.push((transmissions + 1, key, generation)),
+                    OfferResult::Added => self.sent_keys.push((transmissions + 1, key, generation)),
                     OfferResult::Obsolete => self.remove(key),
                     OfferResult::Full => {
                         self.by_transmissions[transmissions].push_front((key, generation));
-                        full = true;
+                        is_full = true;
                     }
                 }
             }
         }
-        self.requeue(limit);
+        self.requeue(max_transmissions);
     }
 
-    /// Puts the sent facts back into the queue, except those that have reached `limit`.
-    fn requeue(&mut self, limit: usize) {
-        let mut sent = std::mem::take(&mut self.sent);
-        for (transmissions, key, generation) in sent.drain(..) {
-            if transmissions >= limit {
-                self.queued.remove(&key);
+    /// Puts the sent facts back into the queue, except those that have reached `max_transmissions`.
+    fn requeue(&mut self, max_transmissions: usize) {
+        let mut sent_keys = std::mem::take(&mut self.sent_keys);
+        for (transmissions, key, generation) in sent_keys.drain(..) {
+            if transmissions >= max_transmissions {
+                self.queued_generations.remove(&key);
                 continue;
             }
             if self.by_transmissions.len() <= transmissions {
@@ -105,7 +106,7 @@
             }
             self.by_transmissions[transmissions].push_back((key, generation));
         }
-        self.sent = sent;
+        self.sent_keys = sent_keys;
     }
 }
 
@@ -135,9 +136,9 @@
 
     /// Adds the tokens for the time up to `now`.
     pub fn refill(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        let elapsed_s = now.saturating_sub(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
-        self.tokens = (self.tokens + elapsed * self.bytes_per_s).min(self.burst);
+        self.tokens = (self.tokens + elapsed_s * self.bytes_per_s).min(self.burst);
     }
 
     /// Returns the number of bytes that may be sent now.
@@ -148,12 +149,12 @@
     /// Spends the bytes of a datagram, going into debt by at most one burst. Returns false, and spends nothing, if the
     /// debt would be larger.
     pub fn try_spend(&mut self, bytes: usize) -> bool {
-        let remaining = self.tokens - bytes as f64;
-        let allowed = remaining >= -self.burst;
-        if allowed {
-            self.tokens = remaining;
+        let remaining_tokens = self.tokens - bytes as f64;
+        let is_allowed = remaining_tokens >= -self.burst;
+        if is_allowed {
+            self.tokens = remaining_tokens;
         }
-        allowed
+        is_allowed
     }
 }
 
--- a/crates/ebonyfork/src/membership/spread_tests.rs
+++ b/crates/ebonyfork/src/membership/spread_tests.rs
@@ -3,15 +3,15 @@
 use super::*;
 
 fn fill(queue: &mut GossipQueue<u32>, limit: usize, capacity: usize) -> Vec<u32> {
-    let mut taken = Vec::new();
+    let mut sent_keys = Vec::new();
     queue.fill(limit, |key| {
-        if taken.len() == capacity {
+        if sent_keys.len() == capacity {
             return OfferResult::Full;
         }
-        taken.push(key);
+        sent_keys.push(key);
         OfferResult::Added
     });
-    taken
+    sent_keys
 }
 
 #[gtest]
@@ -41,13 +41,13 @@
 #[gtest]
 fn a_budget_limits_bytes_per_second_plus_bursts() {
     let mut budget = ByteBudget::new(Duration::ZERO, 1_000, 500);
-    let mut taken = 0;
+    let mut spent_bytes = 0;
     for millisecond in 0..10_000_u64 {
         budget.refill(Duration::from_millis(millisecond));
         while budget.try_spend(100) {
-            taken += 100;
+            spent_bytes += 100;
         }
     }
-    expect_that!(taken, all![ge(10_000), le(10_000 + 2 * 500)]);
+    expect_that!(spent_bytes, all![ge(10_000), le(10_000 + 2 * 500)]);
     expect_that!(budget.available(), eq(0));
 }
--- a/crates/ebonyfork/src/membership/table.rs
+++ b/crates/ebonyfork/src/membership/table.rs
@@ -97,10 +97,10 @@
     /// Iterates over the members with an address greater than `after`, in ascending order.
     pub fn records_after(
         &self,
-        after: Option<VmAddress>,
+        start_after: Option<VmAddress>,
     ) -> impl Iterator<Item = (VmAddress, &MemberRecord)> {
-        let start = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let range = self.records.range((start, Bound::Unbounded));
+        let lower_bound = start_after.map_or(Bound::Unbounded, Bound::Excluded);
+        let range = self.records.range((lower_bound, Bound::Unbounded));
         range.map(|(vm, record)| (*vm, record))
     }
 
@@ -112,11 +112,11 @@
         };
         let health_before = record.health;
         let is_new_incarnation = update.version.incarnation > record.version.incarnation;
-        let newer = (update.version, update.health) > (record.version, record.health);
+        let is_newer = (update.version, update.health) > (record.version, record.health);
         let starts_leaving = update.leaving
             && !record.leaving
             && update.version.incarnation == record.version.incarnation;
-        if !newer {
+        if !is_newer {
             record.leaving |= starts_leaving;
             return if starts_leaving {
                 MergeEffect::Changed
@@ -168,11 +168,11 @@
         MergeEffect::Joined
     }
 
-    /// Adjusts the number of members that are not failed to a change of health.
-    fn update_present_count(&mut self, before: MemberHealth, after: MemberHealth) {
+    /// Updates `present_count` after the health of a member has changed.
+    fn update_present_count(&mut self, health_before: MemberHealth, health_after: MemberHealth) {
         let (was_present, is_present) = (
-            before != MemberHealth::Failed,
-            after != MemberHealth::Failed,
+            health_before != MemberHealth::Failed,
+            health_after != MemberHealth::Failed,
         );
         self.present_count += usize::from(is_present && !was_present);
         self.present_count -= usize::from(was_present && !is_present);
@@ -203,19 +203,19 @@
     pub fn update(&self, now: Duration, vm: VmAddress) -> Option<MemberUpdate> {
         let record = self.records.get(&vm)?;
         let zone = (record.health == MemberHealth::Alive).then(|| record.zone.clone());
-        let age = now.saturating_sub(record.health_since).as_millis() / 100;
+        let age_ds = now.saturating_sub(record.health_since).as_millis() / 100;
         Some(MemberUpdate {
             vm,
             version: record.version,
             health: record.health,
             leaving: record.leaving,
-            age_ds: u16::try_from(age).unwrap_or(u16::MAX),
+            age_ds: u16::try_from(age_ds).unwrap_or(u16::MAX),
             zone,
         })
     }
 
-    /// Removes members that failed before `failed_before`. One that returns later counts as new, even if its clock ran
-    /// backwards.
+    /// Removes members that failed before `failed_before`. A member that returns later counts as new, even if its
+    /// clock ran backwards.
     pub fn remove_failed(&mut self, failed_before: Duration) {
         self.records.retain(|_, record| {
             record.health != MemberHealth::Failed || record.health_since >= failed_before
--- a/crates/ebonyfork/src/membership/table_tests.rs
+++ b/crates/ebonyfork/src/membership/table_tests.rs
@@ -20,12 +20,12 @@
 #[gtest]
 fn the_newer_version_wins_and_the_worse_health_within_it() {
     use MemberHealth::{Alive, Failed, Suspect};
-    let alive = update((5, 1), Alive, false, true);
+    let alive_update = update((5, 1), Alive, false, true);
     // Stored update, received update, resulting state, effect of the merge.
     let cases = [
         (
             None,
-            alive.clone(),
+            alive_update.clone(),
             Some(MemberState::Alive),
             MergeEffect::Joined,
         ),
@@ -48,74 +48,82 @@
             MergeEffect::Unchanged,
         ),
         (
-            Some(&alive),
-            alive.clone(),
+            Some(&alive_update),
+            alive_update.clone(),
             Some(MemberState::Alive),
             MergeEffect::Unchanged,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((5, 0), Failed, false, false),
             Some(MemberState::Alive),
             MergeEffect::Unchanged,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((4, 9), Failed, true, false),
             Some(MemberState::Alive),
             MergeEffect::Unchanged,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((5, 1), Suspect, false, false),
             Some(MemberState::Suspect),
             MergeEffect::Changed,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((5, 1), Failed, false, false),
             Some(MemberState::Failed),
             MergeEffect::Changed,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((5, 2), Alive, true, false),
             Some(MemberState::Leaving),
             MergeEffect::Changed,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((5, 0), Alive, true, false),
             Some(MemberState::Leaving),
             MergeEffect::Changed,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((6, 0), Alive, false, true),
             Some(MemberState::Alive),
             MergeEffect::Joined,
         ),
         (
-            Some(&alive),
+            Some(&alive_update),
             update((6, 0), Failed, false, false),
             Some(MemberState::Failed),
             MergeEffect::Changed,
         ),
     ];
-    for (stored, received, state, effect) in cases {
+    for (stored_update, received_update, expected_state, expected_effect) in cases {
         let mut table = MemberTable::default();
-        if let Some(stored) = stored {
-            table.merge(Duration::ZERO, stored);
+        if let Some(stored_update) = stored_update {
+            table.merge(Duration::ZERO, stored_update);
         }
         expect_that!(
-            table.merge(Duration::ZERO, &received),
-            eq(effect),
-            "{received:?}"
+            table.merge(Duration::ZERO, &received_update),
+            eq(expected_effect),
+            "{received_update:?}"
+        );
+        let record = table.get(received_update.vm);
+        expect_that!(
+            record.map(MemberRecord::state),
+            eq(expected_state),
+            "{received_update:?}"
+        );
+        let present_count = usize::from(expected_state.is_some_and(MemberState::is_present));
+        expect_that!(
+            table.present_count(),
+            eq(present_count),
+            "{received_update:?}"
         );
-        let record = table.get(received.vm);
-        expect_that!(record.map(MemberRecord::state), eq(state), "{received:?}");
-        let present_count = usize::from(state.is_some_and(MemberState::is_present));
-        expect_that!(table.present_count(), eq(present_count), "{received:?}");
     }
 }
 
@@ -126,18 +134,18 @@
         Duration::ZERO,
         &update((5, 0), MemberHealth::Alive, true, true),
     );
-    for (version, health, state) in [
+    for (version, health, expected_state) in [
         ((5, 1), MemberHealth::Alive, MemberState::Leaving),
         ((5, 1), MemberHealth::Suspect, MemberState::Leaving),
         ((5, 1), MemberHealth::Failed, MemberState::Failed),
         ((5, 2), MemberHealth::Alive, MemberState::Leaving),
         ((6, 0), MemberHealth::Alive, MemberState::Alive),
     ] {
-        let received = update(version, health, false, false);
-        table.merge(Duration::ZERO, &received);
+        let received_update = update(version, health, false, false);
+        table.merge(Duration::ZERO, &received_update);
         expect_that!(
-            table.get(received.vm).map(MemberRecord::state),
-            some(eq(state))
+            table.get(received_update.vm).map(MemberRecord::state),
+            some(eq(expected_state))
         );
     }
 }
--- a/crates/ebonyfork/src/membership/telling.rs
+++ b/crates/ebonyfork/src/membership/telling.rs
@@ -38,43 +38,45 @@
     /// Sends queued facts to one random member, if there is one and the byte budget allows a full datagram.
     pub(super) fn gossip(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         if self.budget.available() < DATAGRAM_LIMIT {
-            self.counters.withheld += 1;
+            self.counters.withheld_datagrams += 1;
             return;
         }
-        let Some(to) = self.random_member(None) else {
+        let Some(destination) = self.random_member(None) else {
             return;
         };
-        self.send(now, to, MemberMessage::Gossip, outbox);
+        self.send(now, destination, MemberMessage::Gossip, outbox);
     }
 
-    /// Returns a random member that is not failed, other than `except`.
-    pub(super) fn random_member(&mut self, except: Option<VmAddress>) -> Option<VmAddress> {
-        self.probe.random(&self.table, &mut self.rng, except)
+    /// Returns a random member that is not failed, other than `excluded_vm`.
+    pub(super) fn random_member(&mut self, excluded_vm: Option<VmAddress>) -> Option<VmAddress> {
+        self.probe
+            .random_member(&self.table, &mut self.rng, excluded_vm)
     }
 
     /// Sends a message with as many piggybacked facts as the byte budget and the datagram allow.
     pub(super) fn send(
         &mut self,
         now: Duration,
-        to: VmAddress,
+        destination: VmAddress,
         message: MemberMessage,
         outbox: &mut Vec<OutgoingDatagram>,
     ) {
-        let limit = self.budget.available().min(DATAGRAM_LIMIT);
-        let mut writer = DatagramWriter::new(self.deployment, limit, &self.own_header, message);
+        let size_limit = self.budget.available().min(DATAGRAM_LIMIT);
+        let mut writer =
+            DatagramWriter::new(self.deployment, size_limit, &self.own_header, message);
         // A suspected or failed receiver is informed of its own state first, so that it can refute it.
-        let receiver = self.table.get(to);
+        let receiver = self.table.get(destination);
         if receiver.is_some_and(|record| record.health != MemberHealth::Alive)
-            && let Some(update) = self.table.update(now, to)
+            && let Some(update) = self.table.update(now, destination)
         {
             writer.push_mandatory(&GossipFact::Member(update));
         }
-        self.fill(now, to, &mut writer);
-        self.output_datagram(to, writer.finish(), outbox);
+        self.fill(now, destination, &mut writer);
+        self.output_datagram(destination, writer.finish(), outbox);
     }
 
     /// Adds queued facts to a datagram while they fit.
-    fn fill(&mut self, now: Duration, to: VmAddress, writer: &mut DatagramWriter) {
+    fn fill(&mut self, now: Duration, destination: VmAddress, writer: &mut DatagramWriter) {
         let offer_fact = |writer: &mut DatagramWriter, fact: Option<GossipFact>| match fact {
             None => OfferResult::Obsolete,
             Some(fact) if writer.push(&fact) => OfferResult::Added,
@@ -83,7 +85,7 @@
         let (own_header, table, notices) = (&self.own_header, &self.table, &self.notices);
         let max_transmissions = max_transmissions(table.present_count());
         self.gossip_queues.members.fill(max_transmissions, |vm| {
-            if vm == to {
+            if vm == destination {
                 // The receiver needs no update about itself; `send` has added its suspicion, if any.
                 return OfferResult::Added;
             }
@@ -99,7 +101,7 @@
             .fill(max_transmissions, |number| {
                 offer_fact(writer, notices.notice(now, number).map(GossipFact::Notice))
             });
-        let mut digest = |vm| {
+        let mut offer_digest = |vm| {
             let update = if vm == own_header.vm {
                 Some(own_digest(own_header))
             } else {
@@ -113,31 +115,31 @@
         };
         self.gossip_queues
             .revisions
-            .fill(REVISION_TRANSMISSIONS, &mut digest);
+            .fill(REVISION_TRANSMISSIONS, &mut offer_digest);
         self.gossip_queues
             .digests
-            .fill(DIGEST_TRANSMISSIONS, &mut digest);
+            .fill(DIGEST_TRANSMISSIONS, &mut offer_digest);
     }
 
     /// Outputs an encoded datagram and counts it, or counts it as withheld if the byte budget is exhausted.
     pub(super) fn output_datagram(
         &mut self,
-        to: VmAddress,
+        destination: VmAddress,
         bytes: Vec<u8>,
         outbox: &mut Vec<OutgoingDatagram>,
     ) {
         let size = bytes.len() + PACKET_OVERHEAD;
         if !self.budget.try_spend(size) {
-            self.counters.withheld += 1;
+            self.counters.withheld_datagrams += 1;
             return;
         }
         self.counters.sent_datagrams += 1;
         self.counters.sent_bytes += size as u64;
-        outbox.push(OutgoingDatagram { to, bytes });
+        outbox.push(OutgoingDatagram { destination, bytes });
     }
 
     /// Returns the number of bytes that the budget allows to send now.
-    pub(super) fn budget_room(&self) -> usize {
+    pub(super) fn available_bytes(&self) -> usize {
         self.budget.available()
     }
 
--- a/crates/ebonyfork/src/node/assembly.rs
+++ b/crates/ebonyfork/src/node/assembly.rs
@@ -48,7 +48,7 @@
     dispatch: PeerDispatch,
     /// Cancelled at the end of a planned stop: ends links and servers.
     stop: CancellationToken,
-    members: MemberHandle,
+    membership: MemberHandle,
     lifecycle: LifecycleHandle,
     locate_ttl: Duration,
     /// Cancelled to cut a planned stop short.
@@ -83,7 +83,7 @@
     pub async fn ready(&self) {
         let mut readiness = self.views.readiness.clone();
         // The writer lives as long as the node, so the wait can't end with an error.
-        let _ready = readiness.wait_for(|readiness| readiness.takes_work()).await;
+        let _wait_result = readiness.wait_for(|readiness| readiness.takes_work()).await;
     }
 
     /// Performs a planned stop: announces that the node is leaving, finishes the work in flight, then stops all
@@ -93,12 +93,12 @@
             session,
             views,
             dispatch,
-            members,
+            membership,
             ..
         } = &self;
         let plan = StopPlan::new(self.locate_ttl, longest_class_bound(views));
         let steps = StopSteps {
-            announce: || members.announce_leaving(),
+            announce: || membership.announce_leaving(),
             in_flight: || dispatch.in_flight(),
             hand_over: || async {
                 let successor = session_successor(&views.topology.borrow(), *session)?;
@@ -109,8 +109,8 @@
         let report = self.lifecycle.stop(plan, steps).await;
         self.stop.cancel();
         // Let the servers finish the answers they are writing; the other tasks are dropped with the node.
-        let serving = self.servers.join_all();
-        let _finished = tokio::time::timeout(SERVER_STOP_TIMEOUT, serving).await;
+        let server_tasks = self.servers.join_all();
+        let _join_result = tokio::time::timeout(SERVER_STOP_TIMEOUT, server_tasks).await;
         report
     }
 }
@@ -197,9 +197,9 @@
             readiness,
         } = writers;
         let topology_settings = TopologySettings::new(self.session, self.settings.zone.clone());
-        let members = self.start_membership(sockets.membership_socket, &topology_settings);
-        let lifecycle = start_lifecycle(&views, &members, readiness);
-        let topology = self.start_topology(topology_settings, &members, &lifecycle, topology);
+        let membership = self.start_membership(sockets.membership_socket, &topology_settings);
+        let lifecycle = start_lifecycle(&views, &membership, readiness);
+        let topology = self.start_topology(topology_settings, &membership, &lifecycle, topology);
         let entry = self.start_entry(&views);
         let dispatch = PeerDispatch {
             relay: self.start_relay(&views, topology),
@@ -209,11 +209,11 @@
             entry,
         };
         self.register(&dispatch);
-        members.register(&mut self.registry);
+        membership.register(&mut self.registry);
         lifecycle.register(&mut self.registry);
         connect_gossip(
             &mut self.tasks,
-            &members,
+            &membership,
             &dispatch,
             &self.quarantine,
             &views,
@@ -223,7 +223,7 @@
             sockets.caller_listener,
             &dispatch,
             &views,
-            &members,
+            &membership,
             &lifecycle,
         );
         self.start_operators(sockets.operator_listener, &dispatch, &views);
@@ -237,7 +237,7 @@
             views,
             dispatch,
             stop: self.stop,
-            members,
+            membership,
             lifecycle,
             locate_ttl: self.settings.locate_ttl,
             hurry: self.options.hurry,
@@ -260,7 +260,7 @@
     fn start_topology(
         &self,
         settings: TopologySettings,
-        members: &MemberHandle,
+        membership: &MemberHandle,
         lifecycle: &LifecycleHandle,
         writer: watch::Sender<Arc<TopologyView>>,
     ) -> TopologyHandle {
@@ -273,17 +273,17 @@
                 Ok::<_, StoreError>(records)
             })
         };
-        TopologyHandle::start(settings, list, members.snapshot(), writer)
+        TopologyHandle::start(settings, list, membership.snapshot(), writer)
     }
 
     /// Starts the entry, which consults the quarantine about each query.
     fn start_entry(&self, views: &NodeViews) -> EntryHandle {
-        let (quarantine, for_suspicion) = (self.quarantine.clone(), self.quarantine.clone());
+        let (quarantine, suspicion_quarantine) = (self.quarantine.clone(), self.quarantine.clone());
         let settings = EntrySettings::new(self.session, self.settings.zone.clone(), views.clone())
             .with_experiment(self.settings.experiment)
             .with_quarantine(move |fingerprint| quarantine.refuses(fingerprint))
             .with_suspicion(move |fingerprint| {
-                for_suspicion.admit(fingerprint) == QuarantineStatus::Suspect
+                suspicion_quarantine.admit(fingerprint) == QuarantineStatus::Suspect
             });
         let pool = self.pool.clone();
         EntryHandle::start(settings, move |vm, message| pool.send(vm, message))
@@ -303,19 +303,20 @@
 
     /// Starts the relay, which reports losses and answers to the quarantine and leaving upstreams to the topology.
     fn start_relay(&self, views: &NodeViews, topology: TopologyHandle) -> RelayHandle {
-        let for_refusals = self.quarantine.clone();
-        let for_losses = self.quarantine.clone();
-        let (for_status, for_answers) = (self.quarantine.clone(), self.quarantine.clone());
+        let refusal_quarantine = self.quarantine.clone();
+        let quarantine = self.quarantine.clone();
+        let (status_quarantine, answer_quarantine) =
+            (self.quarantine.clone(), self.quarantine.clone());
         let settings =
             RelaySettings::new(self.settings.vm, self.settings.zone.clone(), views.clone())
                 .with_experiment(self.settings.experiment)
                 .with_quarantine(
-                    move |fingerprint| for_refusals.refuses(fingerprint),
-                    move |loss| for_losses.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
+                    move |fingerprint| refusal_quarantine.refuses(fingerprint),
+                    move |loss| quarantine.report_loss_at(loss.upstream, &loss.in_flight, loss.age),
                 )
                 .with_suspicion(
-                    move |fingerprint| for_status.admit(fingerprint),
-                    move |fingerprint, flight| for_answers.report_answer(fingerprint, flight),
+                    move |fingerprint| status_quarantine.admit(fingerprint),
+                    move |fingerprint, flight| answer_quarantine.report_answer(fingerprint, flight),
                 )
                 .with_leaving_report(move |upstream| topology.mark_leaving(upstream));
         RelayHandle::start(settings)
@@ -392,17 +393,17 @@
         listener: TcpListener,
         dispatch: &PeerDispatch,
         views: &NodeViews,
-        members: &MemberHandle,
+        membership: &MemberHandle,
         lifecycle: &LifecycleHandle,
     ) {
         let (once, lifecycle) = (dispatch.once.clone(), lifecycle.clone());
         let config = views.config.clone();
         let run = move |request: QueryRequest| -> BoxFuture<'static, _> {
             let (once, lifecycle) = (once.clone(), lifecycle.clone());
-            let keyed = request.key.is_some() && !is_idempotent(&config.borrow(), &request);
-            Box::pin(async move { lifecycle.serve(keyed, once.run(request)).await })
+            let is_keyed = request.key.is_some() && !is_idempotent(&config.borrow(), &request);
+            Box::pin(async move { lifecycle.serve(is_keyed, once.run(request)).await })
         };
-        let locate = self.address_selector(views, members);
+        let locate = self.address_selector(views, membership);
         let service = CallerService::new(run, locate, views.clone());
         self.servers
             .spawn(serve_callers(listener, service, self.stop.clone()));
@@ -412,7 +413,7 @@
     fn address_selector(
         &self,
         views: &NodeViews,
-        members: &MemberHandle,
+        membership: &MemberHandle,
     ) -> impl Fn(Option<OrganisationName>) -> LocateAnswer + Send + Sync + 'static {
         let settings = LocateSettings {
             session: self.session,
@@ -420,12 +421,19 @@
             caller_port: self.settings.caller_port,
             ttl: self.settings.locate_ttl,
         };
-        let (topology, members) = (views.topology.clone(), members.snapshot());
+        let (topology, member_snapshots) = (views.topology.clone(), membership.snapshot());
         let rng = Mutex::new(ChaCha8Rng::seed_from_u64(self.session.incarnation.0));
         move |organisation| {
             let mut rng = rng.lock().unwrap_or_else(PoisonError::into_inner);
-            let (view, members) = (topology.borrow().clone(), members.borrow().clone());
-            locate_addresses(&view, &members, &settings, organisation.as_ref(), &mut *rng)
+            let (view, member_snapshot) =
+                (topology.borrow().clone(), member_snapshots.borrow().clone());
+            locate_addresses(
+                &view,
+                &member_snapshot,
+                &settings,
+                organisation.as_ref(),
+                &mut *rng,
+            )
         }
     }
 
@@ -439,15 +447,15 @@
         let reader = StatusReader::new(self.session, &self.settings, views, dispatch);
         let readiness = views.readiness.clone();
         let registry = std::mem::take(&mut self.registry);
-        let (for_list, for_lift) = (self.quarantine.clone(), self.quarantine.clone());
+        let (list_quarantine, lift_quarantine) = (self.quarantine.clone(), self.quarantine.clone());
         let service = OperatorService::new(
             registry,
             move || readiness.borrow().takes_work(),
             move || reader.read(),
         )
         .with_quarantine(
-            move || crate::node::status::quarantine_statuses(&for_list),
-            move |fingerprint| for_lift.lift(fingerprint),
+            move || crate::node::status::quarantine_statuses(&list_quarantine),
+            move |fingerprint| lift_quarantine.lift(fingerprint),
         );
         self.tasks
             .spawn(serve_operators(listener, service, self.stop.clone()));
@@ -457,26 +465,26 @@
 /// Starts the lifecycle, which decides when the node is ready.
 fn start_lifecycle(
     views: &NodeViews,
-    members: &MemberHandle,
+    membership: &MemberHandle,
     writer: watch::Sender<NodeReadiness>,
 ) -> LifecycleHandle {
-    let (config, snapshot) = (views.config.clone(), members.snapshot());
-    let caught_up = move || newest_revision(&snapshot.borrow()) <= config.borrow().revision;
-    let members = members.clone();
+    let (config, snapshot) = (views.config.clone(), membership.snapshot());
+    let is_caught_up = move || newest_revision(&snapshot.borrow()) <= config.borrow().revision;
+    let membership = membership.clone();
     let settings = LifecycleSettings::new()
-        .with_caught_up(caught_up)
-        .with_peer_contact(move || members.last_peer_contact());
+        .with_caught_up(is_caught_up)
+        .with_peer_contact(move || membership.last_peer_contact());
     LifecycleHandle::start(settings, writer, views.clone())
 }
 
 /// Closes links to VMs that are no longer in the topology view.
 async fn close_obsolete_links(pool: PeerPool, mut views: NodeViews, stop: CancellationToken) {
     loop {
-        let changed = tokio::select! {
-            changed = views.topology.changed() => changed,
+        let change_result = tokio::select! {
+            change_result = views.topology.changed() => change_result,
             () = stop.cancelled() => return,
         };
-        if changed.is_err() {
+        if change_result.is_err() {
             return;
         }
         let view = views.topology.borrow_and_update().clone();
--- a/crates/ebonyfork/src/node/dispatch.rs
+++ b/crates/ebonyfork/src/node/dispatch.rs
@@ -29,32 +29,32 @@
             LinkEvent::Message { from, message } => self.handle_message(from, message).await,
             LinkEvent::Down { vm, unsent } => {
                 let is_keyed = |message: &PeerMessage| matches!(message, PeerMessage::Once(_));
-                let (keyed, unsent) = unsent.into_iter().partition(is_keyed);
-                self.once.link_down(vm, keyed).await;
-                self.entry.handle_link_down(vm, unsent).await;
+                let (keyed_messages, other_messages) = unsent.into_iter().partition(is_keyed);
+                self.once.link_down(vm, keyed_messages).await;
+                self.entry.handle_link_down(vm, other_messages).await;
             }
         }
     }
 
     /// Passes a message to the subsystem that handles its kind.
-    async fn handle_message(self, from: LinkSender, message: PeerMessage) {
+    async fn handle_message(self, link: LinkSender, message: PeerMessage) {
         match message {
-            PeerMessage::Submit(batch) => self.relay.submit(from, batch).await,
-            PeerMessage::Cancel(batch) => self.relay.cancel(&from, batch).await,
+            PeerMessage::Submit(batch) => self.relay.submit(link, batch).await,
+            PeerMessage::Cancel(batch) => self.relay.cancel(&link, batch).await,
             PeerMessage::Outcomes(batch) => {
-                let Some(peer) = from.peer() else { return };
+                let Some(peer) = link.peer() else { return };
                 self.entry.handle_outcomes(peer, batch).await;
             }
-            PeerMessage::Revision(message) => self.revision.handle_message(from, message).await,
-            PeerMessage::Catalog(message) => self.catalog.handle_message(from, message).await,
-            PeerMessage::Once(message) => self.once.take_message(from, message).await,
+            PeerMessage::Revision(message) => self.revision.handle_message(link, message).await,
+            PeerMessage::Catalog(message) => self.catalog.handle_message(link, message).await,
+            PeerMessage::Once(message) => self.once.take_message(link, message).await,
             PeerMessage::Partial(_)
             | PeerMessage::Mirror(_)
             | PeerMessage::RouteCheck(_)
             | PeerMessage::Share(_) => {
-                log::debug!("ignoring a gateway message from {:?}", from.peer());
+                log::debug!("ignoring a gateway message from {:?}", link.peer());
             }
-            PeerMessage::Hello(_) => log::debug!("ignoring a second hello from {:?}", from.peer()),
+            PeerMessage::Hello(_) => log::debug!("ignoring a second hello from {:?}", link.peer()),
         }
     }
 }
--- a/crates/ebonyfork/src/node/gossip.rs
+++ b/crates/ebonyfork/src/node/gossip.rs
@@ -20,24 +20,27 @@
 /// Starts the tasks that exchange digests and notices between membership and the other subsystems.
 pub(super) fn connect_gossip(
     tasks: &mut JoinSet<()>,
-    members: &MemberHandle,
+    membership: &MemberHandle,
     dispatch: &PeerDispatch,
     quarantine: &QuarantineHandle,
     views: &NodeViews,
 ) {
     tasks.spawn(publish_digest(
-        members.clone(),
+        membership.clone(),
         dispatch.clone(),
         views.clone(),
     ));
-    tasks.spawn(follow_digests(members.clone(), dispatch.revision.clone()));
-    tasks.spawn(publish_notices(members.clone(), quarantine.clone()));
-    tasks.spawn(receive_notices(members.clone(), quarantine.clone()));
+    tasks.spawn(follow_digests(
+        membership.clone(),
+        dispatch.revision.clone(),
+    ));
+    tasks.spawn(publish_notices(membership.clone(), quarantine.clone()));
+    tasks.spawn(receive_notices(membership.clone(), quarantine.clone()));
 }
 
 /// Updates the digest of this process when its revision or load changes.
-async fn publish_digest(members: MemberHandle, dispatch: PeerDispatch, mut views: NodeViews) {
-    let mut published = MemberDigest::default();
+async fn publish_digest(membership: MemberHandle, dispatch: PeerDispatch, mut views: NodeViews) {
+    let mut published_digest = MemberDigest::default();
     loop {
         let load =
             dispatch.entry.queries_in_flight().min(FULL_LOAD_QUERIES) * 1_000 / FULL_LOAD_QUERIES;
@@ -46,13 +49,13 @@
             revision,
             load: load as u16,
         };
-        if digest != published {
-            members.set_digest(digest);
-            published = digest;
+        if digest != published_digest {
+            membership.set_digest(digest);
+            published_digest = digest;
         }
         tokio::select! {
-            changed = views.config.changed() => {
-                if changed.is_err() {
+            change_result = views.config.changed() => {
+                if change_result.is_err() {
                     return;
                 }
             }
@@ -62,11 +65,11 @@
 }
 
 /// Passes the revisions that the members hold to the configuration subsystem.
-async fn follow_digests(members: MemberHandle, revision: RevisionHandle) {
-    let mut snapshot = members.snapshot();
+async fn follow_digests(membership: MemberHandle, revision: RevisionHandle) {
+    let mut snapshot = membership.snapshot();
     loop {
-        let current = snapshot.borrow_and_update().clone();
-        revision.record_gossiped_revisions(held_revisions(&current));
+        let current_snapshot = snapshot.borrow_and_update().clone();
+        revision.record_gossiped_revisions(held_revisions(&current_snapshot));
         if snapshot.changed().await.is_err() {
             return;
         }
@@ -77,11 +80,11 @@
 fn held_revisions(
     snapshot: &Arc<MemberSnapshot>,
 ) -> impl Iterator<Item = (VmAddress, RevisionNumber)> {
-    let running = snapshot
+    let running_members = snapshot
         .members()
         .iter()
         .filter(|member| member.state.is_present());
-    running.map(|member| (member.vm, member.digest.revision))
+    running_members.map(|member| (member.vm, member.digest.revision))
 }
 
 /// Returns the newest revision that any member holds.
--- a/crates/ebonyfork/src/topology/feed.rs
+++ b/crates/ebonyfork/src/topology/feed.rs
@@ -106,7 +106,7 @@
     /// Records that an upstream has reported that it is leaving; it gets no new work from now on.
     pub fn mark_leaving(&self, upstream: UpstreamAddress) {
         // Sending to an unbounded mailbox completes at the first poll; the return value is not awaited.
-        let _queued = self
+        let _send_result = self
             .actor
             .send(LeavingReport(upstream))
             .detach()
@@ -167,7 +167,7 @@
 struct MembersChanged;
 /// An upstream has reported that it is leaving.
 struct LeavingReport(UpstreamAddress);
-/// Publishes a view if one is due without new input.
+/// Asks the actor to publish a view if one is due without new input.
 struct ViewCheck;
 
 #[derive(Debug, xtra::Actor)]
@@ -199,13 +199,13 @@
         let now = self.now();
         self.next_change = self.join.next_change(now);
         let view = self.join.view(now);
-        self.writer.send_if_modified(|current| {
-            let changed = **current != view;
-            if changed {
-                log_changes(current, &view);
-                *current = Arc::new(view);
+        self.writer.send_if_modified(|current_view| {
+            let is_changed = **current_view != view;
+            if is_changed {
+                log_changes(current_view, &view);
+                *current_view = Arc::new(view);
             }
-            changed
+            is_changed
         });
     }
 }
@@ -222,11 +222,11 @@
         }
         let peers = self.join.listed_peers();
         self.seeds.send_if_modified(|seeds| {
-            let changed = **seeds != *peers;
-            if changed {
+            let is_changed = **seeds != *peers;
+            if is_changed {
                 *seeds = peers.into();
             }
-            changed
+            is_changed
         });
         self.publish();
     }
@@ -253,41 +253,48 @@
     type Return = ();
 
     async fn handle(&mut self, _message: ViewCheck, _context: &mut Context<Self>) {
-        if self.next_change.is_some_and(|change| change <= self.now()) {
+        if self
+            .next_change
+            .is_some_and(|change_at| change_at <= self.now())
+        {
             self.publish();
         }
     }
 }
 
 /// Logs one decision line per VM or upstream that was added, changed or removed.
-fn log_changes(old: &TopologyView, new: &TopologyView) {
+fn log_changes(old_view: &TopologyView, new_view: &TopologyView) {
     if !log::log_enabled!(target: "ebonyfork::decision", log::Level::Info) {
         return;
     }
-    for (vm, entry) in &new.vms {
-        let before = old.vms.get(vm);
-        if before == Some(entry) {
+    for (vm, entry) in &new_view.vms {
+        let entry_before = old_view.vms.get(vm);
+        if entry_before == Some(entry) {
             continue;
         }
         let incarnation = entry.incarnation.map(|number| number.0);
         log::info!(target: "ebonyfork::decision",
             "topology vm={vm} zone={} incarnation={incarnation:?} leaving={}", entry.zone, entry.leaving);
     }
-    for vm in old.vms.keys().filter(|vm| !new.vms.contains_key(vm)) {
+    for vm in old_view
+        .vms
+        .keys()
+        .filter(|vm| !new_view.vms.contains_key(vm))
+    {
         log::info!(target: "ebonyfork::decision", "topology vm={vm} out");
     }
-    if Arc::ptr_eq(&old.upstreams, &new.upstreams) {
+    if Arc::ptr_eq(&old_view.upstreams, &new_view.upstreams) {
         return;
     }
-    for (upstream, entry) in new.upstreams.iter() {
-        let before = old.upstreams.get(upstream).map(|entry| entry.leaving);
-        if before != Some(entry.leaving) {
+    for (upstream, entry) in new_view.upstreams.iter() {
+        let leaving_before = old_view.upstreams.get(upstream).map(|entry| entry.leaving);
+        if leaving_before != Some(entry.leaving) {
             log::info!(target: "ebonyfork::decision",
                 "topology upstream={upstream} service={} leaving={}", entry.service, entry.leaving);
         }
     }
-    for upstream in old.upstreams.keys() {
-        if !new.upstreams.contains_key(upstream) {
+    for upstream in old_view.upstreams.keys() {
+        if !new_view.upstreams.contains_key(upstream) {
             log::info!(target: "ebonyfork::decision", "topology upstream={upstream} out");
         }
     }
--- a/crates/ebonyfork/src/topology/feed_tests.rs
+++ b/crates/ebonyfork/src/topology/feed_tests.rs
@@ -22,11 +22,11 @@
 async fn the_view_survives_list_outages_and_applies_leaving_reports() {
     let own_session = SessionId::new(VmAddress([10, 0, 0, 1].into()), IncarnationNumber(5));
     let peer = VmAddress([10, 0, 0, 2].into());
-    let reads = Arc::new(AtomicU32::new(0));
+    let read_count = Arc::new(AtomicU32::new(0));
     let list = {
-        let reads = Arc::clone(&reads);
+        let read_count = Arc::clone(&read_count);
         move || -> BoxFuture<'static, std::result::Result<Vec<VmRecord>, &'static str>> {
-            let read_number = reads.fetch_add(1, Ordering::Relaxed);
+            let read_number = read_count.fetch_add(1, Ordering::Relaxed);
             let records = vec![
                 record(1, OWN_GROUP, None),
                 record(2, OWN_GROUP, None),
@@ -54,9 +54,9 @@
     let upstream: UpstreamAddress = "10.0.0.9:80".parse().unwrap();
     expect_that!(view.borrow().upstreams[&upstream].leaving, eq(false));
     handle.mark_leaving(upstream);
-    let reported = view.wait_for(|view| view.upstreams[&upstream].leaving);
-    expect_that!(reported.await.is_ok(), eq(true));
+    let report_wait = view.wait_for(|view| view.upstreams[&upstream].leaving);
+    expect_that!(report_wait.await.is_ok(), eq(true));
     tokio::time::sleep(LIST_PERIOD * 60).await;
-    expect_that!(reads.load(Ordering::Relaxed), gt(30));
+    expect_that!(read_count.load(Ordering::Relaxed), gt(30));
     expect_that!(view.borrow().upstreams[&upstream].leaving, eq(true));
 }
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -37,7 +37,7 @@
     /// Upstreams that reported to be leaving, with the time of the report.
     leaving_reports: FxHashMap<UpstreamAddress, Duration>,
     /// Last snapshot of membership.
-    members: Arc<MemberSnapshot>,
+    member_snapshot: Arc<MemberSnapshot>,
     /// Whether the last list was rejected because it lacked more than half of the previous one.
     shrink_rejected: bool,
     /// View of the upstreams only, from which all views share them.
@@ -50,7 +50,7 @@
     zone: ZoneName,
     leaving: bool,
     /// When the VM was added to the list; starts again if the VM leaves the list and returns.
-    first_listed: Duration,
+    listed_since: Duration,
 }
 
 impl TopologyJoin {
@@ -62,7 +62,7 @@
             vms: BTreeMap::new(),
             upstreams: BTreeMap::new(),
             leaving_reports: FxHashMap::default(),
-            members: Arc::default(),
+            member_snapshot: Arc::default(),
             shrink_rejected: false,
             upstream_view: TopologyView::default(),
         }
@@ -81,13 +81,13 @@
             let leaving = record.state == VmState::Leaving;
             if record.group == OWN_GROUP {
                 let vm = VmAddress(record.ip);
-                let known = self.vms.get(&vm);
-                let listed = ListedVm {
+                let known_vm = self.vms.get(&vm);
+                let listed_vm = ListedVm {
                     zone: record.zone,
                     leaving,
-                    first_listed: known.map_or(now, |known| known.first_listed),
+                    listed_since: known_vm.map_or(now, |known_vm| known_vm.listed_since),
                 };
-                vms.insert(vm, listed);
+                vms.insert(vm, listed_vm);
                 continue;
             }
             let Some(entry) = read_upstream(record, leaving) else {
@@ -111,17 +111,17 @@
     }
 
     /// Applies a membership snapshot and returns whether anything other than digests has changed.
-    pub fn apply_members(&mut self, members: Arc<MemberSnapshot>) -> bool {
-        let unchanged = members.members().len() == self.members.members().len()
-            && members
+    pub fn apply_members(&mut self, member_snapshot: Arc<MemberSnapshot>) -> bool {
+        let is_unchanged = member_snapshot.members().len() == self.member_snapshot.members().len()
+            && member_snapshot
                 .members()
                 .iter()
-                .zip(self.members.members())
+                .zip(self.member_snapshot.members())
                 .all(|(new, old)| {
                     (new.session(), new.state, &new.zone) == (old.session(), old.state, &old.zone)
                 });
-        self.members = members;
-        !unchanged
+        self.member_snapshot = member_snapshot;
+        !is_unchanged
     }
 
     /// Records that an upstream has reported at `now` that it is leaving.
@@ -164,22 +164,22 @@
     /// Returns when the view changes without new input: when the grace of the next listed VM that membership does not
     /// know ends.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let unconfirmed = self
+        let unconfirmed_vms = self
             .vms
             .iter()
-            .filter(|(vm, _)| self.members.get(**vm).is_none());
+            .filter(|(vm, _)| self.member_snapshot.get(**vm).is_none());
         let grace_ends =
-            unconfirmed.map(|(_, listed)| listed.first_listed + self.unconfirmed_grace());
+            unconfirmed_vms.map(|(_, listed_vm)| listed_vm.listed_since + self.unconfirmed_grace());
         grace_ends.filter(|grace_end| *grace_end > now).min()
     }
 
     /// Returns how long the view includes a listed VM that membership has not discovered; the time counts from its
-    /// `first_listed`.
+    /// `listed_since`.
     fn unconfirmed_grace(&self) -> Duration {
         UNCONFIRMED_GRACE + UNCONFIRMED_GRACE_PER_VM * self.vms.len() as u32
     }
 
-    /// Returns the deployment's VMs on the list, except the own one.
+    /// Returns the deployment's VMs on the list, except the VM of this process.
     pub fn listed_peers(&self) -> Vec<VmAddress> {
         let peers = self.vms.keys().filter(|vm| **vm != self.own_session.vm);
         peers.copied().collect()
@@ -187,22 +187,23 @@
 
     /// Returns the view at `now`.
     pub fn view(&self, now: Duration) -> TopologyView {
-        let mut vms = Vec::with_capacity(self.vms.len().max(self.members.members().len()) + 1);
-        for member in self.members.members() {
+        let mut vms =
+            Vec::with_capacity(self.vms.len().max(self.member_snapshot.members().len()) + 1);
+        for member in self.member_snapshot.members() {
             if member.vm == self.own_session.vm || !member.state.is_present() {
                 continue;
             }
             vms.push(self.member_entry(member));
         }
-        for (vm, listed) in &self.vms {
-            if *vm == self.own_session.vm || !self.includes_unconfirmed(now, *vm, listed) {
+        for (vm, listed_vm) in &self.vms {
+            if *vm == self.own_session.vm || !self.includes_unconfirmed(now, *vm, listed_vm) {
                 continue;
             }
             vms.push(VmEntry {
                 vm: *vm,
-                zone: listed.zone.clone(),
+                zone: listed_vm.zone.clone(),
                 incarnation: None,
-                leaving: listed.leaving,
+                leaving: listed_vm.leaving,
             });
         }
         vms.push(self.own_entry());
@@ -211,37 +212,37 @@
 
     /// Returns the view entry of this VM.
     fn own_entry(&self) -> VmEntry {
-        let member = self.members.get(self.own_session.vm);
+        let member = self.member_snapshot.get(self.own_session.vm);
         let announced_leaving = member.is_some_and(|member| member.state == MemberState::Leaving);
-        let listed = self.vms.get(&self.own_session.vm);
+        let listed_vm = self.vms.get(&self.own_session.vm);
         VmEntry {
             vm: self.own_session.vm,
             zone: self.zone.clone(),
             incarnation: Some(self.own_session.incarnation),
-            leaving: announced_leaving || listed.is_some_and(|listed| listed.leaving),
+            leaving: announced_leaving || listed_vm.is_some_and(|listed_vm| listed_vm.leaving),
         }
     }
 
     /// Returns the view entry of a VM that membership knows.
     fn member_entry(&self, member: &MemberEntry) -> VmEntry {
-        let listed = self.vms.get(&member.vm);
+        let listed_vm = self.vms.get(&member.vm);
         VmEntry {
             vm: member.vm,
             zone: member.zone.clone(),
             incarnation: Some(member.incarnation),
             leaving: member.state == MemberState::Leaving
-                || listed.is_some_and(|listed| listed.leaving),
+                || listed_vm.is_some_and(|listed_vm| listed_vm.leaving),
         }
     }
 
     /// Returns whether the view includes a listed VM that membership has not discovered; false if membership knows it.
-    fn includes_unconfirmed(&self, now: Duration, vm: VmAddress, listed: &ListedVm) -> bool {
-        if self.members.get(vm).is_some() {
+    fn includes_unconfirmed(&self, now: Duration, vm: VmAddress, listed_vm: &ListedVm) -> bool {
+        if self.member_snapshot.get(vm).is_some() {
             return false;
         }
-        let mut peers = self.members.members().iter();
-        let any_peer_answered = peers.any(|member| member.vm != self.own_session.vm);
-        !any_peer_answered || now.saturating_sub(listed.first_listed) < self.unconfirmed_grace()
+        let mut member_entries = self.member_snapshot.members().iter();
+        let any_peer_answered = member_entries.any(|member| member.vm != self.own_session.vm);
+        !any_peer_answered || now.saturating_sub(listed_vm.listed_since) < self.unconfirmed_grace()
     }
 }
 
--- a/crates/ebonyfork/src/topology/join_tests.rs
+++ b/crates/ebonyfork/src/topology/join_tests.rs
@@ -74,18 +74,18 @@
         (None, Some(Failed), true, 0, None),
         (None, None, true, 0, None),
     ];
-    for (listed, member_state, any_peer_answered, age, expected) in cases {
+    for (list_state, member_state, any_peer_answered, listed_age_s, expected_leaving) in cases {
         let mut join = join();
-        join.apply_list(seconds(5), listed.map(|state| record(2, state)));
-        let other = any_peer_answered.then(|| member(3, Alive));
+        join.apply_list(seconds(5), list_state.map(|state| record(2, state)));
+        let other_member = any_peer_answered.then(|| member(3, Alive));
         let members = member_state.map(|state| member(2, state)).into_iter();
-        join.apply_members(Arc::new(MemberSnapshot::new(members.chain(other))));
-        let view = join.view(seconds(5 + age));
-        let leaving = view.vms.get(&vm(2)).map(|entry| entry.leaving);
+        join.apply_members(Arc::new(MemberSnapshot::new(members.chain(other_member))));
+        let view = join.view(seconds(5 + listed_age_s));
+        let is_leaving = view.vms.get(&vm(2)).map(|entry| entry.leaving);
         expect_that!(
-            leaving,
-            eq(expected),
-            "{listed:?} {member_state:?} {any_peer_answered} {age}"
+            is_leaving,
+            eq(expected_leaving),
+            "{list_state:?} {member_state:?} {any_peer_answered} {listed_age_s}"
         );
         expect_that!(
             view.vms[&vm(1)].incarnation,
@@ -96,32 +96,32 @@
 
 #[gtest]
 fn a_leaving_report_holds_until_the_list_refutes_it() {
-    let leaving = |join: &TopologyJoin, now| {
+    let is_leaving = |join: &TopologyJoin, now| {
         let view = join.view(seconds(now));
         view.upstreams.get(&upstream(9)).map(|entry| entry.leaving)
     };
     let mut join = join();
     join.apply_list(seconds(0), [server(9, VmState::Live)]);
-    expect_that!(leaving(&join, 0), some(eq(false)));
+    expect_that!(is_leaving(&join, 0), some(eq(false)));
     join.mark_leaving(seconds(1), upstream(9));
-    expect_that!(leaving(&join, 1), some(eq(true)));
+    expect_that!(is_leaving(&join, 1), some(eq(true)));
     // The list lags and still shows the upstream live; without any further list, nothing changes either.
     join.apply_list(seconds(30), [server(9, VmState::Live)]);
-    expect_that!(leaving(&join, 1_000), some(eq(true)));
+    expect_that!(is_leaving(&join, 1_000), some(eq(true)));
     join.apply_list(seconds(121), [server(9, VmState::Live)]);
-    expect_that!(leaving(&join, 121), some(eq(false)));
+    expect_that!(is_leaving(&join, 121), some(eq(false)));
     // An upstream listed as leaving and then live again is a new instance, however short the time between.
     join.mark_leaving(seconds(130), upstream(9));
     join.apply_list(seconds(131), [server(9, VmState::Leaving)]);
-    expect_that!(leaving(&join, 1_000), some(eq(true)));
+    expect_that!(is_leaving(&join, 1_000), some(eq(true)));
     join.apply_list(seconds(132), [server(9, VmState::Live)]);
-    expect_that!(leaving(&join, 132), some(eq(false)));
+    expect_that!(is_leaving(&join, 132), some(eq(false)));
     // An upstream that was removed from the list and listed again is a new instance.
     join.mark_leaving(seconds(170), upstream(9));
     join.apply_list(seconds(171), []);
-    expect_that!(leaving(&join, 171), none());
+    expect_that!(is_leaving(&join, 171), none());
     join.apply_list(seconds(172), [server(9, VmState::Live)]);
-    expect_that!(leaving(&join, 172), some(eq(false)));
+    expect_that!(is_leaving(&join, 172), some(eq(false)));
 }
 
 #[gtest]
@@ -141,19 +141,19 @@
 #[gtest]
 fn digests_alone_do_not_change_the_view() {
     let mut join = join();
-    let mut changed = member(2, MemberState::Alive);
+    let mut changed_member = member(2, MemberState::Alive);
     expect_that!(
-        join.apply_members(Arc::new(MemberSnapshot::new([changed.clone()]))),
+        join.apply_members(Arc::new(MemberSnapshot::new([changed_member.clone()]))),
         eq(true)
     );
-    changed.digest.load = 9;
+    changed_member.digest.load = 9;
     expect_that!(
-        join.apply_members(Arc::new(MemberSnapshot::new([changed.clone()]))),
+        join.apply_members(Arc::new(MemberSnapshot::new([changed_member.clone()]))),
         eq(false)
     );
-    changed.state = MemberState::Suspect;
+    changed_member.state = MemberState::Suspect;
     expect_that!(
-        join.apply_members(Arc::new(MemberSnapshot::new([changed]))),
+        join.apply_members(Arc::new(MemberSnapshot::new([changed_member]))),
         eq(true)
     );
     join.apply_list(
--- a/crates/ebonyfork/src/topology/ownership.rs
+++ b/crates/ebonyfork/src/topology/ownership.rs
@@ -72,20 +72,20 @@
     vms: impl IntoIterator<Item = &'a OwnerCandidate>,
     upstream: UpstreamAddress,
 ) -> Option<OwnerPair> {
-    let hash = address_hash(upstream.0.ip(), upstream.0.port());
-    let mut best: Option<(u64, VmAddress)> = None;
-    let mut runner_up: Option<(u64, VmAddress)> = None;
+    let upstream_hash = address_hash(upstream.0.ip(), upstream.0.port());
+    let mut best_score: Option<(u64, VmAddress)> = None;
+    let mut runner_up_score: Option<(u64, VmAddress)> = None;
     for candidate in vms {
-        let score = Some((mix_hash(candidate.hash ^ hash), candidate.vm));
-        if score > best {
-            runner_up = best;
-            best = score;
-        } else if score > runner_up {
-            runner_up = score;
+        let score = Some((mix_hash(candidate.hash ^ upstream_hash), candidate.vm));
+        if score > best_score {
+            runner_up_score = best_score;
+            best_score = score;
+        } else if score > runner_up_score {
+            runner_up_score = score;
         }
     }
-    let (_, primary) = best?;
-    let standby = runner_up.map_or(primary, |(_, vm)| vm);
+    let (_, primary) = best_score?;
+    let standby = runner_up_score.map_or(primary, |(_, vm)| vm);
     Some(OwnerPair { primary, standby })
 }
 
--- a/crates/ebonyfork/src/topology/ownership_tests.rs
+++ b/crates/ebonyfork/src/topology/ownership_tests.rs
@@ -49,18 +49,18 @@
 
 #[gtest]
 fn a_leaving_vm_moves_only_the_upstreams_it_owned() {
-    let all = view(0..7);
-    let mut moved = 0;
+    let full_view = view(0..7);
+    let mut moved_count = 0;
     for port in 1..=700 {
         let upstream = UpstreamAddress(([10, 1, 0, 1], port).into());
-        let before = choose_pair(all.owner_candidates(), upstream).unwrap();
-        let after = choose_pair(view(1..7).owner_candidates(), upstream).unwrap();
-        if before.primary == "10.0.0.0".parse().unwrap() {
-            moved += 1;
-            expect_that!(after.primary, eq(before.standby));
+        let pair_before = choose_pair(full_view.owner_candidates(), upstream).unwrap();
+        let pair_after = choose_pair(view(1..7).owner_candidates(), upstream).unwrap();
+        if pair_before.primary == "10.0.0.0".parse().unwrap() {
+            moved_count += 1;
+            expect_that!(pair_after.primary, eq(pair_before.standby));
         } else {
-            expect_that!(after.primary, eq(before.primary));
+            expect_that!(pair_after.primary, eq(pair_before.primary));
         }
     }
-    expect_that!(moved, all![ge(60), le(140)]);
+    expect_that!(moved_count, all![ge(60), le(140)]);
 }
--- a/crates/ebonyfork/src/topology/view.rs
+++ b/crates/ebonyfork/src/topology/view.rs
@@ -62,7 +62,7 @@
         upstreams: impl IntoIterator<Item = UpstreamEntry>,
     ) -> Self {
         let mut services: BTreeMap<ServiceName, SmallVec<[UpstreamAddress; 4]>> = BTreeMap::new();
-        let mut by_address = BTreeMap::new();
+        let mut upstreams_by_address = BTreeMap::new();
         for entry in upstreams {
             match services.get_mut(&entry.service) {
                 Some(addresses) if addresses.contains(&entry.upstream) => {}
@@ -71,9 +71,9 @@
                     services.insert(entry.service.clone(), SmallVec::from_iter([entry.upstream]));
                 }
             }
-            by_address.insert(entry.upstream, entry);
+            upstreams_by_address.insert(entry.upstream, entry);
         }
-        let upstreams = Arc::new(by_address);
+        let upstreams = Arc::new(upstreams_by_address);
         let services = Arc::new(services);
         Self {
             upstreams,
--- a/crates/ebonyfork/src/wire/link.rs
+++ b/crates/ebonyfork/src/wire/link.rs
@@ -88,11 +88,11 @@
 
     /// Queues a message for the writer without waiting. On an error it was not sent and never will be.
     pub fn send(&self, message: PeerMessage) -> Result<(), LinkError> {
-        let queued = QueuedMessage {
+        let queued_message = QueuedMessage {
             message,
             queued_at: Instant::now(),
         };
-        self.queue.try_send(queued).map_err(|error| {
+        self.queue.try_send(queued_message).map_err(|error| {
             let peer = self.peer.map(|peer| peer.to_string()).unwrap_or_default();
             match error {
                 mpsc::error::TrySendError::Full(_) => LinkError::Full { peer },
@@ -127,9 +127,9 @@
         .map_err(|source| LinkError::Socket { source })?;
     let mut codec = LengthDelimitedCodec::builder();
     codec.max_frame_length(MAX_FRAME_BYTES);
-    let (read, write) = stream.into_split();
-    let read = CountedReader::new(read, traffic);
-    Ok((codec.new_read(read), codec.new_write(write)))
+    let (read_half, write_half) = stream.into_split();
+    let read_half = CountedReader::new(read_half, traffic);
+    Ok((codec.new_read(read_half), codec.new_write(write_half)))
 }
 
 /// Exchanges `Hello` messages and returns the peer's process incarnation.
@@ -182,42 +182,44 @@
         .map_err(|source| LinkError::Socket { source })
 }
 
-/// Writes queued messages until the queue closes, the socket fails or `closing` is cancelled. Returns the messages that
-/// were never passed to the socket, so that their sender can report them as unsent. With a `delay`, each message is
-/// written that long after it was queued, with which the lab simulates network distance.
+/// Writes queued messages until the queue closes, the socket fails or `close_token` is cancelled. Returns the messages
+/// that were never passed to the socket, so that their sender can report them as unsent. With a `delay`, each message
+/// is written that long after it was queued, with which the lab simulates network distance.
 pub(super) async fn write_queued(
     peer: VmAddress,
     mut writer: FrameWriter,
     mut queue: mpsc::Receiver<QueuedMessage>,
     delay: Duration,
-    closing: CancellationToken,
+    close_token: CancellationToken,
 ) -> VecDeque<PeerMessage> {
     /// Maximum number of messages taken from the queue at a time.
     const MAX_BATCH: usize = 256;
-    let mut pending = VecDeque::with_capacity(MAX_BATCH);
+    let mut pending_messages = VecDeque::with_capacity(MAX_BATCH);
     let mut batch = Vec::with_capacity(MAX_BATCH);
     let mut slow_log = SlowLog {
         peer,
         last_logged: None,
     };
     loop {
-        let received = tokio::select! {
-            received = queue.recv_many(&mut batch, MAX_BATCH) => received,
-            () = closing.cancelled() => 0,
+        let message_count = tokio::select! {
+            message_count = queue.recv_many(&mut batch, MAX_BATCH) => message_count,
+            () = close_token.cancelled() => 0,
         };
-        if received == 0 {
-            return collect_unsent(pending, queue);
+        if message_count == 0 {
+            return collect_unsent(pending_messages, queue);
         }
-        pending.extend(batch.drain(..));
-        let oldest_queued_at = pending.front().map(|next| next.queued_at);
-        let written = tokio::select! {
-            written = write_batch(&mut writer, &mut pending, delay) => written,
-            () = closing.cancelled() => false,
+        pending_messages.extend(batch.drain(..));
+        let oldest_queued_at = pending_messages
+            .front()
+            .map(|queued_message| queued_message.queued_at);
+        let write_succeeded = tokio::select! {
+            write_succeeded = write_batch(&mut writer, &mut pending_messages, delay) => write_succeeded,
+            () = close_token.cancelled() => false,
         };
-        if !written {
-            return collect_unsent(pending, queue);
+        if !write_succeeded {
+            return collect_unsent(pending_messages, queue);
         }
-        slow_log.log_if_slow(oldest_queued_at, received, delay);
+        slow_log.log_if_slow(oldest_queued_at, message_count, delay);
     }
 }
 
@@ -231,42 +233,42 @@
 impl SlowLog {
     /// Logs the link as slow if `oldest_queued_at`, when the oldest message of a batch was queued, is too long ago.
     fn log_if_slow(&mut self, oldest_queued_at: Option<Instant>, messages: usize, delay: Duration) {
-        let waited = oldest_queued_at
-            .map(|queued| queued.elapsed())
+        let wait_time = oldest_queued_at
+            .map(|queued_at| queued_at.elapsed())
             .unwrap_or_default();
-        let is_recent = |last: Instant| last.elapsed() < SLOW_LOG_INTERVAL;
-        if waited < SLOW_LINK_THRESHOLD + delay || self.last_logged.is_some_and(is_recent) {
+        let is_recent = |logged_at: Instant| logged_at.elapsed() < SLOW_LOG_INTERVAL;
+        if wait_time < SLOW_LINK_THRESHOLD + delay || self.last_logged.is_some_and(is_recent) {
             return;
         }
         self.last_logged = Some(Instant::now());
         log::info!(
             target: "ebonyfork::decision",
             "link slow vm={} waited_ms={} messages={messages}",
-            self.peer, waited.as_millis()
+            self.peer, wait_time.as_millis()
         );
     }
 }
 
-/// Writes a batch and flushes once. A message is removed from `pending` before any of it reaches the socket, so that
-/// those that remain were certainly never sent. Returns false if the socket has failed.
+/// Writes a batch and flushes once. A message is removed from `pending_messages` before any of it reaches the socket,
+/// so that those that remain were certainly never sent. Returns false if the socket has failed.
 async fn write_batch(
     writer: &mut FrameWriter,
-    pending: &mut VecDeque<QueuedMessage>,
+    pending_messages: &mut VecDeque<QueuedMessage>,
     delay: Duration,
 ) -> bool {
-    while let Some(next) = pending.front() {
-        let send_at = next.queued_at + delay;
+    while let Some(queued_message) = pending_messages.front() {
+        let send_at = queued_message.queued_at + delay;
         if !delay.is_zero() && send_at > Instant::now() {
             if flush_frames(writer).await.is_err() {
                 return false;
             }
             tokio::time::sleep_until(send_at).await;
         }
-        let Some(next) = pending.pop_front() else {
+        let Some(queued_message) = pending_messages.pop_front() else {
             break;
         };
         // Encoding fails again on every attempt, so the message is dropped.
-        let Ok(frame) = encode(&next.message) else {
+        let Ok(frame) = encode(&queued_message.message) else {
             continue;
         };
         if writer.feed(frame).await.is_err() {
@@ -276,22 +278,25 @@
     flush_frames(writer).await.is_ok()
 }
 
-/// Returns the messages that were never passed to the socket: those in `pending`, then those in the queue.
+/// Returns the messages that were never passed to the socket: those in `pending_messages`, then those in the queue.
 fn collect_unsent(
-    pending: VecDeque<QueuedMessage>,
+    pending_messages: VecDeque<QueuedMessage>,
     mut queue: mpsc::Receiver<QueuedMessage>,
 ) -> VecDeque<PeerMessage> {
-    let mut unsent: VecDeque<PeerMessage> = pending.into_iter().map(|next| next.message).collect();
-    unsent.extend(drain_queue(&mut queue));
-    unsent
+    let mut unsent_messages: VecDeque<PeerMessage> = pending_messages
+        .into_iter()
+        .map(|queued_message| queued_message.message)
+        .collect();
+    unsent_messages.extend(drain_queue(&mut queue));
+    unsent_messages
 }
 
 /// Closes a queue and returns the messages in it. Later attempts to send return an error.
 pub(super) fn drain_queue(queue: &mut mpsc::Receiver<QueuedMessage>) -> VecDeque<PeerMessage> {
     queue.close();
-    let mut unsent = VecDeque::new();
-    while let Ok(next) = queue.try_recv() {
-        unsent.push_back(next.message);
+    let mut unsent_messages = VecDeque::new();
+    while let Ok(queued_message) = queue.try_recv() {
+        unsent_messages.push_back(queued_message.message);
     }
-    unsent
+    unsent_messages
 }
--- a/crates/ebonyfork/src/wire/pool.rs
+++ b/crates/ebonyfork/src/wire/pool.rs
@@ -112,7 +112,7 @@
 struct OpenedLink {
     sender: LinkSender,
     /// Closes the link when cancelled.
-    closing: CancellationToken,
+    close_token: CancellationToken,
     traffic: LinkTraffic,
 }
 
@@ -163,11 +163,11 @@
     /// Accepts links from peers until the pool stops.
     pub async fn accept(&self, listener: TcpListener) {
         loop {
-            let accepted = tokio::select! {
-                accepted = listener.accept() => accepted,
+            let accept_result = tokio::select! {
+                accept_result = listener.accept() => accept_result,
                 () = self.shared.stop.cancelled() => return,
             };
-            match accepted {
+            match accept_result {
                 Ok((stream, from)) => {
                     tokio::spawn(self.clone().serve_accepted(stream, from));
                 }
@@ -188,11 +188,11 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         links.retain(|vm, link| {
-            let wanted = *vm == self.shared.settings.own_session.vm || is_wanted(*vm);
-            if !wanted {
-                link.closing.cancel();
+            let keeps_link = *vm == self.shared.settings.own_session.vm || is_wanted(*vm);
+            if !keeps_link {
+                link.close_token.cancel();
             }
-            wanted
+            keeps_link
         });
     }
 
@@ -210,13 +210,13 @@
         }
         let (queue, receiver) = mpsc::channel(QUEUE_LIMIT);
         let sender = LinkSender { peer: None, queue };
-        let closing = self.shared.stop.child_token();
+        let close_token = self.shared.stop.child_token();
         let traffic = LinkTraffic::default();
         links.insert(
             vm,
             OpenedLink {
                 sender: sender.clone(),
-                closing: closing.clone(),
+                close_token: close_token.clone(),
                 traffic: traffic.clone(),
             },
         );
@@ -224,17 +224,17 @@
         if vm == self.shared.settings.own_session.vm {
             tokio::spawn(pool.serve_local(receiver));
         } else {
-            tokio::spawn(pool.serve_opened(vm, receiver, closing, traffic));
+            tokio::spawn(pool.serve_opened(vm, receiver, close_token, traffic));
         }
         sender
     }
 
     /// Serves the link of this process to itself: passes messages and replies directly to the handler.
     async fn serve_local(self, mut queue: mpsc::Receiver<QueuedMessage>) {
-        let (replies, mut reply_receiver) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
+        let (reply_queue, mut reply_receiver) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
         let reply_sender = LinkSender {
             peer: Some(self.shared.settings.own_session),
-            queue: replies,
+            queue: reply_queue,
         };
         let handle_requests = async {
             while let Some(next) = queue.recv().await {
@@ -265,21 +265,22 @@
         self,
         vm: VmAddress,
         mut queue: mpsc::Receiver<QueuedMessage>,
-        closing: CancellationToken,
+        close_token: CancellationToken,
         traffic: LinkTraffic,
     ) {
         let address = SocketAddr::new(vm.0, self.shared.settings.peer_port);
         let delay = (self.shared.settings.delay)(vm);
-        let opened = tokio::time::timeout(OPEN_TIMEOUT, self.open(address, traffic)).await;
-        let unsent = match opened {
+        let open_result = tokio::time::timeout(OPEN_TIMEOUT, self.open(address, traffic)).await;
+        let unsent = match open_result {
             Ok(Ok((reader, writer, peer))) => {
                 let (sender, _receiver) = mpsc::channel(1);
                 let from = LinkSender {
                     peer: Some(peer),
                     queue: sender,
                 };
-                let writing = write_queued(vm, writer, queue, delay, closing.clone());
-                self.run_link(reader, from, writing, closing).await
+                let writer_future = write_queued(vm, writer, queue, delay, close_token.clone());
+                self.run_link(reader, from, writer_future, close_token)
+                    .await
             }
             Ok(Err(error)) => {
                 log::debug!("failed to open a link to {vm}: {error}");
@@ -299,8 +300,8 @@
         address: SocketAddr,
         traffic: LinkTraffic,
     ) -> Result<(FrameReader, FrameWriter, SessionId), LinkError> {
-        let stream = TcpStream::connect(address).await;
-        let stream = stream.map_err(|source| LinkError::Socket { source })?;
+        let connect_result = TcpStream::connect(address).await;
+        let stream = connect_result.map_err(|source| LinkError::Socket { source })?;
         let (mut reader, mut writer) = framed_halves(stream, traffic)?;
         let peer =
             exchange_hellos(&mut reader, &mut writer, self.shared.settings.own_session).await?;
@@ -327,9 +328,10 @@
             peer: Some(peer),
             queue: sender,
         };
-        let closing = self.shared.stop.child_token();
-        let writing = write_queued(peer.vm, writer, receiver, delay, closing.clone());
-        self.run_link(reader, link, writing, closing).await;
+        let close_token = self.shared.stop.child_token();
+        let writer_future = write_queued(peer.vm, writer, receiver, delay, close_token.clone());
+        self.run_link(reader, link, writer_future, close_token)
+            .await;
     }
 
     /// Reads and writes until either ends; returns the messages that were never passed to the socket.
@@ -337,22 +339,22 @@
         &self,
         mut reader: FrameReader,
         from: LinkSender,
-        writing: impl Future<Output = VecDeque<PeerMessage>>,
-        closing: CancellationToken,
+        writer_future: impl Future<Output = VecDeque<PeerMessage>>,
+        close_token: CancellationToken,
     ) -> VecDeque<PeerMessage> {
-        let reading = async {
+        let reader_future = async {
             tokio::select! {
                 () = self.read_messages(&mut reader, &from) => {}
-                () = closing.cancelled() => {}
+                () = close_token.cancelled() => {}
             }
-            closing.cancel();
+            close_token.cancel();
         };
-        let writing = async {
-            let unsent = writing.await;
-            closing.cancel();
+        let writer_future = async {
+            let unsent = writer_future.await;
+            close_token.cancel();
             unsent
         };
-        let ((), unsent) = tokio::join!(reading, writing);
+        let ((), unsent) = tokio::join!(reader_future, writer_future);
         unsent
     }
 
--- a/crates/ebonyfork/src/wire/pool_tests.rs
+++ b/crates/ebonyfork/src/wire/pool_tests.rs
@@ -45,8 +45,8 @@
 #[tokio::test]
 async fn requests_and_replies_use_one_link() {
     let (listener, port) = listener(2, 0).await;
-    let (server, mut received) = pool(session(2), port);
-    let (client, mut replies) = pool(session(1), port);
+    let (server, mut server_events) = pool(session(2), port);
+    let (client, mut client_events) = pool(session(1), port);
     tokio::spawn(async move { server.accept(listener).await });
     for query in 0..100 {
         client.send(loopback(2), message(query)).unwrap();
@@ -55,7 +55,7 @@
         let Some(LinkEvent::Message {
             from,
             message: received_message,
-        }) = received.recv().await
+        }) = server_events.recv().await
         else {
             fail!("the link went down").unwrap();
             return;
@@ -68,7 +68,7 @@
         let Some(LinkEvent::Message {
             from,
             message: received_message,
-        }) = replies.recv().await
+        }) = client_events.recv().await
         else {
             fail!("the link went down").unwrap();
             return;
@@ -83,10 +83,10 @@
 async fn messages_for_an_unreachable_peer_come_back_unsent() {
     let (listener, port) = listener(3, 0).await;
     drop(listener);
-    let (client, mut events) = pool(session(1), port);
+    let (client, mut client_events) = pool(session(1), port);
     client.send(loopback(3), message(1)).unwrap();
     client.send(loopback(3), message(2)).unwrap();
-    let Some(LinkEvent::Down { vm, unsent }) = events.recv().await else {
+    let Some(LinkEvent::Down { vm, unsent }) = client_events.recv().await else {
         fail!("a message arrived from nowhere").unwrap();
         return;
     };
@@ -98,7 +98,7 @@
 #[tokio::test]
 async fn an_invalid_handshake_is_refused_and_the_listener_continues() {
     let (listener, port) = listener(4, 0).await;
-    let (server, mut received) = pool(session(4), port);
+    let (server, mut server_events) = pool(session(4), port);
     tokio::spawn(async move { server.accept(listener).await });
     for invalid_bytes in [
         &b"GET / HTTP/1.1\r\n\r\n"[..],
@@ -109,12 +109,12 @@
         stream.write_all(invalid_bytes).await.unwrap();
         let mut answer = Vec::new();
         // The server closes the connection, cleanly or with a reset.
-        let _ended = stream.read_to_end(&mut answer).await;
+        let _read_result = stream.read_to_end(&mut answer).await;
     }
     let (client, _events) = pool(session(1), port);
     client.send(loopback(4), message(7)).unwrap();
     expect_that!(
-        received.recv().await,
+        server_events.recv().await,
         some(matches_pattern!(LinkEvent::Message {
             message: eq(&message(7)),
             ..
@@ -126,35 +126,35 @@
 #[tokio::test]
 async fn a_link_to_an_unwanted_peer_is_closed() {
     let (listener, port) = listener(5, 0).await;
-    let (server, mut received) = pool(session(5), port);
+    let (server, mut server_events) = pool(session(5), port);
     tokio::spawn(async move { server.accept(listener).await });
-    let (client, mut events) = pool(session(1), port);
+    let (client, mut client_events) = pool(session(1), port);
     client.send(loopback(5), message(1)).unwrap();
-    expect_that!(received.recv().await, some(anything()));
+    expect_that!(server_events.recv().await, some(anything()));
     client.retain(|_vm| false);
     expect_that!(
-        events.recv().await,
+        client_events.recv().await,
         some(matches_pattern!(LinkEvent::Down {
             vm: eq(&loopback(5)),
             unsent: is_empty()
         }))
     );
     client.send(loopback(5), message(2)).unwrap();
-    expect_that!(received.recv().await, some(anything()));
+    expect_that!(server_events.recv().await, some(anything()));
 }
 
 #[gtest]
 #[tokio::test]
 async fn a_process_can_send_to_itself() {
-    let (client, mut events) = pool(session(1), 1);
+    let (client, mut client_events) = pool(session(1), 1);
     client.send(loopback(1), message(1)).unwrap();
-    let Some(LinkEvent::Message { from, .. }) = events.recv().await else {
+    let Some(LinkEvent::Message { from, .. }) = client_events.recv().await else {
         fail!("the link went down").unwrap();
         return;
     };
     from.send(message(2)).unwrap();
     expect_that!(
-        events.recv().await,
+        client_events.recv().await,
         some(matches_pattern!(LinkEvent::Message {
             message: eq(&message(2)),
             ..
