--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -246,10 +246,15 @@
 
 /// Datagrams with the VMs that sent them.
 struct ReceivedDatagrams(Vec<(VmAddress, Vec<u8>)>);
+/// Replaces the addresses from the VM list.
 struct SetSeeds(Arc<[VmAddress]>);
+/// Replaces the digest of this process.
 struct SetDigest(MemberDigest);
+/// Announces a planned stop.
 struct AnnounceLeaving;
+/// Broadcasts a notice to all members.
 struct PublishNotice(GossipNotice);
+/// Runs the periodic work of the protocol.
 struct Tick;
 
 #[derive(xtra::Actor)]
--- a/crates/ebonyfork/src/membership/probing.rs
+++ b/crates/ebonyfork/src/membership/probing.rs
@@ -30,9 +30,9 @@
     open_probe: Option<OpenProbe>,
     /// When the open probe ends and the next one starts.
     next_probe_at: Duration,
-    /// When the next failed member and unanswered seed are tried again.
+    /// When a failed member and a seed that has never answered are next probed.
     next_reconnect_at: Duration,
-    /// When seeds may be probed again.
+    /// Earliest time of the next probes of seeds.
     next_seed_at: Duration,
     /// Current backoff between probes of seeds.
     seed_backoff: Duration,
@@ -204,7 +204,7 @@
         self.send(now, target, MemberMessage::Ping { sequence }, outbox);
     }
 
-    /// Requests indirect probes when the direct one has not been answered within [`DIRECT_TIMEOUT`].
+    /// Requests indirect probes when the direct probe has not been answered within [`DIRECT_TIMEOUT`].
     fn ask_helpers(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         let Some(probe) = &mut self.probe.open_probe else {
             return;
--- a/crates/ebonyfork/src/membership/protocol_tests.rs
+++ b/crates/ebonyfork/src/membership/protocol_tests.rs
@@ -170,13 +170,13 @@
     type DeliversBetween = fn(usize, usize) -> bool;
     // Node 3 only sends, only receives, or does neither; and the number of members that node 3 itself sees as failed.
     let cases: [(DeliversBetween, usize); 3] = [
-        (|_from, to| to != 3, 6),
-        (|from, _to| from != 3, 0),
-        (|from, to| from != 3 && to != 3, 6),
+        (|_sender, receiver| receiver != 3, 6),
+        (|sender, _receiver| sender != 3, 0),
+        (|sender, receiver| sender != 3 && receiver != 3, 6),
     ];
     for (case, (delivers, failed_count)) in cases.into_iter().enumerate() {
         let mut fleet = Fleet::converged(7);
-        fleet.delivers = Box::new(move |_, from, to| delivers(from, to));
+        fleet.delivers = Box::new(move |_, sender, receiver| delivers(sender, receiver));
         let seconds = fleet.seconds_until(&[3], MemberState::Failed, 30);
         expect_that!(seconds, some(le(10)), "{case}");
         fleet.run(60);
@@ -213,7 +213,7 @@
 #[gtest]
 fn one_way_loss_between_two_members_fails_neither() {
     let mut fleet = Fleet::converged(7);
-    fleet.delivers = Box::new(|_, from, to| (from, to) != (1, 2));
+    fleet.delivers = Box::new(|_, sender, receiver| (sender, receiver) != (1, 2));
     let mut failures = 0;
     for _second in 0..60 {
         fleet.run(1);
@@ -227,8 +227,9 @@
     for (size, partition_s) in [(9, 60), (30, 300)] {
         let mut fleet = Fleet::converged(size);
         let healed_at = fleet.now + Duration::from_secs(partition_s);
-        fleet.delivers =
-            Box::new(move |now, from, to| now > healed_at || (from % 3 == 0) == (to % 3 == 0));
+        fleet.delivers = Box::new(move |now, sender, receiver| {
+            now > healed_at || (sender % 3 == 0) == (receiver % 3 == 0)
+        });
         fleet.run(partition_s);
         expect_that!(fleet.count(0, MemberState::Alive), eq(size / 3));
         expect_that!(fleet.count(1, MemberState::Failed), eq(size / 3));
@@ -304,12 +305,12 @@
     let mut losses = ChaCha8Rng::seed_from_u64(rng.random());
     match rng.random_range(0..5) {
         0 => Box::new(move |_, _, _| !losses.random_bool(0.2)),
-        1 => {
-            Box::new(move |_, from, to| (from % 3 == first_node % 3) == (to % 3 == first_node % 3))
-        }
-        2 => Box::new(move |_, from, to| (from, to) != (first_node, second_node)),
-        3 => Box::new(move |_, from, _| from != first_node),
-        _ => Box::new(move |_, _, to| to != first_node),
+        1 => Box::new(move |_, sender, receiver| {
+            (sender % 3 == first_node % 3) == (receiver % 3 == first_node % 3)
+        }),
+        2 => Box::new(move |_, sender, receiver| (sender, receiver) != (first_node, second_node)),
+        3 => Box::new(move |_, sender, _| sender != first_node),
+        _ => Box::new(move |_, _, receiver| receiver != first_node),
     }
 }
 
--- a/crates/ebonyfork/src/topology/join.rs
+++ b/crates/ebonyfork/src/topology/join.rs
@@ -49,7 +49,7 @@
 struct ListedVm {
     zone: ZoneName,
     leaving: bool,
-    /// When the VM was added to the list; starts again if the VM leaves the list and returns.
+    /// Start of the time for which the VM has been on the list without interruption.
     listed_since: Duration,
 }
 
--- a/crates/ebonyfork/src/wire/pool.rs
+++ b/crates/ebonyfork/src/wire/pool.rs
@@ -168,8 +168,8 @@
                 () = self.shared.stop.cancelled() => return,
             };
             match accept_result {
-                Ok((stream, from)) => {
-                    tokio::spawn(self.clone().serve_accepted(stream, from));
+                Ok((stream, peer_address)) => {
+                    tokio::spawn(self.clone().serve_accepted(stream, peer_address));
                 }
                 Err(error) => {
                     log::warn!("failed to accept a peer link: {error}");
@@ -274,12 +274,12 @@
         let unsent = match open_result {
             Ok(Ok((reader, writer, peer))) => {
                 let (sender, _receiver) = mpsc::channel(1);
-                let from = LinkSender {
+                let reply_sender = LinkSender {
                     peer: Some(peer),
                     queue: sender,
                 };
                 let writer_future = write_queued(vm, writer, queue, delay, close_token.clone());
-                self.run_link(reader, from, writer_future, close_token)
+                self.run_link(reader, reply_sender, writer_future, close_token)
                     .await
             }
             Ok(Err(error)) => {
@@ -309,7 +309,7 @@
     }
 
     /// Runs a link that a peer has opened, until it closes.
-    async fn serve_accepted(self, stream: TcpStream, from: SocketAddr) {
+    async fn serve_accepted(self, stream: TcpStream, peer_address: SocketAddr) {
         let Ok((mut reader, mut writer)) = framed_halves(stream, LinkTraffic::default()) else {
             return;
         };
@@ -317,7 +317,7 @@
         let peer = match tokio::time::timeout(OPEN_TIMEOUT, handshake).await {
             Ok(Ok(peer)) => peer,
             Ok(Err(error)) => {
-                log::warn!("link from {from} refused: {error}");
+                log::warn!("link from {peer_address} refused: {error}");
                 return;
             }
             Err(_elapsed) => return,
@@ -338,13 +338,13 @@
     async fn run_link(
         &self,
         mut reader: FrameReader,
-        from: LinkSender,
+        reply_sender: LinkSender,
         writer_future: impl Future<Output = VecDeque<PeerMessage>>,
         close_token: CancellationToken,
     ) -> VecDeque<PeerMessage> {
         let reader_future = async {
             tokio::select! {
-                () = self.read_messages(&mut reader, &from) => {}
+                () = self.read_messages(&mut reader, &reply_sender) => {}
                 () = close_token.cancelled() => {}
             }
             close_token.cancel();
@@ -359,19 +359,22 @@
     }
 
     /// Passes received messages to the handler until the link closes or fails.
-    async fn read_messages(&self, reader: &mut FrameReader, from: &LinkSender) {
+    async fn read_messages(&self, reader: &mut FrameReader, reply_sender: &LinkSender) {
         loop {
             match read_message(reader).await {
                 Ok(Some(message)) => {
                     let event = LinkEvent::Message {
-                        from: from.clone(),
+                        from: reply_sender.clone(),
                         message,
                     };
                     (self.shared.handler)(event).await;
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    log::debug!("failed to read from the link to {:?}: {error}", from.peer());
+                    log::debug!(
+                        "failed to read from the link to {:?}: {error}",
+                        reply_sender.peer()
+                    );
                     return;
                 }
             }
