--- a/crates/ebonyfork/src/membership/actor.rs
+++ b/crates/ebonyfork/src/membership/actor.rs
@@ -37,7 +37,7 @@
 /// Settings of membership in one process.
 #[derive(Clone)]
 pub struct MemberSettings {
-    own: SessionId,
+    own_session: SessionId,
     zone: ZoneName,
     peer_port: u16,
     /// Seed of the random choices.
@@ -51,17 +51,20 @@
 impl fmt::Debug for MemberSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("MemberSettings");
-        debug.field("own", &self.own).field("zone", &self.zone);
+        debug
+            .field("own", &self.own_session)
+            .field("zone", &self.zone);
         debug.field("peer_port", &self.peer_port);
         debug.finish_non_exhaustive()
     }
 }
 
 impl MemberSettings {
-    /// Creates the settings of process `own`. `peer_port` is the same on every VM; `seed` seeds the random choices.
-    pub fn new(own: SessionId, zone: ZoneName, peer_port: u16, seed: u64) -> Self {
+    /// Creates the settings of process `own_session`. `peer_port` is the same on every VM; `seed` seeds the random
+    /// choices.
+    pub fn new(own_session: SessionId, zone: ZoneName, peer_port: u16, seed: u64) -> Self {
         Self {
-            own,
+            own_session,
             zone,
             peer_port,
             seed,
@@ -179,7 +182,7 @@
         MemberActor: Handler<M>,
     {
         // Sending to an unbounded mailbox completes at the first poll; the return value is not awaited.
-        let _queued = self.actor.send(message).detach().now_or_never();
+        let _send_result = self.actor.send(message).detach().now_or_never();
     }
 }
 
@@ -222,8 +225,8 @@
     mut seeds: watch::Receiver<Arc<[VmAddress]>>,
 ) {
     while seeds.changed().await.is_ok() {
-        let current = Arc::clone(&seeds.borrow_and_update());
-        if actor.send(SetSeeds(current)).await.is_err() {
+        let current_seeds = Arc::clone(&seeds.borrow_and_update());
+        if actor.send(SetSeeds(current_seeds)).await.is_err() {
             return;
         }
     }
@@ -243,10 +246,15 @@
 
 /// Datagrams with the VMs that sent them.
 struct ReceivedDatagrams(Vec<(VmAddress, Vec<u8>)>);
+/// Replaces the addresses from the VM list.
 struct SetSeeds(Arc<[VmAddress]>);
+/// Replaces the digest of this process.
 struct SetDigest(MemberDigest);
+/// Announces a planned stop.
 struct AnnounceLeaving;
+/// Broadcasts a notice to all members.
 struct PublishNotice(GossipNotice);
+/// Runs the periodic work of the protocol.
 struct Tick;
 
 #[derive(xtra::Actor)]
@@ -259,8 +267,8 @@
     snapshot: watch::Sender<Arc<MemberSnapshot>>,
     notices: broadcast::Sender<GossipNotice>,
     metrics: Arc<Mutex<MemberMetrics>>,
-    /// Datagrams to send; reused as a buffer.
-    out: Vec<OutgoingDatagram>,
+    /// Datagrams to send; empty between two messages, kept to reuse its allocation.
+    outbox: Vec<OutgoingDatagram>,
     /// Change since the last published snapshot.
     pending_change: SnapshotChange,
     /// Other members in each state, as of the last published snapshot.
@@ -276,9 +284,9 @@
         socket: Arc<UdpSocket>,
         notices: broadcast::Sender<GossipNotice>,
     ) -> Self {
-        let (own, zone) = (settings.own, settings.zone.clone());
+        let (own_session, zone) = (settings.own_session, settings.zone.clone());
         let (deployment, seed) = (settings.deployment, settings.seed);
-        let protocol = MemberProtocol::new(Duration::ZERO, own, zone, deployment, seed);
+        let protocol = MemberProtocol::new(Duration::ZERO, own_session, zone, deployment, seed);
         let snapshot = watch::Sender::new(Arc::new(protocol.snapshot()));
         Self {
             protocol,
@@ -288,7 +296,7 @@
             snapshot,
             notices,
             metrics: Arc::default(),
-            out: Vec::new(),
+            outbox: Vec::new(),
             pending_change: SnapshotChange::None,
             state_counts: [0; 4],
             ticks: 0,
@@ -307,11 +315,11 @@
 
     /// Sends the queued datagrams, reports the events and records what has changed.
     fn flush(&mut self) {
-        let mut out = std::mem::take(&mut self.out);
-        for datagram in out.drain(..) {
+        let mut outbox = std::mem::take(&mut self.outbox);
+        for datagram in outbox.drain(..) {
             self.send(datagram);
         }
-        self.out = out;
+        self.outbox = outbox;
         for event in self.protocol.take_events() {
             self.report(event);
         }
@@ -320,8 +328,12 @@
 
     /// Sends a datagram, after its simulated delay if there is one.
     fn send(&self, datagram: OutgoingDatagram) {
-        let target = SocketAddr::new(datagram.to.0, self.settings.peer_port);
-        let delay = self.settings.delay.as_ref().map(|delay| delay(datagram.to));
+        let target = SocketAddr::new(datagram.destination.0, self.settings.peer_port);
+        let delay = self
+            .settings
+            .delay
+            .as_ref()
+            .map(|delay| delay(datagram.destination));
         match delay {
             Some(delay) if !delay.is_zero() => {
                 let socket = Arc::clone(&self.socket);
@@ -346,7 +358,7 @@
             }
             MemberEvent::Notice(notice) => {
                 // An error means that there are no subscribers.
-                let _readers = self.notices.send(notice);
+                let _send_result = self.notices.send(notice);
             }
             MemberEvent::Paused(gap) => {
                 log::warn!("process was paused for {gap:?}; dropping the open membership probe");
@@ -367,28 +379,29 @@
         self.published_tick = self.ticks;
         self.state_counts = self.protocol.count_states();
         let snapshot = self.protocol.snapshot();
-        self.snapshot.send_if_modified(|current| {
-            let changed = **current != snapshot;
-            if changed {
-                *current = Arc::new(snapshot);
+        self.snapshot.send_if_modified(|current_snapshot| {
+            let is_changed = **current_snapshot != snapshot;
+            if is_changed {
+                *current_snapshot = Arc::new(snapshot);
             }
-            changed
+            is_changed
         });
     }
 
     /// Publishes a snapshot if one is pending and enough ticks have passed.
     fn publish_if_due(&mut self) {
-        let elapsed = self.ticks.wrapping_sub(self.published_tick);
-        let members = self.snapshot.borrow().members().len();
-        let wait = 1 + (members / MEMBERS_PER_PUBLISH_TICK) as u32;
+        // Age of the last snapshot and the age from which it is replaced, in ticks.
+        let age = self.ticks.wrapping_sub(self.published_tick);
+        let member_count = self.snapshot.borrow().members().len();
+        let min_age = 1 + (member_count / MEMBERS_PER_PUBLISH_TICK) as u32;
         match self.pending_change {
-            SnapshotChange::Members if elapsed >= wait => self.publish(),
-            SnapshotChange::Digests if elapsed >= wait.max(DIGEST_PUBLISH_TICKS) => self.publish(),
+            SnapshotChange::Members if age >= min_age => self.publish(),
+            SnapshotChange::Digests if age >= min_age.max(DIGEST_PUBLISH_TICKS) => self.publish(),
             _ => {}
         }
     }
 
-    /// Copies the counters and gauges to where they are scraped.
+    /// Copies the counters and gauges into `metrics`, from which they are scraped.
     fn update_metrics(&self) {
         let last_received = self.protocol.last_received();
         let mut metrics = self.metrics.lock().unwrap_or_else(PoisonError::into_inner);
@@ -412,7 +425,7 @@
         for (source, bytes) in message.0 {
             let now = self.now();
             self.protocol
-                .receive_datagram(now, source, &bytes, &mut self.out);
+                .receive_datagram(now, source, &bytes, &mut self.outbox);
         }
         self.flush();
     }
@@ -439,7 +452,7 @@
 
     async fn handle(&mut self, _message: AnnounceLeaving, _context: &mut Context<Self>) {
         let now = self.now();
-        self.protocol.announce_leaving(now, &mut self.out);
+        self.protocol.announce_leaving(now, &mut self.outbox);
         self.flush();
         self.publish();
     }
@@ -459,7 +472,7 @@
     async fn handle(&mut self, _message: Tick, _context: &mut Context<Self>) {
         let now = self.now();
         self.ticks = self.ticks.wrapping_add(1);
-        self.protocol.tick(now, &mut self.out);
+        self.protocol.tick(now, &mut self.outbox);
         self.flush();
         self.publish_if_due();
         self.update_metrics();
--- a/crates/ebonyfork/src/membership/receive.rs
+++ b/crates/ebonyfork/src/membership/receive.rs
@@ -18,16 +18,16 @@
         now: Duration,
         source: VmAddress,
         bytes: &[u8],
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         self.advance_clock(now);
         self.counters.received_bytes += (bytes.len() + PACKET_OVERHEAD) as u64;
         match self.decode(source, bytes) {
             Ok(datagram) => {
                 self.counters.received_datagrams += 1;
-                self.handle_datagram(now, &datagram, out);
+                self.handle_datagram(now, &datagram, outbox);
             }
-            Err(error) => self.counters.dropped[error as usize] += 1,
+            Err(error) => self.counters.dropped_datagrams[error as usize] += 1,
         }
     }
 
@@ -35,11 +35,13 @@
     fn decode(&self, source: VmAddress, bytes: &[u8]) -> Result<MemberDatagram, DatagramError> {
         let datagram = MemberDatagram::decode(self.deployment, bytes)?;
         let sender = &datagram.sender;
-        if sender.vm != source || sender.vm == self.own.vm {
+        if sender.vm != source || sender.vm == self.own_header.vm {
             return Err(DatagramError::Source);
         }
-        let known = self.table.get(sender.vm);
-        if known.is_some_and(|record| record.version.incarnation > sender.version.incarnation) {
+        let known_record = self.table.get(sender.vm);
+        if known_record
+            .is_some_and(|record| record.version.incarnation > sender.version.incarnation)
+        {
             return Err(DatagramError::Stale);
         }
         Ok(datagram)
@@ -50,7 +52,7 @@
         &mut self,
         now: Duration,
         datagram: &MemberDatagram,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         self.record_contact(now);
         self.apply_sender(now, &datagram.sender);
@@ -63,18 +65,18 @@
                 GossipFact::Notice(notice) => self.apply_notice(now, notice.clone()),
             }
         }
-        let from = datagram.sender.vm;
+        let sender_vm = datagram.sender.vm;
         match datagram.message {
             MemberMessage::Ping { sequence } => {
-                self.send(now, from, MemberMessage::Ack { sequence }, out);
+                self.send(now, sender_vm, MemberMessage::Ack { sequence }, outbox);
             }
-            MemberMessage::Ack { sequence } => self.handle_ack(now, from, sequence, out),
+            MemberMessage::Ack { sequence } => self.handle_ack(now, sender_vm, sequence, outbox),
             MemberMessage::PingRequest { sequence, target } => {
-                self.handle_ping_request(now, from, sequence, target, out);
+                self.handle_ping_request(now, sender_vm, sequence, target, outbox);
             }
             MemberMessage::Gossip => {}
-            MemberMessage::PageRequest { after } => self.send_page(now, from, after, out),
-            MemberMessage::Page { next } => self.handle_page(from, next),
+            MemberMessage::PageRequest { after } => self.send_page(now, sender_vm, after, outbox),
+            MemberMessage::Page { next } => self.handle_page(sender_vm, next),
         }
     }
 
@@ -91,15 +93,15 @@
 
     /// Applies an update about another member, or handles one about this process.
     fn handle_update(&mut self, now: Duration, update: &MemberUpdate, forward: bool) {
-        if update.vm == self.own.vm {
+        if update.vm == self.own_header.vm {
             self.handle_own_update(update);
             return;
         }
         // A failure reported by another member is treated as a suspicion if this process had none yet, so that the
         // member can still refute it.
-        let known = self.table.get(update.vm);
+        let known_record = self.table.get(update.vm);
         let skips_suspicion = update.health == MemberHealth::Failed
-            && known.is_some_and(|record| {
+            && known_record.is_some_and(|record| {
                 record.health == MemberHealth::Alive
                     && record.version.incarnation == update.version.incarnation
             });
--- a/crates/ebonyfork/src/membership/telling.rs
+++ b/crates/ebonyfork/src/membership/telling.rs
@@ -36,59 +36,61 @@
 
 impl MemberProtocol {
     /// Sends queued facts to one random member, if there is one and the byte budget allows a full datagram.
-    pub(super) fn gossip(&mut self, now: Duration, out: &mut Vec<OutgoingDatagram>) {
+    pub(super) fn gossip(&mut self, now: Duration, outbox: &mut Vec<OutgoingDatagram>) {
         if self.budget.available() < DATAGRAM_LIMIT {
-            self.counters.withheld += 1;
+            self.counters.withheld_datagrams += 1;
             return;
         }
-        let Some(to) = self.random_member(None) else {
+        let Some(destination) = self.random_member(None) else {
             return;
         };
-        self.send(now, to, MemberMessage::Gossip, out);
+        self.send(now, destination, MemberMessage::Gossip, outbox);
     }
 
-    /// Returns a random member that is not failed, other than `except`.
-    pub(super) fn random_member(&mut self, except: Option<VmAddress>) -> Option<VmAddress> {
-        self.probe.random(&self.table, &mut self.rng, except)
+    /// Returns a random member that is not failed, other than `excluded_vm`.
+    pub(super) fn random_member(&mut self, excluded_vm: Option<VmAddress>) -> Option<VmAddress> {
+        self.probe
+            .random_member(&self.table, &mut self.rng, excluded_vm)
     }
 
     /// Sends a message with as many piggybacked facts as the byte budget and the datagram allow.
     pub(super) fn send(
         &mut self,
         now: Duration,
-        to: VmAddress,
+        destination: VmAddress,
         message: MemberMessage,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
-        let limit = self.budget.available().min(DATAGRAM_LIMIT);
-        let mut writer = DatagramWriter::new(self.deployment, limit, &self.own, message);
+        let size_limit = self.budget.available().min(DATAGRAM_LIMIT);
+        let mut writer =
+            DatagramWriter::new(self.deployment, size_limit, &self.own_header, message);
         // A suspected or failed receiver is informed of its own state first, so that it can refute it.
-        let receiver = self.table.get(to);
+        let receiver = self.table.get(destination);
         if receiver.is_some_and(|record| record.health != MemberHealth::Alive)
-            && let Some(update) = self.table.update(now, to)
+            && let Some(update) = self.table.update(now, destination)
         {
             writer.push_mandatory(&GossipFact::Member(update));
         }
-        self.fill(now, to, &mut writer);
-        self.output_datagram(to, writer.finish(), out);
+        self.fill(now, destination, &mut writer);
+        self.output_datagram(destination, writer.finish(), outbox);
     }
 
     /// Adds queued facts to a datagram while they fit.
-    fn fill(&mut self, now: Duration, to: VmAddress, writer: &mut DatagramWriter) {
+    fn fill(&mut self, now: Duration, destination: VmAddress, writer: &mut DatagramWriter) {
         let offer_fact = |writer: &mut DatagramWriter, fact: Option<GossipFact>| match fact {
             None => OfferResult::Obsolete,
             Some(fact) if writer.push(&fact) => OfferResult::Added,
             Some(_fact) => OfferResult::Full,
         };
-        let (own, table, notices) = (&self.own, &self.table, &self.notices);
+        let (own_header, table, notices) = (&self.own_header, &self.table, &self.notices);
         let max_transmissions = max_transmissions(table.present_count());
         self.gossip_queues.members.fill(max_transmissions, |vm| {
-            if vm == to {
+            if vm == destination {
                 // The receiver needs no update about itself; `send` has added its suspicion, if any.
                 return OfferResult::Added;
             }
-            let update = if vm == own.vm {
-                Some(own_update(own))
+            let update = if vm == own_header.vm {
+                Some(own_update(own_header))
             } else {
                 table.update(now, vm)
             };
@@ -99,9 +101,9 @@
             .fill(max_transmissions, |number| {
                 offer_fact(writer, notices.notice(now, number).map(GossipFact::Notice))
             });
-        let mut digest = |vm| {
-            let update = if vm == own.vm {
-                Some(own_digest(own))
+        let mut offer_digest = |vm| {
+            let update = if vm == own_header.vm {
+                Some(own_digest(own_header))
             } else {
                 table.get(vm).map(|record| DigestUpdate {
                     session: SessionId::new(vm, record.version.incarnation),
@@ -113,31 +115,31 @@
         };
         self.gossip_queues
             .revisions
-            .fill(REVISION_TRANSMISSIONS, &mut digest);
+            .fill(REVISION_TRANSMISSIONS, &mut offer_digest);
         self.gossip_queues
             .digests
-            .fill(DIGEST_TRANSMISSIONS, &mut digest);
+            .fill(DIGEST_TRANSMISSIONS, &mut offer_digest);
     }
 
     /// Outputs an encoded datagram and counts it, or counts it as withheld if the byte budget is exhausted.
     pub(super) fn output_datagram(
         &mut self,
-        to: VmAddress,
+        destination: VmAddress,
         bytes: Vec<u8>,
-        out: &mut Vec<OutgoingDatagram>,
+        outbox: &mut Vec<OutgoingDatagram>,
     ) {
         let size = bytes.len() + PACKET_OVERHEAD;
         if !self.budget.try_spend(size) {
-            self.counters.withheld += 1;
+            self.counters.withheld_datagrams += 1;
             return;
         }
         self.counters.sent_datagrams += 1;
         self.counters.sent_bytes += size as u64;
-        out.push(OutgoingDatagram { to, bytes });
+        outbox.push(OutgoingDatagram { destination, bytes });
     }
 
     /// Returns the number of bytes that the budget allows to send now.
-    pub(super) fn budget_room(&self) -> usize {
+    pub(super) fn available_bytes(&self) -> usize {
         self.budget.available()
     }
 
@@ -147,23 +149,23 @@
     }
 }
 
-/// Returns the membership update of the process that sends `own` as its header.
-pub(super) fn own_update(own: &SenderHeader) -> MemberUpdate {
+/// Returns the membership update of the process that sends `header` in its datagrams.
+pub(super) fn own_update(header: &SenderHeader) -> MemberUpdate {
     MemberUpdate {
-        vm: own.vm,
-        version: own.version,
+        vm: header.vm,
+        version: header.version,
         health: MemberHealth::Alive,
-        leaving: own.leaving,
+        leaving: header.leaving,
         age_ds: 0,
-        zone: Some(own.zone.clone()),
+        zone: Some(header.zone.clone()),
     }
 }
 
-/// Returns the digest update of the process that sends `own` as its header.
-fn own_digest(own: &SenderHeader) -> DigestUpdate {
+/// Returns the digest update of the process that sends `header` in its datagrams.
+fn own_digest(header: &SenderHeader) -> DigestUpdate {
     DigestUpdate {
-        session: own.session(),
-        digest_sequence: own.digest_sequence,
-        digest: own.digest,
+        session: header.session(),
+        digest_sequence: header.digest_sequence,
+        digest: header.digest,
     }
 }
--- a/crates/ebonyfork/src/wire/pool.rs
+++ b/crates/ebonyfork/src/wire/pool.rs
@@ -56,7 +56,7 @@
 /// Settings of a [`PeerPool`].
 #[derive(Clone)]
 pub struct PoolSettings {
-    own: SessionId,
+    own_session: SessionId,
     peer_port: u16,
     delay: Arc<DelayFunction>,
 }
@@ -65,17 +65,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut debug = f.debug_struct("PoolSettings");
         debug
-            .field("own", &self.own)
+            .field("own", &self.own_session)
             .field("peer_port", &self.peer_port)
             .finish_non_exhaustive()
     }
 }
 
 impl PoolSettings {
-    /// Creates the settings of process `own`; `peer_port` is the same on every VM.
-    pub fn new(own: SessionId, peer_port: u16) -> Self {
+    /// Creates the settings of process `own_session`; `peer_port` is the same on every VM.
+    pub fn new(own_session: SessionId, peer_port: u16) -> Self {
         Self {
-            own,
+            own_session,
             peer_port,
             delay: Arc::new(|_vm| Duration::ZERO),
         }
@@ -112,7 +112,7 @@
 struct OpenedLink {
     sender: LinkSender,
     /// Closes the link when cancelled.
-    closing: CancellationToken,
+    close_token: CancellationToken,
     traffic: LinkTraffic,
 }
 
@@ -163,13 +163,13 @@
     /// Accepts links from peers until the pool stops.
     pub async fn accept(&self, listener: TcpListener) {
         loop {
-            let accepted = tokio::select! {
-                accepted = listener.accept() => accepted,
+            let accept_result = tokio::select! {
+                accept_result = listener.accept() => accept_result,
                 () = self.shared.stop.cancelled() => return,
             };
-            match accepted {
-                Ok((stream, from)) => {
-                    tokio::spawn(self.clone().serve_accepted(stream, from));
+            match accept_result {
+                Ok((stream, peer_address)) => {
+                    tokio::spawn(self.clone().serve_accepted(stream, peer_address));
                 }
                 Err(error) => {
                     log::warn!("failed to accept a peer link: {error}");
@@ -188,11 +188,11 @@
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
         links.retain(|vm, link| {
-            let wanted = *vm == self.shared.settings.own.vm || is_wanted(*vm);
-            if !wanted {
-                link.closing.cancel();
+            let keeps_link = *vm == self.shared.settings.own_session.vm || is_wanted(*vm);
+            if !keeps_link {
+                link.close_token.cancel();
             }
-            wanted
+            keeps_link
         });
     }
 
@@ -210,31 +210,31 @@
         }
         let (queue, receiver) = mpsc::channel(QUEUE_LIMIT);
         let sender = LinkSender { peer: None, queue };
-        let closing = self.shared.stop.child_token();
+        let close_token = self.shared.stop.child_token();
         let traffic = LinkTraffic::default();
         links.insert(
             vm,
             OpenedLink {
                 sender: sender.clone(),
-                closing: closing.clone(),
+                close_token: close_token.clone(),
                 traffic: traffic.clone(),
             },
         );
         let pool = self.clone();
-        if vm == self.shared.settings.own.vm {
+        if vm == self.shared.settings.own_session.vm {
             tokio::spawn(pool.serve_local(receiver));
         } else {
-            tokio::spawn(pool.serve_opened(vm, receiver, closing, traffic));
+            tokio::spawn(pool.serve_opened(vm, receiver, close_token, traffic));
         }
         sender
     }
 
     /// Serves the link of this process to itself: passes messages and replies directly to the handler.
     async fn serve_local(self, mut queue: mpsc::Receiver<QueuedMessage>) {
-        let (replies, mut reply_receiver) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
+        let (reply_queue, mut reply_receiver) = mpsc::channel::<QueuedMessage>(QUEUE_LIMIT);
         let reply_sender = LinkSender {
-            peer: Some(self.shared.settings.own),
-            queue: replies,
+            peer: Some(self.shared.settings.own_session),
+            queue: reply_queue,
         };
         let handle_requests = async {
             while let Some(next) = queue.recv().await {
@@ -265,21 +265,22 @@
         self,
         vm: VmAddress,
         mut queue: mpsc::Receiver<QueuedMessage>,
-        closing: CancellationToken,
+        close_token: CancellationToken,
         traffic: LinkTraffic,
     ) {
         let address = SocketAddr::new(vm.0, self.shared.settings.peer_port);
         let delay = (self.shared.settings.delay)(vm);
-        let opened = tokio::time::timeout(OPEN_TIMEOUT, self.open(address, traffic)).await;
-        let unsent = match opened {
+        let open_result = tokio::time::timeout(OPEN_TIMEOUT, self.open(address, traffic)).await;
+        let unsent = match open_result {
             Ok(Ok((reader, writer, peer))) => {
                 let (sender, _receiver) = mpsc::channel(1);
-                let from = LinkSender {
+                let reply_sender = LinkSender {
                     peer: Some(peer),
                     queue: sender,
                 };
-                let writing = write_queued(vm, writer, queue, delay, closing.clone());
-                self.run_link(reader, from, writing, closing).await
+                let writer_future = write_queued(vm, writer, queue, delay, close_token.clone());
+                self.run_link(reader, reply_sender, writer_future, close_token)
+                    .await
             }
             Ok(Err(error)) => {
                 log::debug!("failed to open a link to {vm}: {error}");
@@ -299,23 +300,24 @@
         address: SocketAddr,
         traffic: LinkTraffic,
     ) -> Result<(FrameReader, FrameWriter, SessionId), LinkError> {
-        let stream = TcpStream::connect(address).await;
-        let stream = stream.map_err(|source| LinkError::Socket { source })?;
+        let connect_result = TcpStream::connect(address).await;
+        let stream = connect_result.map_err(|source| LinkError::Socket { source })?;
         let (mut reader, mut writer) = framed_halves(stream, traffic)?;
-        let peer = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own).await?;
+        let peer =
+            exchange_hellos(&mut reader, &mut writer, self.shared.settings.own_session).await?;
         Ok((reader, writer, peer))
     }
 
     /// Runs a link that a peer has opened, until it closes.
-    async fn serve_accepted(self, stream: TcpStream, from: SocketAddr) {
+    async fn serve_accepted(self, stream: TcpStream, peer_address: SocketAddr) {
         let Ok((mut reader, mut writer)) = framed_halves(stream, LinkTraffic::default()) else {
             return;
         };
-        let handshake = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own);
+        let handshake = exchange_hellos(&mut reader, &mut writer, self.shared.settings.own_session);
         let peer = match tokio::time::timeout(OPEN_TIMEOUT, handshake).await {
             Ok(Ok(peer)) => peer,
             Ok(Err(error)) => {
-                log::warn!("link from {from} refused: {error}");
+                log::warn!("link from {peer_address} refused: {error}");
                 return;
             }
             Err(_elapsed) => return,
@@ -326,49 +328,53 @@
             peer: Some(peer),
             queue: sender,
         };
-        let closing = self.shared.stop.child_token();
-        let writing = write_queued(peer.vm, writer, receiver, delay, closing.clone());
-        self.run_link(reader, link, writing, closing).await;
+        let close_token = self.shared.stop.child_token();
+        let writer_future = write_queued(peer.vm, writer, receiver, delay, close_token.clone());
+        self.run_link(reader, link, writer_future, close_token)
+            .await;
     }
 
     /// Reads and writes until either ends; returns the messages that were never passed to the socket.
     async fn run_link(
         &self,
         mut reader: FrameReader,
-        from: LinkSender,
-        writing: impl Future<Output = VecDeque<PeerMessage>>,
-        closing: CancellationToken,
+        reply_sender: LinkSender,
+        writer_future: impl Future<Output = VecDeque<PeerMessage>>,
+        close_token: CancellationToken,
     ) -> VecDeque<PeerMessage> {
-        let reading = async {
+        let reader_future = async {
             tokio::select! {
-                () = self.read_messages(&mut reader, &from) => {}
-                () = closing.cancelled() => {}
+                () = self.read_messages(&mut reader, &reply_sender) => {}
+                () = close_token.cancelled() => {}
             }
-            closing.cancel();
+            close_token.cancel();
         };
-        let writing = async {
-            let unsent = writing.await;
-            closing.cancel();
+        let writer_future = async {
+            let unsent = writer_future.await;
+            close_token.cancel();
             unsent
         };
-        let ((), unsent) = tokio::join!(reading, writing);
+        let ((), unsent) = tokio::join!(reader_future, writer_future);
         unsent
     }
 
     /// Passes received messages to the handler until the link closes or fails.
-    async fn read_messages(&self, reader: &mut FrameReader, from: &LinkSender) {
+    async fn read_messages(&self, reader: &mut FrameReader, reply_sender: &LinkSender) {
         loop {
             match read_message(reader).await {
                 Ok(Some(message)) => {
                     let event = LinkEvent::Message {
-                        from: from.clone(),
+                        from: reply_sender.clone(),
                         message,
                     };
                     (self.shared.handler)(event).await;
                 }
                 Ok(None) => return,
                 Err(error) => {
-                    log::debug!("failed to read from the link to {:?}: {error}", from.peer());
+                    log::debug!(
+                        "failed to read from the link to {:?}: {error}",
+                        reply_sender.peer()
+                    );
                     return;
                 }
             }
