--- a/crates/ebonyfork/src/gateway/load_model.rs
+++ b/crates/ebonyfork/src/gateway/load_model.rs
@@ -473,7 +473,7 @@
             left_ms,
             original_latency: latency.histogram(kind),
             hedge_latency: latency.histogram(other_kind),
-            hedge_slowness: choice.slowness,
+            hedge_slowness_factor: choice.slowness,
             known_late: false,
         };
         let should_hedge =
--- a/crates/ebonyfork/src/gateway/policy/hedge.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge.rs
@@ -21,7 +21,7 @@
     /// Latency of attempts like the hedge.
     pub hedge_latency: &'a LatencyHistogram,
     /// Time that the hedge's upstream is expected to take, as a multiple of the usual time.
-    pub hedge_slowness: f64,
+    pub hedge_slowness_factor: f64,
     /// Whether the attempt in flight is known to be late, regardless of its time in flight, because the VM that gathers
     /// its part has replied without the part.
     pub known_late: bool,
@@ -45,10 +45,13 @@
         }
         let left_ms = self.left_ms.unwrap_or_else(|| {
             // The target has passed, so compare over the time in which the hedge probably ends.
-            self.hedge_latency.quantile(STRAGGLER_QUANTILE) * self.hedge_slowness
+            self.hedge_latency.quantile(STRAGGLER_QUANTILE) * self.hedge_slowness_factor
         });
         let original_likelihood = self.original_latency.ends_within(self.waited_ms, left_ms);
-        let hedge_likelihood = 1.0 - self.hedge_latency.survival(left_ms / self.hedge_slowness);
+        let hedge_likelihood = 1.0
+            - self
+                .hedge_latency
+                .survival(left_ms / self.hedge_slowness_factor);
         (1.0 - original_likelihood) * hedge_likelihood >= MIN_GAIN
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/hedge_tests.rs
@@ -28,13 +28,13 @@
         (80.0, Some(160.0), 4.0, false), // the hedge's upstream is slow too
         (80.0, None, 1.0, true),         // the target has passed: the first answer counts
     ];
-    for (waited_ms, left_ms, hedge_slowness, is_worthwhile) in cases {
+    for (waited_ms, left_ms, hedge_slowness_factor, is_worthwhile) in cases {
         let candidate = HedgeCandidate {
             waited_ms,
             left_ms,
             original_latency: &near_latency,
             hedge_latency: &far_latency,
-            hedge_slowness,
+            hedge_slowness_factor,
             known_late: false,
         };
         expect_that!(
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -66,7 +66,7 @@
                     .map(|until| millis(until.saturating_duration_since(current_time))),
                 original_latency: latency.histogram(attempt.kind),
                 hedge_latency: latency.histogram(hedge_kind),
-                hedge_slowness: choice.slowness,
+                hedge_slowness_factor: choice.slowness,
                 known_late: attempt.known_late,
             };
             candidate.is_worthwhile()
