--- a/crates/ebonyfork/src/gateway/ingress.rs
+++ b/crates/ebonyfork/src/gateway/ingress.rs
@@ -178,7 +178,7 @@
             reply: refusal_reply(reason),
             outcome: reason.label(),
             detail: CompactString::default(),
-            decided_at: None,
+            answer_decided_at: None,
         },
     };
     let mut reply = report.reply;
@@ -189,7 +189,7 @@
         reply.headers_mut().insert(header::CONNECTION, close);
     }
     request_log.finish(report.outcome, &report.detail, reply.status().as_u16());
-    (reply, report.decided_at)
+    (reply, report.answer_decided_at)
 }
 
 /// Logs a request once, also if its caller disconnects before the answer.
--- a/crates/ebonyfork/src/gateway/run/finish.rs
+++ b/crates/ebonyfork/src/gateway/run/finish.rs
@@ -17,7 +17,7 @@
 impl QueryRun {
     /// Creates the answer and its log details.
     pub(super) fn finish(mut self, end: GatherEnd) -> RunReport {
-        let decided_at = now();
+        let answer_decided_at = now();
         let detail = format_compact!(
             "parts={}/{} attempts={} groups={} hedges={} retries={} unfunded={} denied={} lost={} postponed={} caller_ms={:.1} lag_ms={:.1}",
             self.state.answered_count(),
@@ -48,7 +48,7 @@
             reply,
             outcome,
             detail,
-            decided_at: is_gathered.then_some(decided_at),
+            answer_decided_at: is_gathered.then_some(answer_decided_at),
         }
     }
 
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -57,7 +57,7 @@
     /// Details of the outcome for the log.
     pub detail: CompactString,
     /// Time at which a gathered answer was decided; `None` for all other answers.
-    pub decided_at: Option<Instant>,
+    pub answer_decided_at: Option<Instant>,
 }
 
 /// Upstreams that a request is for.
