--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -36,7 +36,7 @@
     incarnation: u32,
     started_at: Duration,
     /// Speed of the VM's clock relative to model time.
-    rate: f64,
+    clock_rate: f64,
     paused_until: Duration,
     /// Time at which the VM next requests all shares of the other VMs.
     next_request: Duration,
@@ -45,12 +45,12 @@
 }
 
 impl FleetVm {
-    fn new(config: RetryBudgetConfig, now: Duration, incarnation: u32, rate: f64) -> Self {
+    fn new(config: RetryBudgetConfig, now: Duration, incarnation: u32, clock_rate: f64) -> Self {
         Self {
             retry_budget: LeasedRetryBudget::new(config),
             incarnation,
             started_at: now,
-            rate,
+            clock_rate,
             paused_until: now,
             next_request: now,
             last_run: (true, Duration::ZERO),
@@ -59,7 +59,7 @@
 
     /// Returns the VM's own time, which advances while it is paused.
     fn clock_time(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started_at).mul_f64(self.rate)
+        now.saturating_sub(self.started_at).mul_f64(self.clock_rate)
     }
 }
 
@@ -105,12 +105,12 @@
 }
 
 impl ShareFleet {
-    fn new(config: RetryBudgetConfig, count: usize, faults: FleetFaults, seed: u64) -> Self {
+    fn new(config: RetryBudgetConfig, vm_count: usize, faults: FleetFaults, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut vms = Vec::new();
-        for _ in 0..count {
-            let rate = 1.0 + rng.random_range(-0.01..0.01);
-            vms.push(FleetVm::new(config, Duration::ZERO, 0, rate));
+        for _ in 0..vm_count {
+            let clock_rate = 1.0 + rng.random_range(-0.01..0.01);
+            vms.push(FleetVm::new(config, Duration::ZERO, 0, clock_rate));
         }
         Self {
             config,
@@ -127,12 +127,12 @@
 
     /// Returns whether a VM is among the `serving_count` VMs that take requests in this step.
     fn serves(&self, number: usize, serving_count: usize) -> bool {
-        let phase = if self.faults.rotates {
+        let rotation_offset = if self.faults.rotates {
             self.now.as_secs() as usize / 7
         } else {
             0
         };
-        (number + phase) % self.vms.len() < serving_count
+        (number + rotation_offset) % self.vms.len() < serving_count
     }
 
     /// Runs one step in which each VM that takes requests receives `requests_per_step` of them on average.
@@ -174,11 +174,12 @@
     fn check_starts_empty(&mut self, number: usize, clock_time: Duration) {
         let vm = &mut self.vms[number];
         let shares = vm.retry_budget.budget.shares();
-        let (held_none, last_ran) = std::mem::replace(&mut vm.last_run, (shares == 0, clock_time));
-        if held_none && shares > 0 {
+        let (held_no_share, last_run_time) =
+            std::mem::replace(&mut vm.last_run, (shares == 0, clock_time));
+        if held_no_share && shares > 0 {
             // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
-            let rate = self.config.slack / self.config.window.as_secs_f64();
-            let max_refilled = rate * clock_time.saturating_sub(last_ran).as_secs_f64();
+            let refill_rate = self.config.slack / self.config.window.as_secs_f64();
+            let max_refilled = refill_rate * clock_time.saturating_sub(last_run_time).as_secs_f64();
             let tokens = vm.retry_budget.available_repeats(&service(), clock_time);
             expect_that!(tokens, le(max_refilled), "VM {number} at {:?}", self.now);
         }
@@ -191,12 +192,12 @@
             for (number, holder) in self.vms.iter().enumerate() {
                 let clock_time = holder.clock_time(self.now);
                 let leases = &holder.retry_budget.leases;
-                let holds = if number == owner {
+                let is_holder = if number == owner {
                     leases.holds_own(clock_time)
                 } else {
                     leases.holds_share_of(vm(owner), clock_time)
                 };
-                if holds {
+                if is_holder {
                     holders.push(number);
                 }
             }
@@ -213,7 +214,8 @@
         for number in 0..self.vms.len() {
             if self.rng.random_bool(self.faults.restart_probability) {
                 let vm = &self.vms[number];
-                self.vms[number] = FleetVm::new(self.config, self.now, vm.incarnation + 1, vm.rate);
+                self.vms[number] =
+                    FleetVm::new(self.config, self.now, vm.incarnation + 1, vm.clock_rate);
             }
             if self.rng.random_bool(self.faults.pause_probability) {
                 let pause = Duration::from_millis(self.rng.random_range(100..6_000));
@@ -295,8 +297,8 @@
 fn no_window_exceeds_the_bound_while_shares_are_leased() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(1_000 + seed);
-        let count = rng.random_range(2..=12_usize);
-        let serving_count = rng.random_range(1..=count);
+        let vm_count = rng.random_range(2..=12_usize);
+        let serving_count = rng.random_range(1..=vm_count);
         let faults = FleetFaults {
             restart_probability: rng.random_range(0.0..0.01),
             pause_probability: rng.random_range(0.0..0.01),
@@ -305,7 +307,7 @@
             partitions: rng.random_bool(0.5),
             rotates: true,
         };
-        let mut fleet = ShareFleet::new(CONFIG, count, faults, seed);
+        let mut fleet = ShareFleet::new(CONFIG, vm_count, faults, seed);
         let mut requests_per_step = 0.0;
         while fleet.now < Duration::from_mins(1) {
             if rng.random_bool(0.02) {
@@ -320,7 +322,7 @@
 
 /// Returns the fraction of the repeats allowed over one window that can be spent when `serving_count` of `count` VMs
 /// take requests.
-fn usable_fraction(count: usize, serving_count: usize) -> f64 {
+fn usable_fraction(vm_count: usize, serving_count: usize) -> f64 {
     const REQUESTS_PER_SECOND: f64 = 48.5;
     let config = RetryBudgetConfig {
         slack: 430.0,
@@ -334,7 +336,7 @@
         partitions: false,
         rotates: false,
     };
-    let mut fleet = ShareFleet::new(config, count, no_faults, 1);
+    let mut fleet = ShareFleet::new(config, vm_count, no_faults, 1);
     // Let all shares be leased and all buckets fill up.
     fleet.spends = false;
     while fleet.now < Duration::from_secs(20) {
@@ -354,8 +356,8 @@
 /// each of its requests.
 #[gtest]
 fn few_serving_vms_can_spend_what_the_bound_allows_for_all() {
-    for (count, serving_count) in [(9, 9), (78, 12), (200, 18)] {
-        let fraction = usable_fraction(count, serving_count);
-        expect_that!(fraction, ge(0.9), "{serving_count} of {count} VMs serve");
+    for (vm_count, serving_count) in [(9, 9), (78, 12), (200, 18)] {
+        let fraction = usable_fraction(vm_count, serving_count);
+        expect_that!(fraction, ge(0.9), "{serving_count} of {vm_count} VMs serve");
     }
 }
--- a/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/bucket_tests.rs
@@ -167,7 +167,7 @@
     budget: RetryBudget,
     started_at: Duration,
     /// Speed of the VM's clock relative to model time.
-    rate: f64,
+    clock_rate: f64,
     /// Weight of this VM when requests are distributed among the VMs.
     caller_weight: f64,
     /// Time until which the VM takes no requests after a restart.
@@ -175,18 +175,18 @@
 }
 
 impl ModelVm {
-    fn new(started_at: Duration, rate: f64) -> Self {
+    fn new(started_at: Duration, clock_rate: f64) -> Self {
         Self {
             budget: RetryBudget::new(CONFIG),
             started_at,
-            rate,
+            clock_rate,
             caller_weight: 1.0,
             away_until: started_at,
         }
     }
 
     fn uptime(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started_at).mul_f64(self.rate)
+        now.saturating_sub(self.started_at).mul_f64(self.clock_rate)
     }
 }
 
@@ -202,8 +202,8 @@
         let random_rate = |rng: &mut ChaCha8Rng| 1.0 + rng.random_range(-0.01..0.01);
         let mut vms: Vec<ModelVm> = Vec::new();
         for _ in 0..max_vms.div_ceil(2) {
-            let rate = random_rate(&mut rng);
-            vms.push(ModelVm::new(Duration::ZERO, rate));
+            let clock_rate = random_rate(&mut rng);
+            vms.push(ModelVm::new(Duration::ZERO, clock_rate));
         }
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
@@ -212,14 +212,14 @@
             now += STEP;
             let upstream_declines = (now.as_secs() / 9) % 2 == 1;
             if vms.len() < max_vms && rng.random_bool(0.01) {
-                let rate = random_rate(&mut rng);
-                vms.push(ModelVm::new(now, rate));
+                let clock_rate = random_rate(&mut rng);
+                vms.push(ModelVm::new(now, clock_rate));
             }
             let vm_count = vms.len();
             for vm in &mut vms {
                 if rng.random_bool(0.004) {
                     // The VM stops, and its callers use the others for a while.
-                    *vm = ModelVm::new(now, vm.rate);
+                    *vm = ModelVm::new(now, vm.clock_rate);
                     vm.away_until = now + Duration::from_secs(rng.random_range(1..6));
                 }
                 if rng.random_bool(0.01) {
--- a/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/cold/claim_tests.rs
@@ -125,7 +125,7 @@
 
 /// Number of requests that the holder of the claim may send per second.
 const PACE: usize = 3;
-/// Step of model time.
+/// Time by which the model advances in each step.
 const STEP: Duration = Duration::from_millis(20);
 
 /// Write in transit to the store, or its reply in transit back.
--- a/crates/ebonyfork/src/gateway/policy/gather.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather.rs
@@ -35,7 +35,7 @@
     Group(usize),
 }
 
-/// What has become of one shard's part.
+/// Outcome of one shard: whether its part may still arrive, has arrived or won't arrive.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ShardOutcome {
     /// The shard's part may still arrive.
@@ -169,13 +169,13 @@
     }
 
     /// Returns one shard's state for updates of its attempt counts.
-    pub fn shard_mut(&mut self, number: usize) -> &mut ShardState {
-        &mut self.shards[number]
+    pub fn shard_mut(&mut self, shard_index: usize) -> &mut ShardState {
+        &mut self.shards[shard_index]
     }
 
     /// Stores the first part of a shard; further parts of the same shard are ignored.
-    pub fn add_part(&mut self, number: usize, signature: HeaderValue, records: Bytes) {
-        let shard = &mut self.shards[number];
+    pub fn add_part(&mut self, shard_index: usize, signature: HeaderValue, records: Bytes) {
+        let shard = &mut self.shards[shard_index];
         if !shard.is_open() {
             return;
         }
@@ -199,8 +199,8 @@
                 })
             )
         };
-        let is_unusable = |(number, _): &(usize, HeaderValue)| {
-            let shard = &self.shards[*number];
+        let is_unusable = |(shard_index, _): &(usize, HeaderValue)| {
+            let shard = &self.shards[*shard_index];
             is_grouped(shard) || shard.outcome == ShardOutcome::Failed
         };
         if parts.iter().any(is_unusable) {
@@ -208,8 +208,8 @@
         }
         let group = self.groups.len();
         self.groups.push(records);
-        for (number, signature) in parts {
-            let shard = &mut self.shards[number];
+        for (shard_index, signature) in parts {
+            let shard = &mut self.shards[shard_index];
             if shard.is_open() {
                 self.answered_count += 1;
             }
@@ -221,8 +221,8 @@
     }
 
     /// Marks a shard as failed unless its part has arrived.
-    pub fn fail(&mut self, number: usize) {
-        let shard = &mut self.shards[number];
+    pub fn fail(&mut self, shard_index: usize) {
+        let shard = &mut self.shards[shard_index];
         if !shard.is_open() {
             return;
         }
@@ -245,9 +245,9 @@
 
     /// Resumes one postponed shard, if any, and returns its index.
     pub fn resume_next_postponed(&mut self) -> Option<usize> {
-        let number = self.shards.iter().position(|shard| shard.postponed)?;
-        self.shards[number].postponed = false;
-        Some(number)
+        let shard_index = self.shards.iter().position(|shard| shard.postponed)?;
+        self.shards[shard_index].postponed = false;
+        Some(shard_index)
     }
 
     /// Returns the number of parts that have arrived.
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -15,8 +15,8 @@
 
 /// Weight of a new sample in the moving averages of slowness and success.
 const SAMPLE_WEIGHT: f64 = 0.25;
-/// Weight of a sample that shows a slow upstream: two queries suffer until the upstream is recognised as slow,
-/// instead of five.
+/// Weight of a sample that shows a slow upstream. It exceeds [`SAMPLE_WEIGHT`] so that two queries, instead of five, are
+/// slowed down before the upstream is recognised as slow.
 const SLOW_WEIGHT: f64 = 0.6;
 /// Half-life of the estimate for an upstream that gets no requests. Slow phases last some seconds; probes detect
 /// earlier that a slow phase has ended.
--- a/crates/ebonyfork/src/gateway/policy/homes.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes.rs
@@ -31,7 +31,7 @@
 }
 
 impl HomeRegions {
-    /// Limits requests to these regions; no limit if there are none.
+    /// Creates the home regions of a route. If `regions` is empty, requests may be served in any region.
     pub fn new(regions: impl IntoIterator<Item = PlaceName>) -> Self {
         Self {
             regions: regions.into_iter().collect(),
--- a/crates/ebonyfork/src/gateway/policy/latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency.rs
@@ -53,7 +53,7 @@
 pub struct LatencyHistogram {
     /// Decayed number of samples in each bucket.
     weights: [f64; BUCKETS],
-    /// Sum of the weights.
+    /// Sum of the weights of all buckets.
     total_weight: f64,
     /// Time of the last decay; `None` before the first sample.
     last_decay: Option<Instant>,
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -24,7 +24,7 @@
 /// Attempt that has finished, with its outcome.
 pub(super) struct FinishedAttempt {
     /// Index of the attempt in the request's list of attempts.
-    pub number: usize,
+    pub attempt_index: usize,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
@@ -36,7 +36,7 @@
     pub shard: usize,
     /// Upstream that the attempt is sent to. For a delegated attempt, the upstream that this VM would have used.
     pub upstream: Rc<Upstream>,
-    /// Incarnation of that upstream.
+    /// Incarnation of the upstream at the time when the attempt was started.
     pub incarnation: UpstreamIncarnation,
     /// How the attempt reaches the upstream.
     pub kind: AttemptKind,
@@ -272,11 +272,11 @@
         let began = now() + pause;
         let (abort_handle, registration) = AbortHandle::new_pair();
         let kind = AttemptKind::from(choice.distance);
-        let number = self.record_begun(shard, &choice, kind, began, abort_handle);
+        let attempt_index = self.record_begun(shard, &choice, kind, began, abort_handle);
         let context = self.context.clone();
         let request = Rc::clone(&self.request);
         let is_cancelled = Rc::clone(&self.is_cancelled);
-        let is_sent = Rc::clone(&self.attempts[number].is_sent);
+        let is_sent = Rc::clone(&self.attempts[attempt_index].is_sent);
         let useful_until = self.state.useful_until(began);
         let attempt = async move {
             if !pause.is_zero() {
@@ -288,7 +288,10 @@
             };
             let upstream = &choice.upstream;
             let outcome = run_attempt(&context, upstream, &request, useful_until, may_send).await;
-            FinishedAttempt { number, outcome }
+            FinishedAttempt {
+                attempt_index,
+                outcome,
+            }
         };
         let attempt = Abortable::new(attempt, registration);
         self.in_flight
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -33,16 +33,17 @@
 /// Progress of the replies to the VM that requested the parts.
 #[derive(Debug)]
 pub(super) struct PartialDelivery {
-    /// Whether the outcome of each shard was reported to that VM.
-    reported: Vec<bool>,
-    /// Whether the upstreams of each shard in this zone should be avoided for a short time.
+    /// For each shard, whether its outcome was reported to the VM that requested the parts.
+    is_reported: Vec<bool>,
+    /// For each shard, whether the VM that requested the parts is advised to avoid the shard's upstreams in this zone
+    /// for a short time.
     avoid: Vec<bool>,
 }
 
 impl PartialDelivery {
     pub(super) fn new(shards: usize) -> Self {
         Self {
-            reported: vec![false; shards],
+            is_reported: vec![false; shards],
             avoid: vec![false; shards],
         }
     }
@@ -175,8 +176,8 @@
                 } else {
                     ShardProgress::Unsent
                 };
-                for number in self.groups[event.group].attempts.clone() {
-                    self.record_delegated_failure(number, progress);
+                for attempt_index in self.groups[event.group].attempts.clone() {
+                    self.record_delegated_failure(attempt_index, progress);
                 }
             }
         }
@@ -186,15 +187,15 @@
         let attempts = self.groups[group].attempts.clone();
         let find_attempt = |run: &Self, shard: u16| {
             let mut numbers = attempts.iter().copied();
-            numbers.find(|number| {
-                let attempt = &run.attempts[*number];
+            numbers.find(|attempt_index| {
+                let attempt = &run.attempts[*attempt_index];
                 attempt.shard == usize::from(shard) && !attempt.ended
             })
         };
         let current_time = now();
         let mut parts = Vec::with_capacity(reply.parts.len());
         for part in reply.parts {
-            let Some(number) = find_attempt(self, part.shard) else {
+            let Some(attempt_index) = find_attempt(self, part.shard) else {
                 log::warn!(
                     "partial reply contains shard {} that was not requested",
                     part.shard
@@ -205,7 +206,7 @@
                 log::warn!("partial reply contains a malformed signature");
                 return;
             };
-            self.record_delegated_part(number, current_time, part.took_us);
+            self.record_delegated_part(attempt_index, current_time, part.took_us);
             parts.push((usize::from(part.shard), signature));
         }
         if !parts.is_empty() {
@@ -213,21 +214,21 @@
         }
         self.mark_rest_late(&attempts, current_time);
         for failed_shard in reply.failed {
-            let Some(number) = find_attempt(self, failed_shard.shard) else {
+            let Some(attempt_index) = find_attempt(self, failed_shard.shard) else {
                 continue;
             };
             if failed_shard.avoid {
-                let health = &self.attempts[number].upstream.health;
+                let health = &self.attempts[attempt_index].upstream.health;
                 health.borrow_mut().record_avoid_advice(current_time);
             }
-            self.record_delegated_failure(number, failed_shard.progress);
+            self.record_delegated_failure(attempt_index, failed_shard.progress);
         }
     }
 
     /// Marks the attempts of a group that are still in flight after its first reply as late.
     fn mark_rest_late(&mut self, attempts: &[usize], current_time: Instant) {
-        for number in attempts {
-            let attempt = &mut self.attempts[*number];
+        for attempt_index in attempts {
+            let attempt = &mut self.attempts[*attempt_index];
             if attempt.ended || attempt.known_late {
                 continue;
             }
@@ -237,8 +238,8 @@
     }
 
     /// Records that a part gathered by another VM has arrived.
-    fn record_delegated_part(&mut self, number: usize, current_time: Instant, took_us: u32) {
-        let attempt = &mut self.attempts[number];
+    fn record_delegated_part(&mut self, attempt_index: usize, current_time: Instant, took_us: u32) {
+        let attempt = &mut self.attempts[attempt_index];
         attempt.ended = true;
         let attempt_time = current_time.saturating_duration_since(attempt.began);
         let mut latency = self.context.latency.borrow_mut();
@@ -256,8 +257,8 @@
 
     /// Records that another VM won't deliver a part, and retries the shard. If upstreams declined it, they have
     /// received the request, so the next attempt spends from the retry budget.
-    fn record_delegated_failure(&mut self, number: usize, progress: ShardProgress) {
-        let attempt = &mut self.attempts[number];
+    fn record_delegated_failure(&mut self, attempt_index: usize, progress: ShardProgress) {
+        let attempt = &mut self.attempts[attempt_index];
         if attempt.ended {
             return;
         }
@@ -300,7 +301,7 @@
             let all_ended = group
                 .attempts
                 .iter()
-                .all(|number| self.attempts[*number].ended);
+                .all(|attempt_index| self.attempts[*attempt_index].ended);
             self.context
                 .core
                 .delegates
@@ -363,13 +364,13 @@
             in_flight.any(|attempt| !self.is_straggler(attempt.began, attempt.kind, current_time))
         };
         let has_unreported_failure = (0..shards.len()).any(|shard| {
-            !delivery.reported[shard] && shards[shard].outcome == ShardOutcome::Failed
+            !delivery.is_reported[shard] && shards[shard].outcome == ShardOutcome::Failed
         });
         if !has_unreported_failure && open_shards.clone().any(has_timely_attempt) {
             return;
         }
         let unreported_shards: Vec<usize> = (0..shards.len())
-            .filter(|shard| has_ended(*shard) && !delivery.reported[*shard])
+            .filter(|shard| has_ended(*shard) && !delivery.is_reported[*shard])
             .collect();
         if unreported_shards.is_empty() {
             return;
@@ -377,7 +378,7 @@
         let message = self.partial_reply(&unreported_shards);
         if let Some(delivery) = &mut self.delivery {
             for shard in unreported_shards {
-                delivery.reported[shard] = true;
+                delivery.is_reported[shard] = true;
             }
         }
         reply(message);
@@ -411,13 +412,13 @@
     fn partial_reply(&self, shards: &[usize]) -> PartialReply {
         let mut reply = PartialReply::default();
         let mut answered_parts = Vec::new();
-        for number in shards {
-            let shard = &self.state.shards()[*number];
+        for shard_index in shards {
+            let shard = &self.state.shards()[*shard_index];
             if let ShardOutcome::Answered(part) = &shard.outcome {
                 reply.parts.push(ShardSignature {
-                    shard: *number as u16,
+                    shard: *shard_index as u16,
                     signature: bytes::Bytes::copy_from_slice(part.signature.as_bytes()),
-                    took_us: self.took_us(*number),
+                    took_us: self.took_us(*shard_index),
                 });
                 answered_parts.push(part);
                 continue;
@@ -425,10 +426,10 @@
             let avoid = self
                 .delivery
                 .as_ref()
-                .is_some_and(|delivery| delivery.avoid[*number]);
+                .is_some_and(|delivery| delivery.avoid[*shard_index]);
             reply.failed.push(FailedShard {
-                shard: *number as u16,
-                progress: self.progress(*number),
+                shard: *shard_index as u16,
+                progress: self.progress(*shard_index),
                 avoid,
             });
         }
--- a/crates/ebonyfork/src/gateway/run/mod.rs
+++ b/crates/ebonyfork/src/gateway/run/mod.rs
@@ -107,7 +107,7 @@
     event_receiver: mpsc::UnboundedReceiver<GroupEvent>,
     /// Sender that is cloned for each group.
     event_sender: mpsc::UnboundedSender<GroupEvent>,
-    /// Set if this VM gathers the parts for another VM.
+    /// Progress of the replies to the VM for which this VM gathers the parts; `None` for a request from a caller.
     delivery: Option<PartialDelivery>,
     hedge_count: usize,
     retry_count: usize,
@@ -163,7 +163,7 @@
         target: RunTarget,
         request: Rc<ForwardRequest>,
     ) -> Self {
-        let (shards, required) = match &target {
+        let (shard_count, required_count) = match &target {
             RunTarget::One(_) => (1, 1),
             RunTarget::Gather(gather_terms) => {
                 (gather_terms.shards.len(), gather_terms.min_shards())
@@ -186,8 +186,8 @@
             route: Rc::clone(route),
             target,
             request,
-            state: GatherState::new(shards, required, answer_by, finish_by),
-            attempts: Vec::with_capacity(shards + shards / 4),
+            state: GatherState::new(shard_count, required_count, answer_by, finish_by),
+            attempts: Vec::with_capacity(shard_count + shard_count / 4),
             in_flight: FuturesUnordered::new(),
             is_cancelled: Rc::default(),
             single_answer: None,
--- a/crates/ebonyfork/src/gateway/run/retry.rs
+++ b/crates/ebonyfork/src/gateway/run/retry.rs
@@ -18,13 +18,16 @@
     }
 
     fn handle_finished(&mut self, finished: FinishedAttempt) {
-        let FinishedAttempt { number, outcome } = finished;
-        let attempt = &mut self.attempts[number];
+        let FinishedAttempt {
+            attempt_index,
+            outcome,
+        } = finished;
+        let attempt = &mut self.attempts[attempt_index];
         attempt.ended = true;
         attempt.may_have_run = outcome.may_have_run();
         attempt.took = Some(now().saturating_duration_since(attempt.began));
         let shard = attempt.shard;
-        self.log_attempt(number, &outcome);
+        self.log_attempt(attempt_index, &outcome);
         let label = OutcomeLabel(outcome.label());
         let metrics = &self.context.core.metrics;
         metrics.attempts.get_or_create(&label).inc();
@@ -74,11 +77,11 @@
     }
 
     /// Logs an attempt without a successful answer; the log line of the request summarises the others.
-    fn log_attempt(&self, number: usize, outcome: &AttemptOutcome) {
+    fn log_attempt(&self, attempt_index: usize, outcome: &AttemptOutcome) {
         if matches!(outcome, AttemptOutcome::Answered(answer) if answer.status.is_success()) {
             return;
         }
-        let attempt = &self.attempts[number];
+        let attempt = &self.attempts[attempt_index];
         let id = self.request.id.to_str().unwrap_or("-");
         log::info!(
             target: "ebonyfork::decision",
--- a/crates/ebonyfork/src/gateway/run/run_tests.rs
+++ b/crates/ebonyfork/src/gateway/run/run_tests.rs
@@ -195,8 +195,8 @@
         for leaves_after in [15, 150] {
             let core = core();
             let holding_upstreams = upstreams(&core, "s", 2, ScriptedReply::Hold).await;
-            let patience = Duration::from_millis(leaves_after);
-            let timed_run = tokio::time::timeout(patience, run(&core, 2)).await;
+            let caller_timeout = Duration::from_millis(leaves_after);
+            let timed_run = tokio::time::timeout(caller_timeout, run(&core, 2)).await;
             expect_that!(timed_run.is_err(), eq(true));
             check_ends(&holding_upstreams, now()).await;
         }
@@ -245,8 +245,8 @@
         while upstream.log.borrow().requests.is_empty() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        let patience = Duration::from_millis(10);
-        let timed_run = tokio::time::timeout(patience, run(&core, 1)).await;
+        let caller_timeout = Duration::from_millis(10);
+        let timed_run = tokio::time::timeout(caller_timeout, run(&core, 1)).await;
         expect_that!(timed_run.is_err(), eq(true));
         let report = first_run.await.expect("no panic");
         expect_that!(report.reply.status().as_u16(), eq(200));
@@ -414,8 +414,9 @@
         let core = core();
         let known_upstreams = upstreams(&core, "s0", 2, ScriptedReply::Answer(16)).await;
         let (route, target) = gather_route(&["s0", "s1", "s2"], 0.9);
-        let standing = QuarantineStatus::Clear;
-        let report = run_request(&core, &route, target, request(LONG_TIME), standing).await;
+        let quarantine_status = QuarantineStatus::Clear;
+        let report =
+            run_request(&core, &route, target, request(LONG_TIME), quarantine_status).await;
         expect_that!(report.reply.status().as_u16(), eq(503));
         expect_that!(report.reply.headers().contains_key("retry-after"), eq(true));
         for upstream in &known_upstreams {
@@ -431,26 +432,26 @@
 async fn a_request_waits_for_upstreams_that_are_about_to_be_registered() {
     let test = async {
         // Deadline of the request in ms and expected status.
-        for (patience, status) in [(5_000, 200), (600, 503)] {
+        for (time_left_ms, status) in [(5_000, 200), (600, 503)] {
             let core = core();
             core.registry.record_read(now());
             let _first_upstreams = upstreams(&core, "s0", 1, ScriptedReply::Answer(16)).await;
             let (route, target) = gather_route(&["s0", "s1"], 0.9);
-            let request = request(Duration::from_millis(patience));
+            let request = request(Duration::from_millis(time_left_ms));
             let running_request = tokio::task::spawn_local({
                 let core = Rc::clone(&core);
-                let standing = QuarantineStatus::Clear;
-                async move { run_request(&core, &route, target, request, standing).await }
+                let quarantine_status = QuarantineStatus::Clear;
+                async move { run_request(&core, &route, target, request, quarantine_status).await }
             });
             tokio::time::sleep(Duration::from_millis(200)).await;
             expect_that!(
                 running_request.is_finished(),
                 eq(status == 503),
-                "{patience}"
+                "{time_left_ms}"
             );
             let _second_upstreams = upstreams(&core, "s1", 1, ScriptedReply::Answer(16)).await;
             let report = running_request.await.expect("no panic");
-            expect_that!(report.reply.status().as_u16(), eq(status), "{patience}");
+            expect_that!(report.reply.status().as_u16(), eq(status), "{time_left_ms}");
         }
     };
     LocalSet::new().run_until(test).await;
@@ -862,26 +863,29 @@
         let warm_server = ScriptedUpstream::start(ScriptedReply::Answer(16)).await;
         register_in(&core, "s", "south-a", &warm_server);
         // Start and end of each request that went to the cold upstream.
-        let mut spans = Vec::new();
+        let mut request_spans = Vec::new();
         for _ in 0..20 {
             let (requests_before, began) = (cold_server.log.borrow().requests.len(), now());
             let report = run(&core, 2).await;
             expect_that!(report.reply.status().as_u16(), eq(200));
             if cold_server.log.borrow().requests.len() > requests_before {
-                spans.push((began, now()));
+                request_spans.push((began, now()));
             }
         }
         // The cold upstream gets at most three requests in any second, however long a busy machine takes for all of
         // them.
-        expect_that!(spans.len(), ge(3));
-        for four_spans in spans.windows(4) {
+        expect_that!(request_spans.len(), ge(3));
+        for four_spans in request_spans.windows(4) {
             let (first_begin, last_end) = (four_spans[0].0, four_spans[3].1);
             expect_that!(last_end - first_begin, ge(Duration::from_secs(1)));
         }
-        expect_that!(cold_server.log.borrow().requests.len(), eq(spans.len()));
+        expect_that!(
+            cold_server.log.borrow().requests.len(),
+            eq(request_spans.len())
+        );
         expect_that!(
             warm_server.log.borrow().requests.len(),
-            eq(20 - spans.len())
+            eq(20 - request_spans.len())
         );
     };
     LocalSet::new().run_until(test).await;
--- a/crates/ebonyfork/src/gateway/run/straggler.rs
+++ b/crates/ebonyfork/src/gateway/run/straggler.rs
@@ -14,33 +14,33 @@
         if self.route.idempotency == Idempotency::Once {
             return;
         }
-        for number in 0..self.attempts.len() {
-            let attempt = &self.attempts[number];
+        for attempt_index in 0..self.attempts.len() {
+            let attempt = &self.attempts[attempt_index];
             let shard = attempt.shard;
             if attempt.ended || attempt.next_check > current_time {
                 continue;
             }
             let shard_state = &self.state.shards()[shard];
             if shard_state.is_open() && shard_state.in_flight == 1 {
-                self.hedge(number, current_time);
+                self.hedge(attempt_index, current_time);
             }
-            self.schedule_check(number, current_time);
+            self.schedule_check(attempt_index, current_time);
         }
     }
 
-    fn schedule_check(&mut self, number: usize, current_time: Instant) {
-        let attempt = &self.attempts[number];
+    fn schedule_check(&mut self, attempt_index: usize, current_time: Instant) {
+        let attempt = &self.attempts[attempt_index];
         let waited_ms = millis(current_time.saturating_duration_since(attempt.began));
         let next_check_ms = {
             let latency = self.context.latency.borrow();
             HedgeCandidate::next_check_ms(latency.histogram(attempt.kind), waited_ms)
         };
-        let attempt = &mut self.attempts[number];
+        let attempt = &mut self.attempts[attempt_index];
         attempt.next_check = attempt.began + Duration::from_secs_f64(next_check_ms / 1_000.0);
     }
 
-    fn hedge(&mut self, number: usize, current_time: Instant) {
-        let shard = self.attempts[number].shard;
+    fn hedge(&mut self, attempt_index: usize, current_time: Instant) {
+        let shard = self.attempts[attempt_index].shard;
         let is_suspected = self.is_suspected();
         let is_at_limit = self.upstreams_run(shard).len() >= self.max_upstreams();
         if is_suspected
@@ -52,7 +52,7 @@
         let Some(choice) = self.choose(shard, true) else {
             return;
         };
-        let attempt = &self.attempts[number];
+        let attempt = &self.attempts[attempt_index];
         let hedge_kind = match choice.distance {
             PlaceDistance::Zone => AttemptKind::Zone,
             PlaceDistance::Region | PlaceDistance::Far => AttemptKind::Delegated,
