--- a/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/account_tests.rs
@@ -36,7 +36,7 @@
     incarnation: u32,
     started_at: Duration,
     /// Speed of the VM's clock relative to model time.
-    rate: f64,
+    clock_rate: f64,
     paused_until: Duration,
     /// Time at which the VM next requests all shares of the other VMs.
     next_request: Duration,
@@ -45,12 +45,12 @@
 }
 
 impl FleetVm {
-    fn new(config: RetryBudgetConfig, now: Duration, incarnation: u32, rate: f64) -> Self {
+    fn new(config: RetryBudgetConfig, now: Duration, incarnation: u32, clock_rate: f64) -> Self {
         Self {
             retry_budget: LeasedRetryBudget::new(config),
             incarnation,
             started_at: now,
-            rate,
+            clock_rate,
             paused_until: now,
             next_request: now,
             last_run: (true, Duration::ZERO),
@@ -58,8 +58,8 @@
     }
 
     /// Returns the VM's own time, which advances while it is paused.
-    fn time(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.started_at).mul_f64(self.rate)
+    fn clock_time(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.started_at).mul_f64(self.clock_rate)
     }
 }
 
@@ -105,12 +105,12 @@
 }
 
 impl ShareFleet {
-    fn new(config: RetryBudgetConfig, count: usize, faults: FleetFaults, seed: u64) -> Self {
+    fn new(config: RetryBudgetConfig, vm_count: usize, faults: FleetFaults, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut vms = Vec::new();
-        for _ in 0..count {
-            let rate = 1.0 + rng.random_range(-0.01..0.01);
-            vms.push(FleetVm::new(config, Duration::ZERO, 0, rate));
+        for _ in 0..vm_count {
+            let clock_rate = 1.0 + rng.random_range(-0.01..0.01);
+            vms.push(FleetVm::new(config, Duration::ZERO, 0, clock_rate));
         }
         Self {
             config,
@@ -127,12 +127,12 @@
 
     /// Returns whether a VM is among the `serving_count` VMs that take requests in this step.
     fn serves(&self, number: usize, serving_count: usize) -> bool {
-        let phase = if self.faults.rotates {
+        let rotation_offset = if self.faults.rotates {
             self.now.as_secs() as usize / 7
         } else {
             0
         };
-        (number + phase) % self.vms.len() < serving_count
+        (number + rotation_offset) % self.vms.len() < serving_count
     }
 
     /// Runs one step in which each VM that takes requests receives `requests_per_step` of them on average.
@@ -150,36 +150,37 @@
                 self.vms[number].next_request = now + Duration::from_secs(1);
                 self.request_all(number);
             }
-            let time = self.vms[number].time(now);
+            let clock_time = self.vms[number].clock_time(now);
             let vm_count = self.vms.len();
             let retry_budget = &mut self.vms[number].retry_budget;
-            retry_budget.set_vm_count(vm_count, time);
-            self.check_starts_empty(number, time);
+            retry_budget.set_vm_count(vm_count, clock_time);
+            self.check_starts_empty(number, clock_time);
             let retry_budget = &mut self.vms[number].retry_budget;
             if !serves {
                 continue;
             }
             let extra_request = self.rng.random_bool(requests_per_step.fract());
             for _ in 0..requests_per_step as usize + usize::from(extra_request) {
-                retry_budget.record_request(&service(), time);
+                retry_budget.record_request(&service(), clock_time);
                 self.requests.push(now);
             }
-            while self.spends && retry_budget.spend(&service(), time).is_ok() {
+            while self.spends && retry_budget.spend(&service(), clock_time).is_ok() {
                 self.repeats.push(now);
             }
         }
     }
 
     /// Checks that a VM which starts to hold a share starts with an empty bucket.
-    fn check_starts_empty(&mut self, number: usize, time: Duration) {
+    fn check_starts_empty(&mut self, number: usize, clock_time: Duration) {
         let vm = &mut self.vms[number];
         let shares = vm.retry_budget.budget.shares();
-        let (held_none, last_ran) = std::mem::replace(&mut vm.last_run, (shares == 0, time));
-        if held_none && shares > 0 {
+        let (held_no_share, last_run_time) =
+            std::mem::replace(&mut vm.last_run, (shares == 0, clock_time));
+        if held_no_share && shares > 0 {
             // Upper bound: tokens refilled since the VM last ran, at the rate of all shares together.
-            let rate = self.config.slack / self.config.window.as_secs_f64();
-            let max_refilled = rate * time.saturating_sub(last_ran).as_secs_f64();
-            let tokens = vm.retry_budget.available_repeats(&service(), time);
+            let refill_rate = self.config.slack / self.config.window.as_secs_f64();
+            let max_refilled = refill_rate * clock_time.saturating_sub(last_run_time).as_secs_f64();
+            let tokens = vm.retry_budget.available_repeats(&service(), clock_time);
             expect_that!(tokens, le(max_refilled), "VM {number} at {:?}", self.now);
         }
     }
@@ -189,14 +190,14 @@
         for owner in 0..self.vms.len() {
             let mut holders = Vec::new();
             for (number, holder) in self.vms.iter().enumerate() {
-                let time = holder.time(self.now);
+                let clock_time = holder.clock_time(self.now);
                 let leases = &holder.retry_budget.leases;
-                let holds = if number == owner {
-                    leases.holds_own(time)
+                let is_holder = if number == owner {
+                    leases.holds_own(clock_time)
                 } else {
-                    leases.holds_share_of(vm(owner), time)
+                    leases.holds_share_of(vm(owner), clock_time)
                 };
-                if holds {
+                if is_holder {
                     holders.push(number);
                 }
             }
@@ -213,7 +214,8 @@
         for number in 0..self.vms.len() {
             if self.rng.random_bool(self.faults.restart_probability) {
                 let vm = &self.vms[number];
-                self.vms[number] = FleetVm::new(self.config, self.now, vm.incarnation + 1, vm.rate);
+                self.vms[number] =
+                    FleetVm::new(self.config, self.now, vm.incarnation + 1, vm.clock_rate);
             }
             if self.rng.random_bool(self.faults.pause_probability) {
                 let pause = Duration::from_millis(self.rng.random_range(100..6_000));
@@ -227,8 +229,10 @@
             if owner == borrower {
                 continue;
             }
-            let time = self.vms[borrower].time(self.now);
-            let number = self.vms[borrower].retry_budget.request(vm(owner), time);
+            let clock_time = self.vms[borrower].clock_time(self.now);
+            let number = self.vms[borrower]
+                .retry_budget
+                .request(vm(owner), clock_time);
             self.send(borrower, owner, FleetMessage::Request { number });
         }
     }
@@ -268,19 +272,20 @@
     }
 
     fn handle(&mut self, sender: usize, receiver: usize, message: FleetMessage) {
-        let time = self.vms[receiver].time(self.now);
+        let clock_time = self.vms[receiver].clock_time(self.now);
         match message {
             FleetMessage::Request { number } => {
-                let lend_result = self.vms[receiver]
-                    .retry_budget
-                    .lend(vm(sender), false, time);
+                let lend_result =
+                    self.vms[receiver]
+                        .retry_budget
+                        .lend(vm(sender), false, clock_time);
                 if lend_result.is_ok() {
                     self.send(receiver, sender, FleetMessage::Grant { number });
                 }
             }
             FleetMessage::Grant { number } => {
                 let retry_budget = &mut self.vms[receiver].retry_budget;
-                let _was_accepted = retry_budget.accept_grant(vm(sender), number, time);
+                let _was_accepted = retry_budget.accept_grant(vm(sender), number, clock_time);
             }
         }
     }
@@ -292,8 +297,8 @@
 fn no_window_exceeds_the_bound_while_shares_are_leased() {
     for seed in 0..40 {
         let mut rng = ChaCha8Rng::seed_from_u64(1_000 + seed);
-        let count = rng.random_range(2..=12_usize);
-        let serving_count = rng.random_range(1..=count);
+        let vm_count = rng.random_range(2..=12_usize);
+        let serving_count = rng.random_range(1..=vm_count);
         let faults = FleetFaults {
             restart_probability: rng.random_range(0.0..0.01),
             pause_probability: rng.random_range(0.0..0.01),
@@ -302,7 +307,7 @@
             partitions: rng.random_bool(0.5),
             rotates: true,
         };
-        let mut fleet = ShareFleet::new(CONFIG, count, faults, seed);
+        let mut fleet = ShareFleet::new(CONFIG, vm_count, faults, seed);
         let mut requests_per_step = 0.0;
         while fleet.now < Duration::from_mins(1) {
             if rng.random_bool(0.02) {
@@ -317,7 +322,7 @@
 
 /// Returns the fraction of the repeats allowed over one window that can be spent when `serving_count` of `count` VMs
 /// take requests.
-fn usable_fraction(count: usize, serving_count: usize) -> f64 {
+fn usable_fraction(vm_count: usize, serving_count: usize) -> f64 {
     const REQUESTS_PER_SECOND: f64 = 48.5;
     let config = RetryBudgetConfig {
         slack: 430.0,
@@ -331,7 +336,7 @@
         partitions: false,
         rotates: false,
     };
-    let mut fleet = ShareFleet::new(config, count, no_faults, 1);
+    let mut fleet = ShareFleet::new(config, vm_count, no_faults, 1);
     // Let all shares be leased and all buckets fill up.
     fleet.spends = false;
     while fleet.now < Duration::from_secs(20) {
@@ -351,8 +356,8 @@
 /// each of its requests.
 #[gtest]
 fn few_serving_vms_can_spend_what_the_bound_allows_for_all() {
-    for (count, serving_count) in [(9, 9), (78, 12), (200, 18)] {
-        let fraction = usable_fraction(count, serving_count);
-        expect_that!(fraction, ge(0.9), "{serving_count} of {count} VMs serve");
+    for (vm_count, serving_count) in [(9, 9), (78, 12), (200, 18)] {
+        let fraction = usable_fraction(vm_count, serving_count);
+        expect_that!(fraction, ge(0.9), "{serving_count} of {vm_count} VMs serve");
     }
 }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -24,7 +24,7 @@
 /// Attempt that has finished, with its outcome.
 pub(super) struct FinishedAttempt {
     /// Index of the attempt in the request's list of attempts.
-    pub number: usize,
+    pub attempt_index: usize,
     /// How the attempt ended.
     pub outcome: AttemptOutcome,
 }
@@ -36,7 +36,7 @@
     pub shard: usize,
     /// Upstream that the attempt is sent to. For a delegated attempt, the upstream that this VM would have used.
     pub upstream: Rc<Upstream>,
-    /// Incarnation of that upstream.
+    /// Incarnation of the upstream at the time when the attempt was started.
     pub incarnation: UpstreamIncarnation,
     /// How the attempt reaches the upstream.
     pub kind: AttemptKind,
@@ -92,7 +92,8 @@
         true
     }
 
-    /// Returns the maximum number of attempts of a shard that may run, at the same or different upstreams.
+    /// Returns the maximum number of times that one shard is sent in total, to the same upstream or to different ones.
+    /// Declined attempts and attempts that ended before anything was sent don't count.
     pub(super) fn max_sends(&self) -> usize {
         retry::max_sends(self.route.idempotency)
     }
@@ -193,7 +194,7 @@
         let candidates = self.candidates(shard);
         let latency = self.context.latency.borrow();
         let place = &core.settings.place;
-        let time = now();
+        let current_time = now();
         let in_own_zone = |upstream: &Upstream| {
             self.delivery.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
@@ -201,7 +202,7 @@
             let is_allowed = |upstream: &Upstream, incarnation: &UpstreamIncarnation| {
                 in_own_zone(upstream) && is_allowed(upstream, incarnation)
             };
-            choose_upstream(&candidates, is_allowed, place, &latency, time)
+            choose_upstream(&candidates, is_allowed, place, &latency, current_time)
         };
         if !is_repeat && self.state.shards()[shard].unsent_attempts == 0 {
             return pick(&|_, _| true);
@@ -212,7 +213,7 @@
             let mut attempts = self.attempts_of(shard);
             may_use_more && !attempts.any(|attempt| attempt.incarnation == *incarnation)
         };
-        let is_reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(time);
+        let is_reachable = |upstream: &Upstream| !upstream.health.borrow().is_ejected(current_time);
         let none_in_flight = self.state.shards()[shard].in_flight == 0;
         let has_run_on = |incarnation: &UpstreamIncarnation| {
             run_upstreams.contains(&(AttemptKind::Zone, incarnation))
@@ -271,11 +272,11 @@
         let began = now() + pause;
         let (abort_handle, registration) = AbortHandle::new_pair();
         let kind = AttemptKind::from(choice.distance);
-        let number = self.record_begun(shard, &choice, kind, began, abort_handle);
+        let attempt_index = self.record_begun(shard, &choice, kind, began, abort_handle);
         let context = self.context.clone();
         let request = Rc::clone(&self.request);
         let is_cancelled = Rc::clone(&self.is_cancelled);
-        let is_sent = Rc::clone(&self.attempts[number].is_sent);
+        let is_sent = Rc::clone(&self.attempts[attempt_index].is_sent);
         let useful_until = self.state.useful_until(began);
         let attempt = async move {
             if !pause.is_zero() {
@@ -287,7 +288,10 @@
             };
             let upstream = &choice.upstream;
             let outcome = run_attempt(&context, upstream, &request, useful_until, may_send).await;
-            FinishedAttempt { number, outcome }
+            FinishedAttempt {
+                attempt_index,
+                outcome,
+            }
         };
         let attempt = Abortable::new(attempt, registration);
         self.in_flight
