--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -284,8 +284,9 @@
     pages.parse::<u64>().expect("number") * PAGE_BYTES / 1_024
 }
 
-/// Fits a line to each measurement by least squares: over the size, or over its logarithm for the detection times,
-/// which grow with the duration of a suspicion.
+/// Prints, for each measurement, the line fitted by least squares over the number of members, and its value at
+/// [`DESIGN_SIZE`]. The detection times are fitted over the binary logarithm of that number, because a suspicion lasts
+/// for a number of rounds that grows with this logarithm.
 fn print_fitted_lines(text: &str) {
     let rows: Vec<Vec<f64>> = text
         .lines()
--- a/crates/ebonyfork/src/lifecycle/fence_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/fence_tests.rs
@@ -4,7 +4,7 @@
 use FenceCause::{CutOff, Paused};
 use FenceEvent::{BehindUntil, Pause, PeerContact, PeerKnown, StoreContact};
 
-/// An event, with its time in ms.
+/// An input to the [`FenceState`] under test. Numbers are times in ms since the start of the process.
 #[derive(Clone, Copy)]
 enum FenceEvent {
     StoreContact(u64),
--- a/crates/ebonyfork/src/lifecycle/settings.rs
+++ b/crates/ebonyfork/src/lifecycle/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the lifecycle.
+//! Configures when a process fences itself and when a gap between clock readings is a pause, and with which functions
+//! the lifecycle polls whether the process is up to date and when it last heard from a peer.
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/ebonyfork/src/once/actor.rs
+++ b/crates/ebonyfork/src/once/actor.rs
@@ -16,7 +16,7 @@
 
 use crate::ident::{IdempotencyKey, RunState, SessionId, VmAddress};
 use crate::once::message::{OnceMessage, OnceOutcome, replace_oversized};
-use crate::once::state::{OnceAction, OnceActions, OnceContext, OnceState, WaiterId};
+use crate::once::state::{NodeConditions, OnceAction, OnceActions, OnceState, WaiterId};
 use crate::query::{QueryOutcome, QueryRefusal, QueryRequest, RefusalCode};
 use crate::topology::TopologyView;
 use crate::views::{NodeReadiness, NodeViews};
@@ -48,7 +48,7 @@
 /// The receiver of an outcome.
 enum OutcomeReceiver {
     Caller(oneshot::Sender<QueryOutcome>),
-    Peer { link: LinkSender, ticket: u64 },
+    Peer { link: LinkSender, forward_id: u64 },
 }
 
 /// A handover that the successor has not yet confirmed in full.
@@ -158,17 +158,17 @@
     fn apply_to_state(
         &mut self,
         own_address: &WeakAddress<Self>,
-        decide: impl FnOnce(&mut OnceState, &OnceContext<'_>) -> OnceActions,
+        decide: impl FnOnce(&mut OnceState, &NodeConditions<'_>) -> OnceActions,
     ) {
         let view = self.topology();
-        let context = OnceContext {
+        let conditions = NodeConditions {
             now: self.now(),
             view: &view,
             new_work_refusal: self.new_work_refusal(),
         };
-        let mut actions = decide(&mut self.state, &context);
+        let mut actions = decide(&mut self.state, &conditions);
         while let Some(action) = actions.pop() {
-            let follow_ups = self.run_action(own_address, action, &context);
+            let follow_ups = self.run_action(own_address, action, &conditions);
             actions.extend(follow_ups);
         }
         self.update_metrics();
@@ -178,12 +178,12 @@
         &mut self,
         own_address: &WeakAddress<Self>,
         action: OnceAction,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
         match action {
             OnceAction::Execute(request) => self.execute(own_address, request),
             OnceAction::Answer { waiter, outcome } => self.answer(waiter, outcome),
-            OnceAction::Send { vm, message } => return self.send_message(vm, message, context),
+            OnceAction::Send { vm, message } => return self.send_message(vm, message, conditions),
         }
         OnceActions::new()
     }
@@ -222,12 +222,18 @@
                 // A caller that no longer waits gets the outcome when it sends the key again.
                 let _gone = reply.send(outcome);
             }
-            (Some(OutcomeReceiver::Peer { link, ticket }), outcome) => {
+            (Some(OutcomeReceiver::Peer { link, forward_id }), outcome) => {
                 let outcome = match outcome {
                     OnceOutcome::Known(outcome) => OnceOutcome::Known(replace_oversized(outcome)),
                     OnceOutcome::NotHeld => OnceOutcome::NotHeld,
                 };
-                reply_peer(&link, OnceMessage::Outcome { ticket, outcome });
+                reply_peer(
+                    &link,
+                    OnceMessage::Outcome {
+                        forward_id,
+                        outcome,
+                    },
+                );
             }
             (Some(OutcomeReceiver::Caller(_)), OnceOutcome::NotHeld) | (None, _) => {}
         }
@@ -237,21 +243,25 @@
         &mut self,
         vm: VmAddress,
         message: OnceMessage,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
-        let OnceMessage::Forward { ticket, request } = &message else {
+        let OnceMessage::Forward {
+            forward_id,
+            request,
+        } = &message
+        else {
             return OnceActions::new();
         };
-        let ticket = *ticket;
+        let forward_id = *forward_id;
         if let Some(key) = request.key {
-            log::info!(target: DECISION_LOG, "once forward key={key} vm={vm} ticket={ticket}");
+            log::info!(target: DECISION_LOG, "once forward key={key} vm={vm} ticket={forward_id}");
         }
         self.metrics.forwards.inc();
         match (self.send_to_vm)(vm, PeerMessage::Once(message)) {
             Ok(()) => OnceActions::new(),
             Err(error) => {
                 log::debug!("could not forward to {vm}: {error}");
-                self.state.handle_send_failure(ticket, context)
+                self.state.handle_send_failure(forward_id, conditions)
             }
         }
     }
@@ -291,8 +301,8 @@
         let own_address = ctx.mailbox().address();
         let waiter = self.add_receiver(OutcomeReceiver::Caller(message.reply));
         let expires_at = self.now() + message.timeout;
-        self.apply_to_state(&own_address, |state, context| {
-            state.submit(waiter, message.key, message.request, expires_at, context)
+        self.apply_to_state(&own_address, |state, conditions| {
+            state.submit(waiter, message.key, message.request, expires_at, conditions)
         });
     }
 }
@@ -304,16 +314,25 @@
         let own_address = ctx.mailbox().address();
         let HandlePeerMessage { from, message } = message;
         match message {
-            OnceMessage::Forward { ticket, request } => {
-                let receiver = OutcomeReceiver::Peer { link: from, ticket };
+            OnceMessage::Forward {
+                forward_id,
+                request,
+            } => {
+                let receiver = OutcomeReceiver::Peer {
+                    link: from,
+                    forward_id,
+                };
                 let waiter = self.add_receiver(receiver);
-                self.apply_to_state(&own_address, |state, context| {
-                    state.handle_forward(waiter, request, context)
+                self.apply_to_state(&own_address, |state, conditions| {
+                    state.handle_forward(waiter, request, conditions)
                 });
             }
-            OnceMessage::Outcome { ticket, outcome } => {
-                self.apply_to_state(&own_address, |state, context| {
-                    state.handle_outcome(ticket, outcome, context)
+            OnceMessage::Outcome {
+                forward_id,
+                outcome,
+            } => {
+                self.apply_to_state(&own_address, |state, conditions| {
+                    state.handle_outcome(forward_id, outcome, conditions)
                 });
             }
             // A process that has handed over must not adopt further sessions: they would be lost when it ends.
@@ -337,8 +356,8 @@
 
     async fn handle(&mut self, LinkDown(vm): LinkDown, ctx: &mut Context<Self>) {
         let own_address = ctx.mailbox().address();
-        self.apply_to_state(&own_address, |state, context| {
-            state.handle_link_down(vm, context)
+        self.apply_to_state(&own_address, |state, conditions| {
+            state.handle_link_down(vm, conditions)
         });
     }
 }
@@ -349,8 +368,8 @@
     async fn handle(&mut self, message: FinishRun, ctx: &mut Context<Self>) {
         let own_address = ctx.mailbox().address();
         let FinishRun { key, outcome } = message;
-        self.apply_to_state(&own_address, |state, context| {
-            state.finish(key.sequence, outcome, context.now)
+        self.apply_to_state(&own_address, |state, conditions| {
+            state.finish(key.sequence, outcome, conditions.now)
         });
     }
 }
--- a/crates/ebonyfork/src/once/handle.rs
+++ b/crates/ebonyfork/src/once/handle.rs
@@ -44,20 +44,20 @@
     pub outcomes: usize,
     /// Number of keys that were still running; the successor reports their outcomes as unknown.
     pub abandoned: usize,
-    /// Whether the successor has confirmed all sessions.
+    /// Whether the successor has confirmed in time that all parts of all sessions arrived.
     pub taken: bool,
 }
 
 impl fmt::Display for HandoverReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let taken = if self.taken {
+        let confirmation = if self.taken {
             "confirmed"
         } else {
             "not confirmed"
         };
         write!(
             f,
-            "{} sessions with {} outcomes handed over, {} runs given up, {taken}",
+            "{} sessions with {} outcomes handed over, {} runs given up, {confirmation}",
             self.sessions, self.outcomes, self.abandoned
         )
     }
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -15,7 +15,7 @@
 use crate::wire::{LinkEvent, PeerPool, PoolSettings};
 
 struct TestNode {
-    once: OnceHandle,
+    once_handle: OnceHandle,
     session: SessionId,
     runs: Arc<AtomicU32>,
     stop: CancellationToken,
@@ -63,15 +63,19 @@
             move |event| {
                 let own_handle = Arc::clone(&own_handle);
                 Box::pin(async move {
-                    let Some(once) = own_handle.get() else { return };
+                    let Some(once_handle) = own_handle.get() else {
+                        return;
+                    };
                     match event {
                         LinkEvent::Message {
                             from,
                             message: PeerMessage::Once(message),
                         } => {
-                            once.handle_message(from, message).await;
+                            once_handle.handle_message(from, message).await;
+                        }
+                        LinkEvent::Down { vm, unsent } => {
+                            once_handle.handle_link_down(vm, unsent).await
                         }
-                        LinkEvent::Down { vm, unsent } => once.handle_link_down(vm, unsent).await,
                         LinkEvent::Message { .. } => {}
                     }
                 })
@@ -93,12 +97,12 @@
                 })
             })
         };
-        let once = OnceHandle::start(session, views, execute, move |vm, message| {
+        let once_handle = OnceHandle::start(session, views, execute, move |vm, message| {
             pool.send(vm, message)
         });
-        handle_cell.set(once.clone()).unwrap();
+        handle_cell.set(once_handle.clone()).unwrap();
         Self {
-            once,
+            once_handle,
             session,
             runs,
             stop,
@@ -153,11 +157,20 @@
 #[tokio::test]
 async fn only_classes_that_are_not_idempotent_need_a_key() {
     let nodes = start_nodes().await;
-    let once = &nodes[0].once;
-    expect_that!(once.run(request("search", None)).await, ok(anything()));
-    expect_that!(once.run(request("search", None)).await, ok(anything()));
+    let once_handle = &nodes[0].once_handle;
+    expect_that!(
+        once_handle.run(request("search", None)).await,
+        ok(anything())
+    );
+    expect_that!(
+        once_handle.run(request("search", None)).await,
+        ok(anything())
+    );
     expect_that!(nodes[0].runs(), eq(2));
-    let refusal = once.run(request("deferral", None)).await.unwrap_err();
+    let refusal = once_handle
+        .run(request("deferral", None))
+        .await
+        .unwrap_err();
     expect_that!(refusal.code, eq(RefusalCode::BadRequest));
     expect_that!(refusal.ran, eq(RunState::NotRun));
     expect_that!(refusal.field.as_deref(), some(eq(KEY_HEADER)));
@@ -171,21 +184,21 @@
         session: nodes[0].session,
         sequence: 7,
     };
-    let send = |node: usize| nodes[node].once.run(request("deferral", Some(key)));
+    let send = |node: usize| nodes[node].once_handle.run(request("deferral", Some(key)));
     let (first_outcome, second_outcome, third_outcome) = tokio::join!(send(0), send(1), send(2));
     expect_that!(first_outcome, ok(anything()));
     expect_that!(second_outcome, eq(&first_outcome));
     expect_that!(third_outcome, eq(&first_outcome));
     expect_that!(nodes[0].runs(), eq(1));
-    expect_that!(nodes[0].once.in_flight(), eq(0));
+    expect_that!(nodes[0].once_handle.in_flight(), eq(0));
 
     nodes[0]
         .writers
         .readiness
         .send_replace(NodeReadiness::Stopping);
-    let view = nodes[0].once.views.topology.borrow().clone();
+    let view = nodes[0].once_handle.views.topology.borrow().clone();
     let successor = crate::once::session_successor(&view, key.session).unwrap();
-    let report = nodes[0].once.hand_over(successor).await;
+    let report = nodes[0].once_handle.hand_over(successor).await;
     expect_that!(report.taken, eq(true), "{report}");
     expect_that!(
         (report.sessions, report.outcomes, report.abandoned),
@@ -194,9 +207,12 @@
     nodes[0].stop.cancel();
     let new_key = IdempotencyKey { sequence: 8, ..key };
     for node in &nodes[1..] {
-        let resend_outcome = node.once.run(request("deferral", Some(key))).await;
+        let resend_outcome = node.once_handle.run(request("deferral", Some(key))).await;
         expect_that!(resend_outcome, eq(&first_outcome));
-        let new_key_outcome = node.once.run(request("deferral", Some(new_key))).await;
+        let new_key_outcome = node
+            .once_handle
+            .run(request("deferral", Some(new_key)))
+            .await;
         expect_that!(
             refusal_of(&new_key_outcome),
             some(eq((RefusalCode::Stopping, RunState::NotRun)))
@@ -213,13 +229,19 @@
         session: nodes[0].session,
         sequence: 7,
     };
-    let dropped_call = nodes[1].once.run(request("deferral", Some(key)));
+    let dropped_call = nodes[1].once_handle.run(request("deferral", Some(key)));
     let timed_out = tokio::time::timeout(Duration::from_millis(1), dropped_call).await;
     expect_that!(timed_out.is_err(), eq(true));
-    let resend_outcome = nodes[2].once.run(request("deferral", Some(key))).await;
+    let resend_outcome = nodes[2]
+        .once_handle
+        .run(request("deferral", Some(key)))
+        .await;
     expect_that!(resend_outcome, ok(anything()));
     nodes[0].stop.cancel();
-    let outcome_after_crash = nodes[2].once.run(request("deferral", Some(key))).await;
+    let outcome_after_crash = nodes[2]
+        .once_handle
+        .run(request("deferral", Some(key)))
+        .await;
     expect_that!(
         refusal_of(&outcome_after_crash),
         some(eq((RefusalCode::OutcomeUnknown, RunState::Unknown)))
@@ -235,21 +257,27 @@
         session: nodes[0].session,
         sequence: 7,
     };
-    let first_outcome = nodes[0].once.run(request("deferral", Some(key))).await;
-    let view = nodes[0].once.views.topology.borrow().clone();
+    let first_outcome = nodes[0]
+        .once_handle
+        .run(request("deferral", Some(key)))
+        .await;
+    let view = nodes[0].once_handle.views.topology.borrow().clone();
     let successors = session_successors(&view, key.session);
     let node_index = |vm: VmAddress| nodes.iter().position(|node| node.session.vm == vm);
     let (stopping_node, staying_node) = (
         node_index(successors[0]).unwrap(),
         node_index(successors[1]).unwrap(),
     );
-    nodes[stopping_node].once.hand_over(successors[1]).await;
-    let report = nodes[0].once.hand_over(successors[0]).await;
+    nodes[stopping_node]
+        .once_handle
+        .hand_over(successors[1])
+        .await;
+    let report = nodes[0].once_handle.hand_over(successors[0]).await;
     expect_that!(report.taken, eq(true), "{report}");
     nodes[0].stop.cancel();
     nodes[stopping_node].stop.cancel();
     let resend_outcome = nodes[staying_node]
-        .once
+        .once_handle
         .run(request("deferral", Some(key)))
         .await;
     expect_that!(resend_outcome, eq(&first_outcome));
--- a/crates/ebonyfork/src/once/message.rs
+++ b/crates/ebonyfork/src/once/message.rs
@@ -12,15 +12,15 @@
 pub enum OnceMessage {
     /// A query of the receiver's session, or of a session whose sealed outcomes the receiver may hold.
     Forward {
-        /// Number that the sender assigned to this forward, returned with the outcome.
-        ticket: u64,
+        /// Identifies this forward at its sender; returned with the outcome.
+        forward_id: u64,
         /// The query, including its idempotency key.
         request: QueryRequest,
     },
     /// The answer to a [`OnceMessage::Forward`].
     Outcome {
-        /// Ticket of the forward that is answered.
-        ticket: u64,
+        /// Id of the forward that is answered.
+        forward_id: u64,
         /// What the VM that answers knows about the key.
         outcome: OnceOutcome,
     },
--- a/crates/ebonyfork/src/once/mod.rs
+++ b/crates/ebonyfork/src/once/mod.rs
@@ -24,7 +24,7 @@
 pub use handle::{HandoverReport, OnceHandle};
 pub use message::{HandoverPart, OnceMessage, OnceOutcome, SealedOutcome, TransferId};
 pub use route::{session_candidates, session_successor};
-pub use state::{OnceAction, OnceContext, OnceState, WaiterId};
+pub use state::{NodeConditions, OnceAction, OnceState, WaiterId};
 pub use table::{
     BeginVerdict, MAX_KEPT_BYTES, MAX_KEPT_OUTCOMES, OUTCOME_TTL, OutcomeLimits, OutcomeTable,
     RequestDigest,
--- a/crates/ebonyfork/src/once/model_tests.rs
+++ b/crates/ebonyfork/src/once/model_tests.rs
@@ -16,7 +16,7 @@
 };
 use crate::once::state::OnceActions;
 use crate::once::{
-    OnceAction, OnceContext, OnceMessage, OnceOutcome, OnceState, OutcomeLimits, OutcomeTable,
+    NodeConditions, OnceAction, OnceMessage, OnceOutcome, OnceState, OutcomeLimits, OutcomeTable,
     WaiterId, session_successor,
 };
 use crate::query::{
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy)]
 enum OutcomeReceiver {
     Caller,
-    Peer { link: usize, ticket: u64 },
+    Peer { link: usize, forward_id: u64 },
 }
 
 /// One TCP link between two processes; when it breaks, the messages queued last may be lost.
@@ -223,8 +223,8 @@
         let request = request(key, variant);
         let waiter = self.add_receiver(vm, OutcomeReceiver::Caller, &request);
         let expires_at = self.now + Duration::from_secs(5);
-        self.apply_to_state(vm, tally, |state, context| {
-            state.submit(waiter, key, request, expires_at, context)
+        self.apply_to_state(vm, tally, |state, conditions| {
+            state.submit(waiter, key, request, expires_at, conditions)
         });
     }
 
@@ -246,15 +246,15 @@
         &mut self,
         vm: usize,
         tally: &mut Tally,
-        decide: impl FnOnce(&mut OnceState, &OnceContext<'_>) -> OnceActions,
+        decide: impl FnOnce(&mut OnceState, &NodeConditions<'_>) -> OnceActions,
     ) {
         let view = self.vms[vm].view.clone();
-        let context = OnceContext {
+        let conditions = NodeConditions {
             now: self.now,
             view: &view,
             new_work_refusal: self.vms[vm].new_work_refusal,
         };
-        let actions = decide(&mut self.vms[vm].state, &context);
+        let actions = decide(&mut self.vms[vm].state, &conditions);
         for action in actions {
             match action {
                 OnceAction::Execute(request) => self.execute(vm, &request, tally),
@@ -329,8 +329,11 @@
         if let OnceOutcome::Known(outcome) = &outcome {
             self.check_outcome(&request, outcome, tally);
         }
-        if let OutcomeReceiver::Peer { link, ticket } = receiver {
-            let message = OnceMessage::Outcome { ticket, outcome };
+        if let OutcomeReceiver::Peer { link, forward_id } = receiver {
+            let message = OnceMessage::Outcome {
+                forward_id,
+                outcome,
+            };
             self.enqueue(link, 1, message);
         }
     }
@@ -429,17 +432,23 @@
     fn handle_message(&mut self, vm: usize, link: usize, message: OnceMessage, tally: &mut Tally) {
         let now = self.now;
         match message {
-            OnceMessage::Forward { ticket, request } => {
+            OnceMessage::Forward {
+                forward_id,
+                request,
+            } => {
                 let waiter =
-                    self.add_receiver(vm, OutcomeReceiver::Peer { link, ticket }, &request);
-                self.apply_to_state(vm, tally, |state, context| {
-                    state.handle_forward(waiter, request, context)
+                    self.add_receiver(vm, OutcomeReceiver::Peer { link, forward_id }, &request);
+                self.apply_to_state(vm, tally, |state, conditions| {
+                    state.handle_forward(waiter, request, conditions)
                 });
             }
-            OnceMessage::Outcome { ticket, outcome } => {
+            OnceMessage::Outcome {
+                forward_id,
+                outcome,
+            } => {
                 self.outcome_is_relayed = matches!(outcome, OnceOutcome::Known(_));
-                self.apply_to_state(vm, tally, |state, context| {
-                    state.handle_outcome(ticket, outcome, context)
+                self.apply_to_state(vm, tally, |state, conditions| {
+                    state.handle_outcome(forward_id, outcome, conditions)
                 });
                 self.outcome_is_relayed = false;
             }
@@ -470,8 +479,8 @@
         let (opener, incarnation) = self.links[link].ends[0];
         let (to, _incarnation) = self.links[link].ends[1];
         if self.vms[opener].incarnation() == incarnation {
-            self.apply_to_state(opener, tally, |state, context| {
-                state.handle_link_down(address(to), context)
+            self.apply_to_state(opener, tally, |state, conditions| {
+                state.handle_link_down(address(to), conditions)
             });
         }
     }
--- a/crates/ebonyfork/src/once/state.rs
+++ b/crates/ebonyfork/src/once/state.rs
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaiterId(pub u64);
 
-/// Inputs to a decision besides the state itself.
+/// Conditions of the process at the time of an input: the clock, the topology, and whether new work is accepted.
 #[derive(Debug, Clone, Copy)]
-pub struct OnceContext<'a> {
+pub struct NodeConditions<'a> {
     /// Time since the process started.
     pub now: Duration,
     /// Topology of the deployment as this VM sees it.
@@ -77,7 +77,7 @@
     table: OutcomeTable,
     adopted_sessions: AdoptedSessions,
     pending_forwards: FxHashMap<u64, PendingForward>,
-    next_ticket: u64,
+    next_forward_id: u64,
     next_transfer: u64,
 }
 
@@ -89,7 +89,7 @@
             table: OutcomeTable::new(),
             adopted_sessions: AdoptedSessions::new(),
             pending_forwards: FxHashMap::default(),
-            next_ticket: 0,
+            next_forward_id: 0,
             next_transfer: 0,
         }
     }
@@ -108,11 +108,11 @@
         key: IdempotencyKey,
         request: QueryRequest,
         expires_at: Duration,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
         let digest = RequestDigest::new(&request);
         if key.session == self.own_session {
-            return self.begin(waiter, key, digest, request, context);
+            return self.begin(waiter, key, digest, request, conditions);
         }
         if let Some(outcome) = self
             .adopted_sessions
@@ -120,7 +120,7 @@
         {
             return answer_action(waiter, OnceOutcome::Known(outcome));
         }
-        let mut candidate_vms = session_candidates(context.view, key.session);
+        let mut candidate_vms = session_candidates(conditions.view, key.session);
         candidate_vms.retain(|vm| *vm != self.own_session.vm);
         candidate_vms.reverse();
         let pending_forward = PendingForward {
@@ -132,7 +132,7 @@
             owner_attempts: 0,
             candidate_vms,
         };
-        self.forward_to_next(pending_forward, context)
+        self.forward_to_next(pending_forward, conditions)
     }
 
     /// Handles a query that a peer forwarded; it is never forwarded again.
@@ -140,14 +140,14 @@
         &mut self,
         waiter: WaiterId,
         request: QueryRequest,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
         let Some(key) = request.key else {
             return answer_action(waiter, OnceOutcome::NotHeld);
         };
         let digest = RequestDigest::new(&request);
         if key.session == self.own_session {
-            return self.begin(waiter, key, digest, request, context);
+            return self.begin(waiter, key, digest, request, conditions);
         }
         let outcome = self
             .adopted_sessions
@@ -161,11 +161,11 @@
     /// Handles a peer's answer to a forward.
     pub fn handle_outcome(
         &mut self,
-        ticket: u64,
+        forward_id: u64,
         outcome: OnceOutcome,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
-        let Some(pending_forward) = self.pending_forwards.remove(&ticket) else {
+        let Some(pending_forward) = self.pending_forwards.remove(&forward_id) else {
             return OnceActions::new();
         };
         match outcome {
@@ -176,31 +176,39 @@
                 if pending_forward.asked_vm == pending_forward.session.vm {
                     pending_forward.owner_attempts = MAX_OWNER_ATTEMPTS;
                 }
-                self.forward_to_next(pending_forward, context)
+                self.forward_to_next(pending_forward, conditions)
             }
         }
     }
 
     /// Handles a forward that could not be sent: asks the next VM.
-    pub fn handle_send_failure(&mut self, ticket: u64, context: &OnceContext<'_>) -> OnceActions {
-        match self.pending_forwards.remove(&ticket) {
-            Some(pending_forward) => self.forward_to_next(pending_forward, context),
+    pub fn handle_send_failure(
+        &mut self,
+        forward_id: u64,
+        conditions: &NodeConditions<'_>,
+    ) -> OnceActions {
+        match self.pending_forwards.remove(&forward_id) {
+            Some(pending_forward) => self.forward_to_next(pending_forward, conditions),
             None => OnceActions::new(),
         }
     }
 
     /// Handles a broken link to a VM: forwards to it are repeated, to the same VM or to others.
-    pub fn handle_link_down(&mut self, vm: VmAddress, context: &OnceContext<'_>) -> OnceActions {
-        let mut tickets: SmallVec<[u64; 16]> = SmallVec::new();
-        for (ticket, pending_forward) in &self.pending_forwards {
+    pub fn handle_link_down(
+        &mut self,
+        vm: VmAddress,
+        conditions: &NodeConditions<'_>,
+    ) -> OnceActions {
+        let mut forward_ids: SmallVec<[u64; 16]> = SmallVec::new();
+        for (forward_id, pending_forward) in &self.pending_forwards {
             if pending_forward.asked_vm == vm {
-                tickets.push(*ticket);
+                forward_ids.push(*forward_id);
             }
         }
-        tickets.sort_unstable();
+        forward_ids.sort_unstable();
         let mut actions = OnceActions::new();
-        for ticket in tickets {
-            actions.extend(self.handle_send_failure(ticket, context));
+        for forward_id in forward_ids {
+            actions.extend(self.handle_send_failure(forward_id, conditions));
         }
         actions
     }
@@ -240,7 +248,7 @@
         self.table.expire(now);
         self.adopted_sessions.expire(now);
         self.pending_forwards
-            .retain(|_ticket, pending_forward| pending_forward.expires_at > now);
+            .retain(|_forward_id, pending_forward| pending_forward.expires_at > now);
     }
 
     /// Returns the number of keys whose query is running.
@@ -264,12 +272,12 @@
         key: IdempotencyKey,
         digest: RequestDigest,
         request: QueryRequest,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
-        self.table.expire(context.now);
+        self.table.expire(conditions.now);
         match self
             .table
-            .begin(key.sequence, digest, waiter, context.new_work_refusal)
+            .begin(key.sequence, digest, waiter, conditions.new_work_refusal)
         {
             BeginVerdict::Execute => SmallVec::from_iter([OnceAction::Execute(request)]),
             BeginVerdict::Joined => OnceActions::new(),
@@ -281,11 +289,11 @@
     fn forward_to_next(
         &mut self,
         pending_forward: PendingForward,
-        context: &OnceContext<'_>,
+        conditions: &NodeConditions<'_>,
     ) -> OnceActions {
         let mut pending_forward = pending_forward;
         let owner_vm = pending_forward.session.vm;
-        let may_be_running = self.may_be_running(pending_forward.session, context.view);
+        let may_be_running = self.may_be_running(pending_forward.session, conditions.view);
         if may_be_running && pending_forward.owner_attempts < MAX_OWNER_ATTEMPTS {
             pending_forward.owner_attempts += 1;
             return self.forward_to(pending_forward, owner_vm);
@@ -301,15 +309,18 @@
     }
 
     fn forward_to(&mut self, pending_forward: PendingForward, vm: VmAddress) -> OnceActions {
-        let ticket = self.next_ticket;
-        self.next_ticket += 1;
+        let forward_id = self.next_forward_id;
+        self.next_forward_id += 1;
         let request = pending_forward.request.clone();
         let pending_forward = PendingForward {
             asked_vm: vm,
             ..pending_forward
         };
-        self.pending_forwards.insert(ticket, pending_forward);
-        let message = OnceMessage::Forward { ticket, request };
+        self.pending_forwards.insert(forward_id, pending_forward);
+        let message = OnceMessage::Forward {
+            forward_id,
+            request,
+        };
         SmallVec::from_iter([OnceAction::Send { vm, message }])
     }
 
--- a/crates/ebonyfork/src/once/state_tests.rs
+++ b/crates/ebonyfork/src/once/state_tests.rs
@@ -26,7 +26,11 @@
     TopologyView::new(entries, [])
 }
 
-fn submit(state: &mut OnceState, session: SessionId, context: &OnceContext<'_>) -> OnceActions {
+fn submit(
+    state: &mut OnceState,
+    session: SessionId,
+    conditions: &NodeConditions<'_>,
+) -> OnceActions {
     let key = IdempotencyKey {
         session,
         sequence: 5,
@@ -40,15 +44,15 @@
         key: Some(key),
         caller_id: None,
     };
-    state.submit(WAITER, key, request, NOW * 10, context)
+    state.submit(WAITER, key, request, NOW * 10, conditions)
 }
 
 fn forwarded_to(actions: &OnceActions) -> Option<(VmAddress, u64)> {
     match actions.first()? {
         OnceAction::Send {
             vm,
-            message: OnceMessage::Forward { ticket, .. },
-        } => Some((*vm, *ticket)),
+            message: OnceMessage::Forward { forward_id, .. },
+        } => Some((*vm, *forward_id)),
         _ => None,
     }
 }
@@ -124,20 +128,20 @@
     ];
     for (name, vms, session_of_key, links_break, expected, has_retry_delay) in cases {
         let view = view(vms);
-        let context = OnceContext {
+        let conditions = NodeConditions {
             now: NOW,
             view: &view,
             new_work_refusal: None,
         };
         let mut state = OnceState::new(session(1, 9));
-        let mut actions = submit(&mut state, *session_of_key, &context);
+        let mut actions = submit(&mut state, *session_of_key, &conditions);
         let mut asked_vms = Vec::new();
-        while let Some((vm, ticket)) = forwarded_to(&actions) {
+        while let Some((vm, forward_id)) = forwarded_to(&actions) {
             asked_vms.push(vm);
             actions = if *links_break {
-                state.handle_link_down(vm, &context)
+                state.handle_link_down(vm, &conditions)
             } else {
-                state.handle_outcome(ticket, OnceOutcome::NotHeld, &context)
+                state.handle_outcome(forward_id, OnceOutcome::NotHeld, &conditions)
             };
         }
         // Successors are asked in order of rank, which differs from the order of their numbers.
@@ -157,21 +161,24 @@
 #[gtest]
 fn a_successor_answers_for_a_sealed_session_and_hands_it_over_in_turn() {
     let view = view(&[(1, 9), (2, 9), (3, 9)]);
-    let context = OnceContext {
+    let conditions = NodeConditions {
         now: NOW,
         view: &view,
         new_work_refusal: None,
     };
     let mut states = [1, 2, 3].map(|number| OnceState::new(session(number, 9)));
     let first_session = session(1, 9);
-    expect_that!(submit(&mut states[0], first_session, &context).len(), eq(1));
+    expect_that!(
+        submit(&mut states[0], first_session, &conditions).len(),
+        eq(1)
+    );
     let refusal = QueryRefusal::new(RefusalCode::UpstreamFailed, RunState::Ran, "failed");
     states[0].finish(5, Err(refusal), NOW);
     for (from, to) in [(0, 1), (1, 2)] {
         for part in states[from].seal() {
             states[to].add_part(part, NOW);
         }
-        let actions = submit(&mut states[to], first_session, &context);
+        let actions = submit(&mut states[to], first_session, &conditions);
         expect_that!(
             refusal_and_retry(&actions),
             some(eq((RefusalCode::UpstreamFailed, false)))
--- a/crates/ebonyfork/src/operator/server.rs
+++ b/crates/ebonyfork/src/operator/server.rs
@@ -52,7 +52,9 @@
 }
 
 impl OperatorService {
-    /// Creates a service for the metrics in `registry`, the readiness and the status; no request is quarantined.
+    /// Creates a service that answers with the metrics in `registry`, with the readiness from `is_ready` and with the
+    /// status from `status`. It lists no quarantined request and lifts no quarantine until
+    /// [`with_quarantine`](Self::with_quarantine) sets the functions for that.
     pub fn new(
         registry: Registry,
         is_ready: impl Fn() -> bool + Send + Sync + 'static,
@@ -104,7 +106,7 @@
     fn answer_metrics(&self) -> Response<Full<Bytes>> {
         let mut metrics_text = String::new();
         match prometheus_client::encoding::text::encode(&mut metrics_text, &self.registry) {
-            Ok(()) => response_with(StatusCode::OK, OPENMETRICS_TYPE, metrics_text),
+            Ok(()) => response_with_content_type(StatusCode::OK, OPENMETRICS_TYPE, metrics_text),
             Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
         }
     }
@@ -127,17 +129,17 @@
 }
 
 fn text_response(status: StatusCode, body: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    response_with(status, TEXT_TYPE, body)
+    response_with_content_type(status, TEXT_TYPE, body)
 }
 
 fn json_response(value: &impl Serialize) -> Response<Full<Bytes>> {
     match serde_json::to_vec(value) {
-        Ok(body) => response_with(StatusCode::OK, JSON_TYPE, body),
+        Ok(body) => response_with_content_type(StatusCode::OK, JSON_TYPE, body),
         Err(error) => text_response(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
     }
 }
 
-fn response_with(
+fn response_with_content_type(
     status: StatusCode,
     content_type: &'static str,
     body: impl Into<Bytes>,
--- a/crates/ebonyfork/src/operator/status.rs
+++ b/crates/ebonyfork/src/operator/status.rs
@@ -75,7 +75,8 @@
     pub queries: usize,
     /// Number of non-idempotent queries that run under keys of the process's own session, or wait for another VM.
     pub keyed: usize,
-    /// Number of shard requests that the process has queued or sent as relay.
+    /// Number of shard requests that wait in the process's queues as relay, or that it has sent to upstreams, and that
+    /// have no outcome yet.
     pub attempts: usize,
 }
 
--- a/crates/ebonyfork/src/settings/mod.rs
+++ b/crates/ebonyfork/src/settings/mod.rs
@@ -57,7 +57,8 @@
     pub hedge: bool,
     /// Whether a query is refused if it is predicted to finish too late.
     pub admission: bool,
-    /// Whether a class that misses its target clamps classes with longer targets, as io.latency in Linux does.
+    /// Whether a relay limits the attempts in flight of classes with looser latency targets while a class with a tighter
+    /// target misses it at the same upstream, as io.latency in Linux does.
     pub clamp: bool,
 }
 
