--- a/crates/ebonyfork/benches/relay.rs
+++ b/crates/ebonyfork/benches/relay.rs
@@ -9,7 +9,7 @@
 };
 use ebonyfork::settings::{LimitMode, QueueOrder};
 
-/// Attempts that wait in the queue during a measurement.
+/// Number of attempts that wait in the queue during a measurement.
 const QUEUED_ATTEMPTS: u32 = 512;
 
 fn queue_entry(work: u32, organisations: u32, now: Duration) -> QueueEntry {
--- a/crates/ebonyfork/benches/relay_load.rs
+++ b/crates/ebonyfork/benches/relay_load.rs
@@ -1,7 +1,7 @@
 //! Measures the shard requests per second through a whole relay, and the processor time of its threads.
 //!
 //! The relay has its own runtime. Upstreams that answer at once run in the same process, on other threads.
-//! `cargo bench -p ebonyfork --bench relay_load`.
+//! Run it with `cargo bench -p ebonyfork --bench relay_load`.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -160,7 +160,7 @@
         total_traffic
     }
 
-    /// Counts the pairs of running members of which one holds the other for failed.
+    /// Counts the pairs of running members of which one considers the other failed.
     fn false_failures(&self) -> usize {
         let mut count = 0;
         for (_, handle) in &self.members {
@@ -219,8 +219,11 @@
         detection_times.extend(watcher.await.expect("watcher"));
     }
     detection_times.sort_unstable_by(f64::total_cmp);
-    let expected = stopped_vms.len() * fleet.members.len();
-    eprintln!("# {} of {expected} failures learnt", detection_times.len());
+    let expected_detections = stopped_vms.len() * fleet.members.len();
+    eprintln!(
+        "# {} of {expected_detections} failures learnt",
+        detection_times.len()
+    );
     let quantile =
         |share: f64| detection_times[((detection_times.len() - 1) as f64 * share) as usize];
     println!(
--- a/crates/ebonyfork/src/lifecycle/fence_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/fence_tests.rs
@@ -25,7 +25,7 @@
     let mut state = FenceState::new(FenceLimits::default(), Duration::ZERO);
     let mut caught_up_at = 0;
     let mut changes = Vec::new();
-    let mut previous = None;
+    let mut previous_cause = None;
     for now in (0..=end_ms).step_by(100) {
         for event in events {
             match *event {
@@ -38,10 +38,10 @@
             }
         }
         let cause = state.evaluate(ms(now), now >= caught_up_at);
-        if cause != previous {
+        if cause != previous_cause {
             changes.push((now, cause));
         }
-        previous = cause;
+        previous_cause = cause;
     }
     changes
 }
--- a/crates/ebonyfork/src/lifecycle/handle.rs
+++ b/crates/ebonyfork/src/lifecycle/handle.rs
@@ -83,7 +83,7 @@
     metrics: LifecycleMetrics,
 }
 
-/// Everything that the readiness follows from, and the channel it is published on.
+/// Inputs that determine the readiness of the process, and the channel that publishes it.
 #[derive(Debug)]
 struct LifecycleState {
     pause_detector: PauseDetector,
@@ -174,10 +174,10 @@
         keyed: bool,
         run: impl Future<Output = QueryOutcome>,
     ) -> QueryOutcome {
-        let serving = &self.shared.serving;
+        let serving_count = &self.shared.serving;
         // Counted before the readiness is read: a stop changes the readiness before it counts, so it misses no request.
-        serving.fetch_add(1, Ordering::SeqCst);
-        let _guard = ServingGuard(serving);
+        serving_count.fetch_add(1, Ordering::SeqCst);
+        let _guard = ServingGuard(serving_count);
         let readiness = self.update_readiness();
         if !keyed && !readiness.accepts_work() {
             self.shared.metrics.refusals.inc();
--- a/crates/ebonyfork/src/lifecycle/handle_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/handle_tests.rs
@@ -139,10 +139,10 @@
     });
     let later_requests = async {
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let accepted = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
+        let accepted_outcome = lifecycle.handle.serve(false, async { Ok(answer()) }).await;
         tokio::time::sleep(Duration::from_secs(1)).await;
         (
-            accepted,
+            accepted_outcome,
             lifecycle.handle.serve(false, async { Ok(answer()) }).await,
         )
     };
--- a/crates/ebonyfork/src/lifecycle/pause.rs
+++ b/crates/ebonyfork/src/lifecycle/pause.rs
@@ -55,9 +55,9 @@
     /// Compares a reading with the previous one; returns the gap if the process was paused in between. A wall clock
     /// that is set back is ignored; one that is set forward looks like a pause and fences the process for a moment.
     pub fn observe(&mut self, reading: ClockReading) -> Option<Duration> {
-        let previous = self.last_reading.replace(reading)?;
-        let monotonic_gap = reading.monotonic.saturating_sub(previous.monotonic);
-        let wall_gap = reading.wall.saturating_sub(previous.wall);
+        let previous_reading = self.last_reading.replace(reading)?;
+        let monotonic_gap = reading.monotonic.saturating_sub(previous_reading.monotonic);
+        let wall_gap = reading.wall.saturating_sub(previous_reading.wall);
         let gap = monotonic_gap.max(wall_gap);
         (gap > self.limit).then_some(gap)
     }
--- a/crates/ebonyfork/src/lifecycle/stopping.rs
+++ b/crates/ebonyfork/src/lifecycle/stopping.rs
@@ -12,9 +12,10 @@
 }
 
 impl StopPlan {
-    /// Added to the time to live of locate answers, for answers that are still on their way.
+    /// Added to the time to live of locate answers, because an answer may reach its caller late.
     pub const LOCATE_MARGIN: Duration = Duration::from_millis(500);
-    /// How long nothing must have been in flight: a message on its way between two VMs is counted by neither.
+    /// How long no work must have been in flight before the handover: a message on its way between two VMs is counted
+    /// by neither.
     pub const IDLE_TIME: Duration = Duration::from_millis(100);
 
     /// Creates a plan with these time limits.
@@ -56,7 +57,7 @@
     started_at: Duration,
     /// When [`StopPhase::Finishing`] began.
     finishing_since: Option<Duration>,
-    /// Since when nothing has been in flight.
+    /// Time since which no work has been in flight; `None` while some is.
     idle_since: Option<Duration>,
     phase: StopPhase,
     given_up: usize,
--- a/crates/ebonyfork/src/once/actor.rs
+++ b/crates/ebonyfork/src/once/actor.rs
@@ -45,7 +45,7 @@
     pub(super) kept_bytes: Gauge,
 }
 
-/// The receiver of an outcome.
+/// Where the outcome of a query goes: to the caller, or to the peer that forwarded the query.
 enum OutcomeReceiver {
     Caller(oneshot::Sender<QueryOutcome>),
     Peer { link: LinkSender, forward_id: u64 },
@@ -99,7 +99,7 @@
     pub(super) on_confirmed: oneshot::Sender<()>,
 }
 
-/// Counts of what was sent to a successor.
+/// Numbers of sessions and outcomes sent to a successor, and of runs that had not ended by then.
 pub(super) struct SentHandover {
     pub(super) session_count: usize,
     pub(super) outcome_count: usize,
@@ -392,7 +392,7 @@
                 );
             }
         }
-        let sent = SentHandover {
+        let sent_handover = SentHandover {
             session_count: sessions.len(),
             outcome_count,
             abandoned_runs: self.state.running_count(),
@@ -401,7 +401,7 @@
             unconfirmed_sessions: sessions,
             on_confirmed: Some(message.on_confirmed),
         });
-        sent
+        sent_handover
     }
 }
 
--- a/crates/ebonyfork/src/once/adopted_tests.rs
+++ b/crates/ebonyfork/src/once/adopted_tests.rs
@@ -72,12 +72,12 @@
             adopted.add_part(part.clone(), NOW),
             eq(number + 1 == parts.len())
         );
-        let expected = if number + 1 == parts.len() {
+        let expected_refusal = if number + 1 == parts.len() {
             (RefusalCode::Stopping, RunState::NotRun)
         } else {
             (RefusalCode::OutcomeUnknown, RunState::Unknown)
         };
-        expect_that!(refusal_of(&adopted, 3), some(eq(expected)));
+        expect_that!(refusal_of(&adopted, 3), some(eq(expected_refusal)));
     }
     expect_that!(
         refusal_of(&adopted, 7),
--- a/crates/ebonyfork/src/once/handle.rs
+++ b/crates/ebonyfork/src/once/handle.rs
@@ -153,14 +153,14 @@
 
     async fn hand_over_to(&self, successor: VmAddress) -> HandoverReport {
         let (on_confirmed, confirmation) = oneshot::channel();
-        let sent = self
+        let sent_handover = self
             .actor
             .send(StartHandover {
                 successor,
                 on_confirmed,
             })
             .await;
-        let Ok(sent) = sent else {
+        let Ok(sent_handover) = sent_handover else {
             return HandoverReport {
                 sessions: 0,
                 outcomes: 0,
@@ -170,9 +170,9 @@
         };
         let confirmation = tokio::time::timeout(HANDOVER_TIMEOUT, confirmation).await;
         HandoverReport {
-            sessions: sent.session_count,
-            outcomes: sent.outcome_count,
-            abandoned: sent.abandoned_runs,
+            sessions: sent_handover.session_count,
+            outcomes: sent_handover.outcome_count,
+            abandoned: sent_handover.abandoned_runs,
             taken: matches!(confirmation, Ok(Ok(()))),
         }
     }
--- a/crates/ebonyfork/src/once/message.rs
+++ b/crates/ebonyfork/src/once/message.rs
@@ -50,9 +50,13 @@
     if outcome_bytes(&outcome) <= MAX_FRAME_BYTES {
         return outcome;
     }
-    let ran = outcome.map_or_else(|refusal| refusal.ran, |_answer| RunState::Ran);
+    let run_state = outcome.map_or_else(|refusal| refusal.ran, |_answer| RunState::Ran);
     let message = "the answer is too large to pass between VMs; ask the session's own address";
-    Err(QueryRefusal::new(RefusalCode::UpstreamFailed, ran, message))
+    Err(QueryRefusal::new(
+        RefusalCode::UpstreamFailed,
+        run_state,
+        message,
+    ))
 }
 
 /// The outcome of one idempotency key of a sealed session.
--- a/crates/ebonyfork/src/once/model_tests.rs
+++ b/crates/ebonyfork/src/once/model_tests.rs
@@ -28,10 +28,10 @@
 const STEPS_PER_HISTORY: usize = 120;
 const KEYS_PER_SESSION: u64 = 5;
 const DEFAULT_HISTORIES: u64 = 3_000;
-/// Longer than adopted sessions and outcomes are kept; the model sometimes advances its clock by this.
+/// Time by which the model sometimes advances its clock. Outcomes and adopted sessions are kept for less time.
 const LONG_DELAY: Duration = Duration::from_mins(11);
 
-/// The receiver of an outcome.
+/// Where the outcome of a query goes: to the caller, or to the peer that forwarded the query over a link.
 #[derive(Clone, Copy)]
 enum OutcomeReceiver {
     Caller,
@@ -42,7 +42,7 @@
 struct Link {
     /// VM index and incarnation of the opener and of the other end.
     ends: [(usize, u64); 2],
-    /// Messages on their way, by direction: from the opener, then to the opener.
+    /// Messages sent and not yet received, by direction: from the opener, then to the opener.
     queues: [VecDeque<OnceMessage>; 2],
     broken: bool,
 }
@@ -69,7 +69,7 @@
     outcome: Option<QueryOutcome>,
 }
 
-/// All VMs, the links between them, and what really happened.
+/// All VMs, the links between them, and what really happened to each key.
 struct Model {
     rng: ChaCha8Rng,
     now: Duration,
@@ -80,7 +80,7 @@
     sessions: Vec<SessionId>,
     /// Last number used for an incarnation, a waiter or an answer.
     last_number: u64,
-    /// Whether the outcome being handled was given by another VM.
+    /// Whether the outcome that is being checked was returned by another VM.
     outcome_is_relayed: bool,
 }
 
--- a/crates/ebonyfork/src/once/route.rs
+++ b/crates/ebonyfork/src/once/route.rs
@@ -39,17 +39,17 @@
     view: &TopologyView,
     session: SessionId,
 ) -> SmallVec<[VmAddress; 4]> {
-    let staying = view.vms.values();
-    let staying = staying.filter(|entry| !entry.leaving && entry.vm != session.vm);
-    rank_vms(staying.map(|entry| entry.vm), session)
+    let staying_entries = view.vms.values();
+    let staying_entries = staying_entries.filter(|entry| !entry.leaving && entry.vm != session.vm);
+    rank_vms(staying_entries.map(|entry| entry.vm), session)
 }
 
 fn rank_vms(vms: impl Iterator<Item = VmAddress>, session: SessionId) -> SmallVec<[VmAddress; 4]> {
-    let mut ranked: SmallVec<[(u64, VmAddress); 16]> = SmallVec::new();
-    ranked.extend(vms.map(|vm| (session_score(session, vm), vm)));
-    ranked.sort_unstable_by(|a, b| b.cmp(a));
-    let best = ranked.iter().take(MAX_CANDIDATES);
-    best.map(|(_score, vm)| *vm).collect()
+    let mut ranked_vms: SmallVec<[(u64, VmAddress); 16]> = SmallVec::new();
+    ranked_vms.extend(vms.map(|vm| (session_score(session, vm), vm)));
+    ranked_vms.sort_unstable_by(|a, b| b.cmp(a));
+    let best_vms = ranked_vms.iter().take(MAX_CANDIDATES);
+    best_vms.map(|(_score, vm)| *vm).collect()
 }
 
 fn session_score(session: SessionId, vm: VmAddress) -> u64 {
--- a/crates/ebonyfork/src/operator/server.rs
+++ b/crates/ebonyfork/src/operator/server.rs
@@ -32,7 +32,7 @@
 type LiftQuarantineFunction = dyn Fn(RequestFingerprint) -> bool + Send + Sync;
 type IsReadyFunction = dyn Fn() -> bool + Send + Sync;
 
-/// Sources of the answers on the operators' port, and its one operation.
+/// Functions that provide the answers on the operators' port, and the function that lifts a quarantine.
 #[derive(Clone)]
 pub struct OperatorService {
     registry: Arc<Registry>,
@@ -158,11 +158,11 @@
     stop: CancellationToken,
 ) {
     loop {
-        let accepted = tokio::select! {
-            accepted = listener.accept() => accepted,
+        let accept_result = tokio::select! {
+            accept_result = listener.accept() => accept_result,
             () = stop.cancelled() => return,
         };
-        let Ok((stream, _from)) = accepted else {
+        let Ok((stream, _from)) = accept_result else {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
         };
--- a/crates/ebonyfork/src/operator/status.rs
+++ b/crates/ebonyfork/src/operator/status.rs
@@ -8,7 +8,8 @@
     UpstreamAddress, VmAddress, ZoneName,
 };
 
-/// Status of one process.
+/// Readiness, configuration revision, topology and work in flight of one process, as the operators' port returns them
+/// at `/status`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
     /// Text form of the process's [`SessionId`].
