--- a/crates/ebonyfork/src/lifecycle/stopping_tests.rs
+++ b/crates/ebonyfork/src/lifecycle/stopping_tests.rs
@@ -37,7 +37,7 @@
             (5_500, 6_000, 2),
         ),
     ];
-    for (name, in_flight, second_signal_at, expected) in cases {
+    for (name, in_flight, second_signal_at, expected_times_and_abandoned) in cases {
         let plan = StopPlan::new(Duration::from_secs(5), Duration::from_secs(10));
         let mut run = StopRun::new(plan, Duration::ZERO);
         let mut finishing_at = None;
@@ -58,7 +58,7 @@
         }
         expect_that!(
             (finishing_at.unwrap(), now_ms, run.given_up()),
-            eq(expected),
+            eq(expected_times_and_abandoned),
             "{name}"
         );
     }
--- a/crates/ebonyfork/src/once/handle_tests.rs
+++ b/crates/ebonyfork/src/once/handle_tests.rs
@@ -63,7 +63,7 @@
             move |event| {
                 let own_handle = Arc::clone(&own_handle);
                 Box::pin(async move {
-                    let Some(once_handle) = own_handle.get() else {
+                    let Some(handle) = own_handle.get() else {
                         return;
                     };
                     match event {
@@ -71,11 +71,9 @@
                             from,
                             message: PeerMessage::Once(message),
                         } => {
-                            once_handle.handle_message(from, message).await;
-                        }
-                        LinkEvent::Down { vm, unsent } => {
-                            once_handle.handle_link_down(vm, unsent).await
+                            handle.handle_message(from, message).await;
                         }
+                        LinkEvent::Down { vm, unsent } => handle.handle_link_down(vm, unsent).await,
                         LinkEvent::Message { .. } => {}
                     }
                 })
--- a/crates/ebonyfork/src/once/state_tests.rs
+++ b/crates/ebonyfork/src/once/state_tests.rs
@@ -126,7 +126,7 @@
         ),
         ("no other VM", ONLY_VM1, session(2, 9), false, &[], false),
     ];
-    for (name, vms, session_of_key, links_break, expected, has_retry_delay) in cases {
+    for (name, vms, session_of_key, links_break, expected_vm_numbers, has_retry_delay) in cases {
         let view = view(vms);
         let conditions = NodeConditions {
             now: NOW,
@@ -145,10 +145,13 @@
             };
         }
         // Successors are asked in order of rank, which differs from the order of their numbers.
-        let mut expected: Vec<_> = expected.iter().map(|number| vm(*number)).collect();
+        let mut expected_vms: Vec<_> = expected_vm_numbers
+            .iter()
+            .map(|number| vm(*number))
+            .collect();
         asked_vms.sort();
-        expected.sort();
-        expect_that!(asked_vms, eq(&expected), "{name}");
+        expected_vms.sort();
+        expect_that!(asked_vms, eq(&expected_vms), "{name}");
         expect_that!(
             refusal_and_retry(&actions),
             some(eq((RefusalCode::OutcomeUnknown, *has_retry_delay))),
--- a/crates/ebonyfork/src/once/table_tests.rs
+++ b/crates/ebonyfork/src/once/table_tests.rs
@@ -28,14 +28,14 @@
 fn a_resend_gets_the_outcome_of_its_key() {
     type Prepare = fn(&mut OutcomeTable);
     let now = Duration::from_secs(1);
-    let running: Prepare = |table| {
+    let start_run: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
     };
-    let ran: Prepare = |table| {
+    let finish_run: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
     };
-    let not_run: Prepare = |table| {
+    let refuse_run: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(
             1,
@@ -43,7 +43,7 @@
             Duration::from_secs(1),
         );
     };
-    let broken_off: Prepare = |table| {
+    let fail_run: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(
             1,
@@ -51,33 +51,33 @@
             Duration::ZERO,
         );
     };
-    let evicted_key: Prepare = |table| {
+    let evict_key: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
         table.expire(Duration::from_secs(1) + OUTCOME_TTL);
     };
-    let too_large: Prepare = |table| {
+    let finish_oversized_run: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(MAX_KEPT_BYTES / 2)), Duration::from_secs(1));
     };
-    let sealed_new: Prepare = OutcomeTable::seal;
-    let sealed_ran: Prepare = |table| {
+    let seal_unused: Prepare = OutcomeTable::seal;
+    let seal_after_run: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.finish(1, &Ok(answer(3)), Duration::from_secs(1));
         table.seal();
     };
-    let sealed_running: Prepare = |table| {
+    let seal_while_running: Prepare = |table| {
         table.begin(1, DIGEST, FIRST_WAITER, None);
         table.seal();
     };
-    let never_sent: Prepare = |_table| {};
+    let leave_unused: Prepare = |_table| {};
     let refused_as = |code, ran| Some((code, ran));
     let (stopping_code, fenced_code) = (Some(RefusalCode::Stopping), Some(RefusalCode::NotReady));
     let cases = [
-        ("new", never_sent, DIGEST, None, "execute", None),
+        ("new", leave_unused, DIGEST, None, "execute", None),
         (
             "new, fenced",
-            never_sent,
+            leave_unused,
             DIGEST,
             fenced_code,
             "refusal",
@@ -85,7 +85,7 @@
         ),
         (
             "new, stopping",
-            never_sent,
+            leave_unused,
             DIGEST,
             stopping_code,
             "refusal",
@@ -93,16 +93,16 @@
         ),
         (
             "new, sealed",
-            sealed_new,
+            seal_unused,
             DIGEST,
             None,
             "refusal",
             refused_as(RefusalCode::Stopping, RunState::NotRun),
         ),
-        ("running", running, DIGEST, None, "join", None),
+        ("running", start_run, DIGEST, None, "join", None),
         (
             "running, fenced",
-            running,
+            start_run,
             DIGEST,
             fenced_code,
             "join",
@@ -110,7 +110,7 @@
         ),
         (
             "running, sealed",
-            sealed_running,
+            seal_while_running,
             DIGEST,
             None,
             "join",
@@ -118,27 +118,41 @@
         ),
         (
             "running, another request",
-            running,
+            start_run,
             OTHER_DIGEST,
             None,
             "refusal",
             refused_as(RefusalCode::BadRequest, RunState::NotRun),
         ),
-        ("ran", ran, DIGEST, None, "answer", None),
-        ("ran, stopping", ran, DIGEST, stopping_code, "answer", None),
-        ("ran, sealed", sealed_ran, DIGEST, None, "answer", None),
+        ("ran", finish_run, DIGEST, None, "answer", None),
+        (
+            "ran, stopping",
+            finish_run,
+            DIGEST,
+            stopping_code,
+            "answer",
+            None,
+        ),
+        ("ran, sealed", seal_after_run, DIGEST, None, "answer", None),
         (
             "ran, another request",
-            ran,
+            finish_run,
             OTHER_DIGEST,
             None,
             "refusal",
             refused_as(RefusalCode::BadRequest, RunState::NotRun),
         ),
-        ("refused as not run", not_run, DIGEST, None, "execute", None),
+        (
+            "refused as not run",
+            refuse_run,
+            DIGEST,
+            None,
+            "execute",
+            None,
+        ),
         (
             "refused as not run, another request",
-            not_run,
+            refuse_run,
             OTHER_DIGEST,
             None,
             "execute",
@@ -146,7 +160,7 @@
         ),
         (
             "broke off",
-            broken_off,
+            fail_run,
             DIGEST,
             None,
             "refusal",
@@ -154,7 +168,7 @@
         ),
         (
             "evicted",
-            evicted_key,
+            evict_key,
             DIGEST,
             None,
             "refusal",
@@ -162,7 +176,7 @@
         ),
         (
             "evicted, fenced",
-            evicted_key,
+            evict_key,
             DIGEST,
             fenced_code,
             "refusal",
@@ -170,7 +184,7 @@
         ),
         (
             "too large to keep",
-            too_large,
+            finish_oversized_run,
             DIGEST,
             None,
             "refusal",
