--- a/crates/ebonyfork/src/relay/clamp.rs
+++ b/crates/ebonyfork/src/relay/clamp.rs
@@ -7,7 +7,7 @@
 //! window in which no class misses its target, because all meet it or because the class with the tight target is idle,
 //! raises the depths again by one attempt.
 //!
-//! Pure. Enabled by [`crate::settings::ExperimentSwitches::clamp`].
+//! Pure. Enabled by [`crate::settings::ExperimentSwitches::clamp_looser_classes`].
 
 use std::time::Duration;
 
--- a/crates/ebonyfork/src/relay/policy_tests.rs
+++ b/crates/ebonyfork/src/relay/policy_tests.rs
@@ -410,7 +410,7 @@
         // as in io.latency.
         for late_share in [None, Some(0.01), Some(0.1)] {
             let switches = ExperimentSwitches {
-                clamp: late_share.is_some(),
+                clamp_looser_classes: late_share.is_some(),
                 ..Default::default()
             };
             for slots in [2, 6] {
--- a/crates/ebonyfork/src/relay/upstream.rs
+++ b/crates/ebonyfork/src/relay/upstream.rs
@@ -67,7 +67,7 @@
     limit: ConcurrencyLimit,
     service_times: ServiceTimes,
     /// Limits on the attempts in flight of each class; none unless
-    /// [`clamp`](crate::settings::ExperimentSwitches::clamp) is enabled.
+    /// [`clamp_looser_classes`](crate::settings::ExperimentSwitches::clamp_looser_classes) is enabled.
     clamp: Option<ClassClamp>,
     pool: ConnectionPool,
     /// Whether this VM may hold a further connection for cancellations.
@@ -108,7 +108,7 @@
             suspects: SuspectQueue::default(),
             limit: ConcurrencyLimit::new(switches.limit, 0),
             service_times: ServiceTimes::default(),
-            clamp: switches.clamp.then(ClassClamp::default),
+            clamp: switches.clamp_looser_classes.then(ClassClamp::default),
             pool: ConnectionPool::new(id),
             has_cancel_connection: false,
             leaving: false,
--- a/crates/ebonyfork/src/settings/mod.rs
+++ b/crates/ebonyfork/src/settings/mod.rs
@@ -59,7 +59,7 @@
     pub admission: bool,
     /// Whether a relay limits the attempts in flight of classes with looser latency targets while a class with a tighter
     /// target misses it at the same upstream, as io.latency in Linux does.
-    pub clamp: bool,
+    pub clamp_looser_classes: bool,
 }
 
 impl Default for ExperimentSwitches {
@@ -70,7 +70,7 @@
             limit: LimitMode::Adaptive,
             hedge: true,
             admission: true,
-            clamp: false,
+            clamp_looser_classes: false,
         }
     }
 }
@@ -100,7 +100,9 @@
         self.admission = reader
             .choice("admission", &ON_OFF)
             .unwrap_or(self.admission);
-        self.clamp = reader.choice("clamp", &ON_OFF).unwrap_or(self.clamp);
+        self.clamp_looser_classes = reader
+            .choice("clamp", &ON_OFF)
+            .unwrap_or(self.clamp_looser_classes);
         self
     }
 }
