--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -111,8 +111,8 @@
         self.members.iter().all(|(_, handle)| {
             let snapshot = handle.snapshot();
             let snapshot = snapshot.borrow();
-            let alive = snapshot.members().iter();
-            alive
+            let members = snapshot.members().iter();
+            members
                 .filter(|member| member.state == MemberState::Alive)
                 .count()
                 == size
