--- a/crates/ebonyfork/examples/member_slope.rs
+++ b/crates/ebonyfork/examples/member_slope.rs
@@ -111,8 +111,8 @@
         self.members.iter().all(|(_, handle)| {
             let snapshot = handle.snapshot();
             let snapshot = snapshot.borrow();
-            let alive = snapshot.members().iter();
-            alive
+            let members = snapshot.members().iter();
+            members
                 .filter(|member| member.state == MemberState::Alive)
                 .count()
                 == size
@@ -160,7 +160,7 @@
         total_traffic
     }
 
-    /// Counts the pairs of running members of which one holds the other for failed.
+    /// Counts the pairs of running members of which one considers the other failed.
     fn false_failures(&self) -> usize {
         let mut count = 0;
         for (_, handle) in &self.members {
@@ -219,8 +219,11 @@
         detection_times.extend(watcher.await.expect("watcher"));
     }
     detection_times.sort_unstable_by(f64::total_cmp);
-    let expected = stopped_vms.len() * fleet.members.len();
-    eprintln!("# {} of {expected} failures learnt", detection_times.len());
+    let expected_detections = stopped_vms.len() * fleet.members.len();
+    eprintln!(
+        "# {} of {expected_detections} failures learnt",
+        detection_times.len()
+    );
     let quantile =
         |share: f64| detection_times[((detection_times.len() - 1) as f64 * share) as usize];
     println!(
@@ -284,8 +287,9 @@
     pages.parse::<u64>().expect("number") * PAGE_BYTES / 1_024
 }
 
-/// Fits a line to each measurement by least squares: over the size, or over its logarithm for the detection times,
-/// which grow with the duration of a suspicion.
+/// Prints, for each measurement, the line fitted by least squares over the number of members, and its value at
+/// [`DESIGN_SIZE`]. The detection times are fitted over the binary logarithm of that number, because a suspicion lasts
+/// for a number of rounds that grows with this logarithm.
 fn print_fitted_lines(text: &str) {
     let rows: Vec<Vec<f64>> = text
         .lines()
--- a/crates/ebonyfork/src/once/model_tests.rs
+++ b/crates/ebonyfork/src/once/model_tests.rs
@@ -16,7 +16,7 @@
 };
 use crate::once::state::OnceActions;
 use crate::once::{
-    OnceAction, OnceContext, OnceMessage, OnceOutcome, OnceState, OutcomeLimits, OutcomeTable,
+    NodeConditions, OnceAction, OnceMessage, OnceOutcome, OnceState, OutcomeLimits, OutcomeTable,
     WaiterId, session_successor,
 };
 use crate::query::{
@@ -28,21 +28,21 @@
 const STEPS_PER_HISTORY: usize = 120;
 const KEYS_PER_SESSION: u64 = 5;
 const DEFAULT_HISTORIES: u64 = 3_000;
-/// Longer than adopted sessions and outcomes are kept; the model sometimes advances its clock by this.
+/// Time by which the model sometimes advances its clock. Outcomes and adopted sessions are kept for less time.
 const LONG_DELAY: Duration = Duration::from_mins(11);
 
-/// The receiver of an outcome.
+/// Where the outcome of a query goes: to the caller, or to the peer that forwarded the query over a link.
 #[derive(Clone, Copy)]
 enum OutcomeReceiver {
     Caller,
-    Peer { link: usize, ticket: u64 },
+    Peer { link: usize, forward_id: u64 },
 }
 
 /// One TCP link between two processes; when it breaks, the messages queued last may be lost.
 struct Link {
     /// VM index and incarnation of the opener and of the other end.
     ends: [(usize, u64); 2],
-    /// Messages on their way, by direction: from the opener, then to the opener.
+    /// Messages sent and not yet received, by direction: from the opener, then to the opener.
     queues: [VecDeque<OnceMessage>; 2],
     broken: bool,
 }
@@ -69,7 +69,7 @@
     outcome: Option<QueryOutcome>,
 }
 
-/// All VMs, the links between them, and what really happened.
+/// All VMs, the links between them, and what really happened to each key.
 struct Model {
     rng: ChaCha8Rng,
     now: Duration,
@@ -80,7 +80,7 @@
     sessions: Vec<SessionId>,
     /// Last number used for an incarnation, a waiter or an answer.
     last_number: u64,
-    /// Whether the outcome being handled was given by another VM.
+    /// Whether the outcome that is being checked was returned by another VM.
     outcome_is_relayed: bool,
 }
 
@@ -223,8 +223,8 @@
         let request = request(key, variant);
         let waiter = self.add_receiver(vm, OutcomeReceiver::Caller, &request);
         let expires_at = self.now + Duration::from_secs(5);
-        self.apply_to_state(vm, tally, |state, context| {
-            state.submit(waiter, key, request, expires_at, context)
+        self.apply_to_state(vm, tally, |state, conditions| {
+            state.submit(waiter, key, request, expires_at, conditions)
         });
     }
 
@@ -246,15 +246,15 @@
         &mut self,
         vm: usize,
         tally: &mut Tally,
-        decide: impl FnOnce(&mut OnceState, &OnceContext<'_>) -> OnceActions,
+        decide: impl FnOnce(&mut OnceState, &NodeConditions<'_>) -> OnceActions,
     ) {
         let view = self.vms[vm].view.clone();
-        let context = OnceContext {
+        let conditions = NodeConditions {
             now: self.now,
             view: &view,
             new_work_refusal: self.vms[vm].new_work_refusal,
         };
-        let actions = decide(&mut self.vms[vm].state, &context);
+        let actions = decide(&mut self.vms[vm].state, &conditions);
         for action in actions {
             match action {
                 OnceAction::Execute(request) => self.execute(vm, &request, tally),
@@ -329,8 +329,11 @@
         if let OnceOutcome::Known(outcome) = &outcome {
             self.check_outcome(&request, outcome, tally);
         }
-        if let OutcomeReceiver::Peer { link, ticket } = receiver {
-            let message = OnceMessage::Outcome { ticket, outcome };
+        if let OutcomeReceiver::Peer { link, forward_id } = receiver {
+            let message = OnceMessage::Outcome {
+                forward_id,
+                outcome,
+            };
             self.enqueue(link, 1, message);
         }
     }
@@ -429,17 +432,23 @@
     fn handle_message(&mut self, vm: usize, link: usize, message: OnceMessage, tally: &mut Tally) {
         let now = self.now;
         match message {
-            OnceMessage::Forward { ticket, request } => {
+            OnceMessage::Forward {
+                forward_id,
+                request,
+            } => {
                 let waiter =
-                    self.add_receiver(vm, OutcomeReceiver::Peer { link, ticket }, &request);
-                self.apply_to_state(vm, tally, |state, context| {
-                    state.handle_forward(waiter, request, context)
+                    self.add_receiver(vm, OutcomeReceiver::Peer { link, forward_id }, &request);
+                self.apply_to_state(vm, tally, |state, conditions| {
+                    state.handle_forward(waiter, request, conditions)
                 });
             }
-            OnceMessage::Outcome { ticket, outcome } => {
+            OnceMessage::Outcome {
+                forward_id,
+                outcome,
+            } => {
                 self.outcome_is_relayed = matches!(outcome, OnceOutcome::Known(_));
-                self.apply_to_state(vm, tally, |state, context| {
-                    state.handle_outcome(ticket, outcome, context)
+                self.apply_to_state(vm, tally, |state, conditions| {
+                    state.handle_outcome(forward_id, outcome, conditions)
                 });
                 self.outcome_is_relayed = false;
             }
@@ -470,8 +479,8 @@
         let (opener, incarnation) = self.links[link].ends[0];
         let (to, _incarnation) = self.links[link].ends[1];
         if self.vms[opener].incarnation() == incarnation {
-            self.apply_to_state(opener, tally, |state, context| {
-                state.handle_link_down(address(to), context)
+            self.apply_to_state(opener, tally, |state, conditions| {
+                state.handle_link_down(address(to), conditions)
             });
         }
     }
