--- a/crates/ebonyfork/src/gateway/policy/answer_lag.rs
+++ b/crates/ebonyfork/src/gateway/policy/answer_lag.rs
@@ -45,8 +45,8 @@
     }
 
     /// Records the time from the decision until a gathered answer was written to the socket.
-    pub fn record_work(&mut self, took: Duration, now: Instant) {
-        self.work_times.record(took, now);
+    pub fn record_work(&mut self, work_time: Duration, now: Instant) {
+        self.work_times.record(work_time, now);
     }
 
     /// Returns how long before its send deadline an answer must be decided.
--- a/crates/ebonyfork/src/gateway/policy/gather_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/gather_tests.rs
@@ -10,8 +10,8 @@
     Duration::from_millis(millis)
 }
 
-fn state(shards: usize, required: usize, start: Instant) -> GatherState {
-    GatherState::new(shards, required, start + ms(100), start + ms(1_000))
+fn state(shards: usize, required_count: usize, start: Instant) -> GatherState {
+    GatherState::new(shards, required_count, start + ms(100), start + ms(1_000))
 }
 
 fn signature(text: &str) -> HeaderValue {
--- a/crates/ebonyfork/src/gateway/policy/health.rs
+++ b/crates/ebonyfork/src/gateway/policy/health.rs
@@ -15,8 +15,8 @@
 
 /// Weight of a new sample in the moving averages of slowness and success.
 const SAMPLE_WEIGHT: f64 = 0.25;
-/// Weight of a sample that shows a slow upstream. It exceeds [`SAMPLE_WEIGHT`] so that two queries, instead of five, are
-/// slowed down before the upstream is recognised as slow.
+/// Weight of a sample that shows a slow upstream. It exceeds [`SAMPLE_WEIGHT`] so that two queries, instead of five,
+/// are slowed down before the upstream is recognised as slow.
 const SLOW_WEIGHT: f64 = 0.6;
 /// Half-life of the estimate for an upstream that gets no requests. Slow phases last some seconds; probes detect
 /// earlier that a slow phase has ended.
@@ -127,8 +127,8 @@
             self.late_since = None;
             return;
         }
-        let first_late = *self.late_since.get_or_insert(now);
-        if began >= first_late {
+        let first_late_answer = *self.late_since.get_or_insert(now);
+        if began >= first_late_answer {
             let slowness = slowness.min(SLOWNESS_LIMIT);
             self.slowness += (slowness - self.slowness) * SLOW_WEIGHT;
         } else {
@@ -217,7 +217,8 @@
     /// Returns the expected time of an attempt in milliseconds. `usual_ms` is the usual time of such attempts; the
     /// upstream runs `slots` of them in parallel.
     pub fn expected_ms(&self, now: Instant, usual_ms: f64, slots: usize) -> f64 {
-        /// Keeps an upstream that never answers from being excluded for good.
+        /// Lower limit for the success rate in the calculation, so that an upstream that never answers isn't excluded
+        /// for good.
         const MIN_SUCCESS: f64 = 0.05;
         let mut decayed_health = self.clone();
         decayed_health.decay(now);
--- a/crates/ebonyfork/src/gateway/policy/health_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/health_tests.rs
@@ -11,11 +11,11 @@
 /// Runs attempts of the given lengths one after another and returns the time after the last one.
 fn run_attempts(health: &mut UpstreamHealth, start: Instant, took_ms: &[u64]) -> Instant {
     let mut now = start;
-    for took in took_ms {
+    for attempt_ms in took_ms {
         health.record_start(now);
         let began = now;
-        now += ms(*took);
-        health.record_answer(began, now, *took as f64 / USUAL_MS);
+        now += ms(*attempt_ms);
+        health.record_answer(began, now, *attempt_ms as f64 / USUAL_MS);
     }
     now
 }
@@ -85,14 +85,14 @@
             .filter(|step| health.is_ejected(now + ms(step * 100)))
             .count()
     };
-    let mut lengths = Vec::new();
+    let mut ejection_steps = Vec::new();
     for _ in 0..5 {
         health.record_start(start);
         health.record_unreachable(start, start);
-        lengths.push(ejected_steps(&health, start));
+        ejection_steps.push(ejected_steps(&health, start));
     }
     expect_that!(
-        lengths,
+        ejection_steps,
         elements_are![eq(&2), eq(&4), eq(&8), eq(&16), eq(&20)]
     );
     health.record_start(start);
--- a/crates/ebonyfork/src/gateway/policy/homes_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/homes_tests.rs
@@ -17,8 +17,8 @@
         (homes(&["south"]), Some(&north), false),
         (homes(&["north"]), None, false),
     ];
-    for (homes, region, expected) in cases {
-        expect_that!(homes.allows(region), eq(expected), "{homes} {region:?}");
+    for (homes, region, is_allowed) in cases {
+        expect_that!(homes.allows(region), eq(is_allowed), "{homes} {region:?}");
     }
     expect_that!(homes(&["south", "north"]).to_string(), eq("south,north"));
     expect_that!(homes(&[]).to_string(), eq("anywhere"));
--- a/crates/ebonyfork/src/gateway/policy/latency.rs
+++ b/crates/ebonyfork/src/gateway/policy/latency.rs
@@ -76,7 +76,7 @@
     /// assert!(histogram.quantile(0.5) < 13.0);
     /// assert!(histogram.survival(20.0) < 0.1);
     /// ```
-    pub fn new(assumed: Duration) -> Self {
+    pub fn new(assumed_latency: Duration) -> Self {
         let mut histogram = Self {
             weights: [0.0; BUCKETS],
             total_weight: 0.0,
@@ -84,23 +84,23 @@
         };
         // Spread the assumption over a factor of four to reflect its uncertainty.
         for factor in [0.5, 0.75, 1.0, 2.0] {
-            histogram.add(millis(assumed) * factor, PRIOR_WEIGHT / 4.0);
+            histogram.add(millis(assumed_latency) * factor, PRIOR_WEIGHT / 4.0);
         }
         histogram
     }
 
     /// Adds a sample for an attempt that ended at `now`.
-    pub fn record(&mut self, took: Duration, now: Instant) {
+    pub fn record(&mut self, elapsed_time: Duration, now: Instant) {
         self.decay(now);
-        self.add(millis(took), 1.0);
+        self.add(millis(elapsed_time), 1.0);
     }
 
-    /// Adds a sample for an attempt that was abandoned after `waited`, if the attempt was late by then: it counts as
-    /// taking twice that time. Without this, pauses would disappear from the histogram, because most attempts that meet
-    /// one are abandoned, and then no hedges would be sent.
-    pub fn record_abandoned(&mut self, waited: Duration, now: Instant) {
-        if millis(waited) > self.quantile(STRAGGLER_QUANTILE) {
-            self.record(waited * 2, now);
+    /// Adds a sample for an attempt that was abandoned after `time_in_flight`, if the attempt was late by then: it
+    /// counts as taking twice that time. Without this, pauses would disappear from the histogram, because most attempts
+    /// that meet one are abandoned, and then no hedges would be sent.
+    pub fn record_abandoned(&mut self, time_in_flight: Duration, now: Instant) {
+        if millis(time_in_flight) > self.quantile(STRAGGLER_QUANTILE) {
+            self.record(time_in_flight * 2, now);
         }
     }
 
@@ -129,10 +129,10 @@
     pub fn quantile(&self, fraction: f64) -> f64 {
         let wanted_weight = self.total_weight * fraction;
         let mut cumulative_weight = 0.0;
-        for (number, weight) in self.weights.iter().enumerate() {
+        for (bucket, weight) in self.weights.iter().enumerate() {
             cumulative_weight += weight;
             if cumulative_weight >= wanted_weight {
-                return bucket_bound(number);
+                return bucket_bound(bucket);
             }
         }
         bucket_bound(BUCKETS - 1)
@@ -143,17 +143,17 @@
         if time_ms <= 0.0 {
             return 1.0;
         }
-        let number = bucket_index(time_ms);
-        let longer_weight: f64 = self.weights[number + 1..].iter().sum();
-        let lower_bound = if number == 0 {
+        let bucket = bucket_index(time_ms);
+        let longer_weight: f64 = self.weights[bucket + 1..].iter().sum();
+        let lower_bound = if bucket == 0 {
             0.0
         } else {
-            bucket_bound(number - 1)
+            bucket_bound(bucket - 1)
         };
-        let fraction_above = ((bucket_bound(number) - time_ms)
-            / (bucket_bound(number) - lower_bound))
+        let fraction_above = ((bucket_bound(bucket) - time_ms)
+            / (bucket_bound(bucket) - lower_bound))
             .clamp(0.0, 1.0);
-        (longer_weight + self.weights[number] * fraction_above) / self.total_weight
+        (longer_weight + self.weights[bucket] * fraction_above) / self.total_weight
     }
 
     /// Returns the probability that an attempt which has been in flight for `waited_ms` ends within the next `left_ms`.
@@ -176,12 +176,12 @@
     if time_ms <= FIRST_MS {
         return 0;
     }
-    let number = ((time_ms / FIRST_MS).ln() / GROWTH.ln()).ceil() as usize;
-    number.min(BUCKETS - 1)
+    let bucket = ((time_ms / FIRST_MS).ln() / GROWTH.ln()).ceil() as usize;
+    bucket.min(BUCKETS - 1)
 }
 
-fn bucket_bound(number: usize) -> f64 {
-    FIRST_MS * GROWTH.powi(number as i32)
+fn bucket_bound(bucket: usize) -> f64 {
+    FIRST_MS * GROWTH.powi(bucket as i32)
 }
 
 #[cfg(test)]
--- a/crates/ebonyfork/src/gateway/policy/serving_tests.rs
+++ b/crates/ebonyfork/src/gateway/policy/serving_tests.rs
@@ -24,8 +24,8 @@
             12,
         ),
     ];
-    for (cores, expected) in cases {
-        expect_that!(serving_count(cores, 0), eq(expected), "{cores:?}");
+    for (cores, expected_count) in cases {
+        expect_that!(serving_count(cores, 0), eq(expected_count), "{cores:?}");
     }
     // A few strong VMs can take the load of many weak ones until they are busy.
     let mut core_counts = vec![0.12; 35];
