--- a/crates/ebonyfork/src/gateway/policy/budget/lease.rs
+++ b/crates/ebonyfork/src/gateway/policy/budget/lease.rs
@@ -104,8 +104,8 @@
         share.is_some_and(|share| now < share.expires)
     }
 
-    /// Returns whether this process may use the share that its own VM owns at `now`: it has run for a lease term and the
-    /// share isn't leased to another VM.
+    /// Returns whether this process may use the share that its own VM owns at `now`: it has run for a lease term and
+    /// the share isn't leased to another VM.
     pub(super) fn holds_own(&self, now: Duration) -> bool {
         now >= LEASE_TERM && self.lent_to(now).is_none()
     }
--- a/crates/ebonyfork/src/gateway/run/attempt.rs
+++ b/crates/ebonyfork/src/gateway/run/attempt.rs
@@ -138,11 +138,11 @@
     pub(super) fn spend(&self, shard: usize) -> bool {
         let core = &self.context.core;
         let service = self.target.service(shard);
-        let result = core
+        let spend_result = core
             .retry_budget
             .borrow_mut()
             .spend(service, core.running_time());
-        match result {
+        match spend_result {
             Ok(()) => {
                 core.metrics.repeats.inc();
             }
@@ -153,7 +153,7 @@
                 self.last_denial.set(denial.label());
             }
         }
-        result.is_ok()
+        spend_result.is_ok()
     }
 
     /// Counts the request to a shard in the retry budget, once.
@@ -198,14 +198,14 @@
         let in_own_zone = |upstream: &Upstream| {
             self.delivery.is_none() || place.distance(&upstream.entry().zone) == PlaceDistance::Zone
         };
-        let pick = |is_allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
+        let pick_upstream = |is_allowed: &dyn Fn(&Upstream, &UpstreamIncarnation) -> bool| {
             let is_allowed = |upstream: &Upstream, incarnation: &UpstreamIncarnation| {
                 in_own_zone(upstream) && is_allowed(upstream, incarnation)
             };
             choose_upstream(&candidates, is_allowed, place, &latency, current_time)
         };
         if !is_repeat && self.state.shards()[shard].unsent_attempts == 0 {
-            return pick(&|_, _| true);
+            return pick_upstream(&|_, _| true);
         }
         let run_upstreams = self.upstreams_run(shard);
         let may_use_more = run_upstreams.len() < self.max_upstreams();
@@ -221,12 +221,16 @@
         let may_repeat = |incarnation: &UpstreamIncarnation| {
             none_in_flight && (may_use_more || has_run_on(incarnation))
         };
-        pick(&|upstream, incarnation| is_reachable(upstream) && is_untried(incarnation))
+        pick_upstream(&|upstream, incarnation| is_reachable(upstream) && is_untried(incarnation))
             .or_else(|| {
-                pick(&|upstream, incarnation| is_reachable(upstream) && may_repeat(incarnation))
+                pick_upstream(&|upstream, incarnation| {
+                    is_reachable(upstream) && may_repeat(incarnation)
+                })
             })
             .or_else(|| {
-                pick(&|_upstream, incarnation| is_untried(incarnation) || may_repeat(incarnation))
+                pick_upstream(&|_upstream, incarnation| {
+                    is_untried(incarnation) || may_repeat(incarnation)
+                })
             })
     }
 
--- a/crates/ebonyfork/src/gateway/run/group.rs
+++ b/crates/ebonyfork/src/gateway/run/group.rs
@@ -393,8 +393,8 @@
     /// Returns the time that the attempt which delivered a shard's part took, in microseconds.
     fn took_us(&self, shard: usize) -> u32 {
         let attempt_time = self.attempts_of(shard).find_map(|attempt| attempt.took);
-        let micros = attempt_time.unwrap_or_default().as_micros();
-        u32::try_from(micros).unwrap_or(u32::MAX)
+        let attempt_us = attempt_time.unwrap_or_default().as_micros();
+        u32::try_from(attempt_us).unwrap_or(u32::MAX)
     }
 
     /// Returns how far the request got with a shard, for the VM that requested it. A broken connection is only reported
--- a/crates/ebonyfork/src/gateway/run/settle.rs
+++ b/crates/ebonyfork/src/gateway/run/settle.rs
@@ -13,11 +13,11 @@
     /// Waits until enough shards have an upstream, or no more can be expected in time.
     pub(super) async fn wait_for_upstreams(&self) {
         let registry = &self.context.core.registry;
-        while let Some(settling) = registry.settling(now()) {
-            if self.has_enough_upstreams() || settling.likely_by > self.request.finish_by {
+        while let Some(settling_period) = registry.settling(now()) {
+            if self.has_enough_upstreams() || settling_period.likely_by > self.request.finish_by {
                 return;
             }
-            let wait_end = settling.until.min(self.request.finish_by);
+            let wait_end = settling_period.until.min(self.request.finish_by);
             let wait_end = tokio::time::Instant::from_std(wait_end);
             let new_entry = registry.wait_for_new_entry();
             if tokio::time::timeout_at(wait_end, new_entry).await.is_err() {
@@ -41,8 +41,12 @@
     /// registered.
     pub(super) fn registration_left(&self) -> Option<Duration> {
         let current_time = now();
-        let settling = self.context.core.registry.settling(current_time)?;
-        Some(settling.until.saturating_duration_since(current_time))
+        let settling_period = self.context.core.registry.settling(current_time)?;
+        Some(
+            settling_period
+                .until
+                .saturating_duration_since(current_time),
+        )
     }
 
     /// Returns whether enough shards have an upstream for an answer. Upstreams that are cold or in an evacuated
